--- a/tests/support/registered_scenario.cpp
+++ b/tests/support/registered_scenario.cpp
@@ -34,6 +34,9 @@
     CPPUNIT_ASSERT_MESSAGE(fmt::format("seed {}: did not start", seed), fleet.start());
     scenario(fleet);
     const auto violations = fleet.finish();
+    if (std::getenv("CAIRNHOLLOW_PRINT_HASHES") != nullptr) {
+      fmt::print("seed {} trace {:016x}\n", seed, fleet.world().trace().hash());
+    }
     const std::string first_violation = violations.empty() ? "" : violations.front();
     CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}: {} violations", seed, violations.size()),
                                  std::string(), first_violation);
