--- a/bench/consensus_bench.cpp
+++ b/bench/consensus_bench.cpp
@@ -8,7 +8,7 @@
 
 #include "consensus/messages.h"
 #include "consensus/raft.h"
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 #include "wire/hello.h"
 
 namespace cairnhollow::consensus {
--- a/bench/http_bench.cpp
+++ b/bench/http_bench.cpp
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <vector>
 
+#include "host/asio_runtime.h"
 #include "http/message_parser.h"
 #include "http/message_writer.h"
-#include "runtime/asio/asio_runtime.h"
 
 namespace cairnhollow::http {
 namespace {
--- a/bench/probe_bench.cpp
+++ b/bench/probe_bench.cpp
@@ -10,7 +10,7 @@
 
 #include "backend/contract_codec.h"
 #include "backend/http_backend.h"
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 
 namespace cairnhollow::backend {
 namespace {
--- a/bench/timer_bench.cpp
+++ b/bench/timer_bench.cpp
@@ -5,7 +5,7 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/io_context.hpp>
 
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 #include "runtime/asio/asio_timer.h"
 #include "runtime/asio/lazy_deadline.h"
 
--- a/src/cli/operator_program.cpp
+++ b/src/cli/operator_program.cpp
@@ -10,7 +10,7 @@
 
 #include "cli/process_end.h"
 #include "cli/run_command.h"
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 
 namespace cairnhollow::cli {
 
--- a/src/runtime/asio/asio_runtime.cpp
+++ b/src/host/asio_runtime.cpp
@@ -1,4 +1,4 @@
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 
 #include <boost/asio/co_spawn.hpp>
 
--- a/standins/callers/load_program.cpp
+++ b/standins/callers/load_program.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <sstream>
 
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 #include "standins/callers/history_file.h"
 #include "standins/callers/load_generator.h"
 #include "standins/callers/load_options.h"
--- a/standins/programs/cairnhollow_environment.cpp
+++ b/standins/programs/cairnhollow_environment.cpp
@@ -12,7 +12,7 @@
 #include <fstream>
 #include <map>
 
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 #include "standins/unfenced/environment.h"
 
 namespace json = boost::json;
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -4,7 +4,7 @@
 #include <boost/asio/io_context.hpp>
 #include <memory>
 
-#include "runtime/asio/asio_runtime.h"
+#include "host/asio_runtime.h"
 
 namespace cairnhollow::tests {
 
