--- a/bench/codec_bench.cpp
+++ b/bench/codec_bench.cpp
@@ -1,10 +1,10 @@
 // Codecs that every statement or every log entry passes through.
 #include <benchmark/benchmark.h>
 
-#include "backend/contract_codec.h"
 #include "consensus/log_entry.h"
 #include "consensus/messages.h"
 #include "consensus/record.h"
+#include "declared/backend/contract_codec.h"
 #include "routing/session_token.h"
 
 namespace cairnhollow {
--- a/bench/probe_bench.cpp
+++ b/bench/probe_bench.cpp
@@ -8,8 +8,8 @@
 #include <thread>
 #include <vector>
 
-#include "backend/contract_codec.h"
-#include "backend/http_backend.h"
+#include "declared/backend/contract_codec.h"
+#include "declared/backend/http_backend.h"
 #include "host/asio_runtime.h"
 
 namespace cairnhollow::backend {
--- a/bench/subset_bench.cpp
+++ b/bench/subset_bench.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <map>
 
-#include "backend/pool_share.h"
+#include "declared/backend/pool_share.h"
 #include "routing/subset.h"
 
 namespace cairnhollow::routing {
--- a/simulation/observer_role.cpp
+++ b/simulation/observer_role.cpp
@@ -2,8 +2,8 @@
 
 #include <boost/json.hpp>
 
-#include "backend/http_backend.h"
 #include "cli/operator_client.h"
+#include "declared/backend/http_backend.h"
 
 namespace cairnhollow::simulation {
 
--- a/simulation/observer_role.h
+++ b/simulation/observer_role.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "backend/backend_connection.h"
+#include "declared/backend/backend_connection.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 #include "simulation/deployment.h"
--- a/simulation/scenarios/proxy_scenarios.cpp
+++ b/simulation/scenarios/proxy_scenarios.cpp
@@ -1,7 +1,7 @@
 // Failures of proxies: killed at random, between a transaction's statements, and around its commit.
 #include <algorithm>
 
-#include "backend/contract_codec.h"
+#include "declared/backend/contract_codec.h"
 #include "simulation/scenario.h"
 
 namespace cairnhollow::simulation {
--- a/src/backend/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -1,9 +1,9 @@
-#include "backend/concurrency_limit.h"
+#include "admission/concurrency_limit.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "backend/pool_knobs.h"
+#include "declared/backend/pool_knobs.h"
 
 namespace cairnhollow::backend {
 
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "backend/http_backend.h"
+#include "declared/backend/http_backend.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/control_core.h
+++ b/src/control/control_core.h
@@ -4,7 +4,6 @@
 
 #include <memory>
 
-#include "backend/backend_connection.h"
 #include "control/connection_dispatcher.h"
 #include "control/event_log.h"
 #include "control/follow_server.h"
@@ -12,6 +11,7 @@
 #include "control/news_exchange.h"
 #include "control/platform_poller.h"
 #include "control/settings.h"
+#include "declared/backend/backend_connection.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/failover_rules.h
+++ b/src/control/failover_rules.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <vector>
 
-#include "backend/backend_connection.h"
 #include "control/group_definition.h"
+#include "declared/backend/backend_connection.h"
 #include "follow/messages.h"
 
 namespace cairnhollow::control {
--- a/src/control/failover_run.h
+++ b/src/control/failover_run.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "backend/backend_connection.h"
 #include "control/failover_rules.h"
 #include "control/knobs.h"
+#include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/backend/admitted_connection.cpp
+++ b/src/declared/backend/admitted_connection.cpp
@@ -1,4 +1,4 @@
-#include "backend/admitted_connection.h"
+#include "declared/backend/admitted_connection.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/admitted_connection.h
+++ b/src/declared/backend/admitted_connection.h
@@ -2,7 +2,7 @@
 // gives its permit back while a transaction idles between two statements.
 #pragma once
 
-#include "backend/backend_admission.h"
+#include "declared/backend/backend_admission.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -1,9 +1,9 @@
-#include "backend/backend_admission.h"
+#include "declared/backend/backend_admission.h"
 
 #include <algorithm>
 
-#include "backend/admitted_connection.h"
-#include "backend/pool_knobs.h"
+#include "declared/backend/admitted_connection.h"
+#include "declared/backend/pool_knobs.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/backend_admission.h
+++ b/src/declared/backend/backend_admission.h
@@ -6,11 +6,11 @@
 #include <memory>
 #include <optional>
 
-#include "backend/admission_queue.h"
-#include "backend/concurrency_limit.h"
-#include "backend/connection_pool.h"
-#include "backend/urgent_allowance.h"
-#include "backend/wait_cancellation.h"
+#include "admission/admission_queue.h"
+#include "admission/concurrency_limit.h"
+#include "declared/backend/connection_pool.h"
+#include "declared/backend/urgent_allowance.h"
+#include "declared/backend/wait_cancellation.h"
 #include "runtime/signal.h"
 
 namespace cairnhollow::backend {
--- a/src/backend/connection_pool.cpp
+++ b/src/declared/backend/connection_pool.cpp
@@ -1,8 +1,8 @@
-#include "backend/connection_pool.h"
+#include "declared/backend/connection_pool.h"
 
 #include <algorithm>
 
-#include "backend/pool_knobs.h"
+#include "declared/backend/pool_knobs.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/connection_pool.h
+++ b/src/declared/backend/connection_pool.h
@@ -7,8 +7,8 @@
 #include <memory>
 #include <vector>
 
-#include "backend/backend_connection.h"
-#include "backend/pool_share.h"
+#include "declared/backend/backend_connection.h"
+#include "declared/backend/pool_share.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::backend {
--- a/src/backend/contract_answers.cpp
+++ b/src/declared/backend/contract_answers.cpp
@@ -1,8 +1,8 @@
 #include <exception>
 #include <stdexcept>
 
-#include "backend/contract_codec.h"
-#include "backend/json_values.h"
+#include "declared/backend/contract_codec.h"
+#include "declared/backend/json_values.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/contract_calls.cpp
+++ b/src/declared/backend/contract_calls.cpp
@@ -1,7 +1,7 @@
 #include <exception>
 
-#include "backend/contract_codec.h"
-#include "backend/json_values.h"
+#include "declared/backend/contract_codec.h"
+#include "declared/backend/json_values.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/contract_codec.h
+++ b/src/declared/backend/contract_codec.h
@@ -5,9 +5,9 @@
 #include <optional>
 #include <string>
 
-#include "backend/backend_connection.h"
 #include "base/reason.h"
 #include "base/types.h"
+#include "declared/backend/backend_connection.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/http_backend.cpp
+++ b/src/declared/backend/http_backend.cpp
@@ -1,10 +1,10 @@
-#include "backend/http_backend.h"
+#include "declared/backend/http_backend.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "backend/contract_codec.h"
+#include "declared/backend/contract_codec.h"
 
 namespace cairnhollow::backend {
 
--- a/src/backend/http_backend.h
+++ b/src/declared/backend/http_backend.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "backend/backend_connection.h"
+#include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::backend {
--- a/src/backend/json_values.cpp
+++ b/src/declared/backend/json_values.cpp
@@ -1,4 +1,4 @@
-#include "backend/json_values.h"
+#include "declared/backend/json_values.h"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/backend/pool_share.cpp
+++ b/src/declared/backend/pool_share.cpp
@@ -1,8 +1,8 @@
-#include "backend/pool_share.h"
+#include "declared/backend/pool_share.h"
 
 #include <algorithm>
 
-#include "backend/pool_knobs.h"
+#include "declared/backend/pool_knobs.h"
 
 namespace cairnhollow::backend {
 
--- a/src/proxy/backend_access.h
+++ b/src/proxy/backend_access.h
@@ -4,8 +4,8 @@
 
 #include <memory>
 
-#include "backend/backend_connection.h"
-#include "backend/wait_cancellation.h"
+#include "declared/backend/backend_connection.h"
+#include "declared/backend/wait_cancellation.h"
 #include "proxy/knobs.h"
 #include "proxy/statement.h"
 #include "routing/decision.h"
--- a/src/proxy/pooled_access.cpp
+++ b/src/proxy/pooled_access.cpp
@@ -2,8 +2,8 @@
 
 #include <set>
 
-#include "backend/admitted_connection.h"
-#include "backend/pool_knobs.h"
+#include "declared/backend/admitted_connection.h"
+#include "declared/backend/pool_knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/pooled_access.h
+++ b/src/proxy/pooled_access.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <memory>
 
-#include "backend/backend_admission.h"
+#include "declared/backend/backend_admission.h"
 #include "proxy/backend_access.h"
 #include "proxy/serving_state.h"
 
--- a/src/proxy/proxy_metrics.h
+++ b/src/proxy/proxy_metrics.h
@@ -31,7 +31,7 @@
 
 #include <array>
 
-#include "backend/backend_admission.h"
+#include "declared/backend/backend_admission.h"
 #include "proxy/forwarder.h"
 #include "proxy/statement.h"
 #include "runtime/metrics.h"
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -1,6 +1,6 @@
 #include "proxy/proxy_server.h"
 
-#include "backend/http_backend.h"
+#include "declared/backend/http_backend.h"
 #include "proxy/caller_api.h"
 #include "proxy/domain_table.h"
 #include "proxy/knobs.h"
--- a/src/proxy/read_watch.h
+++ b/src/proxy/read_watch.h
@@ -5,7 +5,7 @@
 
 #include <list>
 
-#include "backend/backend_connection.h"
+#include "declared/backend/backend_connection.h"
 #include "routing/backend_load.h"
 #include "runtime/runtime.h"
 
--- a/src/proxy/statement.h
+++ b/src/proxy/statement.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <variant>
 
-#include "backend/backend_connection.h"
 #include "base/reason.h"
 #include "base/types.h"
+#include "declared/backend/backend_connection.h"
 #include "http/problem.h"
 #include "routing/decision.h"
 #include "routing/session_token.h"
--- a/src/routing/decision.h
+++ b/src/routing/decision.h
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "backend/backend_connection.h"
 #include "base/reason.h"
 #include "base/types.h"
 #include "config/objects.h"
+#include "declared/backend/backend_connection.h"
 #include "routing/shared_list.h"
 #include "routing/subset.h"
 
--- a/src/session/statement_gate.h
+++ b/src/session/statement_gate.h
@@ -4,8 +4,8 @@
 
 #include <memory>
 
-#include "backend/admission_queue.h"
-#include "backend/concurrency_limit.h"
+#include "admission/admission_queue.h"
+#include "admission/concurrency_limit.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/standins/callers/load_options.h
+++ b/standins/callers/load_options.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "backend/backend_connection.h"
+#include "declared/backend/backend_connection.h"
 #include "standins/callers/load_generator.h"
 
 namespace cairnhollow::standins::callers {
--- a/standins/callers/statement_route.h
+++ b/standins/callers/statement_route.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
-#include "backend/backend_connection.h"
 #include "base/reason.h"
+#include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 #include "standins/callers/record_statement.h"
 
--- a/standins/database/database_handler.cpp
+++ b/standins/database/database_handler.cpp
@@ -1,6 +1,6 @@
 #include "standins/database/database_handler.h"
 
-#include "backend/contract_codec.h"
+#include "declared/backend/contract_codec.h"
 
 namespace cairnhollow::standins::database {
 
--- a/standins/database/database_member.h
+++ b/standins/database/database_member.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <vector>
 
-#include "backend/backend_connection.h"
+#include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "standins/database/async_lock.h"
--- a/standins/database/statement_service.h
+++ b/standins/database/statement_service.h
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "backend/contract_codec.h"
+#include "declared/backend/contract_codec.h"
 #include "runtime/runtime.h"
 #include "standins/database/connection_table.h"
 #include "standins/database/database_member.h"
--- a/standins/database/statement_text.cpp
+++ b/standins/database/statement_text.cpp
@@ -5,7 +5,7 @@
 #include <exception>
 #include <stdexcept>
 
-#include "backend/json_values.h"
+#include "declared/backend/json_values.h"
 
 namespace cairnhollow::standins::database {
 
--- a/standins/database/tunables.cpp
+++ b/standins/database/tunables.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <stdexcept>
 
-#include "backend/json_values.h"
+#include "declared/backend/json_values.h"
 
 namespace cairnhollow::standins::database {
 
--- a/standins/platform/platform_server.cpp
+++ b/standins/platform/platform_server.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "backend/json_values.h"
+#include "declared/backend/json_values.h"
 
 namespace cairnhollow::standins::platform {
 
--- a/tests/backend/concurrency_limit_test.cpp
+++ b/tests/admission/concurrency_limit_test.cpp
@@ -1,5 +1,5 @@
 // The adaptive limit: what makes it grow and shrink, and its bounds.
-#include "backend/concurrency_limit.h"
+#include "admission/concurrency_limit.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/control_fleet.cpp
+++ b/tests/control/control_fleet.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "backend/http_backend.h"
 #include "control/control_node.h"
+#include "declared/backend/http_backend.h"
 #include "standins/database/database_server.h"
 #include "standins/platform/platform_server.h"
 
--- a/tests/control/control_fleet.h
+++ b/tests/control/control_fleet.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "backend/backend_connection.h"
 #include "cli/operator_client.h"
 #include "control/settings.h"
+#include "declared/backend/backend_connection.h"
 #include "follow/follow_client.h"
 #include "simulation/world.h"
 
--- a/tests/backend/admission_fixture.h
+++ b/tests/declared/backend/admission_fixture.h
@@ -6,9 +6,9 @@
 
 #include <memory>
 
-#include "backend/backend_admission.h"
+#include "declared/backend/backend_admission.h"
 #include "simulation/world.h"
-#include "tests/backend/scripted_backend.h"
+#include "tests/declared/backend/scripted_backend.h"
 
 namespace cairnhollow::backend {
 
--- a/tests/backend/backend_admission_test.cpp
+++ b/tests/declared/backend/backend_admission_test.cpp
@@ -1,12 +1,12 @@
 // Admission to one backend: order of the queue, early refusal, opening ahead of need, what failures do.
-#include "backend/backend_admission.h"
+#include "declared/backend/backend_admission.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
-#include "backend/admitted_connection.h"
-#include "backend/pool_knobs.h"
-#include "tests/backend/admission_fixture.h"
+#include "declared/backend/admitted_connection.h"
+#include "declared/backend/pool_knobs.h"
+#include "tests/declared/backend/admission_fixture.h"
 
 namespace cairnhollow::backend {
 namespace {
--- a/tests/backend/contract_codec_test.cpp
+++ b/tests/declared/backend/contract_codec_test.cpp
@@ -1,5 +1,5 @@
 // Bodies that are no calls of the contract are refused with the field that is wrong.
-#include "backend/contract_codec.h"
+#include "declared/backend/contract_codec.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/backend/http_backend_test.cpp
+++ b/tests/declared/backend/http_backend_test.cpp
@@ -1,6 +1,6 @@
 // The HTTP driver against a server that delays, crosses, repeats and cuts its answers: every caller gets its
 // own answer whole or a failure, and a connection that went wrong is never used again.
-#include "backend/http_backend.h"
+#include "declared/backend/http_backend.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/backend/pool_share_test.cpp
+++ b/tests/declared/backend/pool_share_test.cpp
@@ -1,5 +1,5 @@
 // Shares of connections and slots, over all sizes that matter.
-#include "backend/pool_share.h"
+#include "declared/backend/pool_share.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/backend/scripted_backend.cpp
+++ b/tests/declared/backend/scripted_backend.cpp
@@ -1,4 +1,4 @@
-#include "tests/backend/scripted_backend.h"
+#include "tests/declared/backend/scripted_backend.h"
 
 #include <algorithm>
 
--- a/tests/backend/scripted_backend.h
+++ b/tests/declared/backend/scripted_backend.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "backend/backend_connection.h"
+#include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::backend {
--- a/tests/backend/synthetic_backend.h
+++ b/tests/declared/backend/synthetic_backend.h
@@ -9,7 +9,7 @@
 #include <limits>
 #include <random>
 
-#include "backend/concurrency_limit.h"
+#include "admission/concurrency_limit.h"
 
 namespace cairnhollow::backend::testing {
 
--- a/tests/backend/urgent_allowance_test.cpp
+++ b/tests/declared/backend/urgent_allowance_test.cpp
@@ -1,8 +1,8 @@
 // Urgent statements that go beyond a proxy's concurrency limit when they would be late within it.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "backend/admitted_connection.h"
-#include "tests/backend/admission_fixture.h"
+#include "declared/backend/admitted_connection.h"
+#include "tests/declared/backend/admission_fixture.h"
 
 namespace cairnhollow::backend {
 namespace {
--- a/tests/proxy/proxy_world.cpp
+++ b/tests/proxy/proxy_world.cpp
@@ -1,6 +1,6 @@
 #include "proxy_world.h"
 
-#include "backend/http_backend.h"
+#include "declared/backend/http_backend.h"
 #include "proxy/proxy_server.h"
 #include "standins/database/database_server.h"
 
--- a/tests/proxy/read_watch_test.cpp
+++ b/tests/proxy/read_watch_test.cpp
@@ -5,7 +5,7 @@
 
 #include "proxy/knobs.h"
 #include "simulation/world.h"
-#include "tests/backend/scripted_backend.h"
+#include "tests/declared/backend/scripted_backend.h"
 
 namespace cairnhollow::proxy {
 namespace {
--- a/tests/standins/database/database_group.h
+++ b/tests/standins/database/database_group.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "backend/http_backend.h"
+#include "declared/backend/http_backend.h"
 #include "simulation/world.h"
 #include "standins/database/settings.h"
 
