--- a/bench/codec_bench.cpp
+++ b/bench/codec_bench.cpp
@@ -5,7 +5,7 @@
 #include "consensus/messages.h"
 #include "consensus/record.h"
 #include "declared/backend/contract_codec.h"
-#include "routing/session_token.h"
+#include "declared/routing/session_token.h"
 
 namespace cairnhollow {
 namespace {
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,9 +1,9 @@
 // The cost of one choice of a backend, by members of a group and by number of groups.
 #include <benchmark/benchmark.h>
 
-#include "routing/choice.h"
-#include "routing/session_token.h"
-#include "routing/view_builder.h"
+#include "declared/routing/choice.h"
+#include "declared/routing/session_token.h"
+#include "declared/routing/view_builder.h"
 
 namespace cairnhollow::routing {
 namespace {
--- a/bench/subset_bench.cpp
+++ b/bench/subset_bench.cpp
@@ -6,7 +6,7 @@
 #include <map>
 
 #include "declared/backend/pool_share.h"
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 namespace cairnhollow::routing {
 namespace {
--- a/src/routing/backend_load.cpp
+++ b/src/declared/routing/backend_load.cpp
@@ -1,4 +1,4 @@
-#include "routing/backend_load.h"
+#include "declared/routing/backend_load.h"
 
 #include <algorithm>
 
--- a/src/routing/base64url.cpp
+++ b/src/declared/routing/base64url.cpp
@@ -1,4 +1,4 @@
-#include "routing/base64url.h"
+#include "declared/routing/base64url.h"
 
 #include <array>
 #include <cstdint>
--- a/src/routing/choice.cpp
+++ b/src/declared/routing/choice.cpp
@@ -1,11 +1,11 @@
-#include "routing/choice.h"
+#include "declared/routing/choice.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <array>
 
-#include "routing/hash.h"
+#include "declared/routing/hash.h"
 
 namespace cairnhollow::routing {
 
--- a/src/routing/choice.h
+++ b/src/declared/routing/choice.h
@@ -2,9 +2,9 @@
 // decision, and nothing is touched.
 #pragma once
 
-#include "routing/backend_load.h"
-#include "routing/decision.h"
-#include "routing/freshness.h"
+#include "declared/routing/backend_load.h"
+#include "declared/routing/decision.h"
+#include "declared/routing/freshness.h"
 
 namespace cairnhollow::routing {
 
--- a/src/routing/decision.h
+++ b/src/declared/routing/decision.h
@@ -12,8 +12,8 @@
 #include "base/types.h"
 #include "config/objects.h"
 #include "declared/backend/backend_connection.h"
-#include "routing/shared_list.h"
-#include "routing/subset.h"
+#include "declared/routing/shared_list.h"
+#include "subset/subset.h"
 
 namespace cairnhollow::routing {
 
--- a/src/routing/freshness.cpp
+++ b/src/declared/routing/freshness.cpp
@@ -1,4 +1,4 @@
-#include "routing/freshness.h"
+#include "declared/routing/freshness.h"
 
 #include <algorithm>
 
--- a/src/routing/hash.cpp
+++ b/src/declared/routing/hash.cpp
@@ -1,4 +1,4 @@
-#include "routing/hash.h"
+#include "declared/routing/hash.h"
 
 #include <xxhash.h>
 
--- a/src/routing/route_table.cpp
+++ b/src/declared/routing/route_table.cpp
@@ -1,4 +1,4 @@
-#include "routing/route_table.h"
+#include "declared/routing/route_table.h"
 
 #include <set>
 
--- a/src/routing/route_table.h
+++ b/src/declared/routing/route_table.h
@@ -1,7 +1,7 @@
 // Keeps the index by which a statement's route is found.
 #pragma once
 
-#include "routing/decision.h"
+#include "declared/routing/decision.h"
 
 namespace cairnhollow::routing {
 
--- a/src/routing/session_token.cpp
+++ b/src/declared/routing/session_token.cpp
@@ -1,10 +1,10 @@
-#include "routing/session_token.h"
+#include "declared/routing/session_token.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 
-#include "routing/base64url.h"
+#include "declared/routing/base64url.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::routing {
--- a/src/routing/view_builder.cpp
+++ b/src/declared/routing/view_builder.cpp
@@ -1,9 +1,9 @@
-#include "routing/view_builder.h"
+#include "declared/routing/view_builder.h"
 
 #include <algorithm>
 #include <iterator>
 
-#include "routing/route_table.h"
+#include "declared/routing/route_table.h"
 
 namespace cairnhollow::routing {
 
--- a/src/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "config/object_store.h"
+#include "declared/routing/decision.h"
 #include "follow/messages.h"
-#include "routing/decision.h"
 
 namespace cairnhollow::routing {
 
--- a/src/limits/budget_homes.h
+++ b/src/limits/budget_homes.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "limits/limit.h"
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 namespace cairnhollow::limits {
 
--- a/src/placement/facts.h
+++ b/src/placement/facts.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 namespace cairnhollow::placement {
 
--- a/src/proxy/backend_access.h
+++ b/src/proxy/backend_access.h
@@ -6,9 +6,9 @@
 
 #include "declared/backend/backend_connection.h"
 #include "declared/backend/wait_cancellation.h"
+#include "declared/routing/decision.h"
 #include "proxy/knobs.h"
 #include "proxy/statement.h"
-#include "routing/decision.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/decision_log.h
+++ b/src/proxy/decision_log.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "routing/decision.h"
+#include "declared/routing/decision.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/hop_watch.h
+++ b/src/proxy/hop_watch.h
@@ -7,8 +7,8 @@
 #include <list>
 #include <map>
 
+#include "declared/routing/decision.h"
 #include "proxy/hop_pool.h"
-#include "routing/decision.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/probe_schedule.h
+++ b/src/proxy/probe_schedule.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "routing/decision.h"
+#include "declared/routing/decision.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/read_watch.h
+++ b/src/proxy/read_watch.h
@@ -6,7 +6,7 @@
 #include <list>
 
 #include "declared/backend/backend_connection.h"
-#include "routing/backend_load.h"
+#include "declared/routing/backend_load.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/serving_state.h
+++ b/src/proxy/serving_state.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
+#include "declared/routing/choice.h"
+#include "declared/routing/view_builder.h"
 #include "follow/serving_configuration.h"
 #include "proxy/primary_watch.h"
-#include "routing/choice.h"
-#include "routing/view_builder.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/proxy/statement.h
+++ b/src/proxy/statement.h
@@ -8,9 +8,9 @@
 #include "base/reason.h"
 #include "base/types.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/routing/decision.h"
+#include "declared/routing/session_token.h"
 #include "http/problem.h"
-#include "routing/decision.h"
-#include "routing/session_token.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/registry/division.cpp
+++ b/src/registry/division.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 namespace cairnhollow::registry {
 
--- a/src/session/fleet_view.h
+++ b/src/session/fleet_view.h
@@ -11,10 +11,10 @@
 #include "locality/permitted_regions.h"
 #include "registry/delta.h"
 #include "registry/messages.h"
-#include "routing/subset.h"
 #include "session/cold_backend.h"
 #include "session/group_access.h"
 #include "session/settings.h"
+#include "subset/subset.h"
 #include "tenancy/key_confirmation.h"
 #include "tenancy/tenant_directory.h"
 
--- a/src/session/forwarder.h
+++ b/src/session/forwarder.h
@@ -7,10 +7,10 @@
 #include <optional>
 #include <vector>
 
-#include "routing/subset.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "session/forward_messages.h"
+#include "subset/subset.h"
 #include "wire/hello.h"
 
 namespace cairnhollow::session {
--- a/src/routing/subset.cpp
+++ b/src/subset/subset.cpp
@@ -1,4 +1,4 @@
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 #include <xxhash.h>
 
--- a/src/tenancy/tenant_division.h
+++ b/src/tenancy/tenant_division.h
@@ -11,7 +11,7 @@
 #include <map>
 #include <vector>
 
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 namespace cairnhollow::tenancy {
 
--- a/tests/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -1,11 +1,11 @@
 // The choice of backends: who may serve, in which order, and the reason for each one passed over.
-#include "routing/choice.h"
+#include "declared/routing/choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
 
-#include "routing/route_table.h"
+#include "declared/routing/route_table.h"
 
 namespace cairnhollow::routing {
 namespace {
--- a/tests/routing/freshness_test.cpp
+++ b/tests/declared/routing/freshness_test.cpp
@@ -1,5 +1,5 @@
 // Freshness estimates: positions only grow, ages are never told too young.
-#include "routing/freshness.h"
+#include "declared/routing/freshness.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/routing/session_token_test.cpp
+++ b/tests/declared/routing/session_token_test.cpp
@@ -1,11 +1,11 @@
 // Session tokens: what is not a whole token of this version is refused, never misread.
-#include "routing/session_token.h"
+#include "declared/routing/session_token.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 #include <xxhash.h>
 
-#include "routing/base64url.h"
+#include "declared/routing/base64url.h"
 
 namespace cairnhollow::routing {
 namespace {
--- a/tests/routing/view_builder_test.cpp
+++ b/tests/declared/routing/view_builder_test.cpp
@@ -1,11 +1,11 @@
 // The routing view: members by selector, routes by precedence and database, groups by hash slot, and what
 // two views share.
-#include "routing/view_builder.h"
+#include "declared/routing/view_builder.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "routing/choice.h"
-#include "routing/hash.h"
+#include "declared/routing/choice.h"
+#include "declared/routing/hash.h"
 
 namespace cairnhollow::routing {
 namespace {
--- a/tests/routing/view_update_property_test.cpp
+++ b/tests/declared/routing/view_update_property_test.cpp
@@ -1,7 +1,7 @@
 // The view kept up to date change by change equals the one built anew, after any sequence of changes.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "routing/view_builder.h"
+#include "declared/routing/view_builder.h"
 #include "tests/config/properties.h"
 
 namespace cairnhollow::routing {
--- a/tests/proxy/proxy_domains_test.cpp
+++ b/tests/proxy/proxy_domains_test.cpp
@@ -4,9 +4,9 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "call_assertions.h"
+#include "declared/routing/session_token.h"
 #include "http/problem.h"
 #include "proxy_world.h"
-#include "routing/session_token.h"
 
 namespace cairnhollow::proxy {
 namespace {
--- a/tests/session/tenant_links_test.cpp
+++ b/tests/session/tenant_links_test.cpp
@@ -10,9 +10,9 @@
 #include <random>
 
 #include "registry/division.h"
-#include "routing/subset.h"
 #include "session/stateful_pool.h"
 #include "simulation/world.h"
+#include "subset/subset.h"
 #include "tenancy/tenant_division.h"
 
 namespace cairnhollow::session {
--- a/tests/routing/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -1,5 +1,5 @@
 // Which proxies serve a group: sizes, balance, what a change of membership moves, order of forwarding.
-#include "routing/subset.h"
+#include "subset/subset.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
