--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -7,7 +7,7 @@
 
 #include <memory>
 
-#include "config/state_machine.h"
+#include "declared/config/state_machine.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::config {
--- a/simulation/change_history.h
+++ b/simulation/change_history.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "config/change_outcome.h"
+#include "declared/config/change_outcome.h"
 
 namespace cairnhollow::simulation {
 
--- a/simulation/scenarios/primary_scenarios.cpp
+++ b/simulation/scenarios/primary_scenarios.cpp
@@ -1,7 +1,7 @@
 // Failures of a group's primary: killed, frozen, cut off; replicas that lag.
 #include <fmt/format.h>
 
-#include "config/selector_text.h"
+#include "declared/config/selector_text.h"
 #include "simulation/scenario.h"
 
 namespace cairnhollow::simulation {
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -9,7 +9,7 @@
 #include "cli/document_output.h"
 #include "cli/manifest_files.h"
 #include "cli/read_objects.h"
-#include "config/object_names.h"
+#include "declared/config/object_names.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -9,8 +9,8 @@
 #include <sstream>
 
 #include "cli/usage.h"
-#include "config/duration_text.h"
-#include "config/selector_text.h"
+#include "declared/config/duration_text.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -7,7 +7,7 @@
 
 #include "base/reason.h"
 #include "base/types.h"
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/difference.cpp
+++ b/src/cli/difference.cpp
@@ -4,7 +4,7 @@
 #include <sstream>
 #include <vector>
 
-#include "config/manifest.h"
+#include "declared/config/manifest.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/difference.h
+++ b/src/cli/difference.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/document_output.cpp
+++ b/src/cli/document_output.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/json/serialize.hpp>
 
-#include "config/document.h"
+#include "declared/config/document.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/manifest_files.h
+++ b/src/cli/manifest_files.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "config/manifest.h"
+#include "declared/config/manifest.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/object_commands.cpp
+++ b/src/cli/object_commands.cpp
@@ -12,7 +12,7 @@
 #include "cli/read_objects.h"
 #include "cli/status_tables.h"
 #include "cli/subject_filter.h"
-#include "config/object_names.h"
+#include "declared/config/object_names.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/object_tables.cpp
+++ b/src/cli/object_tables.cpp
@@ -5,9 +5,9 @@
 #include <algorithm>
 
 #include "cli/table.h"
-#include "config/duration_text.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
+#include "declared/config/duration_text.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/object_tables.h
+++ b/src/cli/object_tables.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/operator_client.cpp
+++ b/src/cli/operator_client.cpp
@@ -9,9 +9,9 @@
 #include <boost/url/rfc/unreserved_chars.hpp>
 #include <boost/url/url.hpp>
 
-#include "config/document.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
+#include "declared/config/document.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 #include "http/problem.h"
 
 namespace cairnhollow::cli {
--- a/src/cli/read_objects.h
+++ b/src/cli/read_objects.h
@@ -4,7 +4,7 @@
 #include <optional>
 
 #include "cli/command_context.h"
-#include "config/manifest.h"
+#include "declared/config/manifest.h"
 
 namespace cairnhollow::cli {
 
--- a/src/control/batch_history.h
+++ b/src/control/batch_history.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/change_command.h
+++ b/src/control/change_command.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "base/reason.h"
-#include "config/change_outcome.h"
+#include "declared/config/change_outcome.h"
 #include "wire/format.h"
 
 namespace cairnhollow::control {
--- a/src/control/config_replica.h
+++ b/src/control/config_replica.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "config/state_machine.h"
 #include "consensus/consensus.h"
 #include "control/config_view.h"
+#include "declared/config/state_machine.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/control/config_view.h
+++ b/src/control/config_view.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "config/changes.h"
+#include "declared/config/changes.h"
 #include "runtime/signal.h"
 #include "wire/format.h"
 
--- a/src/control/drain_events.h
+++ b/src/control/drain_events.h
@@ -3,8 +3,8 @@
 
 #include <vector>
 
-#include "config/state_machine.h"
 #include "control/operator_service.h"
+#include "declared/config/state_machine.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/group_definition.cpp
+++ b/src/control/group_definition.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "config/label_index.h"
+#include "declared/config/label_index.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/machine_list.cpp
+++ b/src/control/machine_list.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/json.hpp>
 
-#include "config/document.h"
+#include "declared/config/document.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_api.cpp
+++ b/src/control/operator_api.cpp
@@ -7,11 +7,11 @@
 #include <charconv>
 #include <limits>
 
-#include "config/duration_text.h"
-#include "config/manifest.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
 #include "control/operator_json.h"
+#include "declared/config/duration_text.h"
+#include "declared/config/manifest.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 #include "http/problem.h"
 #include "http/request_target.h"
 
--- a/src/control/operator_json_read.cpp
+++ b/src/control/operator_json_read.cpp
@@ -1,11 +1,11 @@
 // JSON to values (declared in operator_json.h).
 #include <fmt/format.h>
 
-#include "config/document_reader.h"
-#include "config/manifest.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
 #include "control/operator_json.h"
+#include "declared/config/document_reader.h"
+#include "declared/config/manifest.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_json_write.cpp
+++ b/src/control/operator_json_write.cpp
@@ -1,10 +1,10 @@
 // Values to JSON (declared in operator_json.h).
 #include <boost/json.hpp>
 
-#include "config/manifest.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
 #include "control/operator_json.h"
+#include "declared/config/manifest.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_service.h
+++ b/src/control/operator_service.h
@@ -9,8 +9,8 @@
 
 #include "base/reason.h"
 #include "base/types.h"
-#include "config/state_machine.h"
 #include "consensus/consensus.h"
+#include "declared/config/state_machine.h"
 #include "runtime/awaitable.h"
 
 namespace cairnhollow::control {
--- a/src/control/operator_service_impl.cpp
+++ b/src/control/operator_service_impl.cpp
@@ -4,10 +4,10 @@
 
 #include <algorithm>
 
-#include "config/object_names.h"
 #include "control/change_command.h"
 #include "control/drain_events.h"
 #include "control/fleet_status.h"
+#include "declared/config/object_names.h"
 
 namespace cairnhollow::control {
 
--- a/src/config/change_history.cpp
+++ b/src/declared/config/change_history.cpp
@@ -1,4 +1,4 @@
-#include "config/change_history.h"
+#include "declared/config/change_history.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/change_memory.cpp
+++ b/src/declared/config/change_memory.cpp
@@ -1,4 +1,4 @@
-#include "config/change_memory.h"
+#include "declared/config/change_memory.h"
 
 #include <fmt/format.h>
 
--- a/src/config/change_memory.h
+++ b/src/declared/config/change_memory.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "config/change_outcome.h"
+#include "declared/config/change_outcome.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/change_outcome.h
+++ b/src/declared/config/change_outcome.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/changes.h
+++ b/src/declared/config/changes.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/document.cpp
+++ b/src/declared/config/document.cpp
@@ -1,4 +1,4 @@
-#include "config/document.h"
+#include "declared/config/document.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/document_reader.cpp
+++ b/src/declared/config/document_reader.cpp
@@ -1,4 +1,4 @@
-#include "config/document_reader.h"
+#include "declared/config/document_reader.h"
 
 #include <fmt/format.h>
 
--- a/src/config/document_reader.h
+++ b/src/declared/config/document_reader.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "config/document.h"
+#include "declared/config/document.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/document_yaml.cpp
+++ b/src/declared/config/document_yaml.cpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <sstream>
 
-#include "config/document.h"
+#include "declared/config/document.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/duration_text.cpp
+++ b/src/declared/config/duration_text.cpp
@@ -1,4 +1,4 @@
-#include "config/duration_text.h"
+#include "declared/config/duration_text.h"
 
 #include <fmt/format.h>
 
--- a/src/config/label_index.cpp
+++ b/src/declared/config/label_index.cpp
@@ -1,4 +1,4 @@
-#include "config/label_index.h"
+#include "declared/config/label_index.h"
 
 #include <algorithm>
 
--- a/src/config/label_index.h
+++ b/src/declared/config/label_index.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/manifest.cpp
+++ b/src/declared/config/manifest.cpp
@@ -1,12 +1,12 @@
 // Documents to objects.
-#include "config/manifest.h"
+#include "declared/config/manifest.h"
 
 #include <fmt/format.h>
 
-#include "config/document_reader.h"
-#include "config/duration_text.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
+#include "declared/config/document_reader.h"
+#include "declared/config/duration_text.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/manifest.h
+++ b/src/declared/config/manifest.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "config/document.h"
-#include "config/objects.h"
+#include "declared/config/document.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/manifest_writer.cpp
+++ b/src/declared/config/manifest_writer.cpp
@@ -1,8 +1,8 @@
 // Objects to documents (declared in manifest.h).
-#include "config/duration_text.h"
-#include "config/manifest.h"
-#include "config/object_names.h"
-#include "config/selector_text.h"
+#include "declared/config/duration_text.h"
+#include "declared/config/manifest.h"
+#include "declared/config/object_names.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/object_names.cpp
+++ b/src/declared/config/object_names.cpp
@@ -1,4 +1,4 @@
-#include "config/object_names.h"
+#include "declared/config/object_names.h"
 
 #include <fmt/format.h>
 
--- a/src/config/object_names.h
+++ b/src/declared/config/object_names.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/object_store.cpp
+++ b/src/declared/config/object_store.cpp
@@ -1,4 +1,4 @@
-#include "config/object_store.h"
+#include "declared/config/object_store.h"
 
 #include <algorithm>
 
--- a/src/config/object_store.h
+++ b/src/declared/config/object_store.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <vector>
 
-#include "config/label_index.h"
-#include "config/objects.h"
+#include "declared/config/label_index.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/relations.cpp
+++ b/src/declared/config/relations.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "config/object_names.h"
-#include "config/validation.h"
+#include "declared/config/object_names.h"
+#include "declared/config/validation.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/selector.cpp
+++ b/src/declared/config/selector.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/selector_text.cpp
+++ b/src/declared/config/selector_text.cpp
@@ -1,4 +1,4 @@
-#include "config/selector_text.h"
+#include "declared/config/selector_text.h"
 
 #include <fmt/format.h>
 
--- a/src/config/selector_text.h
+++ b/src/declared/config/selector_text.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "base/reason.h"
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/state_machine.cpp
+++ b/src/declared/config/state_machine.cpp
@@ -1,4 +1,4 @@
-#include "config/state_machine.h"
+#include "declared/config/state_machine.h"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <set>
 
-#include "config/object_names.h"
+#include "declared/config/object_names.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::config {
--- a/src/config/state_machine.h
+++ b/src/declared/config/state_machine.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "config/change_history.h"
-#include "config/change_memory.h"
-#include "config/change_outcome.h"
-#include "config/changes.h"
-#include "config/object_query.h"
-#include "config/validation.h"
+#include "declared/config/change_history.h"
+#include "declared/config/change_memory.h"
+#include "declared/config/change_outcome.h"
+#include "declared/config/changes.h"
+#include "declared/config/object_query.h"
+#include "declared/config/validation.h"
 #include "wire/format.h"
 
 namespace cairnhollow::config {
--- a/src/config/validation.cpp
+++ b/src/declared/config/validation.cpp
@@ -1,11 +1,11 @@
-#include "config/validation.h"
+#include "declared/config/validation.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 
-#include "config/object_names.h"
+#include "declared/config/object_names.h"
 
 namespace cairnhollow::config {
 
--- a/src/config/validation.h
+++ b/src/declared/config/validation.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "config/object_store.h"
-#include "config/objects.h"
+#include "declared/config/object_store.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::config {
 
--- a/src/declared/routing/decision.h
+++ b/src/declared/routing/decision.h
@@ -10,8 +10,8 @@
 
 #include "base/reason.h"
 #include "base/types.h"
-#include "config/objects.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/config/objects.h"
 #include "declared/routing/shared_list.h"
 #include "subset/subset.h"
 
--- a/src/declared/routing/hash.cpp
+++ b/src/declared/routing/hash.cpp
@@ -2,7 +2,7 @@
 
 #include <xxhash.h>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 
 namespace cairnhollow::routing {
 
--- a/src/declared/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "config/object_store.h"
+#include "declared/config/object_store.h"
 #include "declared/routing/decision.h"
 #include "follow/messages.h"
 
--- a/src/follow/messages.h
+++ b/src/follow/messages.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "config/changes.h"
+#include "declared/config/changes.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::follow {
--- a/src/follow/serving_configuration.h
+++ b/src/follow/serving_configuration.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 #include "follow/messages.h"
 
 namespace cairnhollow::follow {
--- a/tests/cli/change_plan_test.cpp
+++ b/tests/cli/change_plan_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "tests/config/test_objects.h"
+#include "tests/declared/config/test_objects.h"
 
 namespace cairnhollow::cli {
 
--- a/tests/cli/command_line_test.cpp
+++ b/tests/cli/command_line_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "cli/difference.h"
-#include "tests/config/test_objects.h"
+#include "tests/declared/config/test_objects.h"
 
 namespace cairnhollow::cli {
 
--- a/tests/config/generators.cpp
+++ b/tests/declared/config/generators.cpp
@@ -1,4 +1,4 @@
-#include "tests/config/generators.h"
+#include "tests/declared/config/generators.h"
 
 #include <set>
 
--- a/tests/config/generators.h
+++ b/tests/declared/config/generators.h
@@ -3,7 +3,7 @@
 
 #include <rapidcheck.h>
 
-#include "config/change_outcome.h"
+#include "declared/config/change_outcome.h"
 
 namespace cairnhollow::config {
 
--- a/tests/config/manifest_test.cpp
+++ b/tests/declared/config/manifest_test.cpp
@@ -1,5 +1,5 @@
 // Manifests: every field is read and written back; every fault is named by field and line.
-#include "config/manifest.h"
+#include "declared/config/manifest.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/config/properties_test.cpp
+++ b/tests/declared/config/properties_test.cpp
@@ -1,12 +1,12 @@
 // Properties of selectors, manifests, the indexes and the state machine, over random objects.
 #include <fmt/format.h>
 
-#include "config/manifest.h"
-#include "config/selector_text.h"
-#include "config/state_machine.h"
-#include "tests/config/generators.h"
-#include "tests/config/properties.h"
-#include "tests/config/test_objects.h"
+#include "declared/config/manifest.h"
+#include "declared/config/selector_text.h"
+#include "declared/config/state_machine.h"
+#include "tests/declared/config/generators.h"
+#include "tests/declared/config/properties.h"
+#include "tests/declared/config/test_objects.h"
 
 namespace cairnhollow::config {
 
--- a/tests/config/selector_text_test.cpp
+++ b/tests/declared/config/selector_text_test.cpp
@@ -1,5 +1,5 @@
 // Selectors in one line.
-#include "config/selector_text.h"
+#include "declared/config/selector_text.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/config/state_machine_test.cpp
+++ b/tests/declared/config/state_machine_test.cpp
@@ -1,11 +1,11 @@
 // The replicated configuration: races, resends, refusals, snapshots.
-#include "config/state_machine.h"
+#include "declared/config/state_machine.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
-#include "config/object_names.h"
-#include "tests/config/test_objects.h"
+#include "declared/config/object_names.h"
+#include "tests/declared/config/test_objects.h"
 
 namespace cairnhollow::config {
 
--- a/tests/config/test_objects.h
+++ b/tests/declared/config/test_objects.h
@@ -3,8 +3,8 @@
 
 #include <string>
 
-#include "config/change_outcome.h"
-#include "config/selector_text.h"
+#include "declared/config/change_outcome.h"
+#include "declared/config/selector_text.h"
 
 namespace cairnhollow::config {
 
--- a/tests/config/validation_test.cpp
+++ b/tests/declared/config/validation_test.cpp
@@ -1,9 +1,9 @@
 // Rules within one object and rules between objects.
-#include "config/validation.h"
+#include "declared/config/validation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "tests/config/test_objects.h"
+#include "tests/declared/config/test_objects.h"
 
 namespace cairnhollow::config {
 
--- a/tests/declared/routing/view_update_property_test.cpp
+++ b/tests/declared/routing/view_update_property_test.cpp
@@ -2,7 +2,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "declared/routing/view_builder.h"
-#include "tests/config/properties.h"
+#include "tests/declared/config/properties.h"
 
 namespace cairnhollow::routing {
 namespace {
--- a/tests/platform/wire_words_test.cpp
+++ b/tests/platform/wire_words_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
-#include "tests/config/properties.h"
+#include "tests/declared/config/properties.h"
 
 namespace cairnhollow::platform {
 
--- a/tests/proxy/control_stub.h
+++ b/tests/proxy/control_stub.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "config/objects.h"
+#include "declared/config/objects.h"
 #include "follow/messages.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
--- a/tests/runtime/lines_test.cpp
+++ b/tests/runtime/lines_test.cpp
@@ -5,7 +5,7 @@
 #include <rapidcheck.h>
 
 #include "runtime/runtime.h"
-#include "tests/config/properties.h"
+#include "tests/declared/config/properties.h"
 #include "tests/support/loopback.h"
 
 namespace cairnhollow::runtime {
--- a/tests/wire/format_fuzz_test.cpp
+++ b/tests/wire/format_fuzz_test.cpp
@@ -6,7 +6,7 @@
 
 #include <set>
 
-#include "tests/config/generators.h"
+#include "tests/declared/config/generators.h"
 #include "tests/wire/format_samples.h"
 #include "wire/codec.h"
 #include "wire/hello.h"
--- a/tests/wire/format_samples.cpp
+++ b/tests/wire/format_samples.cpp
@@ -1,11 +1,11 @@
 #include "tests/wire/format_samples.h"
 
-#include "config/state_machine.h"
 #include "consensus/messages.h"
 #include "consensus/metadata_file.h"
 #include "consensus/record.h"
 #include "consensus/snapshot_file.h"
 #include "control/news_messages.h"
+#include "declared/config/state_machine.h"
 #include "declared/routing/session_token.h"
 #include "follow/messages.h"
 #include "proxy/forward_messages.h"
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <set>
 
-#include "config/state_machine.h"
 #include "control/change_command.h"
+#include "declared/config/state_machine.h"
 #include "follow/messages.h"
 #include "tests/wire/format_samples.h"
 #include "wire/codec.h"
