--- a/src/control/failover_rules.h
+++ b/src/control/failover_rules.h
@@ -8,7 +8,7 @@
 
 #include "control/group_definition.h"
 #include "declared/backend/backend_connection.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/followed_config.h
+++ b/src/control/followed_config.h
@@ -5,7 +5,7 @@
 #include "control/batch_history.h"
 #include "control/config_view.h"
 #include "control/renewal_barrier.h"
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/follower_registry.h
+++ b/src/control/follower_registry.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/news_directory.h
+++ b/src/control/news_directory.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "follow/serving_configuration.h"
+#include "declared/follow/serving_configuration.h"
 #include "runtime/signal.h"
 
 namespace cairnhollow::control {
--- a/src/control/news_messages.h
+++ b/src/control/news_messages.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "consensus/consensus.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/update_encoder.cpp
+++ b/src/control/update_encoder.cpp
@@ -1,6 +1,6 @@
 #include "control/update_encoder.h"
 
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::control {
--- a/src/follow/follow_client.cpp
+++ b/src/declared/follow/follow_client.cpp
@@ -1,8 +1,8 @@
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 
 #include <algorithm>
 
-#include "follow/knobs.h"
+#include "declared/follow/knobs.h"
 #include "wire/codec.h"
 #include "wire/hello.h"
 
--- a/src/follow/follow_client.h
+++ b/src/declared/follow/follow_client.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <vector>
 
-#include "follow/serving_configuration.h"
+#include "declared/follow/serving_configuration.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "wire/hello.h"
--- a/src/follow/serving_configuration.cpp
+++ b/src/declared/follow/serving_configuration.cpp
@@ -1,4 +1,4 @@
-#include "follow/serving_configuration.h"
+#include "declared/follow/serving_configuration.h"
 
 #include <fmt/format.h>
 
--- a/src/follow/serving_configuration.h
+++ b/src/declared/follow/serving_configuration.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "declared/config/objects.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 
 namespace cairnhollow::follow {
 
--- a/src/declared/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "declared/config/object_store.h"
+#include "declared/follow/messages.h"
 #include "declared/routing/decision.h"
-#include "follow/messages.h"
 
 namespace cairnhollow::routing {
 
--- a/src/proxy/domain.h
+++ b/src/proxy/domain.h
@@ -3,7 +3,7 @@
 // the other's.
 #pragma once
 
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 #include "proxy/decision_log.h"
 #include "proxy/follow_feed.h"
 #include "proxy/forwarded_transactions.h"
--- a/src/proxy/follow_feed.h
+++ b/src/proxy/follow_feed.h
@@ -1,7 +1,7 @@
 // The follow stream as the proxy's serving state sees it.
 #pragma once
 
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 #include "proxy/serving_state.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/serving_state.h
+++ b/src/proxy/serving_state.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
+#include "declared/follow/serving_configuration.h"
 #include "declared/routing/choice.h"
 #include "declared/routing/view_builder.h"
-#include "follow/serving_configuration.h"
 #include "proxy/primary_watch.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
--- a/tests/control/control_fleet.h
+++ b/tests/control/control_fleet.h
@@ -10,7 +10,7 @@
 #include "cli/operator_client.h"
 #include "control/settings.h"
 #include "declared/backend/backend_connection.h"
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::control::testing {
--- a/tests/control/first_configurations_test.cpp
+++ b/tests/control/first_configurations_test.cpp
@@ -6,7 +6,7 @@
 
 #include "control/follow_server.h"
 #include "control/knobs.h"
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/control/follow_roles.h
+++ b/tests/control/follow_roles.h
@@ -10,7 +10,7 @@
 #include "control/connection_dispatcher.h"
 #include "control/follow_server.h"
 #include "control/news_directory.h"
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::control::testing {
--- a/tests/control/hello_test.cpp
+++ b/tests/control/hello_test.cpp
@@ -6,7 +6,7 @@
 #include "consensus/peer_channel.h"
 #include "control/connection_dispatcher.h"
 #include "control/news_exchange.h"
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::control {
--- a/tests/follow/follow_client_test.cpp
+++ b/tests/declared/follow/follow_client_test.cpp
@@ -1,11 +1,11 @@
 // A follower that every control node refuses asks again after a pause, not at once; one that is told to come
 // back asks the same node again, on the same connection.
-#include "follow/follow_client.h"
+#include "declared/follow/follow_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "follow/knobs.h"
-#include "follow/messages.h"
+#include "declared/follow/knobs.h"
+#include "declared/follow/messages.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 #include "wire/hello.h"
--- a/tests/follow/serving_configuration_test.cpp
+++ b/tests/declared/follow/serving_configuration_test.cpp
@@ -1,6 +1,6 @@
 // What an answer does to a follower's copy: what it names as touched, and what a follower that keeps
 // revisions only keeps.
-#include "follow/serving_configuration.h"
+#include "declared/follow/serving_configuration.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/follow/slow_configuration_test.cpp
+++ b/tests/declared/follow/slow_configuration_test.cpp
@@ -4,8 +4,8 @@
 
 #include <boost/endian/conversion.hpp>
 
-#include "follow/follow_client.h"
-#include "follow/messages.h"
+#include "declared/follow/follow_client.h"
+#include "declared/follow/messages.h"
 #include "tests/support/byte_peer.h"
 #include "tests/support/loopback.h"
 #include "wire/codec.h"
--- a/tests/proxy/control_stub.h
+++ b/tests/proxy/control_stub.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "declared/config/objects.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -5,7 +5,7 @@
 
 #include "consensus/messages.h"
 #include "control/news_messages.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::wire {
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -10,7 +10,7 @@
 
 #include "control/change_command.h"
 #include "declared/config/state_machine.h"
-#include "follow/messages.h"
+#include "declared/follow/messages.h"
 #include "tests/wire/format_samples.h"
 #include "wire/codec.h"
 #include "wire/hello.h"
