--- a/simulation/registered_fleet_backends.cpp
+++ b/simulation/registered_fleet_backends.cpp
@@ -1,5 +1,5 @@
 // RegisteredFleet's part for backends: their lives, and what the leader holds of them.
-#include "control/registered/registered_control_node.h"
+#include "registered/control/registered_control_node.h"
 #include "simulation/registered_fleet.h"
 #include "simulation/registered_fleet_ports.h"
 #include "standins/unfenced/document_text.h"
--- a/src/cli/settings_registered.h
+++ b/src/cli/settings_registered.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cli/settings_reader.h"
-#include "control/registered/settings.h"
+#include "registered/control/settings.h"
 #include "session/settings.h"
 
 namespace cairnhollow::cli {
--- a/src/programs/cairnhollow_control.cpp
+++ b/src/programs/cairnhollow_control.cpp
@@ -3,8 +3,8 @@
 #include "cli/settings_control.h"
 #include "cli/settings_registered.h"
 #include "control/control_node.h"
-#include "control/registered/registered_control_node.h"
 #include "platform/edge.h"
+#include "registered/control/registered_control_node.h"
 
 namespace cli = cairnhollow::cli;
 namespace control = cairnhollow::control;
--- a/src/control/registered/control_metrics.cpp
+++ b/src/registered/control/control_metrics.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/control_metrics.h"
+#include "registered/control/control_metrics.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
--- a/src/control/registered/control_metrics.h
+++ b/src/registered/control/control_metrics.h
@@ -2,10 +2,10 @@
 #pragma once
 
 #include "consensus/consensus.h"
-#include "control/registered/evacuation_orders.h"
-#include "control/registered/group_keeper.h"
-#include "control/registered/lease_keeper.h"
-#include "control/registered/registration_service.h"
+#include "registered/control/evacuation_orders.h"
+#include "registered/control/failover/group_keeper.h"
+#include "registered/control/leases/lease_keeper.h"
+#include "registered/control/registration_service.h"
 #include "registry/registration_fault.h"
 #include "registry/state_machine.h"
 #include "runtime/http.h"
--- a/src/control/registered/control_node_directory.cpp
+++ b/src/registered/control/control_node_directory.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/control_node_directory.h"
+#include "registered/control/control_node_directory.h"
 
 #include "base/add_once.h"
 
--- a/src/control/registered/control_node_directory.h
+++ b/src/registered/control/control_node_directory.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "consensus/consensus.h"
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/control/registered/evacuation_orders.cpp
+++ b/src/registered/control/evacuation_orders.cpp
@@ -1,8 +1,8 @@
-#include "control/registered/evacuation_orders.h"
+#include "registered/control/evacuation_orders.h"
 
 #include <algorithm>
 
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/control/registered/evacuation_orders.h
+++ b/src/registered/control/evacuation_orders.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "consensus/consensus.h"
-#include "control/registered/leader_calls.h"
+#include "registered/control/leader_calls.h"
 #include "registry/state_machine.h"
 #include "runtime/runtime.h"
 
--- a/src/control/registered/close_answers.cpp
+++ b/src/registered/control/failover/close_answers.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/close_answers.h"
+#include "registered/control/failover/close_answers.h"
 
 #include <algorithm>
 
--- a/src/control/registered/group_failover.cpp
+++ b/src/registered/control/failover/group_failover.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "control/registered/group_keeper.h"
-#include "control/registered/knobs.h"
+#include "registered/control/failover/group_keeper.h"
+#include "registered/control/knobs.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/control/registered/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/group_keeper.h"
+#include "registered/control/failover/group_keeper.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <limits>
 #include <vector>
 
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 #include "registry/division.h"
 
 namespace cairnhollow::control::registered {
--- a/src/control/registered/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -12,12 +12,12 @@
 #include <set>
 
 #include "consensus/consensus.h"
-#include "control/registered/group_prober.h"
-#include "control/registered/leader_calls.h"
-#include "control/registered/lease_keeper.h"
-#include "control/registered/member_pauses.h"
-#include "control/registered/promotion_turns.h"
-#include "control/registered/region_preference.h"
+#include "registered/control/failover/group_prober.h"
+#include "registered/control/failover/member_pauses.h"
+#include "registered/control/failover/promotion_turns.h"
+#include "registered/control/failover/region_preference.h"
+#include "registered/control/leader_calls.h"
+#include "registered/control/leases/lease_keeper.h"
 #include "registry/control_service.h"
 #include "registry/state_machine.h"
 #include "runtime/runtime.h"
--- a/src/control/registered/group_members.cpp
+++ b/src/registered/control/failover/group_members.cpp
@@ -2,8 +2,8 @@
 // held.
 #include <algorithm>
 
-#include "control/registered/group_keeper.h"
-#include "control/registered/knobs.h"
+#include "registered/control/failover/group_keeper.h"
+#include "registered/control/knobs.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/control/registered/group_prober.cpp
+++ b/src/registered/control/failover/group_prober.cpp
@@ -1,6 +1,6 @@
-#include "control/registered/group_prober.h"
+#include "registered/control/failover/group_prober.h"
 
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/control/registered/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "control/registered/promotion_choice.h"
+#include "registered/control/failover/promotion_choice.h"
 #include "registry/state_machine.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
--- a/src/control/registered/member_pauses.cpp
+++ b/src/registered/control/failover/member_pauses.cpp
@@ -1,8 +1,8 @@
-#include "control/registered/member_pauses.h"
+#include "registered/control/failover/member_pauses.h"
 
 #include <algorithm>
 
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 #include "registry/member_lease.h"
 #include "runtime/signal.h"
 
--- a/src/control/registered/member_pauses.h
+++ b/src/registered/control/failover/member_pauses.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <vector>
 
-#include "control/registered/group_prober.h"
+#include "registered/control/failover/group_prober.h"
 #include "registry/state_machine.h"
 #include "runtime/runtime.h"
 
--- a/src/control/registered/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/promotion_choice.h"
+#include "registered/control/failover/promotion_choice.h"
 
 #include <fmt/format.h>
 
--- a/src/control/registered/promotion_turns.cpp
+++ b/src/registered/control/failover/promotion_turns.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/promotion_turns.h"
+#include "registered/control/failover/promotion_turns.h"
 
 #include <algorithm>
 #include <chrono>
--- a/src/control/registered/region_preference.cpp
+++ b/src/registered/control/failover/region_preference.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/region_preference.h"
+#include "registered/control/failover/region_preference.h"
 
 #include "locality/permitted_regions.h"
 
--- a/src/control/registered/leader_calls.cpp
+++ b/src/registered/control/leader_calls.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/leader_calls.h"
+#include "registered/control/leader_calls.h"
 
 #include <algorithm>
 
--- a/src/control/registered/leader_calls.h
+++ b/src/registered/control/leader_calls.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "consensus/consensus.h"
-#include "control/registered/control_node_directory.h"
+#include "registered/control/control_node_directory.h"
 #include "registry/messages.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
--- a/src/control/registered/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/lease_keeper.h"
+#include "registered/control/leases/lease_keeper.h"
 
 #include <algorithm>
 
--- a/src/control/registered/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -7,9 +7,9 @@
 #include <optional>
 
 #include "consensus/consensus.h"
-#include "control/registered/close_answers.h"
-#include "control/registered/control_node_directory.h"
-#include "control/registered/leader_calls.h"
+#include "registered/control/control_node_directory.h"
+#include "registered/control/failover/close_answers.h"
+#include "registered/control/leader_calls.h"
 #include "registry/messages.h"
 #include "registry/state_machine.h"
 #include "runtime/runtime.h"
--- a/src/control/registered/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -1,17 +1,17 @@
-#include "control/registered/registered_control_node.h"
+#include "registered/control/registered_control_node.h"
 
 #include <fmt/format.h>
 
 #include "consensus/raft.h"
 #include "control/connection_dispatcher.h"
-#include "control/registered/control_metrics.h"
-#include "control/registered/control_node_directory.h"
-#include "control/registered/group_keeper.h"
-#include "control/registered/group_prober.h"
-#include "control/registered/leader_calls.h"
-#include "control/registered/lease_keeper.h"
-#include "control/registered/registration_service.h"
-#include "control/registered/voter_keeper.h"
+#include "registered/control/control_metrics.h"
+#include "registered/control/control_node_directory.h"
+#include "registered/control/failover/group_keeper.h"
+#include "registered/control/failover/group_prober.h"
+#include "registered/control/leader_calls.h"
+#include "registered/control/leases/lease_keeper.h"
+#include "registered/control/registration_service.h"
+#include "registered/control/voter_keeper.h"
 #include "registry/state_machine.h"
 
 namespace cairnhollow::control::registered {
--- a/src/control/registered/registered_control_node.h
+++ b/src/registered/control/registered_control_node.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <optional>
 
-#include "control/registered/settings.h"
+#include "registered/control/settings.h"
 #include "registry/control_service.h"
 #include "registry/state_machine.h"
 #include "runtime/role.h"
--- a/src/control/registered/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -1,9 +1,9 @@
-#include "control/registered/registration_service.h"
+#include "registered/control/registration_service.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 #include "registry/validation.h"
 
 namespace cairnhollow::control::registered {
--- a/src/control/registered/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -4,10 +4,10 @@
 #include <set>
 
 #include "consensus/consensus.h"
-#include "control/registered/evacuation_orders.h"
-#include "control/registered/group_prober.h"
-#include "control/registered/leader_calls.h"
-#include "control/registered/voter_keeper.h"
+#include "registered/control/evacuation_orders.h"
+#include "registered/control/failover/group_prober.h"
+#include "registered/control/leader_calls.h"
+#include "registered/control/voter_keeper.h"
 #include "registry/control_service.h"
 #include "registry/state_machine.h"
 #include "runtime/runtime.h"
--- a/src/control/registered/voter_keeper.cpp
+++ b/src/registered/control/voter_keeper.cpp
@@ -1,4 +1,4 @@
-#include "control/registered/voter_keeper.h"
+#include "registered/control/voter_keeper.h"
 
 #include <algorithm>
 
--- a/src/control/registered/voter_keeper.h
+++ b/src/registered/control/voter_keeper.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "consensus/consensus.h"
-#include "control/registered/control_node_directory.h"
+#include "registered/control/control_node_directory.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/tests/control/registered/control_stand.cpp
+++ b/tests/registered/control/control_stand.cpp
@@ -1,4 +1,4 @@
-#include "tests/control/registered/control_stand.h"
+#include "tests/registered/control/control_stand.h"
 
 #include <algorithm>
 #include <utility>
--- a/tests/control/registered/control_stand.h
+++ b/tests/registered/control/control_stand.h
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "consensus/consensus.h"
-#include "control/registered/control_node_directory.h"
-#include "control/registered/group_prober.h"
-#include "control/registered/leader_calls.h"
-#include "control/registered/lease_keeper.h"
+#include "registered/control/control_node_directory.h"
+#include "registered/control/failover/group_prober.h"
+#include "registered/control/leader_calls.h"
+#include "registered/control/leases/lease_keeper.h"
 #include "registry/control_service.h"
 #include "registry/state_machine.h"
 #include "session/backend_link.h"
--- a/tests/control/registered/close_answers_test.cpp
+++ b/tests/registered/control/failover/close_answers_test.cpp
@@ -1,5 +1,5 @@
 // Who still owes an answer to the close of a group, and what it costs to know.
-#include "control/registered/close_answers.h"
+#include "registered/control/failover/close_answers.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
--- a/tests/control/registered/group_keeper_lives_test.cpp
+++ b/tests/registered/control/failover/group_keeper_lives_test.cpp
@@ -3,7 +3,7 @@
 
 #include <map>
 
-#include "control/registered/group_keeper.h"
+#include "registered/control/failover/group_keeper.h"
 #include "simulation/world.h"
 #include "tests/support/applied_log.h"
 #include "wire/codec.h"
--- a/tests/control/registered/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -1,12 +1,12 @@
 // The order of a change of primary: nobody is promoted before the old one is out of use, and only by a node
 // that leads at that moment.
-#include "control/registered/group_keeper.h"
+#include "registered/control/failover/group_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/registered/knobs.h"
+#include "registered/control/knobs.h"
 #include "registry/member_lease.h"
-#include "tests/control/registered/control_stand.h"
+#include "tests/registered/control/control_stand.h"
 
 namespace cairnhollow::control::registered {
 
--- a/tests/control/registered/member_pauses_test.cpp
+++ b/tests/registered/control/failover/member_pauses_test.cpp
@@ -1,5 +1,5 @@
 // A pause is of one life of a member: the next one under its name is not paused, and not known as long.
-#include "control/registered/member_pauses.h"
+#include "registered/control/failover/member_pauses.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/registered/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -1,5 +1,5 @@
 // Who may follow a primary that was given up: only who provably holds every acknowledged commit.
-#include "control/registered/promotion_choice.h"
+#include "registered/control/failover/promotion_choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/registered/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -17,7 +17,7 @@
 #include <map>
 #include <string>
 
-#include "control/registered/promotion_choice.h"
+#include "registered/control/failover/promotion_choice.h"
 
 namespace cairnhollow::control::registered {
 
--- a/tests/control/registered/promotion_turns_test.cpp
+++ b/tests/registered/control/failover/promotion_turns_test.cpp
@@ -1,5 +1,5 @@
 // Promotions stay within what the platform takes, and the most urgent come first.
-#include "control/registered/promotion_turns.h"
+#include "registered/control/failover/promotion_turns.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
--- a/tests/control/registered/region_preference_test.cpp
+++ b/tests/registered/control/failover/region_preference_test.cpp
@@ -1,5 +1,5 @@
 // How many of a group's routes may write at each of its members.
-#include "control/registered/region_preference.h"
+#include "registered/control/failover/region_preference.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/registered/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -1,10 +1,10 @@
 // Who is given a lease, and who may still hold one when a group is closed.
-#include "control/registered/lease_keeper.h"
+#include "registered/control/leases/lease_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/registered/knobs.h"
-#include "tests/control/registered/control_stand.h"
+#include "registered/control/knobs.h"
+#include "tests/registered/control/control_stand.h"
 
 namespace cairnhollow::control::registered {
 
--- a/tests/control/registered/registration_guards_test.cpp
+++ b/tests/registered/control/registration_guards_test.cpp
@@ -1,10 +1,10 @@
 // What a control node tells operators and backends is in force at the moment at which it says so.
-#include "control/registered/registration_service.h"
+#include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/registered/voter_keeper.h"
-#include "tests/control/registered/control_stand.h"
+#include "registered/control/voter_keeper.h"
+#include "tests/registered/control/control_stand.h"
 
 namespace cairnhollow::control::registered {
 
--- a/tests/control/registered/registration_refusal_test.cpp
+++ b/tests/registered/control/registration_refusal_test.cpp
@@ -1,10 +1,10 @@
 // Which registrations control takes: a group that the document does not name is no backend's, and nothing
 // that is valid gets lost while a document is on its way.
-#include "control/registered/registration_service.h"
+#include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/registered/control_metrics.h"
+#include "registered/control/control_metrics.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/control/registered/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -1,5 +1,5 @@
 // What a control node does with registrations of lives of backends that are over, or that replace others.
-#include "control/registered/registration_service.h"
+#include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
