--- a/simulation/deployment.h
+++ b/simulation/deployment.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "control/settings.h"
 #include "declared/config/objects.h"
+#include "declared/control/settings.h"
 #include "proxy/settings.h"
 #include "simulation/network_faults.h"
 #include "standins/callers/workload.h"
--- a/simulation/scenarios/control_scenarios.cpp
+++ b/simulation/scenarios/control_scenarios.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "control/control_node.h"
+#include "declared/control/control_node.h"
 #include "simulation/scenario.h"
 
 namespace cairnhollow::simulation {
--- a/src/cli/change_plan.h
+++ b/src/cli/change_plan.h
@@ -5,9 +5,9 @@
 #include <vector>
 
 #include "cli/command_line.h"
-#include "control/operator_service.h"
 #include "declared/config/change_outcome.h"
 #include "declared/config/manifest.h"
+#include "declared/control/operator/operator_service.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "control/operator_json.h"
+#include "declared/control/operator/operator_json.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::cli {
--- a/src/cli/settings_control.h
+++ b/src/cli/settings_control.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cli/settings_reader.h"
-#include "control/settings.h"
+#include "declared/control/settings.h"
 
 namespace cairnhollow::cli {
 
--- a/src/cli/status_tables.h
+++ b/src/cli/status_tables.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "control/operator_service.h"
+#include "declared/control/operator/operator_service.h"
 
 namespace cairnhollow::cli {
 
--- a/src/control/control_core.cpp
+++ b/src/declared/control/control_core.cpp
@@ -1,4 +1,4 @@
-#include "control/control_core.h"
+#include "declared/control/control_core.h"
 
 #include <fmt/format.h>
 
--- a/src/control/control_core.h
+++ b/src/declared/control/control_core.h
@@ -4,14 +4,14 @@
 
 #include <memory>
 
-#include "control/connection_dispatcher.h"
-#include "control/event_log.h"
-#include "control/follow_server.h"
-#include "control/group_supervision.h"
-#include "control/news_exchange.h"
-#include "control/platform_poller.h"
-#include "control/settings.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/control/failover/group_supervision.h"
+#include "declared/control/follow/follow_server.h"
+#include "declared/control/machines/platform_poller.h"
+#include "declared/control/news/news_exchange.h"
+#include "declared/control/operator/event_log.h"
+#include "declared/control/settings.h"
+#include "wire/connection_dispatcher.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/control_node.cpp
+++ b/src/declared/control/control_node.cpp
@@ -1,18 +1,18 @@
-#include "control/control_node.h"
+#include "declared/control/control_node.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
 #include "consensus/raft.h"
-#include "control/control_core.h"
-#include "control/fleet_status.h"
-#include "control/knobs.h"
-#include "control/node_health.h"
-#include "control/operator_api.h"
-#include "control/operator_service_impl.h"
-#include "control/relay_node.h"
-#include "control/voter_repair.h"
+#include "declared/control/control_core.h"
+#include "declared/control/failover/node_health.h"
+#include "declared/control/knobs.h"
+#include "declared/control/operator/fleet_status.h"
+#include "declared/control/operator/operator_api.h"
+#include "declared/control/operator/operator_service_impl.h"
+#include "declared/control/relay_node.h"
+#include "declared/control/voter_repair.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/control_node.h
+++ b/src/declared/control/control_node.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "control/settings.h"
+#include "declared/control/settings.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
--- a/src/control/failover_messages.cpp
+++ b/src/declared/control/failover/failover_messages.cpp
@@ -1,4 +1,4 @@
-#include "control/failover_messages.h"
+#include "declared/control/failover/failover_messages.h"
 
 #include <fmt/format.h>
 
--- a/src/control/failover_messages.h
+++ b/src/declared/control/failover/failover_messages.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "control/failover_run.h"
+#include "declared/control/failover/failover_run.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/failover_rules.cpp
+++ b/src/declared/control/failover/failover_rules.cpp
@@ -1,4 +1,4 @@
-#include "control/failover_rules.h"
+#include "declared/control/failover/failover_rules.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/control/failover_rules.h
+++ b/src/declared/control/failover/failover_rules.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <vector>
 
-#include "control/group_definition.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/control/failover/group_definition.h"
 #include "declared/follow/messages.h"
 
 namespace cairnhollow::control {
--- a/src/control/failover_run.cpp
+++ b/src/declared/control/failover/failover_run.cpp
@@ -1,10 +1,10 @@
-#include "control/failover_run.h"
+#include "declared/control/failover/failover_run.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/failover_run.h
+++ b/src/declared/control/failover/failover_run.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "control/failover_rules.h"
-#include "control/knobs.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/control/failover/failover_rules.h"
+#include "declared/control/knobs.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/control/group_definition.cpp
+++ b/src/declared/control/failover/group_definition.cpp
@@ -1,4 +1,4 @@
-#include "control/group_definition.h"
+#include "declared/control/failover/group_definition.h"
 
 #include <algorithm>
 
--- a/src/control/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -1,11 +1,11 @@
-#include "control/group_monitor.h"
+#include "declared/control/failover/group_monitor.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "control/failover_messages.h"
-#include "control/knobs.h"
+#include "declared/control/failover/failover_messages.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/group_monitor.h
+++ b/src/declared/control/failover/group_monitor.h
@@ -8,11 +8,11 @@
 #include <optional>
 #include <set>
 
-#include "control/event_log.h"
-#include "control/failover_rules.h"
-#include "control/failover_run.h"
-#include "control/member_probe.h"
-#include "control/news_directory.h"
+#include "declared/control/failover/failover_rules.h"
+#include "declared/control/failover/failover_run.h"
+#include "declared/control/failover/member_probe.h"
+#include "declared/control/news/news_directory.h"
+#include "declared/control/operator/event_log.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/group_supervision.cpp
+++ b/src/declared/control/failover/group_supervision.cpp
@@ -1,9 +1,9 @@
-#include "control/group_supervision.h"
+#include "declared/control/failover/group_supervision.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/group_supervision.h
+++ b/src/declared/control/failover/group_supervision.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "control/config_view.h"
-#include "control/group_monitor.h"
-#include "control/operator_sources.h"
-#include "control/peer_directory.h"
-#include "control/supervisor_table.h"
+#include "declared/control/failover/group_monitor.h"
+#include "declared/control/failover/supervisor_table.h"
+#include "declared/control/follow/config_view.h"
+#include "declared/control/news/peer_directory.h"
+#include "declared/control/operator/operator_sources.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/member_probe.cpp
+++ b/src/declared/control/failover/member_probe.cpp
@@ -1,8 +1,8 @@
-#include "control/member_probe.h"
+#include "declared/control/failover/member_probe.h"
 
 #include <algorithm>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/member_probe.h
+++ b/src/declared/control/failover/member_probe.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <memory>
 
-#include "control/failover_rules.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/control/failover/failover_rules.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/control/node_health.cpp
+++ b/src/declared/control/failover/node_health.cpp
@@ -1,4 +1,4 @@
-#include "control/node_health.h"
+#include "declared/control/failover/node_health.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/node_health.h
+++ b/src/declared/control/failover/node_health.h
@@ -3,9 +3,9 @@
 
 #include <functional>
 
-#include "control/follow_server.h"
-#include "control/group_supervision.h"
-#include "control/operator_sources.h"
+#include "declared/control/failover/group_supervision.h"
+#include "declared/control/follow/follow_server.h"
+#include "declared/control/operator/operator_sources.h"
 #include "runtime/metrics.h"
 
 namespace cairnhollow::control {
--- a/src/control/supervisor_choice.cpp
+++ b/src/declared/control/failover/supervisor_choice.cpp
@@ -1,4 +1,4 @@
-#include "control/supervisor_choice.h"
+#include "declared/control/failover/supervisor_choice.h"
 
 #include <xxhash.h>
 
--- a/src/control/supervisor_table.cpp
+++ b/src/declared/control/failover/supervisor_table.cpp
@@ -1,9 +1,9 @@
-#include "control/supervisor_table.h"
+#include "declared/control/failover/supervisor_table.h"
 
 #include <algorithm>
 
-#include "control/knobs.h"
-#include "control/supervisor_choice.h"
+#include "declared/control/failover/supervisor_choice.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/batch_history.cpp
+++ b/src/declared/control/follow/batch_history.cpp
@@ -1,4 +1,4 @@
-#include "control/batch_history.h"
+#include "declared/control/follow/batch_history.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/change_command.cpp
+++ b/src/declared/control/follow/change_command.cpp
@@ -1,4 +1,4 @@
-#include "control/change_command.h"
+#include "declared/control/follow/change_command.h"
 
 #include <fmt/format.h>
 
--- a/src/control/config_replica.cpp
+++ b/src/declared/control/follow/config_replica.cpp
@@ -1,6 +1,6 @@
-#include "control/config_replica.h"
+#include "declared/control/follow/config_replica.h"
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::control {
--- a/src/control/config_replica.h
+++ b/src/declared/control/follow/config_replica.h
@@ -7,8 +7,8 @@
 #include <string>
 
 #include "consensus/consensus.h"
-#include "control/config_view.h"
 #include "declared/config/state_machine.h"
+#include "declared/control/follow/config_view.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/control/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -1,8 +1,8 @@
-#include "control/follow_server.h"
+#include "declared/control/follow/follow_server.h"
 
 #include <algorithm>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::control {
--- a/src/control/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "control/config_view.h"
-#include "control/follower_registry.h"
-#include "control/news_directory.h"
-#include "control/renewal_barrier.h"
-#include "control/update_encoder.h"
+#include "declared/control/follow/config_view.h"
+#include "declared/control/follow/follower_registry.h"
+#include "declared/control/follow/renewal_barrier.h"
+#include "declared/control/follow/update_encoder.h"
+#include "declared/control/news/news_directory.h"
 #include "runtime/runtime.h"
 #include "wire/hello.h"
 
--- a/src/control/followed_config.cpp
+++ b/src/declared/control/follow/followed_config.cpp
@@ -1,4 +1,4 @@
-#include "control/followed_config.h"
+#include "declared/control/follow/followed_config.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/followed_config.h
+++ b/src/declared/control/follow/followed_config.h
@@ -2,9 +2,9 @@
 // miss.
 #pragma once
 
-#include "control/batch_history.h"
-#include "control/config_view.h"
-#include "control/renewal_barrier.h"
+#include "declared/control/follow/batch_history.h"
+#include "declared/control/follow/config_view.h"
+#include "declared/control/follow/renewal_barrier.h"
 #include "declared/follow/follow_client.h"
 
 namespace cairnhollow::control {
--- a/src/control/follower_registry.cpp
+++ b/src/declared/control/follow/follower_registry.cpp
@@ -1,8 +1,8 @@
-#include "control/follower_registry.h"
+#include "declared/control/follow/follower_registry.h"
 
 #include <algorithm>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/update_encoder.cpp
+++ b/src/declared/control/follow/update_encoder.cpp
@@ -1,4 +1,4 @@
-#include "control/update_encoder.h"
+#include "declared/control/follow/update_encoder.h"
 
 #include "declared/follow/messages.h"
 #include "wire/codec.h"
--- a/src/control/update_encoder.h
+++ b/src/declared/control/follow/update_encoder.h
@@ -6,8 +6,8 @@
 #include <map>
 #include <string>
 
-#include "control/config_view.h"
-#include "control/news_directory.h"
+#include "declared/control/follow/config_view.h"
+#include "declared/control/news/news_directory.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/machine_list.cpp
+++ b/src/declared/control/machines/machine_list.cpp
@@ -1,4 +1,4 @@
-#include "control/machine_list.h"
+#include "declared/control/machines/machine_list.h"
 
 #include <fmt/format.h>
 
--- a/src/control/platform_poller.cpp
+++ b/src/declared/control/machines/platform_poller.cpp
@@ -1,8 +1,8 @@
-#include "control/platform_poller.h"
+#include "declared/control/machines/platform_poller.h"
 
 #include <fmt/format.h>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/platform_poller.h
+++ b/src/declared/control/machines/platform_poller.h
@@ -3,9 +3,9 @@
 
 #include <memory>
 
-#include "control/event_log.h"
-#include "control/machine_list.h"
-#include "control/news_directory.h"
+#include "declared/control/machines/machine_list.h"
+#include "declared/control/news/news_directory.h"
+#include "declared/control/operator/event_log.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/control/news_directory.cpp
+++ b/src/declared/control/news/news_directory.cpp
@@ -1,4 +1,4 @@
-#include "control/news_directory.h"
+#include "declared/control/news/news_directory.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/news_exchange.cpp
+++ b/src/declared/control/news/news_exchange.cpp
@@ -1,8 +1,8 @@
-#include "control/news_exchange.h"
+#include "declared/control/news/news_exchange.h"
 
 #include <utility>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::control {
--- a/src/control/news_exchange.h
+++ b/src/declared/control/news/news_exchange.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <vector>
 
-#include "control/news_directory.h"
-#include "control/news_messages.h"
-#include "control/peer_directory.h"
+#include "declared/control/news/news_directory.h"
+#include "declared/control/news/news_messages.h"
+#include "declared/control/news/peer_directory.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "wire/hello.h"
--- a/src/control/peer_directory.cpp
+++ b/src/declared/control/news/peer_directory.cpp
@@ -1,8 +1,8 @@
-#include "control/peer_directory.h"
+#include "declared/control/news/peer_directory.h"
 
 #include <algorithm>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/peer_directory.h
+++ b/src/declared/control/news/peer_directory.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "control/news_messages.h"
+#include "declared/control/news/news_messages.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/drain_events.cpp
+++ b/src/declared/control/operator/drain_events.cpp
@@ -1,4 +1,4 @@
-#include "control/drain_events.h"
+#include "declared/control/operator/drain_events.h"
 
 #include <fmt/format.h>
 
--- a/src/control/drain_events.h
+++ b/src/declared/control/operator/drain_events.h
@@ -3,8 +3,8 @@
 
 #include <vector>
 
-#include "control/operator_service.h"
 #include "declared/config/state_machine.h"
+#include "declared/control/operator/operator_service.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/event_log.cpp
+++ b/src/declared/control/operator/event_log.cpp
@@ -1,8 +1,8 @@
-#include "control/event_log.h"
+#include "declared/control/operator/event_log.h"
 
 #include <algorithm>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/event_log.h
+++ b/src/declared/control/operator/event_log.h
@@ -5,7 +5,7 @@
 #include <deque>
 #include <vector>
 
-#include "control/operator_sources.h"
+#include "declared/control/operator/operator_sources.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::control {
--- a/src/control/fleet_status.cpp
+++ b/src/declared/control/operator/fleet_status.cpp
@@ -1,4 +1,4 @@
-#include "control/fleet_status.h"
+#include "declared/control/operator/fleet_status.h"
 
 #include <algorithm>
 
--- a/src/control/fleet_status.h
+++ b/src/declared/control/operator/fleet_status.h
@@ -1,9 +1,9 @@
 // What the operator service reads of a control node's followers and of the other control nodes.
 #pragma once
 
-#include "control/follow_server.h"
-#include "control/news_exchange.h"
-#include "control/operator_sources.h"
+#include "declared/control/follow/follow_server.h"
+#include "declared/control/news/news_exchange.h"
+#include "declared/control/operator/operator_sources.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_api.cpp
+++ b/src/declared/control/operator/operator_api.cpp
@@ -1,4 +1,4 @@
-#include "control/operator_api.h"
+#include "declared/control/operator/operator_api.h"
 
 #include <fmt/format.h>
 
@@ -7,11 +7,11 @@
 #include <charconv>
 #include <limits>
 
-#include "control/operator_json.h"
 #include "declared/config/duration_text.h"
 #include "declared/config/manifest.h"
 #include "declared/config/object_names.h"
 #include "declared/config/selector_text.h"
+#include "declared/control/operator/operator_json.h"
 #include "http/problem.h"
 #include "http/request_target.h"
 
--- a/src/control/operator_api.h
+++ b/src/declared/control/operator/operator_api.h
@@ -4,7 +4,7 @@
 
 #include <memory>
 
-#include "control/operator_service.h"
+#include "declared/control/operator/operator_service.h"
 #include "runtime/http.h"
 #include "runtime/runtime.h"
 
--- a/src/control/operator_json.h
+++ b/src/declared/control/operator/operator_json.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "control/operator_service.h"
+#include "declared/control/operator/operator_service.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_json_read.cpp
+++ b/src/declared/control/operator/operator_json_read.cpp
@@ -1,11 +1,11 @@
 // JSON to values (declared in operator_json.h).
 #include <fmt/format.h>
 
-#include "control/operator_json.h"
 #include "declared/config/document_reader.h"
 #include "declared/config/manifest.h"
 #include "declared/config/object_names.h"
 #include "declared/config/selector_text.h"
+#include "declared/control/operator/operator_json.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_json_write.cpp
+++ b/src/declared/control/operator/operator_json_write.cpp
@@ -1,10 +1,10 @@
 // Values to JSON (declared in operator_json.h).
 #include <boost/json.hpp>
 
-#include "control/operator_json.h"
 #include "declared/config/manifest.h"
 #include "declared/config/object_names.h"
 #include "declared/config/selector_text.h"
+#include "declared/control/operator/operator_json.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_service.cpp
+++ b/src/declared/control/operator/operator_service.cpp
@@ -1,4 +1,4 @@
-#include "control/operator_service.h"
+#include "declared/control/operator/operator_service.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -1,13 +1,13 @@
-#include "control/operator_service_impl.h"
+#include "declared/control/operator/operator_service_impl.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "control/change_command.h"
-#include "control/drain_events.h"
-#include "control/fleet_status.h"
 #include "declared/config/object_names.h"
+#include "declared/control/follow/change_command.h"
+#include "declared/control/operator/drain_events.h"
+#include "declared/control/operator/fleet_status.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/operator_service_impl.h
+++ b/src/declared/control/operator/operator_service_impl.h
@@ -5,8 +5,8 @@
 #include <memory>
 #include <string>
 
-#include "control/config_replica.h"
-#include "control/operator_sources.h"
+#include "declared/control/follow/config_replica.h"
+#include "declared/control/operator/operator_sources.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::control {
--- a/src/control/relay_operator_service.cpp
+++ b/src/declared/control/operator/relay_operator_service.cpp
@@ -1,8 +1,8 @@
-#include "control/relay_operator_service.h"
+#include "declared/control/operator/relay_operator_service.h"
 
 #include <algorithm>
 
-#include "control/fleet_status.h"
+#include "declared/control/operator/fleet_status.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/relay_operator_service.h
+++ b/src/declared/control/operator/relay_operator_service.h
@@ -1,9 +1,9 @@
 // What a relay offers to operators: what it knows itself; everything else is for a node that has the log.
 #pragma once
 
-#include "control/control_core.h"
-#include "control/node_health.h"
-#include "control/operator_service.h"
+#include "declared/control/control_core.h"
+#include "declared/control/failover/node_health.h"
+#include "declared/control/operator/operator_service.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -1,10 +1,10 @@
-#include "control/relay_node.h"
+#include "declared/control/relay_node.h"
 
-#include "control/control_core.h"
-#include "control/followed_config.h"
-#include "control/node_health.h"
-#include "control/operator_api.h"
-#include "control/relay_operator_service.h"
+#include "declared/control/control_core.h"
+#include "declared/control/failover/node_health.h"
+#include "declared/control/follow/followed_config.h"
+#include "declared/control/operator/operator_api.h"
+#include "declared/control/operator/relay_operator_service.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -1,8 +1,8 @@
-#include "control/voter_repair.h"
+#include "declared/control/voter_repair.h"
 
 #include <fmt/format.h>
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/src/control/voter_repair.h
+++ b/src/declared/control/voter_repair.h
@@ -6,8 +6,8 @@
 #include <optional>
 
 #include "consensus/consensus.h"
-#include "control/event_log.h"
-#include "control/peer_directory.h"
+#include "declared/control/news/peer_directory.h"
+#include "declared/control/operator/event_log.h"
 #include "runtime/signal.h"
 
 namespace cairnhollow::control {
--- a/src/programs/cairnhollow_control.cpp
+++ b/src/programs/cairnhollow_control.cpp
@@ -2,7 +2,7 @@
 #include "cli/program.h"
 #include "cli/settings_control.h"
 #include "cli/settings_registered.h"
-#include "control/control_node.h"
+#include "declared/control/control_node.h"
 #include "platform/edge.h"
 #include "registered/control/registered_control_node.h"
 
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -3,7 +3,6 @@
 #include <fmt/format.h>
 
 #include "consensus/raft.h"
-#include "control/connection_dispatcher.h"
 #include "registered/control/control_metrics.h"
 #include "registered/control/control_node_directory.h"
 #include "registered/control/failover/group_keeper.h"
@@ -13,6 +12,7 @@
 #include "registered/control/registration_service.h"
 #include "registered/control/voter_keeper.h"
 #include "registry/state_machine.h"
+#include "wire/connection_dispatcher.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/control/connection_dispatcher.cpp
+++ b/src/wire/connection_dispatcher.cpp
@@ -1,6 +1,6 @@
-#include "control/connection_dispatcher.h"
+#include "wire/connection_dispatcher.h"
 
-#include "control/knobs.h"
+#include "declared/control/knobs.h"
 
 namespace cairnhollow::control {
 
--- a/tests/cli/operator_fleet.cpp
+++ b/tests/cli/operator_fleet.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "cli/run_command.h"
-#include "control/operator_api.h"
+#include "declared/control/operator/operator_api.h"
 
 namespace cairnhollow::cli {
 
--- a/tests/cli/operator_fleet.h
+++ b/tests/cli/operator_fleet.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cli/exit_code.h"
-#include "control/operator_service_impl.h"
+#include "declared/control/operator/operator_service_impl.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::cli {
--- a/tests/control/control_fleet.cpp
+++ b/tests/declared/control/control_fleet.cpp
@@ -1,9 +1,9 @@
-#include "tests/control/control_fleet.h"
+#include "tests/declared/control/control_fleet.h"
 
 #include <algorithm>
 
-#include "control/control_node.h"
 #include "declared/backend/http_backend.h"
+#include "declared/control/control_node.h"
 #include "standins/database/database_server.h"
 #include "standins/platform/platform_server.h"
 
--- a/tests/control/control_fleet.h
+++ b/tests/declared/control/control_fleet.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "cli/operator_client.h"
-#include "control/settings.h"
 #include "declared/backend/backend_connection.h"
+#include "declared/control/settings.h"
 #include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 
--- a/tests/control/failover_rules_test.cpp
+++ b/tests/declared/control/failover/failover_rules_test.cpp
@@ -1,5 +1,5 @@
 // When a primary is replaced, when it must not be, and by whom.
-#include "control/failover_rules.h"
+#include "declared/control/failover/failover_rules.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/failover_simulation_test.cpp
+++ b/tests/declared/control/failover/failover_simulation_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "tests/control/control_fleet.h"
+#include "tests/declared/control/control_fleet.h"
 
 namespace cairnhollow::control::testing {
 namespace {
--- a/tests/control/group_definition_test.cpp
+++ b/tests/declared/control/failover/group_definition_test.cpp
@@ -1,5 +1,5 @@
 // The members of each group, as its selector says; also for many groups at once.
-#include "control/group_definition.h"
+#include "declared/control/failover/group_definition.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
--- a/tests/control/supervisor_choice_test.cpp
+++ b/tests/declared/control/failover/supervisor_choice_test.cpp
@@ -1,12 +1,12 @@
 // Rendezvous hashing of groups over control nodes.
-#include "control/supervisor_choice.h"
+#include "declared/control/failover/supervisor_choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
 #include <map>
 
-#include "control/supervisor_table.h"
+#include "declared/control/failover/supervisor_table.h"
 
 namespace cairnhollow::control {
 namespace {
--- a/tests/control/batch_history_test.cpp
+++ b/tests/declared/control/follow/batch_history_test.cpp
@@ -1,5 +1,5 @@
 // What a relay remembers of the batches of changes that it took in.
-#include "control/batch_history.h"
+#include "declared/control/follow/batch_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/first_configurations_test.cpp
+++ b/tests/declared/control/follow/first_configurations_test.cpp
@@ -4,8 +4,8 @@
 
 #include <deque>
 
-#include "control/follow_server.h"
-#include "control/knobs.h"
+#include "declared/control/follow/follow_server.h"
+#include "declared/control/knobs.h"
 #include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
--- a/tests/control/follow_roles.h
+++ b/tests/declared/control/follow/follow_roles.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <utility>
 
-#include "control/config_replica.h"
-#include "control/connection_dispatcher.h"
-#include "control/follow_server.h"
-#include "control/news_directory.h"
+#include "declared/control/follow/config_replica.h"
+#include "declared/control/follow/follow_server.h"
+#include "declared/control/news/news_directory.h"
 #include "declared/follow/follow_client.h"
 #include "wire/codec.h"
+#include "wire/connection_dispatcher.h"
 
 namespace cairnhollow::control::testing {
 
--- a/tests/control/follow_server_test.cpp
+++ b/tests/declared/control/follow/follow_server_test.cpp
@@ -1,12 +1,12 @@
 // The follow stream, both sides, over the virtual network: incremental answers, snapshots, leases that only a
 // quorum round renews, and frames that are no messages.
-#include "control/follow_server.h"
+#include "declared/control/follow/follow_server.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "control/control_node.h"
+#include "declared/control/control_node.h"
 #include "simulation/world.h"
-#include "tests/control/follow_roles.h"
+#include "tests/declared/control/follow/follow_roles.h"
 
 namespace cairnhollow::control {
 namespace {
--- a/tests/control/leaving_simulation_test.cpp
+++ b/tests/declared/control/leaving_simulation_test.cpp
@@ -1,7 +1,7 @@
 // Planned changes of a primary: an operator's hand-over, and backends that leave.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "tests/control/control_fleet.h"
+#include "tests/declared/control/control_fleet.h"
 
 namespace cairnhollow::control::testing {
 namespace {
--- a/tests/control/machine_list_test.cpp
+++ b/tests/declared/control/machines/machine_list_test.cpp
@@ -1,5 +1,5 @@
 // The platform's list: bad input, and that a machine is taken out but never declared alive.
-#include "control/machine_list.h"
+#include "declared/control/machines/machine_list.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/control/operator_api_test.cpp
+++ b/tests/declared/control/operator/operator_api_test.cpp
@@ -1,10 +1,10 @@
 // The operator API as HTTP requests: resources, faults of requests, refusals.
-#include "control/operator_api.h"
+#include "declared/control/operator/operator_api.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <boost/json.hpp>
 
-#include "control/operator_json.h"
+#include "declared/control/operator/operator_json.h"
 #include "http/problem.h"
 #include "tests/cli/operator_fleet.h"
 
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck.h>
 
 #include "consensus/messages.h"
-#include "control/news_messages.h"
+#include "declared/control/news/news_messages.h"
 #include "declared/follow/messages.h"
 #include "wire/codec.h"
 
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <set>
 
-#include "control/change_command.h"
 #include "declared/config/state_machine.h"
+#include "declared/control/follow/change_command.h"
 #include "declared/follow/messages.h"
 #include "tests/wire/format_samples.h"
 #include "wire/codec.h"
--- a/tests/control/hello_test.cpp
+++ b/tests/wire/hello_test.cpp
@@ -4,10 +4,10 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "consensus/peer_channel.h"
-#include "control/connection_dispatcher.h"
-#include "control/news_exchange.h"
+#include "declared/control/news/news_exchange.h"
 #include "declared/follow/follow_client.h"
 #include "simulation/world.h"
+#include "wire/connection_dispatcher.h"
 
 namespace cairnhollow::control {
 namespace {
