--- a/simulation/deployment.h
+++ b/simulation/deployment.h
@@ -7,7 +7,7 @@
 
 #include "declared/config/objects.h"
 #include "declared/control/settings.h"
-#include "proxy/settings.h"
+#include "declared/proxy/settings.h"
 #include "simulation/network_faults.h"
 #include "standins/callers/workload.h"
 #include "standins/database/settings.h"
--- a/simulation/fleet.cpp
+++ b/simulation/fleet.cpp
@@ -9,7 +9,7 @@
 #include "declared/backend/contract_codec.h"
 #include "declared/config/state_machine.h"
 #include "declared/control/control_node.h"
-#include "proxy/proxy_server.h"
+#include "declared/proxy/proxy_server.h"
 #include "standins/database/database_server.h"
 #include "standins/platform/platform_server.h"
 
--- a/src/cli/settings_proxy.h
+++ b/src/cli/settings_proxy.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "cli/settings_reader.h"
-#include "proxy/settings.h"
+#include "declared/proxy/settings.h"
 
 namespace cairnhollow::cli {
 
--- a/src/proxy/caller_answer.cpp
+++ b/src/declared/proxy/calls/caller_answer.cpp
@@ -1,8 +1,8 @@
-#include "proxy/caller_answer.h"
+#include "declared/proxy/calls/caller_answer.h"
 
 #include <boost/json.hpp>
 
-#include "proxy/caller_request.h"
+#include "declared/proxy/calls/caller_request.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/caller_answer.h
+++ b/src/declared/proxy/calls/caller_answer.h
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
-#include "proxy/statement.h"
-#include "proxy/transaction_service.h"
+#include "declared/proxy/statement/statement.h"
+#include "declared/proxy/transaction/transaction_service.h"
 #include "runtime/http.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/caller_api.cpp
+++ b/src/declared/proxy/calls/caller_api.cpp
@@ -1,4 +1,4 @@
-#include "proxy/caller_api.h"
+#include "declared/proxy/calls/caller_api.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/caller_api.h
+++ b/src/declared/proxy/calls/caller_api.h
@@ -3,12 +3,12 @@
 
 #include <set>
 
+#include "declared/proxy/calls/caller_answer.h"
+#include "declared/proxy/calls/caller_request.h"
+#include "declared/proxy/calls/request_table.h"
+#include "declared/proxy/domain/domain_table.h"
+#include "declared/proxy/proxy_metrics.h"
 #include "http/request_target.h"
-#include "proxy/caller_answer.h"
-#include "proxy/caller_request.h"
-#include "proxy/domain_table.h"
-#include "proxy/proxy_metrics.h"
-#include "proxy/request_table.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -1,8 +1,8 @@
 // Readiness, metrics and explanations of the caller API, by domain.
 #include <boost/json.hpp>
 
-#include "proxy/caller_api.h"
-#include "proxy/explain.h"
+#include "declared/proxy/calls/caller_api.h"
+#include "declared/proxy/calls/explain.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/caller_api_forwarding.cpp
+++ b/src/declared/proxy/calls/caller_api_forwarding.cpp
@@ -1,5 +1,5 @@
 // The calls of the caller API for groups that other proxies serve.
-#include "proxy/caller_api.h"
+#include "declared/proxy/calls/caller_api.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/caller_request.cpp
+++ b/src/declared/proxy/calls/caller_request.cpp
@@ -1,4 +1,4 @@
-#include "proxy/caller_request.h"
+#include "declared/proxy/calls/caller_request.h"
 
 #include <fmt/format.h>
 
@@ -6,9 +6,9 @@
 #include <boost/json/parse.hpp>
 #include <charconv>
 
-#include "proxy/field_reader.h"
-#include "proxy/forward_messages.h"
-#include "proxy/knobs.h"
+#include "declared/proxy/calls/field_reader.h"
+#include "declared/proxy/forwarding/forward_messages.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/caller_request.h
+++ b/src/declared/proxy/calls/caller_request.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "proxy/statement.h"
+#include "declared/proxy/statement/statement.h"
 #include "runtime/http.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/decision_log.cpp
+++ b/src/declared/proxy/calls/decision_log.cpp
@@ -1,4 +1,4 @@
-#include "proxy/decision_log.h"
+#include "declared/proxy/calls/decision_log.h"
 
 #include <algorithm>
 
--- a/src/proxy/explain.cpp
+++ b/src/declared/proxy/calls/explain.cpp
@@ -1,10 +1,10 @@
-#include "proxy/explain.h"
+#include "declared/proxy/calls/explain.h"
 
 #include <boost/json.hpp>
 
-#include "proxy/caller_request.h"
-#include "proxy/forwarder.h"
-#include "proxy/knobs.h"
+#include "declared/proxy/calls/caller_request.h"
+#include "declared/proxy/forwarding/forwarder.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/explain.h
+++ b/src/declared/proxy/calls/explain.h
@@ -4,10 +4,10 @@
 #include <optional>
 #include <string>
 
+#include "declared/proxy/calls/decision_log.h"
+#include "declared/proxy/settings.h"
 #include "declared/routing/choice.h"
 #include "http/request_target.h"
-#include "proxy/decision_log.h"
-#include "proxy/settings.h"
 #include "runtime/http.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/field_reader.cpp
+++ b/src/declared/proxy/calls/field_reader.cpp
@@ -1,4 +1,4 @@
-#include "proxy/field_reader.h"
+#include "declared/proxy/calls/field_reader.h"
 
 #include <fmt/format.h>
 
--- a/src/proxy/domain.cpp
+++ b/src/declared/proxy/domain/domain.cpp
@@ -1,4 +1,4 @@
-#include "proxy/domain.h"
+#include "declared/proxy/domain/domain.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/domain.h
+++ b/src/declared/proxy/domain/domain.h
@@ -4,17 +4,17 @@
 #pragma once
 
 #include "declared/follow/follow_client.h"
-#include "proxy/decision_log.h"
-#include "proxy/follow_feed.h"
-#include "proxy/forwarded_transactions.h"
-#include "proxy/freshness_prober.h"
-#include "proxy/outcome_resolver.h"
-#include "proxy/pooled_access.h"
-#include "proxy/read_executor.h"
-#include "proxy/resolve_access.h"
-#include "proxy/retry_budget.h"
-#include "proxy/transaction_service.h"
-#include "proxy/write_executor.h"
+#include "declared/proxy/calls/decision_log.h"
+#include "declared/proxy/domain/follow_feed.h"
+#include "declared/proxy/domain/freshness_prober.h"
+#include "declared/proxy/forwarding/forwarded_transactions.h"
+#include "declared/proxy/statement/outcome_resolver.h"
+#include "declared/proxy/statement/pooled_access.h"
+#include "declared/proxy/statement/read_executor.h"
+#include "declared/proxy/statement/resolve_access.h"
+#include "declared/proxy/statement/retry_budget.h"
+#include "declared/proxy/statement/write_executor.h"
+#include "declared/proxy/transaction/transaction_service.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/domain_table.cpp
+++ b/src/declared/proxy/domain/domain_table.cpp
@@ -1,4 +1,4 @@
-#include "proxy/domain_table.h"
+#include "declared/proxy/domain/domain_table.h"
 
 #include <algorithm>
 
--- a/src/proxy/domain_table.h
+++ b/src/declared/proxy/domain/domain_table.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "proxy/domain.h"
+#include "declared/proxy/domain/domain.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/follow_feed.h
+++ b/src/declared/proxy/domain/follow_feed.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "declared/follow/follow_client.h"
-#include "proxy/serving_state.h"
+#include "declared/proxy/domain/serving_state.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/freshness_prober.cpp
+++ b/src/declared/proxy/domain/freshness_prober.cpp
@@ -1,6 +1,6 @@
-#include "proxy/freshness_prober.h"
+#include "declared/proxy/domain/freshness_prober.h"
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/freshness_prober.h
+++ b/src/declared/proxy/domain/freshness_prober.h
@@ -7,8 +7,8 @@
 #include <map>
 #include <memory>
 
-#include "proxy/attempt.h"
-#include "proxy/probe_schedule.h"
+#include "declared/proxy/domain/probe_schedule.h"
+#include "declared/proxy/statement/attempt.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/group_activity.cpp
+++ b/src/declared/proxy/domain/group_activity.cpp
@@ -1,6 +1,6 @@
-#include "proxy/group_activity.h"
+#include "declared/proxy/domain/group_activity.h"
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/position_news.cpp
+++ b/src/declared/proxy/domain/position_news.cpp
@@ -1,4 +1,4 @@
-#include "proxy/position_news.h"
+#include "declared/proxy/domain/position_news.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/probe_schedule.cpp
+++ b/src/declared/proxy/domain/probe_schedule.cpp
@@ -1,8 +1,8 @@
-#include "proxy/probe_schedule.h"
+#include "declared/proxy/domain/probe_schedule.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/serving_state.cpp
+++ b/src/declared/proxy/domain/serving_state.cpp
@@ -1,4 +1,4 @@
-#include "proxy/serving_state.h"
+#include "declared/proxy/domain/serving_state.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/serving_state.h
+++ b/src/declared/proxy/domain/serving_state.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "declared/follow/serving_configuration.h"
+#include "declared/proxy/statement/primary_watch.h"
 #include "declared/routing/choice.h"
 #include "declared/routing/view_builder.h"
-#include "proxy/primary_watch.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/proxy/forward_messages.cpp
+++ b/src/declared/proxy/forwarding/forward_messages.cpp
@@ -1,8 +1,8 @@
-#include "proxy/forward_messages.h"
+#include "declared/proxy/forwarding/forward_messages.h"
 
 #include <boost/json.hpp>
 
-#include "proxy/caller_request.h"
+#include "declared/proxy/calls/caller_request.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/forward_messages.h
+++ b/src/declared/proxy/forwarding/forward_messages.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <string>
 
+#include "declared/proxy/statement/statement.h"
 #include "http/problem.h"
-#include "proxy/statement.h"
 #include "runtime/http.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/forwarded_transactions.cpp
+++ b/src/declared/proxy/forwarding/forwarded_transactions.cpp
@@ -1,6 +1,6 @@
-#include "proxy/forwarded_transactions.h"
+#include "declared/proxy/forwarding/forwarded_transactions.h"
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/forwarded_transactions.h
+++ b/src/declared/proxy/forwarding/forwarded_transactions.h
@@ -4,9 +4,9 @@
 
 #include <memory>
 
-#include "proxy/caller_request.h"
-#include "proxy/forwarder.h"
-#include "proxy/transaction_table.h"
+#include "declared/proxy/calls/caller_request.h"
+#include "declared/proxy/forwarding/forwarder.h"
+#include "declared/proxy/transaction/transaction_table.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/forwarder.cpp
+++ b/src/declared/proxy/forwarding/forwarder.cpp
@@ -1,8 +1,8 @@
-#include "proxy/forwarder.h"
+#include "declared/proxy/forwarding/forwarder.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/forwarder.h
+++ b/src/declared/proxy/forwarding/forwarder.h
@@ -6,11 +6,11 @@
 #include <map>
 #include <variant>
 
-#include "proxy/attempt.h"
-#include "proxy/decision_log.h"
-#include "proxy/forward_messages.h"
-#include "proxy/hop_watch.h"
-#include "proxy/retry_budget.h"
+#include "declared/proxy/calls/decision_log.h"
+#include "declared/proxy/forwarding/forward_messages.h"
+#include "declared/proxy/forwarding/hop_watch.h"
+#include "declared/proxy/statement/attempt.h"
+#include "declared/proxy/statement/retry_budget.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/hop_pool.cpp
+++ b/src/declared/proxy/forwarding/hop_pool.cpp
@@ -1,6 +1,6 @@
-#include "proxy/hop_pool.h"
+#include "declared/proxy/forwarding/hop_pool.h"
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/hop_watch.cpp
+++ b/src/declared/proxy/forwarding/hop_watch.cpp
@@ -1,9 +1,9 @@
-#include "proxy/hop_watch.h"
+#include "declared/proxy/forwarding/hop_watch.h"
 
 #include <algorithm>
 #include <vector>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/hop_watch.h
+++ b/src/declared/proxy/forwarding/hop_watch.h
@@ -7,8 +7,8 @@
 #include <list>
 #include <map>
 
+#include "declared/proxy/forwarding/hop_pool.h"
 #include "declared/routing/decision.h"
-#include "proxy/hop_pool.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/proxy_metrics.cpp
+++ b/src/declared/proxy/proxy_metrics.cpp
@@ -1,4 +1,4 @@
-#include "proxy/proxy_metrics.h"
+#include "declared/proxy/proxy_metrics.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/proxy_metrics.h
+++ b/src/declared/proxy/proxy_metrics.h
@@ -32,8 +32,8 @@
 #include <array>
 
 #include "declared/backend/backend_admission.h"
-#include "proxy/forwarder.h"
-#include "proxy/statement.h"
+#include "declared/proxy/forwarding/forwarder.h"
+#include "declared/proxy/statement/statement.h"
 #include "runtime/metrics.h"
 
 namespace cairnhollow::proxy {
--- a/src/proxy/proxy_server.cpp
+++ b/src/declared/proxy/proxy_server.cpp
@@ -1,9 +1,9 @@
-#include "proxy/proxy_server.h"
+#include "declared/proxy/proxy_server.h"
 
 #include "declared/backend/http_backend.h"
-#include "proxy/caller_api.h"
-#include "proxy/domain_table.h"
-#include "proxy/knobs.h"
+#include "declared/proxy/calls/caller_api.h"
+#include "declared/proxy/domain/domain_table.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/proxy_server.h
+++ b/src/declared/proxy/proxy_server.h
@@ -3,7 +3,7 @@
 
 #include <memory>
 
-#include "proxy/settings.h"
+#include "declared/proxy/settings.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
--- a/src/proxy/attempt.cpp
+++ b/src/declared/proxy/statement/attempt.cpp
@@ -1,8 +1,8 @@
-#include "proxy/attempt.h"
+#include "declared/proxy/statement/attempt.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/attempt.h
+++ b/src/declared/proxy/statement/attempt.h
@@ -4,12 +4,12 @@
 
 #include <memory>
 
-#include "proxy/backend_access.h"
-#include "proxy/group_activity.h"
-#include "proxy/position_news.h"
-#include "proxy/serving_state.h"
-#include "proxy/settings.h"
-#include "proxy/statement.h"
+#include "declared/proxy/domain/group_activity.h"
+#include "declared/proxy/domain/position_news.h"
+#include "declared/proxy/domain/serving_state.h"
+#include "declared/proxy/settings.h"
+#include "declared/proxy/statement/backend_access.h"
+#include "declared/proxy/statement/statement.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/backend_access.h
+++ b/src/declared/proxy/statement/backend_access.h
@@ -6,9 +6,9 @@
 
 #include "declared/backend/backend_connection.h"
 #include "declared/backend/wait_cancellation.h"
+#include "declared/proxy/knobs.h"
+#include "declared/proxy/statement/statement.h"
 #include "declared/routing/decision.h"
-#include "proxy/knobs.h"
-#include "proxy/statement.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/outcome_resolver.cpp
+++ b/src/declared/proxy/statement/outcome_resolver.cpp
@@ -1,8 +1,8 @@
-#include "proxy/outcome_resolver.h"
+#include "declared/proxy/statement/outcome_resolver.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/outcome_resolver.h
+++ b/src/declared/proxy/statement/outcome_resolver.h
@@ -2,7 +2,7 @@
 // entry in its request ledger, until there is a definite answer or the time is over.
 #pragma once
 
-#include "proxy/attempt.h"
+#include "declared/proxy/statement/attempt.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/pooled_access.cpp
+++ b/src/declared/proxy/statement/pooled_access.cpp
@@ -1,4 +1,4 @@
-#include "proxy/pooled_access.h"
+#include "declared/proxy/statement/pooled_access.h"
 
 #include <set>
 
--- a/src/proxy/pooled_access.h
+++ b/src/declared/proxy/statement/pooled_access.h
@@ -5,8 +5,8 @@
 #include <memory>
 
 #include "declared/backend/backend_admission.h"
-#include "proxy/backend_access.h"
-#include "proxy/serving_state.h"
+#include "declared/proxy/domain/serving_state.h"
+#include "declared/proxy/statement/backend_access.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/primary_wait.cpp
+++ b/src/declared/proxy/statement/primary_wait.cpp
@@ -1,8 +1,8 @@
-#include "proxy/primary_wait.h"
+#include "declared/proxy/statement/primary_wait.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/primary_wait.h
+++ b/src/declared/proxy/statement/primary_wait.h
@@ -1,8 +1,8 @@
 // Parks work that only the primary can do while there is none, and paces retries at the same primary.
 #pragma once
 
-#include "proxy/attempt.h"
-#include "proxy/retry_budget.h"
+#include "declared/proxy/statement/attempt.h"
+#include "declared/proxy/statement/retry_budget.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/primary_watch.cpp
+++ b/src/declared/proxy/statement/primary_watch.cpp
@@ -1,8 +1,8 @@
-#include "proxy/primary_watch.h"
+#include "declared/proxy/statement/primary_watch.h"
 
 #include <utility>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/read_executor.cpp
+++ b/src/declared/proxy/statement/read_executor.cpp
@@ -1,8 +1,8 @@
-#include "proxy/read_executor.h"
+#include "declared/proxy/statement/read_executor.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/read_executor.h
+++ b/src/declared/proxy/statement/read_executor.h
@@ -1,10 +1,10 @@
 // Serves one read: tries the candidates of the decision in order within the deadline.
 #pragma once
 
-#include "proxy/attempt.h"
-#include "proxy/decision_log.h"
-#include "proxy/read_watch.h"
-#include "proxy/retry_budget.h"
+#include "declared/proxy/calls/decision_log.h"
+#include "declared/proxy/statement/attempt.h"
+#include "declared/proxy/statement/read_watch.h"
+#include "declared/proxy/statement/retry_budget.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/read_watch.cpp
+++ b/src/declared/proxy/statement/read_watch.cpp
@@ -1,8 +1,8 @@
-#include "proxy/read_watch.h"
+#include "declared/proxy/statement/read_watch.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/resolve_access.cpp
+++ b/src/declared/proxy/statement/resolve_access.cpp
@@ -1,8 +1,8 @@
-#include "proxy/resolve_access.h"
+#include "declared/proxy/statement/resolve_access.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/resolve_access.h
+++ b/src/declared/proxy/statement/resolve_access.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "proxy/backend_access.h"
+#include "declared/proxy/statement/backend_access.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/proxy/retry_budget.cpp
+++ b/src/declared/proxy/statement/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "proxy/retry_budget.h"
+#include "declared/proxy/statement/retry_budget.h"
 
 #include <algorithm>
 
--- a/src/proxy/statement.cpp
+++ b/src/declared/proxy/statement/statement.cpp
@@ -1,6 +1,6 @@
-#include "proxy/statement.h"
+#include "declared/proxy/statement/statement.h"
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/write_executor.cpp
+++ b/src/declared/proxy/statement/write_executor.cpp
@@ -1,8 +1,8 @@
-#include "proxy/write_executor.h"
+#include "declared/proxy/statement/write_executor.h"
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/write_executor.h
+++ b/src/declared/proxy/statement/write_executor.h
@@ -2,11 +2,11 @@
 // came.
 #pragma once
 
-#include "proxy/attempt.h"
-#include "proxy/decision_log.h"
-#include "proxy/outcome_resolver.h"
-#include "proxy/primary_wait.h"
-#include "proxy/retry_budget.h"
+#include "declared/proxy/calls/decision_log.h"
+#include "declared/proxy/statement/attempt.h"
+#include "declared/proxy/statement/outcome_resolver.h"
+#include "declared/proxy/statement/primary_wait.h"
+#include "declared/proxy/statement/retry_budget.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/transaction_service.cpp
+++ b/src/declared/proxy/transaction/transaction_service.cpp
@@ -1,11 +1,11 @@
-#include "proxy/transaction_service.h"
+#include "declared/proxy/transaction/transaction_service.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "proxy/knobs.h"
-#include "proxy/write_executor.h"
+#include "declared/proxy/knobs.h"
+#include "declared/proxy/statement/write_executor.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/transaction_service.h
+++ b/src/declared/proxy/transaction/transaction_service.h
@@ -5,10 +5,10 @@
 #include <memory>
 #include <variant>
 
-#include "proxy/caller_request.h"
-#include "proxy/outcome_resolver.h"
-#include "proxy/primary_wait.h"
-#include "proxy/transaction_table.h"
+#include "declared/proxy/calls/caller_request.h"
+#include "declared/proxy/statement/outcome_resolver.h"
+#include "declared/proxy/statement/primary_wait.h"
+#include "declared/proxy/transaction/transaction_table.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/proxy/transaction_table.h
+++ b/src/declared/proxy/transaction/transaction_table.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/reason.h"
-#include "proxy/caller_request.h"
+#include "declared/proxy/calls/caller_request.h"
 
 namespace cairnhollow::proxy {
 
--- a/src/programs/cairnhollow_proxy.cpp
+++ b/src/programs/cairnhollow_proxy.cpp
@@ -2,8 +2,8 @@
 #include "cli/program.h"
 #include "cli/settings_proxy.h"
 #include "cli/settings_registered.h"
+#include "declared/proxy/proxy_server.h"
 #include "platform/edge.h"
-#include "proxy/proxy_server.h"
 #include "session/session_proxy.h"
 
 namespace cli = cairnhollow::cli;
--- a/tests/proxy/caller_request_test.cpp
+++ b/tests/declared/proxy/calls/caller_request_test.cpp
@@ -1,9 +1,9 @@
 // Bodies and headers of the caller API: every fault is named, nothing half read is taken.
-#include "proxy/caller_request.h"
+#include "declared/proxy/calls/caller_request.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 namespace {
--- a/tests/proxy/group_activity_test.cpp
+++ b/tests/declared/proxy/domain/group_activity_test.cpp
@@ -1,9 +1,9 @@
 // A proxy probes the members of the groups that it serves, and no others.
-#include "proxy/group_activity.h"
+#include "declared/proxy/domain/group_activity.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 #include "proxy_world.h"
 
 namespace cairnhollow::proxy {
--- a/tests/proxy/probe_schedule_test.cpp
+++ b/tests/declared/proxy/domain/probe_schedule_test.cpp
@@ -1,12 +1,12 @@
 // How many probes a proxy may make, and which go first when it wants more.
-#include "proxy/probe_schedule.h"
+#include "declared/proxy/domain/probe_schedule.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
 #include <string>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 
 namespace cairnhollow::proxy {
 namespace {
--- a/tests/proxy/forwarding_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_test.cpp
@@ -2,9 +2,9 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "call_assertions.h"
+#include "declared/proxy/forwarding/forward_messages.h"
 #include "forwarding_world.h"
 #include "http/problem.h"
-#include "proxy/forward_messages.h"
 
 namespace cairnhollow::proxy {
 namespace {
--- a/tests/proxy/proxy_failures_test.cpp
+++ b/tests/declared/proxy/proxy_failures_test.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 
 #include "call_assertions.h"
+#include "declared/proxy/knobs.h"
 #include "http/problem.h"
-#include "proxy/knobs.h"
 #include "proxy_world.h"
 
 namespace cairnhollow::proxy {
--- a/tests/proxy/proxy_transactions_test.cpp
+++ b/tests/declared/proxy/proxy_transactions_test.cpp
@@ -2,7 +2,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "call_assertions.h"
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 #include "proxy_world.h"
 
 namespace cairnhollow::proxy {
--- a/tests/proxy/proxy_world.cpp
+++ b/tests/declared/proxy/proxy_world.cpp
@@ -1,7 +1,7 @@
 #include "proxy_world.h"
 
 #include "declared/backend/http_backend.h"
-#include "proxy/proxy_server.h"
+#include "declared/proxy/proxy_server.h"
 #include "standins/database/database_server.h"
 
 namespace cairnhollow::proxy {
--- a/tests/proxy/proxy_world.h
+++ b/tests/declared/proxy/proxy_world.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "control_stub.h"
-#include "proxy/settings.h"
+#include "declared/proxy/settings.h"
 #include "simulation/world.h"
 #include "standins/callers/proxy_client.h"
 #include "standins/callers/record_statement.h"
--- a/tests/proxy/read_watch_test.cpp
+++ b/tests/declared/proxy/statement/read_watch_test.cpp
@@ -1,9 +1,9 @@
 // Which reads are ended because their backend has fallen silent.
-#include "proxy/read_watch.h"
+#include "declared/proxy/statement/read_watch.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "proxy/knobs.h"
+#include "declared/proxy/knobs.h"
 #include "simulation/world.h"
 #include "tests/declared/backend/scripted_backend.h"
 
--- a/tests/proxy/retry_budget_test.cpp
+++ b/tests/declared/proxy/statement/retry_budget_test.cpp
@@ -1,5 +1,5 @@
 // The retry budget: retries are a bounded share of recent successes.
-#include "proxy/retry_budget.h"
+#include "declared/proxy/statement/retry_budget.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
