--- a/fuzz/document_fuzzer.cpp
+++ b/fuzz/document_fuzzer.cpp
@@ -9,7 +9,7 @@
 
 #include "fuzz/expect.h"
 #include "platform/document_json.h"
-#include "registry/validation.h"
+#include "registered/registry/validation.h"
 
 namespace cairnhollow::fuzz {
 
--- a/src/cli/settings_registered.cpp
+++ b/src/cli/settings_registered.cpp
@@ -1,7 +1,7 @@
 #include "cli/settings_registered.h"
 
 #include "cli/settings_limits.h"
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::cli {
 
--- a/src/limits/budget_home.cpp
+++ b/src/limits/budget_home.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "registry/budget_authority.h"
+#include "registered/registry/budget_authority.h"
 
 namespace cairnhollow::limits {
 
--- a/src/registered/control/control_metrics.h
+++ b/src/registered/control/control_metrics.h
@@ -6,8 +6,8 @@
 #include "registered/control/failover/group_keeper.h"
 #include "registered/control/leases/lease_keeper.h"
 #include "registered/control/registration_service.h"
-#include "registry/registration_fault.h"
-#include "registry/state_machine.h"
+#include "registered/registry/registration_fault.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/http.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registered/control/evacuation_orders.h
+++ b/src/registered/control/evacuation_orders.h
@@ -8,7 +8,7 @@
 
 #include "consensus/consensus.h"
 #include "registered/control/leader_calls.h"
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registered/control/failover/close_answers.h
+++ b/src/registered/control/failover/close_answers.h
@@ -11,8 +11,8 @@
 #include <map>
 #include <vector>
 
-#include "registry/messages.h"
-#include "registry/model.h"
+#include "registered/registry/messages.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "registered/control/knobs.h"
-#include "registry/division.h"
+#include "registered/registry/division.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -18,8 +18,8 @@
 #include "registered/control/failover/region_preference.h"
 #include "registered/control/leader_calls.h"
 #include "registered/control/leases/lease_keeper.h"
-#include "registry/control_service.h"
-#include "registry/state_machine.h"
+#include "registered/registry/control_service.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "registered/control/failover/promotion_choice.h"
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "session/backend_link.h"
--- a/src/registered/control/failover/member_pauses.cpp
+++ b/src/registered/control/failover/member_pauses.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "registered/control/knobs.h"
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 #include "runtime/signal.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registered/control/failover/member_pauses.h
+++ b/src/registered/control/failover/member_pauses.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "registered/control/failover/group_prober.h"
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "registry/model.h"
+#include "registered/registry/model.h"
 #include "session/backend_link.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registered/control/failover/region_preference.h
+++ b/src/registered/control/failover/region_preference.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "locality/region_map.h"
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/knobs.h
+++ b/src/registered/control/knobs.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 
 #include "base/types.h"
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/leader_calls.h
+++ b/src/registered/control/leader_calls.h
@@ -9,7 +9,7 @@
 
 #include "consensus/consensus.h"
 #include "registered/control/control_node_directory.h"
-#include "registry/messages.h"
+#include "registered/registry/messages.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "wire/hello.h"
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "registry/budget_authority.h"
-#include "registry/settled_revision.h"
+#include "registered/registry/budget_authority.h"
+#include "registered/registry/settled_revision.h"
 #include "wire/codec.h"
 #include "wire/compression.h"
 
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -11,7 +11,7 @@
 #include "registered/control/leases/lease_keeper.h"
 #include "registered/control/registration_service.h"
 #include "registered/control/voter_keeper.h"
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 #include "wire/connection_dispatcher.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registered/control/registered_control_node.h
+++ b/src/registered/control/registered_control_node.h
@@ -7,8 +7,8 @@
 #include <optional>
 
 #include "registered/control/settings.h"
-#include "registry/control_service.h"
-#include "registry/state_machine.h"
+#include "registered/registry/control_service.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 #include "session/backend_link.h"
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -4,7 +4,7 @@
 #include <fmt/ranges.h>
 
 #include "registered/control/knobs.h"
-#include "registry/validation.h"
+#include "registered/registry/validation.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -8,8 +8,8 @@
 #include "registered/control/failover/group_prober.h"
 #include "registered/control/leader_calls.h"
 #include "registered/control/voter_keeper.h"
-#include "registry/control_service.h"
-#include "registry/state_machine.h"
+#include "registered/registry/control_service.h"
+#include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
 namespace cairnhollow::control::registered {
--- a/src/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::registry {
 
--- a/src/registry/control_service.h
+++ b/src/registered/registry/control_service.h
@@ -5,8 +5,8 @@
 #include <string>
 
 #include "base/reason.h"
-#include "registry/model.h"
-#include "registry/registration_fault.h"
+#include "registered/registry/model.h"
+#include "registered/registry/registration_fault.h"
 #include "runtime/awaitable.h"
 
 namespace cairnhollow::registry {
--- a/src/registry/delta.h
+++ b/src/registered/registry/delta.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::registry {
 
--- a/src/registry/division.cpp
+++ b/src/registered/registry/division.cpp
@@ -1,4 +1,4 @@
-#include "registry/division.h"
+#include "registered/registry/division.h"
 
 #include <algorithm>
 
--- a/src/registry/messages.h
+++ b/src/registered/registry/messages.h
@@ -10,8 +10,8 @@
 
 #include "base/reason.h"
 #include "consensus/consensus.h"
-#include "registry/commands.h"
-#include "registry/delta.h"
+#include "registered/registry/commands.h"
+#include "registered/registry/delta.h"
 
 namespace cairnhollow::registry {
 
--- a/src/registry/registration_fault.cpp
+++ b/src/registered/registry/registration_fault.cpp
@@ -1,4 +1,4 @@
-#include "registry/registration_fault.h"
+#include "registered/registry/registration_fault.h"
 
 namespace cairnhollow::registry {
 
--- a/src/registry/state_machine.cpp
+++ b/src/registered/registry/state_machine.cpp
@@ -1,4 +1,4 @@
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 
 #include <algorithm>
 #include <set>
--- a/src/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "consensus/consensus.h"
-#include "registry/commands.h"
-#include "registry/delta.h"
-#include "registry/revised_table.h"
+#include "registered/registry/commands.h"
+#include "registered/registry/delta.h"
+#include "registered/registry/revised_table.h"
 #include "runtime/signal.h"
 
 namespace cairnhollow::registry {
--- a/src/registry/validation.cpp
+++ b/src/registered/registry/validation.cpp
@@ -1,4 +1,4 @@
-#include "registry/validation.h"
+#include "registered/registry/validation.h"
 
 #include <fmt/format.h>
 
--- a/src/registry/validation.h
+++ b/src/registered/registry/validation.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::registry {
 
--- a/src/session/fleet_view.cpp
+++ b/src/session/fleet_view.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 #include "session/knobs.h"
 #include "tenancy/tenant_division.h"
 #include "tenancy/tenant_limit.h"
--- a/src/session/fleet_view.h
+++ b/src/session/fleet_view.h
@@ -9,8 +9,8 @@
 
 #include "limits/budget_home.h"
 #include "locality/permitted_regions.h"
-#include "registry/delta.h"
-#include "registry/messages.h"
+#include "registered/registry/delta.h"
+#include "registered/registry/messages.h"
 #include "session/cold_backend.h"
 #include "session/group_access.h"
 #include "session/settings.h"
--- a/src/session/forward_messages.h
+++ b/src/session/forward_messages.h
@@ -9,7 +9,7 @@
 
 #include "base/reason.h"
 #include "limits/budget_home.h"
-#include "registry/model.h"
+#include "registered/registry/model.h"
 #include "session/stateful_pool.h"
 #include "session/statement.h"
 #include "wire/format.h"
--- a/src/session/group_access.cpp
+++ b/src/session/group_access.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "registry/division.h"
+#include "registered/registry/division.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/group_access.h
+++ b/src/session/group_access.h
@@ -13,7 +13,7 @@
 
 #include "locality/permitted_regions.h"
 #include "placement/backend_choice.h"
-#include "registry/model.h"
+#include "registered/registry/model.h"
 #include "session/cold_backend.h"
 #include "session/evacuated_zones.h"
 #include "session/position_history.h"
--- a/src/session/known_registrations.h
+++ b/src/session/known_registrations.h
@@ -1,7 +1,7 @@
 // Which registrations say nothing new, as a proxy knows from following control.
 #pragma once
 
-#include "registry/control_service.h"
+#include "registered/registry/control_service.h"
 #include "session/fleet_link.h"
 #include "session/fleet_view.h"
 #include "session/session_metrics.h"
--- a/src/session/leader_search.h
+++ b/src/session/leader_search.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "registry/messages.h"
+#include "registered/registry/messages.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "session/control_conversation.h"
--- a/src/session/member_lease_keeper.cpp
+++ b/src/session/member_lease_keeper.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 #include "session/knobs.h"
 
 namespace cairnhollow::session {
--- a/src/session/session_metrics.h
+++ b/src/session/session_metrics.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "placement/obstacle.h"
-#include "registry/registration_fault.h"
+#include "registered/registry/registration_fault.h"
 #include "runtime/metrics.h"
 #include "session/statement.h"
 
--- a/src/session/session_proxy.h
+++ b/src/session/session_proxy.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <memory>
 
-#include "registry/control_service.h"
+#include "registered/registry/control_service.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 #include "session/backend_link.h"
--- a/src/tenancy/tenant_directory.h
+++ b/src/tenancy/tenant_directory.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::tenancy {
 
--- a/src/tenancy/tenant_limit.h
+++ b/src/tenancy/tenant_limit.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "limits/limit.h"
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::tenancy {
 
--- a/standins/unfenced/document_text.h
+++ b/standins/unfenced/document_text.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "registry/model.h"
+#include "registered/registry/model.h"
 #include "runtime/http.h"
 
 namespace cairnhollow::standins::unfenced {
--- a/standins/unfenced/session_history.h
+++ b/standins/unfenced/session_history.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/standins/unfenced/tenant_history.h
+++ b/standins/unfenced/tenant_history.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "limits/limit_window.h"
-#include "registry/model.h"
+#include "registered/registry/model.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/tests/limits/limit_play.h
+++ b/tests/limits/limit_play.h
@@ -14,8 +14,8 @@
 
 #include "limits/budget_home.h"
 #include "limits/token_stock.h"
-#include "registry/budget_authority.h"
-#include "registry/settled_revision.h"
+#include "registered/registry/budget_authority.h"
+#include "registered/registry/settled_revision.h"
 
 namespace cairnhollow::limits::play {
 
--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform/heartbeat_json.h"
-#include "registry/validation.h"
+#include "registered/registry/validation.h"
 
 namespace cairnhollow::platform {
 
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -5,7 +5,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/control/knobs.h"
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 #include "tests/registered/control/control_stand.h"
 
 namespace cairnhollow::control::registered {
--- a/tests/registered/control/failover/member_pauses_test.cpp
+++ b/tests/registered/control/failover/member_pauses_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/registry/division_test.cpp
+++ b/tests/registered/registry/division_test.cpp
@@ -1,5 +1,5 @@
 // How many proxies serve a group.
-#include "registry/division.h"
+#include "registered/registry/division.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -1,5 +1,5 @@
 // The replicated state of a registered fleet: what commands do, and that followers are told what they lack.
-#include "registry/state_machine.h"
+#include "registered/registry/state_machine.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/registry/validation_test.cpp
+++ b/tests/registered/registry/validation_test.cpp
@@ -1,5 +1,5 @@
 // What a configuration document must satisfy before it is taken, as far as allowed regions go.
-#include "registry/validation.h"
+#include "registered/registry/validation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/member_lease_keeper_test.cpp
+++ b/tests/session/member_lease_keeper_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "registry/member_lease.h"
+#include "registered/registry/member_lease.h"
 #include "session/knobs.h"
 #include "tests/session/session_stand.h"
 
--- a/tests/session/tenant_links_test.cpp
+++ b/tests/session/tenant_links_test.cpp
@@ -9,7 +9,7 @@
 
 #include <random>
 
-#include "registry/division.h"
+#include "registered/registry/division.h"
 #include "session/stateful_pool.h"
 #include "simulation/world.h"
 #include "subset/subset.h"
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -1,6 +1,6 @@
 // Samples of what the processes of a registered fleet say to each other and keep.
-#include "registry/messages.h"
-#include "registry/state_machine.h"
+#include "registered/registry/messages.h"
+#include "registered/registry/state_machine.h"
 #include "session/forward_messages.h"
 #include "simulation/world.h"
 #include "tests/wire/format_samples.h"
