--- a/src/cli/log_story.cpp
+++ b/src/cli/log_story.cpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <set>
 
-#include "placement/obstacle.h"
+#include "registered/placement/obstacle.h"
 
 namespace cairnhollow::cli {
 
--- a/src/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -1,4 +1,4 @@
-#include "placement/backend_choice.h"
+#include "registered/placement/backend_choice.h"
 
 #include <algorithm>
 
--- a/src/placement/backend_choice.h
+++ b/src/registered/placement/backend_choice.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <span>
 
-#include "placement/facts.h"
-#include "placement/obstacle.h"
+#include "registered/placement/facts.h"
+#include "registered/placement/obstacle.h"
 
 namespace cairnhollow::placement {
 
--- a/src/placement/obstacle.cpp
+++ b/src/registered/placement/obstacle.cpp
@@ -1,4 +1,4 @@
-#include "placement/obstacle.h"
+#include "registered/placement/obstacle.h"
 
 #include <array>
 
--- a/src/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -1,4 +1,4 @@
-#include "placement/placement.h"
+#include "registered/placement/placement.h"
 
 namespace cairnhollow::placement {
 
--- a/src/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -8,9 +8,9 @@
 #include <optional>
 #include <span>
 
-#include "placement/backend_choice.h"
-#include "placement/facts.h"
-#include "placement/obstacle.h"
+#include "registered/placement/backend_choice.h"
+#include "registered/placement/facts.h"
+#include "registered/placement/obstacle.h"
 
 namespace cairnhollow::placement {
 
--- a/src/session/group_access.h
+++ b/src/session/group_access.h
@@ -12,7 +12,7 @@
 #include <utility>
 
 #include "locality/permitted_regions.h"
-#include "placement/backend_choice.h"
+#include "registered/placement/backend_choice.h"
 #include "registered/registry/model.h"
 #include "session/cold_backend.h"
 #include "session/evacuated_zones.h"
--- a/src/session/placement_facts.h
+++ b/src/session/placement_facts.h
@@ -1,8 +1,8 @@
 // What the placement of a statement is decided by, as this proxy knows it now (placement/facts.h).
 #pragma once
 
-#include "placement/facts.h"
-#include "placement/obstacle.h"
+#include "registered/placement/facts.h"
+#include "registered/placement/obstacle.h"
 #include "session/fleet_view.h"
 #include "session/statement.h"
 
--- a/src/session/session_metrics.h
+++ b/src/session/session_metrics.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "placement/obstacle.h"
+#include "registered/placement/obstacle.h"
 #include "registered/registry/registration_fault.h"
 #include "runtime/metrics.h"
 #include "session/statement.h"
--- a/src/session/statement_regions.cpp
+++ b/src/session/statement_regions.cpp
@@ -1,7 +1,7 @@
 // StatementRunner's part for statements that are bound to regions. Those that are not never come here.
 #include <algorithm>
 
-#include "placement/backend_choice.h"
+#include "registered/placement/backend_choice.h"
 #include "session/position_question.h"
 #include "session/statement_attempt.h"
 #include "session/statement_runner.h"
--- a/src/session/statement_runner.h
+++ b/src/session/statement_runner.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "locality/permitted_regions.h"
-#include "placement/placement.h"
+#include "registered/placement/placement.h"
 #include "session/forward_messages.h"
 #include "session/session_services.h"
 #include "session/stateful_pool.h"
--- a/tests/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -1,5 +1,5 @@
 // Which backend of a group runs a statement: one row for each case.
-#include "placement/backend_choice.h"
+#include "registered/placement/backend_choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -1,5 +1,5 @@
 // Where a statement may go now: one row for each case of what the proxy knows.
-#include "placement/placement.h"
+#include "registered/placement/placement.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/placement/sending_test.cpp
+++ b/tests/registered/placement/sending_test.cpp
@@ -1,7 +1,7 @@
 // The last look before a statement is sent, at its key as well, and the look at open transactions.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "placement/placement.h"
+#include "registered/placement/placement.h"
 
 namespace cairnhollow::placement {
 namespace {
