--- a/src/limits/budget_home.cpp
+++ b/src/registered/limits/budget_home.cpp
@@ -1,4 +1,4 @@
-#include "limits/budget_home.h"
+#include "registered/limits/budget_home.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/limits/budget_home.h
+++ b/src/registered/limits/budget_home.h
@@ -15,9 +15,9 @@
 #include <map>
 #include <optional>
 
-#include "limits/budget_homes.h"
-#include "limits/limit_budget.h"
-#include "limits/token_bucket.h"
+#include "registered/limits/budget_homes.h"
+#include "registered/limits/limit_budget.h"
+#include "registered/limits/token_bucket.h"
 
 namespace cairnhollow::limits {
 
--- a/src/limits/budget_homes.cpp
+++ b/src/registered/limits/budget_homes.cpp
@@ -1,8 +1,8 @@
-#include "limits/budget_homes.h"
+#include "registered/limits/budget_homes.h"
 
 #include <algorithm>
 
-#include "limits/limit_budget.h"
+#include "registered/limits/limit_budget.h"
 
 namespace cairnhollow::limits {
 
--- a/src/limits/budget_homes.h
+++ b/src/registered/limits/budget_homes.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <vector>
 
-#include "limits/limit.h"
+#include "registered/limits/limit.h"
 #include "subset/subset.h"
 
 namespace cairnhollow::limits {
--- a/src/limits/limit.h
+++ b/src/registered/limits/limit.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "limits/limit_window.h"
+#include "registered/limits/limit_window.h"
 
 namespace cairnhollow::limits {
 
--- a/src/limits/limit_budget.cpp
+++ b/src/registered/limits/limit_budget.cpp
@@ -1,4 +1,4 @@
-#include "limits/limit_budget.h"
+#include "registered/limits/limit_budget.h"
 
 #include <algorithm>
 
--- a/src/limits/limit_budget.h
+++ b/src/registered/limits/limit_budget.h
@@ -16,7 +16,7 @@
 
 #include <cstddef>
 
-#include "limits/limit.h"
+#include "registered/limits/limit.h"
 
 namespace cairnhollow::limits {
 
--- a/src/limits/token_bucket.h
+++ b/src/registered/limits/token_bucket.h
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <cstdint>
 
-#include "limits/limit_budget.h"
+#include "registered/limits/limit_budget.h"
 
 namespace cairnhollow::limits {
 
--- a/src/limits/token_stock.h
+++ b/src/registered/limits/token_stock.h
@@ -8,7 +8,7 @@
 #include <deque>
 #include <optional>
 
-#include "limits/limit_budget.h"
+#include "registered/limits/limit_budget.h"
 
 namespace cairnhollow::limits {
 
--- a/src/session/cold_backend.h
+++ b/src/session/cold_backend.h
@@ -7,7 +7,7 @@
 
 #include <optional>
 
-#include "limits/limit.h"
+#include "registered/limits/limit.h"
 #include "tenancy/key_confirmation.h"
 
 namespace cairnhollow::session {
--- a/src/session/fleet_view.h
+++ b/src/session/fleet_view.h
@@ -7,8 +7,8 @@
 #include <tuple>
 #include <vector>
 
-#include "limits/budget_home.h"
 #include "locality/permitted_regions.h"
+#include "registered/limits/budget_home.h"
 #include "registered/registry/delta.h"
 #include "registered/registry/messages.h"
 #include "session/cold_backend.h"
--- a/src/session/forward_messages.h
+++ b/src/session/forward_messages.h
@@ -8,7 +8,7 @@
 #include <variant>
 
 #include "base/reason.h"
-#include "limits/budget_home.h"
+#include "registered/limits/budget_home.h"
 #include "registered/registry/model.h"
 #include "session/stateful_pool.h"
 #include "session/statement.h"
--- a/src/session/limit_client.h
+++ b/src/session/limit_client.h
@@ -5,8 +5,8 @@
 #include <map>
 #include <memory>
 
-#include "limits/budget_home.h"
-#include "limits/token_stock.h"
+#include "registered/limits/budget_home.h"
+#include "registered/limits/token_stock.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 #include "session/fleet_view.h"
--- a/src/session/settings.h
+++ b/src/session/settings.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "limits/limit_window.h"
+#include "registered/limits/limit_window.h"
 
 namespace cairnhollow::session {
 
--- a/src/tenancy/tenant_limit.h
+++ b/src/tenancy/tenant_limit.h
@@ -1,7 +1,7 @@
 // A tenant's limit, as src/limits counts it.
 #pragma once
 
-#include "limits/limit.h"
+#include "registered/limits/limit.h"
 #include "registered/registry/model.h"
 
 namespace cairnhollow::tenancy {
--- a/standins/unfenced/tenant_history.cpp
+++ b/standins/unfenced/tenant_history.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <set>
 
-#include "limits/limit_budget.h"
+#include "registered/limits/limit_budget.h"
 #include "tenancy/tenant_limit.h"
 
 namespace cairnhollow::standins::unfenced {
--- a/standins/unfenced/tenant_history.h
+++ b/standins/unfenced/tenant_history.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "limits/limit_window.h"
+#include "registered/limits/limit_window.h"
 #include "registered/registry/model.h"
 
 namespace cairnhollow::standins::unfenced {
--- a/tests/limits/budget_home_test.cpp
+++ b/tests/registered/limits/budget_home_test.cpp
@@ -1,7 +1,7 @@
 // Limits over all proxies: whatever happens to proxies, control and the paths between them, no window sees
 // more operations of a tenant than the operator allows. A tenant at many times its limit asks all the time,
 // which is the load that tells: every token that two proxies grant for one is used.
-#include "limits/budget_home.h"
+#include "registered/limits/budget_home.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "limits/token_bucket.h"
-#include "tests/limits/limit_play.h"
+#include "registered/limits/token_bucket.h"
+#include "tests/registered/limits/limit_play.h"
 
 namespace cairnhollow::limits {
 
--- a/tests/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "session/cold_backend.h"
-#include "tests/limits/limit_play.h"
+#include "tests/registered/limits/limit_play.h"
 
 namespace cairnhollow::limits {
 
--- a/tests/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -12,8 +12,8 @@
 #include <set>
 #include <vector>
 
-#include "limits/budget_home.h"
-#include "limits/token_stock.h"
+#include "registered/limits/budget_home.h"
+#include "registered/limits/token_stock.h"
 #include "registered/registry/budget_authority.h"
 #include "registered/registry/settled_revision.h"
 
--- a/tests/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -2,7 +2,7 @@
 // refused before the change is owed anywhere.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "limits/budget_home.h"
+#include "registered/limits/budget_home.h"
 
 namespace cairnhollow::limits {
 
