--- a/src/tenancy/tenant_directory.cpp
+++ b/src/registered/tenancy/tenant_directory.cpp
@@ -1,4 +1,4 @@
-#include "tenancy/tenant_directory.h"
+#include "registered/tenancy/tenant_directory.h"
 
 #include <algorithm>
 
--- a/src/tenancy/tenant_division.cpp
+++ b/src/registered/tenancy/tenant_division.cpp
@@ -1,4 +1,4 @@
-#include "tenancy/tenant_division.h"
+#include "registered/tenancy/tenant_division.h"
 
 #include <xxhash.h>
 
--- a/src/session/caller_session.cpp
+++ b/src/session/caller_session.cpp
@@ -4,9 +4,9 @@
 
 #include <algorithm>
 
+#include "registered/tenancy/tenant_limit.h"
 #include "session/knobs.h"
 #include "session/placement_facts.h"
-#include "tenancy/tenant_limit.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/cold_backend.h
+++ b/src/session/cold_backend.h
@@ -8,7 +8,7 @@
 #include <optional>
 
 #include "registered/limits/limit.h"
-#include "tenancy/key_confirmation.h"
+#include "registered/tenancy/key_confirmation.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/fleet_view.cpp
+++ b/src/session/fleet_view.cpp
@@ -5,9 +5,9 @@
 #include <utility>
 
 #include "registered/registry/member_lease.h"
+#include "registered/tenancy/tenant_division.h"
+#include "registered/tenancy/tenant_limit.h"
 #include "session/knobs.h"
-#include "tenancy/tenant_division.h"
-#include "tenancy/tenant_limit.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/fleet_view.h
+++ b/src/session/fleet_view.h
@@ -11,12 +11,12 @@
 #include "registered/limits/budget_home.h"
 #include "registered/registry/delta.h"
 #include "registered/registry/messages.h"
+#include "registered/tenancy/key_confirmation.h"
+#include "registered/tenancy/tenant_directory.h"
 #include "session/cold_backend.h"
 #include "session/group_access.h"
 #include "session/settings.h"
 #include "subset/subset.h"
-#include "tenancy/key_confirmation.h"
-#include "tenancy/tenant_directory.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/group_access.h
+++ b/src/session/group_access.h
@@ -14,12 +14,12 @@
 #include "locality/permitted_regions.h"
 #include "registered/placement/backend_choice.h"
 #include "registered/registry/model.h"
+#include "registered/tenancy/tenant_division.h"
 #include "session/cold_backend.h"
 #include "session/evacuated_zones.h"
 #include "session/position_history.h"
 #include "session/stateful_pool.h"
 #include "session/statement_gate.h"
-#include "tenancy/tenant_division.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/limit_client.cpp
+++ b/src/session/limit_client.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "registered/tenancy/tenant_limit.h"
 #include "session/knobs.h"
-#include "tenancy/tenant_limit.h"
 
 namespace cairnhollow::session {
 
--- a/standins/unfenced/tenant_history.cpp
+++ b/standins/unfenced/tenant_history.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "registered/limits/limit_budget.h"
-#include "tenancy/tenant_limit.h"
+#include "registered/tenancy/tenant_limit.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/tests/tenancy/tenant_directory_test.cpp
+++ b/tests/registered/tenancy/tenant_directory_test.cpp
@@ -1,9 +1,9 @@
 // Which tenant a key proves, and for how long a key may be believed.
-#include "tenancy/tenant_directory.h"
+#include "registered/tenancy/tenant_directory.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "tenancy/key_confirmation.h"
+#include "registered/tenancy/key_confirmation.h"
 
 namespace cairnhollow::tenancy {
 
--- a/tests/tenancy/tenant_division_test.cpp
+++ b/tests/registered/tenancy/tenant_division_test.cpp
@@ -1,6 +1,6 @@
 // Where a tenant's statements run: 84 tenants and 53 connections a backend, with 16 proxies before each
 // group.
-#include "tenancy/tenant_division.h"
+#include "registered/tenancy/tenant_division.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
--- a/tests/session/tenant_links_test.cpp
+++ b/tests/session/tenant_links_test.cpp
@@ -10,10 +10,10 @@
 #include <random>
 
 #include "registered/registry/division.h"
+#include "registered/tenancy/tenant_division.h"
 #include "session/stateful_pool.h"
 #include "simulation/world.h"
 #include "subset/subset.h"
-#include "tenancy/tenant_division.h"
 
 namespace cairnhollow::session {
 
