--- a/src/registered/control/failover/region_preference.cpp
+++ b/src/registered/control/failover/region_preference.cpp
@@ -1,6 +1,6 @@
 #include "registered/control/failover/region_preference.h"
 
-#include "locality/permitted_regions.h"
+#include "registered/locality/permitted_regions.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/failover/region_preference.h
+++ b/src/registered/control/failover/region_preference.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "locality/region_map.h"
+#include "registered/locality/region_map.h"
 #include "registered/registry/state_machine.h"
 
 namespace cairnhollow::control::registered {
--- a/src/locality/permitted_regions.cpp
+++ b/src/registered/locality/permitted_regions.cpp
@@ -1,4 +1,4 @@
-#include "locality/permitted_regions.h"
+#include "registered/locality/permitted_regions.h"
 
 #include <algorithm>
 
--- a/src/locality/permitted_regions.h
+++ b/src/registered/locality/permitted_regions.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "locality/region_map.h"
+#include "registered/locality/region_map.h"
 
 namespace cairnhollow::locality {
 
--- a/src/session/fleet_view.h
+++ b/src/session/fleet_view.h
@@ -7,8 +7,8 @@
 #include <tuple>
 #include <vector>
 
-#include "locality/permitted_regions.h"
 #include "registered/limits/budget_home.h"
+#include "registered/locality/permitted_regions.h"
 #include "registered/registry/delta.h"
 #include "registered/registry/messages.h"
 #include "registered/tenancy/key_confirmation.h"
--- a/src/session/group_access.h
+++ b/src/session/group_access.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <utility>
 
-#include "locality/permitted_regions.h"
+#include "registered/locality/permitted_regions.h"
 #include "registered/placement/backend_choice.h"
 #include "registered/registry/model.h"
 #include "registered/tenancy/tenant_division.h"
--- a/src/session/statement_runner.h
+++ b/src/session/statement_runner.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "locality/permitted_regions.h"
+#include "registered/locality/permitted_regions.h"
 #include "registered/placement/placement.h"
 #include "session/forward_messages.h"
 #include "session/session_services.h"
--- a/tests/locality/permitted_regions_test.cpp
+++ b/tests/registered/locality/permitted_regions_test.cpp
@@ -1,5 +1,5 @@
 // Where a statement may go by the lists of its route and its tenant.
-#include "locality/permitted_regions.h"
+#include "registered/locality/permitted_regions.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
