--- a/simulation/registered_fleet_regions.cpp
+++ b/simulation/registered_fleet_regions.cpp
@@ -1,5 +1,5 @@
 // RegisteredFleet's part that notes where callers' statements arrive.
-#include "session/forward_messages.h"
+#include "registered/proxy/forwarding/forward_messages.h"
 #include "simulation/registered_fleet.h"
 #include "standins/unfenced/document_text.h"
 #include "wire/codec.h"
--- a/src/cli/settings_registered.h
+++ b/src/cli/settings_registered.h
@@ -3,7 +3,7 @@
 
 #include "cli/settings_reader.h"
 #include "registered/control/settings.h"
-#include "session/settings.h"
+#include "registered/proxy/settings.h"
 
 namespace cairnhollow::cli {
 
--- a/src/programs/cairnhollow_proxy.cpp
+++ b/src/programs/cairnhollow_proxy.cpp
@@ -4,7 +4,7 @@
 #include "cli/settings_registered.h"
 #include "declared/proxy/proxy_server.h"
 #include "platform/edge.h"
-#include "session/session_proxy.h"
+#include "registered/proxy/session_proxy.h"
 
 namespace cli = cairnhollow::cli;
 namespace platform = cairnhollow::platform;
--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "registered/control/failover/promotion_choice.h"
+#include "registered/protocol/backend_link.h"
 #include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/backend_link.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "registered/protocol/backend_link.h"
 #include "registered/registry/model.h"
-#include "session/backend_link.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/registered/control/registered_control_node.h
+++ b/src/registered/control/registered_control_node.h
@@ -7,11 +7,11 @@
 #include <optional>
 
 #include "registered/control/settings.h"
+#include "registered/protocol/backend_link.h"
 #include "registered/registry/control_service.h"
 #include "registered/registry/state_machine.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
-#include "session/backend_link.h"
 
 namespace cairnhollow::control::registered {
 
--- a/src/session/backend_link.h
+++ b/src/registered/protocol/backend_link.h
@@ -8,9 +8,9 @@
 #include <variant>
 
 #include "base/reason.h"
+#include "registered/protocol/statement.h"
 #include "runtime/http.h"
 #include "runtime/runtime.h"
-#include "session/statement.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/caller_protocol.h
+++ b/src/registered/protocol/caller_protocol.h
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "base/reason.h"
+#include "registered/protocol/statement.h"
 #include "runtime/awaitable.h"
 #include "runtime/lines.h"
-#include "session/statement.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement.cpp
+++ b/src/registered/protocol/statement.cpp
@@ -1,4 +1,4 @@
-#include "session/statement.h"
+#include "registered/protocol/statement.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -1,12 +1,12 @@
-#include "session/caller_session.h"
+#include "registered/proxy/callers/caller_session.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
+#include "registered/proxy/knobs.h"
+#include "registered/proxy/statement/placement_facts.h"
 #include "registered/tenancy/tenant_limit.h"
-#include "session/knobs.h"
-#include "session/placement_facts.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/caller_session.h
+++ b/src/registered/proxy/callers/caller_session.h
@@ -6,9 +6,9 @@
 #include <optional>
 #include <string>
 
-#include "session/caller_protocol.h"
-#include "session/session_services.h"
-#include "session/statement_runner.h"
+#include "registered/protocol/caller_protocol.h"
+#include "registered/proxy/session_services.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/control_conversation.cpp
+++ b/src/registered/proxy/fleet/control_conversation.cpp
@@ -1,8 +1,8 @@
-#include "session/control_conversation.h"
+#include "registered/proxy/fleet/control_conversation.h"
 
 #include <algorithm>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/fleet_link.cpp
+++ b/src/registered/proxy/fleet/fleet_link.cpp
@@ -1,4 +1,4 @@
-#include "session/fleet_link.h"
+#include "registered/proxy/fleet/fleet_link.h"
 
 #include <utility>
 
--- a/src/session/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -7,13 +7,13 @@
 #include <optional>
 #include <vector>
 
+#include "registered/proxy/fleet/control_conversation.h"
+#include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/fleet/leader_search.h"
+#include "registered/proxy/settings.h"
 #include "registered/registry/messages.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/control_conversation.h"
-#include "session/fleet_view.h"
-#include "session/leader_search.h"
-#include "session/settings.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -1,13 +1,13 @@
-#include "session/fleet_view.h"
+#include "registered/proxy/fleet/fleet_view.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
+#include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
 #include "registered/tenancy/tenant_division.h"
 #include "registered/tenancy/tenant_limit.h"
-#include "session/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -9,13 +9,13 @@
 
 #include "registered/limits/budget_home.h"
 #include "registered/locality/permitted_regions.h"
+#include "registered/proxy/group/group_access.h"
+#include "registered/proxy/links/cold_backend.h"
+#include "registered/proxy/settings.h"
 #include "registered/registry/delta.h"
 #include "registered/registry/messages.h"
 #include "registered/tenancy/key_confirmation.h"
 #include "registered/tenancy/tenant_directory.h"
-#include "session/cold_backend.h"
-#include "session/group_access.h"
-#include "session/settings.h"
 #include "subset/subset.h"
 
 namespace cairnhollow::session {
--- a/src/session/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -1,10 +1,10 @@
 // Which registrations say nothing new, as a proxy knows from following control.
 #pragma once
 
+#include "registered/proxy/fleet/fleet_link.h"
+#include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/session_metrics.h"
 #include "registered/registry/control_service.h"
-#include "session/fleet_link.h"
-#include "session/fleet_view.h"
-#include "session/session_metrics.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/leader_search.cpp
+++ b/src/registered/proxy/fleet/leader_search.cpp
@@ -1,9 +1,9 @@
-#include "session/leader_search.h"
+#include "registered/proxy/fleet/leader_search.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::session {
--- a/src/session/leader_search.h
+++ b/src/registered/proxy/fleet/leader_search.h
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
+#include "registered/proxy/fleet/control_conversation.h"
 #include "registered/registry/messages.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/control_conversation.h"
 #include "wire/hello.h"
 
 namespace cairnhollow::session {
--- a/src/session/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -9,9 +9,9 @@
 
 #include "base/reason.h"
 #include "registered/limits/budget_home.h"
+#include "registered/protocol/statement.h"
+#include "registered/proxy/links/stateful_pool.h"
 #include "registered/registry/model.h"
-#include "session/stateful_pool.h"
-#include "session/statement.h"
 #include "wire/format.h"
 
 namespace cairnhollow::session {
--- a/src/session/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -1,8 +1,8 @@
-#include "session/forward_server.h"
+#include "registered/proxy/forwarding/forward_server.h"
 
 #include <utility>
 
-#include "session/placement_facts.h"
+#include "registered/proxy/statement/placement_facts.h"
 #include "wire/codec.h"
 #include "wire/hello.h"
 
--- a/src/session/forward_server.h
+++ b/src/registered/proxy/forwarding/forward_server.h
@@ -4,9 +4,9 @@
 #include <map>
 #include <memory>
 
+#include "registered/proxy/forwarding/forward_messages.h"
+#include "registered/proxy/statement/statement_runner.h"
 #include "runtime/network.h"
-#include "session/forward_messages.h"
-#include "session/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -1,9 +1,9 @@
-#include "session/forwarder.h"
+#include "registered/proxy/forwarding/forwarder.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::session {
--- a/src/session/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <vector>
 
+#include "registered/proxy/forwarding/forward_messages.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/forward_messages.h"
 #include "subset/subset.h"
 #include "wire/hello.h"
 
--- a/src/session/backend_use.cpp
+++ b/src/registered/proxy/group/backend_use.cpp
@@ -3,7 +3,7 @@
 #include <chrono>
 #include <cmath>
 
-#include "session/group_access.h"
+#include "registered/proxy/group/group_access.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/evacuated_zones.h
+++ b/src/registered/proxy/group/evacuated_zones.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "base/types.h"
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -1,4 +1,4 @@
-#include "session/group_access.h"
+#include "registered/proxy/group/group_access.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/session/group_access.h
+++ b/src/registered/proxy/group/group_access.h
@@ -13,13 +13,13 @@
 
 #include "registered/locality/permitted_regions.h"
 #include "registered/placement/backend_choice.h"
+#include "registered/proxy/group/evacuated_zones.h"
+#include "registered/proxy/group/position_history.h"
+#include "registered/proxy/links/cold_backend.h"
+#include "registered/proxy/links/stateful_pool.h"
+#include "registered/proxy/links/statement_gate.h"
 #include "registered/registry/model.h"
 #include "registered/tenancy/tenant_division.h"
-#include "session/cold_backend.h"
-#include "session/evacuated_zones.h"
-#include "session/position_history.h"
-#include "session/stateful_pool.h"
-#include "session/statement_gate.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -1,11 +1,11 @@
-#include "session/member_lease_keeper.h"
+#include "registered/proxy/group/member_lease_keeper.h"
 
 #include <fmt/format.h>
 
 #include <utility>
 
+#include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
-#include "session/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -7,10 +7,10 @@
 #include <set>
 #include <string>
 
+#include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/session_metrics.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/fleet_view.h"
-#include "session/session_metrics.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/position_history.h
+++ b/src/registered/proxy/group/position_history.h
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "base/types.h"
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -1,6 +1,6 @@
-#include "session/position_keeper.h"
+#include "registered/proxy/group/position_keeper.h"
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/position_keeper.h
+++ b/src/registered/proxy/group/position_keeper.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <set>
 
+#include "registered/proxy/fleet/fleet_view.h"
 #include "runtime/runtime.h"
-#include "session/fleet_view.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -1,6 +1,6 @@
-#include "session/position_question.h"
+#include "registered/proxy/group/position_question.h"
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/position_question.h
+++ b/src/registered/proxy/group/position_question.h
@@ -4,7 +4,7 @@
 
 #include <memory>
 
-#include "session/fleet_view.h"
+#include "registered/proxy/fleet/fleet_view.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -1,10 +1,10 @@
-#include "session/limit_client.h"
+#include "registered/proxy/limits/limit_client.h"
 
 #include <algorithm>
 #include <utility>
 
+#include "registered/proxy/knobs.h"
 #include "registered/tenancy/tenant_limit.h"
-#include "session/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -7,11 +7,11 @@
 
 #include "registered/limits/budget_home.h"
 #include "registered/limits/token_stock.h"
+#include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/forwarding/forwarder.h"
+#include "registered/proxy/session_metrics.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/fleet_view.h"
-#include "session/forwarder.h"
-#include "session/session_metrics.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -1,10 +1,10 @@
-#include "session/stateful_pool.h"
+#include "registered/proxy/links/stateful_pool.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -10,10 +10,10 @@
 #include <utility>
 #include <vector>
 
+#include "registered/protocol/backend_link.h"
+#include "registered/proxy/knobs.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
-#include "session/backend_link.h"
-#include "session/knobs.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_gate.cpp
+++ b/src/registered/proxy/links/statement_gate.cpp
@@ -1,4 +1,4 @@
-#include "session/statement_gate.h"
+#include "registered/proxy/links/statement_gate.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/session_metrics.cpp
+++ b/src/registered/proxy/session_metrics.cpp
@@ -1,4 +1,4 @@
-#include "session/session_metrics.h"
+#include "registered/proxy/session_metrics.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
--- a/src/session/session_metrics.h
+++ b/src/registered/proxy/session_metrics.h
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "registered/placement/obstacle.h"
+#include "registered/protocol/statement.h"
 #include "registered/registry/registration_fault.h"
 #include "runtime/metrics.h"
-#include "session/statement.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -1,18 +1,18 @@
-#include "session/session_proxy.h"
+#include "registered/proxy/session_proxy.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 
-#include "session/caller_session.h"
-#include "session/fleet_link.h"
-#include "session/fleet_view.h"
-#include "session/forward_server.h"
-#include "session/knobs.h"
-#include "session/known_registrations.h"
-#include "session/member_lease_keeper.h"
-#include "session/position_keeper.h"
-#include "session/session_metrics.h"
+#include "registered/proxy/callers/caller_session.h"
+#include "registered/proxy/fleet/fleet_link.h"
+#include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/fleet/known_registrations.h"
+#include "registered/proxy/forwarding/forward_server.h"
+#include "registered/proxy/group/member_lease_keeper.h"
+#include "registered/proxy/group/position_keeper.h"
+#include "registered/proxy/knobs.h"
+#include "registered/proxy/session_metrics.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/session_proxy.h
+++ b/src/registered/proxy/session_proxy.h
@@ -4,12 +4,12 @@
 #include <functional>
 #include <memory>
 
+#include "registered/protocol/backend_link.h"
+#include "registered/protocol/caller_protocol.h"
+#include "registered/proxy/settings.h"
 #include "registered/registry/control_service.h"
 #include "runtime/role.h"
 #include "runtime/runtime.h"
-#include "session/backend_link.h"
-#include "session/caller_protocol.h"
-#include "session/settings.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/session_services.h
+++ b/src/registered/proxy/session_services.h
@@ -1,12 +1,12 @@
 // What the sessions of one proxy share.
 #pragma once
 
+#include "registered/proxy/fleet/fleet_link.h"
+#include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/forwarding/forwarder.h"
+#include "registered/proxy/limits/limit_client.h"
+#include "registered/proxy/session_metrics.h"
 #include "runtime/runtime.h"
-#include "session/fleet_link.h"
-#include "session/fleet_view.h"
-#include "session/forwarder.h"
-#include "session/limit_client.h"
-#include "session/session_metrics.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/placement_facts.cpp
+++ b/src/registered/proxy/statement/placement_facts.cpp
@@ -1,4 +1,4 @@
-#include "session/placement_facts.h"
+#include "registered/proxy/statement/placement_facts.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/placement_facts.h
+++ b/src/registered/proxy/statement/placement_facts.h
@@ -3,8 +3,8 @@
 
 #include "registered/placement/facts.h"
 #include "registered/placement/obstacle.h"
-#include "session/fleet_view.h"
-#include "session/statement.h"
+#include "registered/protocol/statement.h"
+#include "registered/proxy/fleet/fleet_view.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_cold.cpp
+++ b/src/registered/proxy/statement/statement_cold.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "session/statement_attempt.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_attempt.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-#include "session/placement_facts.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/placement_facts.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_in_transaction.cpp
+++ b/src/registered/proxy/statement/statement_in_transaction.cpp
@@ -3,9 +3,9 @@
 
 #include <algorithm>
 
-#include "session/placement_facts.h"
-#include "session/statement_attempt.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/placement_facts.h"
+#include "registered/proxy/statement/statement_attempt.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -1,8 +1,8 @@
 // What StatementRunner logs of statements: refusals, and where the time of slow ones went.
 #include <chrono>
 
-#include "session/statement_attempt.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_attempt.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_placement.cpp
+++ b/src/registered/proxy/statement/statement_placement.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-#include "session/placement_facts.h"
-#include "session/statement_attempt.h"
+#include "registered/proxy/statement/placement_facts.h"
+#include "registered/proxy/statement/statement_attempt.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_regions.cpp
+++ b/src/registered/proxy/statement/statement_regions.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 
 #include "registered/placement/backend_choice.h"
-#include "session/position_question.h"
-#include "session/statement_attempt.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/group/position_question.h"
+#include "registered/proxy/statement/statement_attempt.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -1,10 +1,10 @@
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "session/statement_attempt.h"
+#include "registered/proxy/statement/statement_attempt.h"
 
 namespace cairnhollow::session {
 
--- a/src/session/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -9,9 +9,9 @@
 
 #include "registered/locality/permitted_regions.h"
 #include "registered/placement/placement.h"
-#include "session/forward_messages.h"
-#include "session/session_services.h"
-#include "session/stateful_pool.h"
+#include "registered/proxy/forwarding/forward_messages.h"
+#include "registered/proxy/links/stateful_pool.h"
+#include "registered/proxy/session_services.h"
 
 namespace cairnhollow::session {
 
--- a/tests/registered/control/control_stand.h
+++ b/tests/registered/control/control_stand.h
@@ -16,9 +16,9 @@
 #include "registered/control/failover/group_prober.h"
 #include "registered/control/leader_calls.h"
 #include "registered/control/leases/lease_keeper.h"
+#include "registered/protocol/backend_link.h"
 #include "registered/registry/control_service.h"
 #include "registered/registry/state_machine.h"
-#include "session/backend_link.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::control::registered {
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "session/cold_backend.h"
+#include "registered/proxy/links/cold_backend.h"
 #include "tests/registered/limits/limit_play.h"
 
 namespace cairnhollow::limits {
--- a/tests/session/caller_session_test.cpp
+++ b/tests/registered/proxy/callers/caller_session_test.cpp
@@ -1,11 +1,11 @@
 // What a caller's key lets it do: a session, and each of its statements, as long as the key is confirmed.
-#include "session/caller_session.h"
+#include "registered/proxy/callers/caller_session.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <deque>
 
-#include "tests/session/session_stand.h"
+#include "tests/registered/proxy/session_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -1,7 +1,7 @@
 // A proxy's copy of the fleet follows what control says of evacuated zones.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/fleet_view.h"
+#include "registered/proxy/fleet/fleet_view.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -1,11 +1,11 @@
 // Who is thought to serve what, by the fleet as a proxy knows it.
-#include "session/fleet_view.h"
+#include "registered/proxy/fleet/fleet_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
 
-#include "tests/session/session_stand.h"
+#include "tests/registered/proxy/session_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -1,5 +1,5 @@
 // Where statements may go by a proxy's copy of the document, and to which proxies they may be sent.
-#include "session/fleet_view.h"
+#include "registered/proxy/fleet/fleet_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -1,5 +1,5 @@
 // What a proxy does with registrations that it can't read: they are counted by cause.
-#include "session/known_registrations.h"
+#include "registered/proxy/fleet/known_registrations.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/leader_search_test.cpp
+++ b/tests/registered/proxy/fleet/leader_search_test.cpp
@@ -1,5 +1,5 @@
 // The control node that leads is found, whatever the others do.
-#include "session/leader_search.h"
+#include "registered/proxy/fleet/leader_search.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/session/forward_server_test.cpp
+++ b/tests/registered/proxy/forwarding/forward_server_test.cpp
@@ -1,10 +1,10 @@
 // What another proxy forwards is run under this one's lease, for the tenant that its key proves here.
-#include "session/forward_server.h"
+#include "registered/proxy/forwarding/forward_server.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/forwarder.h"
-#include "tests/session/session_stand.h"
+#include "registered/proxy/forwarding/forwarder.h"
+#include "tests/registered/proxy/session_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -1,9 +1,9 @@
 // A forwarder waits for a proxy that lives, however slow its statements, and gives up one that is silent.
-#include "session/forwarder.h"
+#include "registered/proxy/forwarding/forwarder.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/session/evacuated_zones_test.cpp
+++ b/tests/registered/proxy/group/evacuated_zones_test.cpp
@@ -1,5 +1,5 @@
 // Until when anything may be sent to a zone that is evacuated.
-#include "session/evacuated_zones.h"
+#include "registered/proxy/group/evacuated_zones.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -1,9 +1,9 @@
 // Which backend of a group a read goes to, and whether another one could take it over.
-#include "session/group_access.h"
+#include "registered/proxy/group/group_access.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/knobs.h"
+#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -2,8 +2,8 @@
 // beside a primary outside.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/group_access.h"
-#include "session/knobs.h"
+#include "registered/proxy/group/group_access.h"
+#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -1,12 +1,12 @@
 // When the members of a group lend their proxy a lease: all of them answer, as replicas of the term that it
 // knows, and none is paused; and control was not gone for too long.
-#include "session/member_lease_keeper.h"
+#include "registered/proxy/group/member_lease_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
+#include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
-#include "session/knobs.h"
-#include "tests/session/session_stand.h"
+#include "tests/registered/proxy/session_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/position_history_test.cpp
+++ b/tests/registered/proxy/group/position_history_test.cpp
@@ -1,5 +1,5 @@
 // What a read that may be somewhat stale must at least see.
-#include "session/position_history.h"
+#include "registered/proxy/group/position_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -1,5 +1,5 @@
 // A proxy that runs no writes knows where the primary's log is, from the primary itself and under its lease.
-#include "session/position_keeper.h"
+#include "registered/proxy/group/position_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -1,5 +1,5 @@
 // Operations of a tenant begin as soon as one of its homes has a token, also where that home is this proxy.
-#include "session/limit_client.h"
+#include "registered/proxy/limits/limit_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -1,9 +1,9 @@
 // When a backend is used as a cold one, and what that does to the choice.
-#include "session/cold_backend.h"
+#include "registered/proxy/links/cold_backend.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/fleet_view.h"
+#include "registered/proxy/fleet/fleet_view.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -1,5 +1,5 @@
 // Links that keep state: whoever takes one finds its own values on it, and nothing of others.
-#include "session/stateful_pool.h"
+#include "registered/proxy/links/stateful_pool.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/statement_gate_test.cpp
+++ b/tests/registered/proxy/links/statement_gate_test.cpp
@@ -1,5 +1,5 @@
 // The gate before a backend: as many as there is room for, the most urgent first, nobody in vain.
-#include "session/statement_gate.h"
+#include "registered/proxy/links/statement_gate.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/session/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -9,9 +9,9 @@
 
 #include <random>
 
+#include "registered/proxy/links/stateful_pool.h"
 #include "registered/registry/division.h"
 #include "registered/tenancy/tenant_division.h"
-#include "session/stateful_pool.h"
 #include "simulation/world.h"
 #include "subset/subset.h"
 
--- a/tests/session/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -1,4 +1,4 @@
-#include "tests/session/session_stand.h"
+#include "tests/registered/proxy/session_stand.h"
 
 #include <cppunit/TestAssert.h>
 
--- a/tests/session/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "session/session_services.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/session_services.h"
+#include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/last_look_test.cpp
+++ b/tests/registered/proxy/statement/last_look_test.cpp
@@ -1,7 +1,7 @@
 // A statement is looked at again after each wait: what changed meanwhile counts, and nothing more is sent.
 #include <array>
 
-#include "tests/session/runner_stand.h"
+#include "tests/registered/proxy/statement/runner_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -2,9 +2,9 @@
 // primary's position that reads beside a primary outside live by.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/caller_session.h"
-#include "session/position_question.h"
-#include "session/statement_runner.h"
+#include "registered/proxy/callers/caller_session.h"
+#include "registered/proxy/group/position_question.h"
+#include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
 namespace cairnhollow::session {
--- a/tests/session/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -1,11 +1,11 @@
 // What may have changed while a statement was on its way to a backend: its key, its proxy's lease, the
 // primary. Whatever step it was at, nothing of it is sent then, and what was sent is not acknowledged.
-#include "session/statement_runner.h"
+#include "registered/proxy/statement/statement_runner.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "session/knobs.h"
-#include "tests/session/session_stand.h"
+#include "registered/proxy/knobs.h"
+#include "tests/registered/proxy/session_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/transaction_look_test.cpp
+++ b/tests/registered/proxy/statement/transaction_look_test.cpp
@@ -1,5 +1,5 @@
 // An open transaction is looked at with each of its statements, before and after its wait.
-#include "tests/session/runner_stand.h"
+#include "tests/registered/proxy/statement/runner_stand.h"
 
 namespace cairnhollow::session {
 
--- a/tests/session/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -3,8 +3,8 @@
 #include <set>
 #include <string>
 
-#include "session/forward_messages.h"
-#include "tests/session/runner_stand.h"
+#include "registered/proxy/forwarding/forward_messages.h"
+#include "tests/registered/proxy/statement/runner_stand.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::session {
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -1,7 +1,7 @@
 // Samples of what the processes of a registered fleet say to each other and keep.
+#include "registered/proxy/forwarding/forward_messages.h"
 #include "registered/registry/messages.h"
 #include "registered/registry/state_machine.h"
-#include "session/forward_messages.h"
 #include "simulation/world.h"
 #include "tests/wire/format_samples.h"
 #include "wire/codec.h"
