--- a/simulation/registered_fleet.cpp
+++ b/simulation/registered_fleet.cpp
@@ -7,7 +7,7 @@
 
 #include "platform/edge.h"
 #include "simulation/registered_fleet_ports.h"
-#include "standins/unfenced/document_text.h"
+#include "standins/registered/document_text.h"
 
 namespace cairnhollow::simulation {
 
--- a/simulation/registered_fleet.h
+++ b/simulation/registered_fleet.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "simulation/world.h"
-#include "standins/unfenced/caller.h"
-#include "standins/unfenced/database.h"
-#include "standins/unfenced/group_model.h"
-#include "standins/unfenced/region_history.h"
+#include "standins/registered/caller.h"
+#include "standins/registered/database.h"
+#include "standins/registered/group_model.h"
+#include "standins/registered/region_history.h"
 
 namespace cairnhollow::simulation {
 
--- a/simulation/registered_fleet_backends.cpp
+++ b/simulation/registered_fleet_backends.cpp
@@ -2,7 +2,7 @@
 #include "registered/control/registered_control_node.h"
 #include "simulation/registered_fleet.h"
 #include "simulation/registered_fleet_ports.h"
-#include "standins/unfenced/document_text.h"
+#include "standins/registered/document_text.h"
 
 namespace cairnhollow::simulation {
 
--- a/simulation/registered_fleet_regions.cpp
+++ b/simulation/registered_fleet_regions.cpp
@@ -1,7 +1,7 @@
 // RegisteredFleet's part that notes where callers' statements arrive.
 #include "registered/proxy/forwarding/forward_messages.h"
 #include "simulation/registered_fleet.h"
-#include "standins/unfenced/document_text.h"
+#include "standins/registered/document_text.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::simulation {
--- a/standins/programs/cairnhollow_environment.cpp
+++ b/standins/programs/cairnhollow_environment.cpp
@@ -13,7 +13,7 @@
 #include <map>
 
 #include "host/asio_runtime.h"
-#include "standins/unfenced/environment.h"
+#include "standins/registered/environment.h"
 
 namespace json = boost::json;
 namespace runtime = cairnhollow::runtime;
--- a/standins/unfenced/caller.cpp
+++ b/standins/registered/caller.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/caller.h"
+#include "standins/registered/caller.h"
 
 #include <fmt/format.h>
 
--- a/standins/unfenced/caller.h
+++ b/standins/registered/caller.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "runtime/runtime.h"
-#include "standins/unfenced/session_history.h"
-#include "standins/unfenced/tenant_history.h"
+#include "standins/registered/session_history.h"
+#include "standins/registered/tenant_history.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/standins/unfenced/database.cpp
+++ b/standins/registered/database.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/database.h"
+#include "standins/registered/database.h"
 
 #include <fmt/format.h>
 
--- a/standins/unfenced/database.h
+++ b/standins/registered/database.h
@@ -7,10 +7,10 @@
 
 #include "runtime/role.h"
 #include "runtime/runtime.h"
-#include "standins/unfenced/group_model.h"
-#include "standins/unfenced/region_history.h"
-#include "standins/unfenced/tenant_history.h"
-#include "standins/unfenced/zone_history.h"
+#include "standins/registered/group_model.h"
+#include "standins/registered/region_history.h"
+#include "standins/registered/tenant_history.h"
+#include "standins/registered/zone_history.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/standins/unfenced/document_text.cpp
+++ b/standins/registered/document_text.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/document_text.h"
+#include "standins/registered/document_text.h"
 
 #include <boost/json/array.hpp>
 #include <boost/json/object.hpp>
--- a/standins/unfenced/environment.cpp
+++ b/standins/registered/environment.cpp
@@ -1,11 +1,11 @@
-#include "standins/unfenced/environment.h"
+#include "standins/registered/environment.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <array>
 
-#include "standins/unfenced/document_text.h"
+#include "standins/registered/document_text.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/standins/unfenced/environment.h
+++ b/standins/registered/environment.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "runtime/runtime.h"
-#include "standins/unfenced/caller.h"
-#include "standins/unfenced/database.h"
-#include "standins/unfenced/foreign_writer.h"
-#include "standins/unfenced/group_model.h"
+#include "standins/registered/caller.h"
+#include "standins/registered/database.h"
+#include "standins/registered/foreign_writer.h"
+#include "standins/registered/group_model.h"
 
 namespace cairnhollow::standins::unfenced {
 
--- a/standins/unfenced/foreign_writer.cpp
+++ b/standins/registered/foreign_writer.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/foreign_writer.h"
+#include "standins/registered/foreign_writer.h"
 
 #include <fmt/format.h>
 
--- a/standins/unfenced/group_model.cpp
+++ b/standins/registered/group_model.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/group_model.h"
+#include "standins/registered/group_model.h"
 
 #include <algorithm>
 
--- a/standins/unfenced/region_history.cpp
+++ b/standins/registered/region_history.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/region_history.h"
+#include "standins/registered/region_history.h"
 
 #include <fmt/format.h>
 
--- a/standins/unfenced/session_history.cpp
+++ b/standins/registered/session_history.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/session_history.h"
+#include "standins/registered/session_history.h"
 
 #include <fmt/format.h>
 
--- a/standins/unfenced/tenant_history.cpp
+++ b/standins/registered/tenant_history.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/tenant_history.h"
+#include "standins/registered/tenant_history.h"
 
 #include <fmt/format.h>
 
--- a/standins/unfenced/zone_history.cpp
+++ b/standins/registered/zone_history.cpp
@@ -1,4 +1,4 @@
-#include "standins/unfenced/zone_history.h"
+#include "standins/registered/zone_history.h"
 
 #include <fmt/format.h>
 
--- a/tests/standins/unfenced/foreign_writer_test.cpp
+++ b/tests/standins/registered/foreign_writer_test.cpp
@@ -1,6 +1,6 @@
 // The judge of malformed registrations: each kind of violation in a history that it must reject, and what it
 // must pass; and that each kind is malformed as its name says.
-#include "standins/unfenced/foreign_writer.h"
+#include "standins/registered/foreign_writer.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/standins/unfenced/region_history_test.cpp
+++ b/tests/standins/registered/region_history_test.cpp
@@ -1,5 +1,5 @@
 // The checker of regions: histories that it must reject, and those that it must pass.
-#include "standins/unfenced/region_history.h"
+#include "standins/registered/region_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/standins/unfenced/session_history_test.cpp
+++ b/tests/standins/registered/session_history_test.cpp
@@ -1,5 +1,5 @@
 // The checker of sessions rejects each kind of history that must never be.
-#include "standins/unfenced/session_history.h"
+#include "standins/registered/session_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/standins/tenant_history_test.cpp
+++ b/tests/standins/tenant_history_test.cpp
@@ -1,6 +1,6 @@
 // The checker of tenants: each kind of violation in a history that it must reject, and those that it must
 // pass.
-#include "standins/unfenced/tenant_history.h"
+#include "standins/registered/tenant_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
--- a/tests/standins/zone_history_test.cpp
+++ b/tests/standins/zone_history_test.cpp
@@ -1,5 +1,5 @@
 // The checker of evacuations rejects what came too late, and nothing else.
-#include "standins/unfenced/zone_history.h"
+#include "standins/registered/zone_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
