--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -3,12 +3,36 @@
 #include <algorithm>
 #include <cmath>
 
-#include "declared/backend/pool_knobs.h"
-
 namespace cairnhollow::backend {
 
 namespace {
 
+/// Weight of the newest latency in the smoothed one, at most; of answers that come faster, the time since the
+/// one before as a part of kLatencySmoothing.
+constexpr double kLatencyWeight = 0.1;
+constexpr Duration kLatencySmoothing = std::chrono::milliseconds(100);
+/// The same for the latency with at most the share under way, which tells what more than the share brings.
+constexpr Duration kReferenceSmoothing = std::chrono::seconds(2);
+/// A smoothed latency above that x this, plus the slack, says that the backend queues,
+constexpr double kLatencyTolerance = 2.0;
+constexpr Duration kLatencySlack = std::chrono::milliseconds(5);
+/// unless this much more is served than with the share under way.
+constexpr double kServedMore = 1.2;
+constexpr double kLatencyDecrease = 0.9;  ///< factor, for a latency that says so
+constexpr double kBusyDecrease = 0.75;    ///< factor, for a backend that said it is busy
+/// The same for a limit within this proxy's share of the slots: others have borrowed what is missing.
+constexpr double kBusyDecreaseInShare = 0.9;
+/// One decrease within this time, since answers of one burst tell the same.
+constexpr Duration kDecreaseInterval = std::chrono::milliseconds(50);
+/// The limit grows by one part in so many, and by one at least, after this time at the limit.
+constexpr double kGrowthPart = 8;
+constexpr Duration kGrowthInterval = std::chrono::milliseconds(200);
+/// and not before this long after a backend said that it is busy: within the share, and beyond it.
+constexpr Duration kGrowthPauseInShare = std::chrono::milliseconds(200);
+constexpr Duration kGrowthPauseAfterBusy = std::chrono::seconds(2);
+/// It grows by one for this long after that.
+constexpr Duration kCautionAfterBusy = std::chrono::seconds(10);
+
 /// By time, not by answers: a stall that held up many of them counts once.
 Duration average(Duration before, Duration latency, Duration since, Duration smoothing) {
   const double part = static_cast<double>(since.count()) / static_cast<double>(smoothing.count());
--- a/src/declared/backend/pool_knobs.h
+++ b/src/declared/backend/pool_knobs.h
@@ -19,33 +19,6 @@
 /// concurrency limit.
 inline constexpr int kPressedWaits = 2;
 
-// Concurrency limit (additive increase, multiplicative decrease).
-/// Weight of the newest latency in the smoothed one, at most; of answers that come faster, the time since the
-/// one before as a part of kLatencySmoothing.
-inline constexpr double kLatencyWeight = 0.1;
-inline constexpr Duration kLatencySmoothing = std::chrono::milliseconds(100);
-/// The same for the latency with at most the share under way, which tells what more than the share brings.
-inline constexpr Duration kReferenceSmoothing = std::chrono::seconds(2);
-/// A smoothed latency above that x this, plus the slack, says that the backend queues,
-inline constexpr double kLatencyTolerance = 2.0;
-inline constexpr Duration kLatencySlack = std::chrono::milliseconds(5);
-/// unless this much more is served than with the share under way.
-inline constexpr double kServedMore = 1.2;
-inline constexpr double kLatencyDecrease = 0.9;  ///< factor, for a latency that says so
-inline constexpr double kBusyDecrease = 0.75;    ///< factor, for a backend that said it is busy
-/// The same for a limit within this proxy's share of the slots: others have borrowed what is missing.
-inline constexpr double kBusyDecreaseInShare = 0.9;
-/// One decrease within this time, since answers of one burst tell the same.
-inline constexpr Duration kDecreaseInterval = std::chrono::milliseconds(50);
-/// The limit grows by one part in so many, and by one at least, after this time at the limit.
-inline constexpr double kGrowthPart = 8;
-inline constexpr Duration kGrowthInterval = std::chrono::milliseconds(200);
-/// and not before this long after a backend said that it is busy: within the share, and beyond it.
-inline constexpr Duration kGrowthPauseInShare = std::chrono::milliseconds(200);
-inline constexpr Duration kGrowthPauseAfterBusy = std::chrono::seconds(2);
-/// It grows by one for this long after that.
-inline constexpr Duration kCautionAfterBusy = std::chrono::seconds(10);
-
 // Connections.
 /// Opened ahead of need to every backend of a served group, replicas included: they are the next primaries.
 inline constexpr std::uint32_t kWarmConnections = 2;
--- a/src/declared/control/knobs.h
+++ b/src/declared/control/knobs.h
@@ -8,10 +8,6 @@
 
 namespace cairnhollow::control {
 
-// Incoming connections.
-/// A connection whose first frame has not come by then is closed.
-inline constexpr Duration kHelloTimeout = std::chrono::seconds(2);
-
 // Follow server.
 /// Held questions are looked at this often, so that renewals share a quorum round.
 inline constexpr Duration kRenewalTick = std::chrono::milliseconds(20);
--- a/src/wire/connection_dispatcher.cpp
+++ b/src/wire/connection_dispatcher.cpp
@@ -1,9 +1,14 @@
 #include "wire/connection_dispatcher.h"
 
-#include "declared/control/knobs.h"
-
 namespace cairnhollow::control {
 
+namespace {
+
+/// A connection whose first frame has not come by then is closed.
+constexpr Duration kHelloTimeout = std::chrono::seconds(2);
+
+}  // namespace
+
 void ConnectionDispatcher::route(wire::Conversation conversation, Service service) {
   services_[conversation] = std::move(service);
 }
