--- a/bench/codec_bench.cpp
+++ b/bench/codec_bench.cpp
@@ -12,9 +12,9 @@
 
 constexpr std::size_t kCommandBytes = 1024;
 
-backend::StatementCall statement_call() {
-  backend::StatementCall call;
-  call.statement.kind = backend::StatementKind::kWrite;
+declared::backend::StatementCall statement_call() {
+  declared::backend::StatementCall call;
+  call.statement.kind = declared::backend::StatementKind::kWrite;
   call.statement.database = DatabaseName("study-records");
   call.statement.partition_key = "learner-4711";
   call.statement.text = R"({"op":"append","record":"learner-4711/answers","value":"card-17 correct"})";
@@ -26,32 +26,35 @@
 
 void encode_statement_call(benchmark::State& state) {
   const auto call = statement_call();
-  for (auto _ : state) benchmark::DoNotOptimize(backend::encode_call(call, TimePoint{}));
+  for (auto _ : state) benchmark::DoNotOptimize(declared::backend::encode_call(call, TimePoint{}));
 }
 BENCHMARK(encode_statement_call);
 
 void decode_statement_call(benchmark::State& state) {
-  const std::string body = backend::encode_call(statement_call(), TimePoint{});
+  const std::string body = declared::backend::encode_call(statement_call(), TimePoint{});
   Reason reason;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(backend::decode_call<backend::StatementCall>(body, TimePoint{}, reason));
+    benchmark::DoNotOptimize(
+        declared::backend::decode_call<declared::backend::StatementCall>(body, TimePoint{}, reason));
   }
 }
 BENCHMARK(decode_statement_call);
 
 void decode_statement_answer(benchmark::State& state) {
-  const backend::ExecuteAnswer answer = backend::Written{R"({"length":17})", Position{7, 4711}};
+  const declared::backend::ExecuteAnswer answer =
+      declared::backend::Written{R"({"length":17})", Position{7, 4711}};
   const auto request = statement_call().requirements.request_id;
-  const std::string body = backend::encode_answer(answer, Reason{}, request);
+  const std::string body = declared::backend::encode_answer(answer, Reason{}, request);
   Reason reason;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(backend::decode_answer<backend::ExecuteAnswer>(body, request, reason));
+    benchmark::DoNotOptimize(
+        declared::backend::decode_answer<declared::backend::ExecuteAnswer>(body, request, reason));
   }
 }
 BENCHMARK(decode_statement_answer);
 
-routing::SessionToken session_token() {
-  routing::SessionToken token;
+declared::routing::SessionToken session_token() {
+  declared::routing::SessionToken token;
   for (const char* group : {"records-a", "records-b", "records-c"}) {
     token.observe(GroupName(group), Position{7, 123456});
   }
@@ -60,14 +63,14 @@
 
 void encode_session_token(benchmark::State& state) {
   const auto token = session_token();
-  for (auto _ : state) benchmark::DoNotOptimize(routing::encode_session_token(token));
+  for (auto _ : state) benchmark::DoNotOptimize(declared::routing::encode_session_token(token));
 }
 BENCHMARK(encode_session_token);
 
 void decode_session_token(benchmark::State& state) {
-  const std::string text = routing::encode_session_token(session_token());
+  const std::string text = declared::routing::encode_session_token(session_token());
   Reason reason;
-  for (auto _ : state) benchmark::DoNotOptimize(routing::decode_session_token(text, reason));
+  for (auto _ : state) benchmark::DoNotOptimize(declared::routing::decode_session_token(text, reason));
 }
 BENCHMARK(decode_session_token);
 
--- a/bench/config_bench.cpp
+++ b/bench/config_bench.cpp
@@ -10,7 +10,7 @@
 #include "declared/config/state_machine.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -261,4 +261,4 @@
 
 }  // namespace
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/bench/consensus_bench.cpp
+++ b/bench/consensus_bench.cpp
@@ -89,12 +89,12 @@
     std::vector<Member> members;
     for (std::size_t number = 0; number < kVoters; ++number) {
       auto server = std::make_unique<Server>();
-      runtime::AsioRuntimeSettings settings;
+      host::AsioRuntimeSettings settings;
       settings.node = fmt::format("node-{}", number);
       settings.data_folder = folder_ / settings.node;
       settings.random_seed = number + 1;
       settings.log_level = runtime::LogLevel::kError;
-      server->runtime = runtime::make_asio_runtime(context_, settings);
+      server->runtime = host::make_asio_runtime(context_, settings);
       Reason reason;
       server->listener = server->runtime->network().listen(Endpoint{"127.0.0.1", 0}, reason);
       Member member;
--- a/bench/http_bench.cpp
+++ b/bench/http_bench.cpp
@@ -68,7 +68,7 @@
 
  private:
   boost::asio::io_context context_{1};
-  std::unique_ptr<runtime::Runtime> runtime_ = runtime::make_asio_runtime(context_, {});
+  std::unique_ptr<runtime::Runtime> runtime_ = host::make_asio_runtime(context_, {});
   AnswerHandler handler_;
   std::unique_ptr<runtime::HttpServer> server_;
 };
--- a/bench/probe_bench.cpp
+++ b/bench/probe_bench.cpp
@@ -12,7 +12,7 @@
 #include "declared/backend/http_backend.h"
 #include "host/asio_runtime.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 namespace {
 
 constexpr Duration kProbeLimit = std::chrono::seconds(5);
@@ -60,7 +60,7 @@
 
  private:
   boost::asio::io_context context_{1};
-  std::unique_ptr<runtime::Runtime> runtime_ = runtime::make_asio_runtime(context_, {});
+  std::unique_ptr<runtime::Runtime> runtime_ = host::make_asio_runtime(context_, {});
   StatusHandler handler_;
   std::unique_ptr<runtime::HttpServer> server_;
   Endpoint endpoint_;
@@ -103,7 +103,7 @@
   }
 
   boost::asio::io_context context_{1};
-  std::unique_ptr<runtime::Runtime> runtime_ = runtime::make_asio_runtime(context_, {});
+  std::unique_ptr<runtime::Runtime> runtime_ = host::make_asio_runtime(context_, {});
   std::unique_ptr<BackendConnector> connector_ =
       make_http_backend_connector(*runtime_, ConnectionPurpose::kControl);
   std::vector<std::shared_ptr<BackendConnection>> connections_;
@@ -122,4 +122,4 @@
 BENCHMARK(freshness_probes)->Arg(1)->Arg(9)->Arg(50)->Arg(132);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -5,7 +5,7 @@
 #include "declared/routing/session_token.h"
 #include "declared/routing/view_builder.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 constexpr TimePoint kNow{std::chrono::seconds(100)};
@@ -14,15 +14,15 @@
 
 /// A configuration in which each database has one group and one route.
 struct Deployment {
-  std::map<config::ObjectKey, config::StoredObject> objects;
-  std::map<GroupName, follow::GroupState> groups;
+  std::map<declared::config::ObjectKey, declared::config::StoredObject> objects;
+  std::map<GroupName, declared::follow::GroupState> groups;
   std::set<std::string> leaving;
   ViewBuilder builder{NodeName("proxy-1")};
   BackendEstimates estimates;
   ViewPointer view;
 
   Deployment(std::size_t group_count, std::size_t members) {
-    put({"proxy-1", {}, config::ProxySpec{zone(0), Endpoint{"10.0.0.1", 1}, false}});
+    put({"proxy-1", {}, declared::config::ProxySpec{zone(0), Endpoint{"10.0.0.1", 1}, false}});
     for (std::size_t group = 0; group < group_count; ++group) add_database(group, members);
     view = builder.rebuild(sources());
     for (const auto& group : view->groups) observe(*group);
@@ -33,9 +33,9 @@
   static ZoneName zone(std::size_t index) { return ZoneName("zone-" + std::to_string(index % kZones)); }
   static std::string database(std::size_t index) { return "database-" + std::to_string(index); }
 
-  void put(config::Object object) {
+  void put(declared::config::Object object) {
     const auto key = object.key();
-    objects.insert_or_assign(key, config::StoredObject{std::move(object), 1});
+    objects.insert_or_assign(key, declared::config::StoredObject{std::move(object), 1});
   }
 
   void add_database(std::size_t index, std::size_t members) {
@@ -43,17 +43,17 @@
     for (std::size_t member = 0; member < members; ++member) {
       const auto name = database(index) + "-" + std::to_string(member);
       const Endpoint endpoint{"10.0.0.2", static_cast<std::uint16_t>(index * members + member)};
-      put({name, labels, config::BackendSpec{zone(member), endpoint, false}});
+      put({name, labels, declared::config::BackendSpec{zone(member), endpoint, false}});
     }
-    config::DatabaseGroupSpec group;
+    declared::config::DatabaseGroupSpec group;
     group.backend_selector.match_labels = labels;
     put({database(index), labels, group});
-    config::RouteSpec route;
+    declared::config::RouteSpec route;
     route.statement_selector.match_labels = labels;
     route.group_selector.match_labels = labels;
     put({database(index), {}, route});
     const GroupName name(database(index));
-    groups[name] = follow::GroupState{name, 1, BackendName(database(index) + "-0")};
+    groups[name] = declared::follow::GroupState{name, 1, BackendName(database(index) + "-0")};
   }
 
   void observe(const GroupView& group) {
@@ -103,10 +103,11 @@
 /// One object of the middle database is written again: a backend, the group's labels, or a route.
 void change_one_object(benchmark::State& state) {
   const auto group_count = static_cast<std::size_t>(state.range(0));
-  const auto kind = static_cast<config::ObjectKind>(state.range(1));
+  const auto kind = static_cast<declared::config::ObjectKind>(state.range(1));
   Deployment deployment(group_count, 3);
   const auto database = Deployment::database(group_count / 2);
-  const config::ObjectKey key{kind, kind == config::ObjectKind::kBackend ? database + "-0" : database};
+  const declared::config::ObjectKey key{
+      kind, kind == declared::config::ObjectKind::kBackend ? database + "-0" : database};
   auto& object = deployment.objects.at(key).object;
   std::uint64_t round = 0;
   for (auto iteration : state) {
@@ -132,4 +133,4 @@
 BENCHMARK(session_token_round_trip)->ArgName("groups")->Arg(1)->Arg(3);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/bench/subset_bench.cpp
+++ b/bench/subset_bench.cpp
@@ -8,7 +8,7 @@
 #include "declared/backend/pool_share.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 constexpr std::uint32_t kGroups = 3300;
@@ -51,7 +51,7 @@
   std::vector<std::uint32_t> counts;
   counts.reserve(proxies.size());
   for (const auto& proxy : proxies) counts.push_back(served[proxy.get()]);
-  const auto share = backend::connection_share({connections, kSlots, size});
+  const auto share = declared::backend::connection_share({connections, kSlots, size});
   state.counters["proxies_a_group"] = size;
   state.counters["groups_a_proxy_least"] = *std::min_element(counts.begin(), counts.end());
   state.counters["groups_a_proxy_most"] = *std::max_element(counts.begin(), counts.end());
@@ -74,4 +74,4 @@
 BENCHMARK(order_of_forwarding);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/fuzz/document_fuzzer.cpp
+++ b/fuzz/document_fuzzer.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-using registry::ConfigurationDocument;
+using registered::registry::ConfigurationDocument;
 
 bool means_the_same(const ConfigurationDocument& one, const ConfigurationDocument& other) {
   return one.version == other.version && one.routes == other.routes && one.groups == other.groups &&
@@ -24,11 +24,12 @@
 }
 
 void check_valid(const ConfigurationDocument& document) {
-  for (const registry::GroupRule& group : document.groups) {
+  for (const registered::registry::GroupRule& group : document.groups) {
     expect(!group.name.empty(), "a group has a name");
     expect(group.cold_rate_per_s >= 0, "a rate is not negative");
   }
-  for (const registry::RouteRule& route : document.routes) expect(route.timeout_ms > 0, "a route has a time");
+  for (const registered::registry::RouteRule& route : document.routes)
+    expect(route.timeout_ms > 0, "a route has a time");
 }
 
 /// As another writer would send it. Empty for what can't be written: numbers beyond the largest double.
@@ -48,7 +49,7 @@
     return;
   }
   expect(document->text == body, "the text is kept");
-  if (registry::find_faults(*document).empty()) check_valid(*document);
+  if (registered::registry::find_faults(*document).empty()) check_valid(*document);
   const auto anew = write_anew(body);
   if (!anew) return;
   const auto again = platform::read_document(*anew, reason);
--- a/fuzz/heartbeat_fuzzer.cpp
+++ b/fuzz/heartbeat_fuzzer.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 using platform::Heartbeat;
-using registry::BackendEntry;
-using registry::RegistrationFault;
+using registered::registry::BackendEntry;
+using registered::registry::RegistrationFault;
 
 constexpr std::size_t kMostDetail = 200;
 
@@ -40,7 +40,7 @@
 void check_refused(RegistrationFault fault, const Reason& reason) {
   expect(reason.code == ReasonCode::kInvalidArgument, "a refusal has its code");
   expect(!reason.detail.empty() && reason.detail.size() < kMostDetail, "a refusal's words are few");
-  expect(!registry::registration_fault_name(fault).empty(), "a refusal is counted under a name");
+  expect(!registered::registry::registration_fault_name(fault).empty(), "a refusal is counted under a name");
 }
 
 void check_complete(const BackendEntry& entry) {
@@ -66,7 +66,8 @@
   Reason reason;
   RegistrationFault fault{};
   const auto heartbeat = platform::read_heartbeat(id, body, fault, reason);
-  expect(registry::printable_name(id).size() <= registry::kMostLoggedName, "names are cut short");
+  expect(registered::registry::printable_name(id).size() <= registered::registry::kMostLoggedName,
+         "names are cut short");
   if (!heartbeat) return check_refused(fault, reason);
   check_complete(heartbeat->entry);
   check_read_again(*heartbeat);
--- a/simulation/change_history.h
+++ b/simulation/change_history.h
@@ -15,11 +15,12 @@
 struct ChangeRecord {
   std::string operator_name;
   DomainName domain;  ///< whose control nodes were asked; empty: the only one
-  config::ChangeRequest request;
-  std::vector<config::ChangeOutcome> answers;  ///< of the first send and of each resend that was answered
-  TimePoint sent{};                            ///< world time
-  TimePoint answered{};                        ///< of the first answer
-  std::vector<Reason> failures;                ///< of sends without an answer
+  declared::config::ChangeRequest request;
+  std::vector<declared::config::ChangeOutcome>
+      answers;                   ///< of the first send and of each resend that was answered
+  TimePoint sent{};              ///< world time
+  TimePoint answered{};          ///< of the first answer
+  std::vector<Reason> failures;  ///< of sends without an answer
 };
 
 struct ChangeHistory {
--- a/simulation/checkers/configuration_checkers.cpp
+++ b/simulation/checkers/configuration_checkers.cpp
@@ -12,7 +12,7 @@
 
 double seconds_of(TimePoint time) { return std::chrono::duration<double>(time.time_since_epoch()).count(); }
 
-bool same_answer(const config::ChangeOutcome& one, const config::ChangeOutcome& other) {
+bool same_answer(const declared::config::ChangeOutcome& one, const declared::config::ChangeOutcome& other) {
   return one.accepted == other.accepted && one.revision == other.revision &&
          one.reason.code == other.reason.code;
 }
@@ -22,8 +22,8 @@
 }
 
 void check_resends(const ChangeRecord& change, std::vector<Violation>& violations) {
-  for (const config::ChangeOutcome& answer : change.answers) {
-    const config::ChangeOutcome& first = change.answers.front();
+  for (const declared::config::ChangeOutcome& answer : change.answers) {
+    const declared::config::ChangeOutcome& first = change.answers.front();
     if (same_answer(answer, first)) continue;
     violations.push_back({"changes", change.request.change_id, "",
                           fmt::format("answered with revision {} ({}) and then with {} ({})", first.revision,
@@ -36,7 +36,7 @@
 std::vector<Violation> check_changes(const ChangeHistory& changes) {
   std::vector<Violation> violations;
   std::map<std::tuple<DomainName, std::uint64_t>, std::string> by_revision;
-  std::map<std::tuple<DomainName, config::ObjectKey, std::uint64_t>, std::string> winners;
+  std::map<std::tuple<DomainName, declared::config::ObjectKey, std::uint64_t>, std::string> winners;
   for (const ChangeRecord& change : changes.changes) {
     check_resends(change, violations);
     if (!is_accepted(change)) continue;
@@ -48,7 +48,7 @@
           {"changes", id, "",
            fmt::format("accepted as revision {}, as {} was", revision, same_revision->second)});
     }
-    for (const config::ObjectChange& object : change.request.changes) {
+    for (const declared::config::ObjectChange& object : change.request.changes) {
       if (!object.based_on) continue;
       const auto [winner, is_first] =
           winners.emplace(std::tuple(change.domain, object.object.key(), *object.based_on), id);
--- a/simulation/deployment.cpp
+++ b/simulation/deployment.cpp
@@ -90,7 +90,7 @@
       members.push_back(member);
     }
     for (const consensus::Member& member : members) {
-      control::ControlSettings settings;
+      declared::control::ControlSettings settings;
       settings.node = member.node;
       settings.zone = member.zone;
       settings.peer_endpoint = member.endpoint;
@@ -103,7 +103,7 @@
 
   void add_proxies() {
     for (std::size_t zone = 0; zone < sizes_.zones.size(); ++zone) {
-      proxy::ProxySettings settings;
+      declared::proxy::ProxySettings settings;
       settings.node = NodeName(fmt::format("proxy-{}", zone + 1));
       settings.zone = sizes_.zones[zone];
       settings.caller_endpoint = Endpoint{address(zone, kProxyHost), kCallerPort};
@@ -112,7 +112,7 @@
         settings.control_endpoints.push_back(deployment_.control_nodes[nearest].peer_endpoint);
       }
       const LabelSet labels{{{"region", sizes_.region}, {"zone", settings.zone.value}}};
-      const config::ProxySpec spec{settings.zone, settings.caller_endpoint, false};
+      const declared::config::ProxySpec spec{settings.zone, settings.caller_endpoint, false};
       deployment_.objects.push_back({settings.node.value, labels, spec});
       deployment_.proxies.push_back(settings);
     }
@@ -129,7 +129,7 @@
         settings.initial_members.push_back({other.backend, other.endpoint});
       }
       const LabelSet labels{{{"group", name}, {"service", sizes_.service}, {"zone", settings.zone.value}}};
-      const config::BackendSpec spec{settings.zone, settings.endpoint, false};
+      const declared::config::BackendSpec spec{settings.zone, settings.endpoint, false};
       deployment_.objects.push_back({settings.backend.value, labels, spec});
       deployment_.databases.push_back(settings);
     }
@@ -151,12 +151,13 @@
     return settings;
   }
 
-  [[nodiscard]] config::DatabaseGroupSpec group_spec(const std::string& name, std::uint32_t group) const {
-    config::DatabaseGroupSpec spec;
+  [[nodiscard]] declared::config::DatabaseGroupSpec group_spec(const std::string& name,
+                                                               std::uint32_t group) const {
+    declared::config::DatabaseGroupSpec spec;
     spec.backend_selector.match_labels = LabelSet{{{"group", name}}};
-    const std::uint32_t share = config::kHashSlots / kGroups;
+    const std::uint32_t share = declared::config::kHashSlots / kGroups;
     spec.hash_slots.first = group * share;
-    spec.hash_slots.last = group + 1 == kGroups ? config::kHashSlots - 1 : (group + 1) * share - 1;
+    spec.hash_slots.last = group + 1 == kGroups ? declared::config::kHashSlots - 1 : (group + 1) * share - 1;
     spec.connections_per_backend = sizes_.connections;
     spec.slots_per_backend = sizes_.slots;
     return spec;
@@ -174,7 +175,7 @@
 
   void add_route(const std::string& database, std::uint32_t precedence, milliseconds staleness,
                  milliseconds replica_wait) {
-    config::RouteSpec spec;
+    declared::config::RouteSpec spec;
     spec.precedence = precedence;
     spec.statement_selector.match_labels = LabelSet{{{"database", database}}};
     spec.group_selector.match_labels = LabelSet{{{"service", sizes_.service}}};
--- a/simulation/deployment.h
+++ b/simulation/deployment.h
@@ -31,7 +31,7 @@
 struct DomainPart {
   DomainName name;
   std::vector<Endpoint> operator_endpoints;
-  std::vector<config::Object> objects;
+  std::vector<declared::config::Object> objects;
 };
 
 /// The settings of one deployment. Names of processes are the names of nodes and backends.
@@ -39,11 +39,11 @@
   standins::callers::Profile profile = standins::callers::Profile::kStudyCard;
   std::vector<ZoneName> zones;
   LatencySettings latency;
-  std::vector<control::ControlSettings> control_nodes;  ///< one a zone; the first three are voters
-  std::vector<proxy::ProxySettings> proxies;            ///< one a zone
+  std::vector<declared::control::ControlSettings> control_nodes;  ///< one a zone; the first three are voters
+  std::vector<declared::proxy::ProxySettings> proxies;            ///< one a zone
   std::vector<standins::database::DatabaseSettings> databases;
   standins::platform::PlatformSettings platform;
-  std::vector<config::Object> objects;  ///< as in examples/*/manifests
+  std::vector<declared::config::Object> objects;  ///< as in examples/*/manifests
   /// Empty, or two: objects and control nodes are then by domain, and `objects` is empty.
   std::vector<DomainPart> domains;
 
--- a/simulation/fleet.cpp
+++ b/simulation/fleet.cpp
@@ -72,7 +72,7 @@
 }
 
 void Fleet::record_work(const std::string& sender, const std::string& receiver, const std::string& target) {
-  if (target != backend::target::kExecute && target != backend::target::kBegin) return;
+  if (target != declared::backend::target::kExecute && target != declared::backend::target::kBegin) return;
   work_.push_back({world_.now(), sender, BackendName(receiver)});
 }
 
@@ -104,13 +104,15 @@
                   });
   }
   for (const auto& settings : deployment_.control_nodes) {
-    start_process(
-        settings.node.value, settings.peer_endpoint.address, settings.zone,
-        [settings](runtime::Runtime& runtime) { return control::make_control_node(runtime, settings); });
+    start_process(settings.node.value, settings.peer_endpoint.address, settings.zone,
+                  [settings](runtime::Runtime& runtime) {
+                    return declared::control::make_control_node(runtime, settings);
+                  });
   }
   for (const auto& settings : deployment_.proxies) {
-    start_process(settings.node.value, settings.caller_endpoint.address, settings.zone,
-                  [settings](runtime::Runtime& runtime) { return proxy::make_proxy(runtime, settings); });
+    start_process(
+        settings.node.value, settings.caller_endpoint.address, settings.zone,
+        [settings](runtime::Runtime& runtime) { return declared::proxy::make_proxy(runtime, settings); });
   }
 }
 
@@ -150,10 +152,10 @@
          declare(operator_b(), deployment_.domains.at(1).objects, reason);
 }
 
-bool Fleet::declare(OperatorRole& by, const std::vector<config::Object>& objects, Reason& reason) {
-  std::vector<config::ObjectChange> changes;
+bool Fleet::declare(OperatorRole& by, const std::vector<declared::config::Object>& objects, Reason& reason) {
+  std::vector<declared::config::ObjectChange> changes;
   changes.reserve(objects.size());
-  for (const config::Object& object : objects) changes.push_back({object, false, std::uint64_t{0}});
+  for (const declared::config::Object& object : objects) changes.push_back({object, false, std::uint64_t{0}});
   const std::size_t place = by.apply(std::move(changes), kStartLimit);
   world_.run_until([&] { return by.in_flight() == 0; }, kStartLimit + seconds(1));
   const ChangeRecord& change = changes_.changes.at(place);
@@ -293,22 +295,22 @@
   post(deployment_.platform.endpoint, "/admin/freeze", fmt::format(R"({{"frozen":{}}})", frozen));
 }
 
-config::Object Fleet::object(config::ObjectKind kind, const std::string& name) const {
-  std::vector<const std::vector<config::Object>*> lists{&deployment_.objects};
+declared::config::Object Fleet::object(declared::config::ObjectKind kind, const std::string& name) const {
+  std::vector<const std::vector<declared::config::Object>*> lists{&deployment_.objects};
   for (const DomainPart& domain : deployment_.domains) lists.push_back(&domain.objects);
   for (const auto* objects : lists) {
-    for (const config::Object& object : *objects) {
+    for (const declared::config::Object& object : *objects) {
       if (object.kind() == kind && object.name == name) return object;
     }
   }
   throw std::invalid_argument("no object named " + name);
 }
 
-std::size_t Fleet::declare_drain(config::ObjectKind kind, const std::string& name, bool drain) {
-  config::Object changed = object(kind, name);
-  if (auto* proxy = std::get_if<config::ProxySpec>(&changed.spec)) proxy->drain = drain;
-  if (auto* backend = std::get_if<config::BackendSpec>(&changed.spec)) backend->drain = drain;
-  std::vector<config::ObjectChange> changes;
+std::size_t Fleet::declare_drain(declared::config::ObjectKind kind, const std::string& name, bool drain) {
+  declared::config::Object changed = object(kind, name);
+  if (auto* proxy = std::get_if<declared::config::ProxySpec>(&changed.spec)) proxy->drain = drain;
+  if (auto* backend = std::get_if<declared::config::BackendSpec>(&changed.spec)) backend->drain = drain;
+  std::vector<declared::config::ObjectChange> changes;
   changes.push_back({std::move(changed), false, std::nullopt});
   return operator_a().apply(std::move(changes), seconds(20));
 }
--- a/simulation/fleet.h
+++ b/simulation/fleet.h
@@ -76,9 +76,10 @@
   void set_platform_state(const std::string& machine, const std::string& state);
   void freeze_platform_list(bool frozen);
   /// Declares `drain` of a proxy or backend as an operator would.
-  std::size_t declare_drain(config::ObjectKind kind, const std::string& name, bool drain);
+  std::size_t declare_drain(declared::config::ObjectKind kind, const std::string& name, bool drain);
   /// The object as deployed, for a change based on any version.
-  [[nodiscard]] config::Object object(config::ObjectKind kind, const std::string& name) const;
+  [[nodiscard]] declared::config::Object object(declared::config::ObjectKind kind,
+                                                const std::string& name) const;
 
   /// The primary by the observer's latest knowledge.
   [[nodiscard]] BackendName primary_of(const GroupName& group) const { return observer_->primary_of(group); }
@@ -95,7 +96,7 @@
   void start_clients();
   bool settle(CallerRole& callers, Reason& reason);
   bool declare_objects(Reason& reason);
-  bool declare(OperatorRole& by, const std::vector<config::Object>& objects, Reason& reason);
+  bool declare(OperatorRole& by, const std::vector<declared::config::Object>& objects, Reason& reason);
   [[nodiscard]] bool every_proxy_serves() const;
   void post(const Endpoint& endpoint, const std::string& target, const std::string& body);
 
--- a/simulation/observer_role.cpp
+++ b/simulation/observer_role.cpp
@@ -45,7 +45,8 @@
     : runtime_(runtime),
       deployment_(deployment),
       scheduler_(scheduler),
-      connector_(backend::make_http_backend_connector(runtime, backend::ConnectionPurpose::kControl)) {}
+      connector_(declared::backend::make_http_backend_connector(
+          runtime, declared::backend::ConnectionPurpose::kControl)) {}
 
 Awaitable<bool> ObserverRole::start(Reason& /*reason*/) {
   for (const auto& settings : deployment_.databases) {
@@ -64,7 +65,7 @@
 Awaitable<void> ObserverRole::drain() { co_return; }
 
 Awaitable<void> ObserverRole::observe_backend(BackendName backend, Endpoint endpoint) {
-  std::shared_ptr<backend::BackendConnection> connection;
+  std::shared_ptr<declared::backend::BackendConnection> connection;
   while (true) {
     Reason reason;
     const TimePoint deadline = runtime_.now() + kAnswerLimit;
@@ -86,8 +87,8 @@
 }
 
 void ObserverRole::take(BackendObservation observation) {
-  const backend::BackendStatus& status = observation.status;
-  const bool is_primary = status.role == backend::BackendRole::kPrimary;
+  const declared::backend::BackendStatus& status = observation.status;
+  const bool is_primary = status.role == declared::backend::BackendRole::kPrimary;
   if (is_primary && status.term > term_of(status.group)) {
     primary_changes_.push_back({status.group, status.term, status.backend, observation.answered});
   }
--- a/simulation/observer_role.h
+++ b/simulation/observer_role.h
@@ -20,7 +20,7 @@
 struct BackendObservation {
   TimePoint asked{};
   TimePoint answered{};
-  backend::BackendStatus status;
+  declared::backend::BackendStatus status;
 };
 
 /// A proxy's own answer: what it had in force of a domain, and whether it served it, at some instant between
@@ -78,7 +78,7 @@
   runtime::Runtime& runtime_;
   const Deployment& deployment_;
   const Scheduler& scheduler_;
-  std::unique_ptr<backend::BackendConnector> connector_;
+  std::unique_ptr<declared::backend::BackendConnector> connector_;
   std::map<BackendName, BackendObservation> backends_;
   std::map<std::string, ControlObservation> control_nodes_;
   std::vector<PrimaryChange> primary_changes_;
--- a/simulation/operator_role.cpp
+++ b/simulation/operator_role.cpp
@@ -17,11 +17,12 @@
 
 Awaitable<void> OperatorRole::drain() { co_return; }
 
-std::size_t OperatorRole::apply(std::vector<config::ObjectChange> changes, Duration limit, int resends) {
+std::size_t OperatorRole::apply(std::vector<declared::config::ObjectChange> changes, Duration limit,
+                                int resends) {
   return apply_as(fmt::format("{}-change-{}", name_, next_change_++), std::move(changes), limit, resends);
 }
 
-std::size_t OperatorRole::apply_as(std::string change_id, std::vector<config::ObjectChange> changes,
+std::size_t OperatorRole::apply_as(std::string change_id, std::vector<declared::config::ObjectChange> changes,
                                    Duration limit, int resends) {
   ChangeRecord record;
   record.operator_name = name_;
@@ -45,7 +46,7 @@
 Awaitable<void> OperatorRole::send(std::size_t change, Duration limit, int resends) {
   for (int attempt = 0; attempt <= resends; ++attempt) {
     Reason reason;
-    const config::ChangeRequest request = history_.changes[change].request;
+    const declared::config::ChangeRequest request = history_.changes[change].request;
     const TimePoint deadline = runtime_.now() + limit;
     const auto outcome = co_await client_.apply(request, deadline, reason);
     ChangeRecord& record = history_.changes[change];
--- a/simulation/operator_role.h
+++ b/simulation/operator_role.h
@@ -23,10 +23,10 @@
 
   /// Sends a change and, when it was answered, `resends` times the same again. Gives the place in the
   /// history.
-  std::size_t apply(std::vector<config::ObjectChange> changes, Duration limit, int resends = 0);
+  std::size_t apply(std::vector<declared::config::ObjectChange> changes, Duration limit, int resends = 0);
   /// As apply(), under a change id of the caller's choice.
-  std::size_t apply_as(std::string change_id, std::vector<config::ObjectChange> changes, Duration limit,
-                       int resends = 0);
+  std::size_t apply_as(std::string change_id, std::vector<declared::config::ObjectChange> changes,
+                       Duration limit, int resends = 0);
   /// Sends the change of that place in the history again under its change id.
   void resend(std::size_t change, Duration limit);
   /// Runs `call` with the client as a coroutine of this process.
--- a/simulation/regions.cpp
+++ b/simulation/regions.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-using config::ObjectKind;
+using declared::config::ObjectKind;
 
 const std::string kPrefix = "south-";
 const std::string kServiceLabel = "service";
@@ -31,18 +31,18 @@
   }
 }
 
-config::Object southern(config::Object object) {
+declared::config::Object southern(declared::config::Object object) {
   if (object.kind() != ObjectKind::kRoute) object.name = southern(object.name);
   rename(object.labels);
-  if (auto* proxy = std::get_if<config::ProxySpec>(&object.spec)) {
+  if (auto* proxy = std::get_if<declared::config::ProxySpec>(&object.spec)) {
     proxy->zone = southern(proxy->zone);
     proxy->endpoint = southern(proxy->endpoint);
-  } else if (auto* backend = std::get_if<config::BackendSpec>(&object.spec)) {
+  } else if (auto* backend = std::get_if<declared::config::BackendSpec>(&object.spec)) {
     backend->zone = southern(backend->zone);
     backend->endpoint = southern(backend->endpoint);
-  } else if (auto* group = std::get_if<config::DatabaseGroupSpec>(&object.spec)) {
+  } else if (auto* group = std::get_if<declared::config::DatabaseGroupSpec>(&object.spec)) {
     rename(group->backend_selector.match_labels);
-  } else if (auto* route = std::get_if<config::RouteSpec>(&object.spec)) {
+  } else if (auto* route = std::get_if<declared::config::RouteSpec>(&object.spec)) {
     rename(route->group_selector.match_labels);
   }
   return object;
@@ -60,7 +60,7 @@
   return settings;
 }
 
-control::ControlSettings southern(control::ControlSettings settings) {
+declared::control::ControlSettings southern(declared::control::ControlSettings settings) {
   settings.node = southern(settings.node);
   settings.zone = southern(settings.zone);
   settings.peer_endpoint = southern(settings.peer_endpoint);
@@ -73,7 +73,7 @@
   return settings;
 }
 
-proxy::ProxySettings southern(proxy::ProxySettings settings) {
+declared::proxy::ProxySettings southern(declared::proxy::ProxySettings settings) {
   settings.node = southern(settings.node);
   settings.zone = southern(settings.zone);
   settings.caller_endpoint = southern(settings.caller_endpoint);
@@ -82,9 +82,9 @@
 }
 
 /// The region's objects: all but the other region's route.
-std::vector<config::Object> objects_of(const DomainName& region, const Deployment& deployment) {
+std::vector<declared::config::Object> objects_of(const DomainName& region, const Deployment& deployment) {
   const auto database = database_of(region, deployment.profile).value;
-  std::vector<config::Object> objects;
+  std::vector<declared::config::Object> objects;
   for (const auto& object : deployment.objects) {
     if (object.kind() == ObjectKind::kRoute && object.name != database) continue;
     objects.push_back(region == kSouth ? southern(object) : object);
@@ -133,7 +133,7 @@
   for (std::size_t place = 0; place < proxies; ++place) {
     const auto north = deployment.proxies[place].control_endpoints;
     const auto south = deployment.proxies[proxies + place].control_endpoints;
-    const std::vector<proxy::DomainSettings> domains{
+    const std::vector<declared::proxy::DomainSettings> domains{
         {kNorth, north, {database_of(kNorth, deployment.profile)}},
         {kSouth, south, {database_of(kSouth, deployment.profile)}}};
     for (auto* settings : {&deployment.proxies[place], &deployment.proxies[proxies + place]}) {
--- a/simulation/registered_fleet.cpp
+++ b/simulation/registered_fleet.cpp
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::simulation {
 
-using namespace standins::unfenced;
+using namespace standins::registered;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -52,7 +52,7 @@
 
 void RegisteredFleet::start_control(std::size_t number) {
   const std::string name = fmt::format("control-{}", number);
-  control::registered::RegisteredControlSettings settings;
+  registered::control::RegisteredControlSettings settings;
   settings.node = NodeName(name);
   settings.zone = ZoneName(kZones[(number - 1) % kZones.size()]);
   settings.peer_endpoint = {address_of(name), kPeerPort};
@@ -64,13 +64,13 @@
   settings.promotion_endpoint = {kPromotionAddress, kOperatorPort};
   settings.zone_regions = settings_.zone_regions;
   world_.start({name, address_of(name), settings.zone}, [settings](runtime::Runtime& runtime) {
-    return control::registered::make_registered_control_node(runtime, settings, platform::control_edge());
+    return registered::control::make_registered_control_node(runtime, settings, platform::control_edge());
   });
 }
 
 void RegisteredFleet::start_proxy(std::size_t number) {
   const std::string name = fmt::format("proxy-{}", number);
-  session::SessionProxySettings settings;
+  registered::proxy::SessionProxySettings settings;
   settings.node = NodeName(name);
   settings.zone = ZoneName(kZones[(number - 1) % kZones.size()]);
   settings.session_endpoint = {address_of(name), kSessionPort};
@@ -84,7 +84,7 @@
   settings.cold_overshoot = settings_.cold_overshoot;
   settings.cold_slack = settings_.cold_slack;
   world_.start({name, address_of(name), settings.zone}, [settings](runtime::Runtime& runtime) {
-    return session::make_session_proxy(runtime, settings, platform::session_edge());
+    return registered::proxy::make_session_proxy(runtime, settings, platform::session_edge());
   });
 }
 
@@ -150,7 +150,7 @@
   caller.policy = policy.policy;
   caller.staleness = milliseconds(policy.staleness_ms);
   TenantName tenant;
-  for (const registry::TenantRule& rule : settings_.tenants) {
+  for (const registered::registry::TenantRule& rule : settings_.tenants) {
     if (std::find(rule.keys.begin(), rule.keys.end(), key) != rule.keys.end()) tenant = rule.name;
   }
   region_history_.callers[name] = {policy.name, tenant};
@@ -216,7 +216,7 @@
     const bool answered =
         world_.run_until([&] { return result->has_value() && (*result)->status != 0; }, kCallTimeout);
     if (answered && (*result)->status == 200) {
-      for (const registry::TenantRule& tenant : settings_.tenants)
+      for (const registered::registry::TenantRule& tenant : settings_.tenants)
         tenant_history_.eras.push_back({tenant, world_.now()});
       note_regions();
       return true;
@@ -227,7 +227,7 @@
 }
 
 unsigned RegisteredFleet::ask_evacuation(const std::string& control, const std::string& zone, bool begins) {
-  const runtime::HttpRequest request = standins::unfenced::order_evacuation(ZoneName(zone), begins);
+  const runtime::HttpRequest request = standins::registered::order_evacuation(ZoneName(zone), begins);
   auto result = std::make_shared<std::optional<runtime::HttpResponse>>();
   auto ended = std::make_shared<bool>(false);
   VirtualRuntime& operators = world_.runtime("operator");
@@ -253,7 +253,7 @@
 
 bool RegisteredFleet::is_evacuated(const std::string& zone) {
   const std::string name = leader();
-  return !name.empty() && control::registered::fleet_of(world_.role(name)).is_evacuated(ZoneName(zone));
+  return !name.empty() && registered::control::fleet_of(world_.role(name)).is_evacuated(ZoneName(zone));
 }
 
 bool RegisteredFleet::is_led_from(std::size_t group, const std::string& zone) {
@@ -373,7 +373,7 @@
   for (std::size_t number = 1; number <= settings_.control_nodes; ++number) {
     const std::string name = fmt::format("control-{}", number);
     if (!world_.running(name)) continue;
-    const auto term = control::registered::leading_term(world_.role(name));
+    const auto term = registered::control::leading_term(world_.role(name));
     if (!term || *term < newest_term) continue;
     newest = name;
     newest_term = *term;
@@ -398,14 +398,14 @@
 bool RegisteredFleet::is_open(const GroupName& group) {
   const std::string name = leader();
   if (name.empty()) return false;
-  const auto* term = control::registered::fleet_of(world_.role(name)).find_term(group);
+  const auto* term = registered::control::fleet_of(world_.role(name)).find_term(group);
   return term != nullptr && term->open;
 }
 
 std::size_t RegisteredFleet::working_proxies() {
   const std::string name = leader();
   if (name.empty()) return 0;
-  const auto proxies = control::registered::fleet_of(world_.role(name)).proxies();
+  const auto proxies = registered::control::fleet_of(world_.role(name)).proxies();
   return static_cast<std::size_t>(
       std::count_if(proxies.begin(), proxies.end(), [](const auto& proxy) { return !proxy.leaving; }));
 }
@@ -441,7 +441,7 @@
 }
 
 Duration RegisteredFleet::longest_write_gap(TimePoint from, TimePoint to) const {
-  return standins::unfenced::longest_write_gap(history_, from, to);
+  return standins::registered::longest_write_gap(history_, from, to);
 }
 
 }  // namespace cairnhollow::simulation
--- a/simulation/registered_fleet.h
+++ b/simulation/registered_fleet.h
@@ -26,7 +26,7 @@
   Duration work = std::chrono::milliseconds(3);  ///< of a statement at a backend
   Duration serving_lease = std::chrono::milliseconds(1500);
   /// Callers take turns in having the first key of one of them; empty: callers need no keys.
-  std::vector<registry::TenantRule> tenants;
+  std::vector<registered::registry::TenantRule> tenants;
   Duration key_bound = std::chrono::seconds(5);
   Duration evacuation_bound = std::chrono::seconds(5);
   Duration caller_pause = std::chrono::milliseconds(20);  ///< between a caller's operations
@@ -67,15 +67,17 @@
   bool is_led_from(std::size_t group, const std::string& zone);
   [[nodiscard]] Endpoint sessions_at(const std::string& proxy) const;
   /// What the next documents say of tenants.
-  void set_tenants(std::vector<registry::TenantRule> tenants) { settings_.tenants = std::move(tenants); }
+  void set_tenants(std::vector<registered::registry::TenantRule> tenants) {
+    settings_.tenants = std::move(tenants);
+  }
   /// What the next documents say of the databases' regions.
   void set_database_regions(std::map<std::string, std::vector<RegionName>> regions) {
     settings_.database_regions = std::move(regions);
   }
-  [[nodiscard]] const standins::unfenced::RegionHistory& region_history() const { return region_history_; }
+  [[nodiscard]] const standins::registered::RegionHistory& region_history() const { return region_history_; }
   /// One more caller, with a key that may be anything; its name tells it from others.
   void start_caller(const std::string& name, const ApiKey& key);
-  [[nodiscard]] const standins::unfenced::TenantHistory& tenant_history() const { return tenant_history_; }
+  [[nodiscard]] const standins::registered::TenantHistory& tenant_history() const { return tenant_history_; }
   /// The newest document's version as some control node reads it back; 0: none answers.
   std::uint64_t read_back_version();
 
@@ -110,11 +112,11 @@
   std::uint64_t registered_birth(const BackendName& backend);
   /// A heartbeat that a life of `place` sent comes now, at `node` (a control node or proxy); the status.
   unsigned deliver_heartbeat(const std::string& node, const std::string& place,
-                             const standins::unfenced::Heartbeat& heartbeat);
+                             const standins::registered::Heartbeat& heartbeat);
   /// Proxies among which the leader has the groups divided.
   std::size_t working_proxies();
-  standins::unfenced::GroupModel& group(std::size_t number = 1) { return *models_[number - 1]; }
-  standins::unfenced::Database& database(const std::string& name);
+  standins::registered::GroupModel& group(std::size_t number = 1) { return *models_[number - 1]; }
+  standins::registered::Database& database(const std::string& name);
   World& world() { return world_; }
 
   [[nodiscard]] std::uint64_t acknowledged() const;
@@ -123,7 +125,7 @@
   [[nodiscard]] std::uint64_t refused() const;
   /// Writes of the first group that were run, and whose answers did not come whole.
   std::uint64_t cut_after_running();
-  [[nodiscard]] const std::vector<standins::unfenced::Attempt>& history() const { return history_; }
+  [[nodiscard]] const std::vector<standins::registered::Attempt>& history() const { return history_; }
   /// The longest time between two acknowledged writes that lies within `from` and `to`.
   [[nodiscard]] Duration longest_write_gap(TimePoint from, TimePoint to) const;
 
@@ -136,7 +138,7 @@
   /// The status of the answer; 0: there was none.
   unsigned ask(const Endpoint& endpoint, runtime::HttpRequest request);
   unsigned deliver(const std::string& node, const std::string& place, const BackendName& backend,
-                   const standins::unfenced::Heartbeat& heartbeat);
+                   const standins::registered::Heartbeat& heartbeat);
   /// Notes each statement that one proxy sends to another.
   void record_forwarded(const std::string& receiver, const std::string& frame);
   void record_regions();
@@ -146,16 +148,16 @@
 
   RegisteredFleetSettings settings_;
   World world_;
-  std::vector<std::unique_ptr<standins::unfenced::GroupModel>> models_;
-  std::map<std::string, standins::unfenced::Database*> databases_;
-  std::map<std::string, std::pair<standins::unfenced::GroupModel*, BackendName>> members_;
+  std::vector<std::unique_ptr<standins::registered::GroupModel>> models_;
+  std::map<std::string, standins::registered::Database*> databases_;
+  std::map<std::string, std::pair<standins::registered::GroupModel*, BackendName>> members_;
   std::map<std::string, bool> wiped_;
-  std::vector<standins::unfenced::Attempt> history_;
-  standins::unfenced::TenantHistory tenant_history_;
-  standins::unfenced::ZoneHistory zone_history_;
-  standins::unfenced::RegionHistory region_history_;
+  std::vector<standins::registered::Attempt> history_;
+  standins::registered::TenantHistory tenant_history_;
+  standins::registered::ZoneHistory zone_history_;
+  standins::registered::RegionHistory region_history_;
   std::size_t next_caller_ = 1;
-  std::deque<standins::unfenced::CallerCounts> counts_;
+  std::deque<standins::registered::CallerCounts> counts_;
   std::uint64_t version_ = 0;
   bool stopped_ = false;
 };
--- a/simulation/registered_fleet_backends.cpp
+++ b/simulation/registered_fleet_backends.cpp
@@ -6,7 +6,7 @@
 
 namespace cairnhollow::simulation {
 
-using namespace standins::unfenced;
+using namespace standins::registered;
 
 void RegisteredFleet::restart_empty(const std::string& name) {
   if (world_.running(name)) kill(name);
@@ -17,20 +17,20 @@
 
 bool RegisteredFleet::is_registered(const BackendName& backend) {
   const std::string name = leader();
-  return !name.empty() && control::registered::fleet_of(world_.role(name)).find_backend(backend) != nullptr;
+  return !name.empty() && registered::control::fleet_of(world_.role(name)).find_backend(backend) != nullptr;
 }
 
 std::uint64_t RegisteredFleet::registered_birth(const BackendName& backend) {
   const std::string name = leader();
   if (name.empty()) return 0;
-  const auto* entry = control::registered::fleet_of(world_.role(name)).find_backend(backend);
+  const auto* entry = registered::control::fleet_of(world_.role(name)).find_backend(backend);
   return entry == nullptr ? 0 : entry->born_ms;
 }
 
 bool RegisteredFleet::is_leaving(const BackendName& backend) {
   const std::string name = leader();
   if (name.empty()) return false;
-  const auto* entry = control::registered::fleet_of(world_.role(name)).find_backend(backend);
+  const auto* entry = registered::control::fleet_of(world_.role(name)).find_backend(backend);
   return entry != nullptr && entry->leaving;
 }
 
@@ -52,7 +52,7 @@
   const bool at_proxy = node.starts_with("proxy");
   const std::uint16_t port = at_proxy ? kPeerPort + 1 : kOperatorPort;
   const GroupName& group = members_.at(place).first->name();
-  return ask({address_of(node), port}, standins::unfenced::print_heartbeat(settings, group, heartbeat));
+  return ask({address_of(node), port}, standins::registered::print_heartbeat(settings, group, heartbeat));
 }
 
 ZoneName RegisteredFleet::zone_of(const std::string& place) {
--- a/simulation/registered_fleet_regions.cpp
+++ b/simulation/registered_fleet_regions.cpp
@@ -6,7 +6,7 @@
 
 namespace cairnhollow::simulation {
 
-using namespace standins::unfenced;
+using namespace standins::registered;
 
 void RegisteredFleet::record_regions() {
   region_history_.zone_regions = settings_.zone_regions;
@@ -18,19 +18,19 @@
 
 void RegisteredFleet::note_regions() {
   RegionEra era{settings_.database_regions, {}, world_.now()};
-  for (const registry::TenantRule& tenant : settings_.tenants)
+  for (const registered::registry::TenantRule& tenant : settings_.tenants)
     era.by_tenant[tenant.name] = tenant.allowed_regions;
   region_history_.eras.push_back(std::move(era));
 }
 
 void RegisteredFleet::record_forwarded(const std::string& receiver, const std::string& frame) {
   Reason reason;
-  const auto request = wire::decode<session::ForwardRequest>(frame, reason);
+  const auto request = wire::decode<registered::proxy::ForwardRequest>(frame, reason);
   if (!request) return;
-  const auto* run = std::get_if<session::ForwardRun>(&request->body);
-  const auto* further = std::get_if<session::ForwardInTransaction>(&request->body);
+  const auto* run = std::get_if<registered::proxy::ForwardRun>(&request->body);
+  const auto* further = std::get_if<registered::proxy::ForwardInTransaction>(&request->body);
   if (run == nullptr && further == nullptr) return;
-  const session::ForwardedOrder& order = run != nullptr ? run->order : further->order;
+  const registered::proxy::ForwardedOrder& order = run != nullptr ? run->order : further->order;
   const ZoneName zone(kZones[(std::stoull(receiver.substr(receiver.rfind('-') + 1)) - 1) % kZones.size()]);
   region_history_.placed.push_back({order.id, zone, false, world_.now()});
 }
--- a/simulation/scenario.cpp
+++ b/simulation/scenario.cpp
@@ -45,7 +45,7 @@
 void ScenarioRun::drain_process(const std::string& process) { world().drain(process, nullptr); }
 
 void ScenarioRun::declare_leaving(const BackendName& backend) {
-  const std::size_t place = fleet_.declare_drain(config::ObjectKind::kBackend, backend.value, true);
+  const std::size_t place = fleet_.declare_drain(declared::config::ObjectKind::kBackend, backend.value, true);
   const ChangeHistory& changes = fleet_.changes();
   world().run_until([&] { return !changes.changes[place].answers.empty(); }, kDeclareLimit);
   const ChangeRecord& change = changes.changes[place];
--- a/simulation/scenarios/configuration_scenarios.cpp
+++ b/simulation/scenarios/configuration_scenarios.cpp
@@ -17,19 +17,19 @@
 constexpr int kManyChanges = 520;
 
 /// The object that the changes label: a route is in use all the time.
-config::Object route_with_label(ScenarioRun& run, const std::string& value) {
+declared::config::Object route_with_label(ScenarioRun& run, const std::string& value) {
   const auto& objects = run.fleet().deployment().objects;
-  const auto found = std::find_if(objects.begin(), objects.end(), [](const config::Object& object) {
-    return object.kind() == config::ObjectKind::kRoute;
+  const auto found = std::find_if(objects.begin(), objects.end(), [](const declared::config::Object& object) {
+    return object.kind() == declared::config::ObjectKind::kRoute;
   });
-  config::Object route = *found;
+  declared::config::Object route = *found;
   route.labels.entries["note"] = value;
   return route;
 }
 
-std::vector<config::ObjectChange> label_route(ScenarioRun& run, const std::string& value,
-                                              std::optional<std::uint64_t> based_on) {
-  std::vector<config::ObjectChange> changes;
+std::vector<declared::config::ObjectChange> label_route(ScenarioRun& run, const std::string& value,
+                                                        std::optional<std::uint64_t> based_on) {
+  std::vector<declared::config::ObjectChange> changes;
   changes.push_back({route_with_label(run, value), false, based_on});
   return changes;
 }
--- a/simulation/scenarios/control_scenarios.cpp
+++ b/simulation/scenarios/control_scenarios.cpp
@@ -37,9 +37,9 @@
 /// Sets a label on a proxy object; accepted changes are what the configuration checkers follow.
 std::size_t make_change(ScenarioRun& run, const std::string& value) {
   const std::string& proxy = run.fleet().deployment().proxies.front().node.value;
-  config::Object object = run.fleet().object(config::ObjectKind::kProxy, proxy);
+  declared::config::Object object = run.fleet().object(declared::config::ObjectKind::kProxy, proxy);
   object.labels.entries["note"] = value;
-  std::vector<config::ObjectChange> changes;
+  std::vector<declared::config::ObjectChange> changes;
   changes.push_back({std::move(object), false, std::nullopt});
   return run.fleet().operator_a().apply(std::move(changes), kChangeLimit, 1);
 }
@@ -116,7 +116,7 @@
 /// Starts a fresh control machine that waits to be taken in.
 consensus::Member start_standby(ScenarioRun& run, const std::string& name, const std::string& address,
                                 const ZoneName& zone) {
-  control::ControlSettings settings = run.fleet().deployment().control_nodes.front();
+  declared::control::ControlSettings settings = run.fleet().deployment().control_nodes.front();
   settings.node = NodeName(name);
   settings.zone = zone;
   settings.peer_endpoint.address = address;
@@ -124,7 +124,7 @@
   settings.initial_members.clear();
   settings.join = true;
   run.fleet().start_process(name, address, zone, [settings](runtime::Runtime& runtime) {
-    return control::make_control_node(runtime, settings);
+    return declared::control::make_control_node(runtime, settings);
   });
   consensus::Member member;
   member.node = settings.node;
--- a/simulation/scenarios/domain_scenarios.cpp
+++ b/simulation/scenarios/domain_scenarios.cpp
@@ -120,9 +120,9 @@
 void make_change(ScenarioRun& run, OperatorRole& by, bool south) {
   const auto& proxies = run.fleet().deployment().proxies;
   const auto& proxy = south ? proxies.back() : proxies.front();
-  auto object = run.fleet().object(config::ObjectKind::kProxy, proxy.node.value);
+  auto object = run.fleet().object(declared::config::ObjectKind::kProxy, proxy.node.value);
   object.labels.entries["note"] = "during-the-cut";
-  std::vector<config::ObjectChange> changes;
+  std::vector<declared::config::ObjectChange> changes;
   changes.push_back({std::move(object), false, std::nullopt});
   const auto place = by.apply(std::move(changes), kChangeLimit, 1);
   run.run_for(kDisturbance);
--- a/simulation/scenarios/environment_scenarios.cpp
+++ b/simulation/scenarios/environment_scenarios.cpp
@@ -132,8 +132,8 @@
       if (settings.node.value != node) run.fleet().cut_between(node, settings.node.value);
     }
     run.freeze(proxy);
-    run.fleet().declare_drain(config::ObjectKind::kProxy, run.fleet().deployment().proxies.front().node.value,
-                              false);
+    run.fleet().declare_drain(declared::config::ObjectKind::kProxy,
+                              run.fleet().deployment().proxies.front().node.value, false);
     run.run_for(run.random_between(seconds(1), seconds(5)));
     run.thaw(proxy);
     run.world().heal();
--- a/simulation/scenarios/explore_scenario.cpp
+++ b/simulation/scenarios/explore_scenario.cpp
@@ -28,9 +28,9 @@
   }
   for (OperatorRole* const contender : {&run.fleet().operator_a(), &run.fleet().operator_b()}) {
     if (contender->in_flight() > 0) continue;
-    config::Object object = run.fleet().object(config::ObjectKind::kProxy, name);
+    declared::config::Object object = run.fleet().object(declared::config::ObjectKind::kProxy, name);
     object.labels.entries["note"] = std::to_string(run.world().random().below(1000));
-    std::vector<config::ObjectChange> changes;
+    std::vector<declared::config::ObjectChange> changes;
     changes.push_back({std::move(object), false, version});
     contender->apply(std::move(changes), kChangeLimit,
                      static_cast<int>(run.world().random().below(kMostResends + 1)));
--- a/simulation/scenarios/lease_scenarios.cpp
+++ b/simulation/scenarios/lease_scenarios.cpp
@@ -21,7 +21,7 @@
 constexpr int kSlowStatementMs = 500;
 constexpr std::uint32_t kFewConnections = 4;
 
-const proxy::ProxySettings& random_proxy_settings(ScenarioRun& run) {
+const declared::proxy::ProxySettings& random_proxy_settings(ScenarioRun& run) {
   const auto& proxies = run.fleet().deployment().proxies;
   return proxies.at(run.world().random().below(proxies.size()));
 }
@@ -37,9 +37,9 @@
 
 std::size_t label_proxy(ScenarioRun& run, const std::string& value) {
   const std::string& proxy = run.fleet().deployment().proxies.front().node.value;
-  config::Object object = run.fleet().object(config::ObjectKind::kProxy, proxy);
+  declared::config::Object object = run.fleet().object(declared::config::ObjectKind::kProxy, proxy);
   object.labels.entries["note"] = value;
-  std::vector<config::ObjectChange> changes;
+  std::vector<declared::config::ObjectChange> changes;
   changes.push_back({std::move(object), false, std::nullopt});
   return run.fleet().operator_a().apply(std::move(changes), kChangeLimit, 1);
 }
@@ -102,7 +102,7 @@
   settings.adjust = [](Deployment& deployment) {
     for (auto& database : deployment.databases) database.connections = kFewConnections;
     for (auto& object : deployment.objects) {
-      auto* group = std::get_if<config::DatabaseGroupSpec>(&object.spec);
+      auto* group = std::get_if<declared::config::DatabaseGroupSpec>(&object.spec);
       if (group != nullptr) group->connections_per_backend = kFewConnections;
     }
   };
--- a/simulation/scenarios/primary_scenarios.cpp
+++ b/simulation/scenarios/primary_scenarios.cpp
@@ -99,13 +99,14 @@
 void label_backends(FleetSettings& settings) {
   settings.adjust = [](Deployment& deployment) {
     for (auto& object : deployment.objects) {
-      if (object.kind() == config::ObjectKind::kBackend) object.labels.entries["name"] = object.name;
+      if (object.kind() == declared::config::ObjectKind::kBackend)
+        object.labels.entries["name"] = object.name;
     }
   };
 }
 
 Awaitable<void> switch_over(cli::OperatorClient& client, runtime::Runtime& runtime,
-                            control::SwitchoverRequest request) {
+                            declared::control::SwitchoverRequest request) {
   Reason reason;
   const TimePoint deadline = runtime.now() + kFailoverLimit;
   co_await client.switchover(std::move(request), deadline, reason);
@@ -113,9 +114,9 @@
 
 void hand_over_to(ScenarioRun& run, const GroupName& group, const BackendName& target) {
   Reason reason;
-  control::SwitchoverRequest request;
+  declared::control::SwitchoverRequest request;
   request.group = group;
-  request.target = config::parse_selector("name=" + target.value, reason).value();
+  request.target = declared::config::parse_selector("name=" + target.value, reason).value();
   run.fleet().operator_b().run([request](cli::OperatorClient& client, runtime::Runtime& runtime) {
     return switch_over(client, runtime, request);
   });
--- a/simulation/scenarios/proxy_scenarios.cpp
+++ b/simulation/scenarios/proxy_scenarios.cpp
@@ -56,7 +56,7 @@
   run.run_for(seconds(2));
   for (int round = 0; round < 3; ++round) {
     const Duration delay = run.random_between(Duration(0), kCommitTime);
-    kill_proxy_on_request(run, {"proxy-", backend::target::kExecuteIn, delay});
+    kill_proxy_on_request(run, {"proxy-", declared::backend::target::kExecuteIn, delay});
   }
 }
 
@@ -68,11 +68,11 @@
         kill_proxy_on_request(run, {"callers", "/commit", Duration(0)});
         break;
       case 1:  // the proxy's commit is on its way to the database
-        kill_proxy_on_request(run, {"proxy-", backend::target::kCommit, Duration(0)});
+        kill_proxy_on_request(run, {"proxy-", declared::backend::target::kCommit, Duration(0)});
         break;
       default:  // after: the database took it; its answer is on its way or has just come
-        kill_proxy_on_request(
-            run, {"proxy-", backend::target::kCommit, run.random_between(kWayToDatabase, kCommitTime)});
+        kill_proxy_on_request(run, {"proxy-", declared::backend::target::kCommit,
+                                    run.random_between(kWayToDatabase, kCommitTime)});
     }
   }
 }
--- a/simulation/scenarios/random_faults.cpp
+++ b/simulation/scenarios/random_faults.cpp
@@ -19,7 +19,7 @@
 
 Awaitable<void> switch_over_to_any(cli::OperatorClient& client, runtime::Runtime& runtime, GroupName group) {
   Reason reason;
-  control::SwitchoverRequest request;
+  declared::control::SwitchoverRequest request;
   request.group = std::move(group);
   const TimePoint deadline = runtime.now() + kSwitchoverLimit;
   co_await client.switchover(std::move(request), deadline, reason);
@@ -233,8 +233,10 @@
 
 void RandomFaults::drain_backend() {
   const std::string backend = random_database();
-  run_.fleet().declare_drain(config::ObjectKind::kBackend, backend, true);
-  keep([this, backend] { run_.fleet().declare_drain(config::ObjectKind::kBackend, backend, false); });
+  run_.fleet().declare_drain(declared::config::ObjectKind::kBackend, backend, true);
+  keep([this, backend] {
+    run_.fleet().declare_drain(declared::config::ObjectKind::kBackend, backend, false);
+  });
 }
 
 void RandomFaults::switch_over() {
--- a/simulation/scenarios/subset_scenarios.cpp
+++ b/simulation/scenarios/subset_scenarios.cpp
@@ -23,13 +23,13 @@
     auto second = first;
     second.node = NodeName(first.node.value + "b");
     second.caller_endpoint.address += "1";  // 10.0.Z.20 and 10.0.Z.201
-    const config::ProxySpec spec{second.zone, second.caller_endpoint, false};
+    const declared::config::ProxySpec spec{second.zone, second.caller_endpoint, false};
     deployment.objects.push_back({second.node.value, LabelSet{}, spec});
     deployment.proxies.push_back(second);
   }
   for (auto& database : deployment.databases) database.connections = kConnections;
   for (auto& object : deployment.objects) {
-    auto* group = std::get_if<config::DatabaseGroupSpec>(&object.spec);
+    auto* group = std::get_if<declared::config::DatabaseGroupSpec>(&object.spec);
     if (group != nullptr) group->connections_per_backend = kConnections;
   }
 }
@@ -163,9 +163,9 @@
   run.run_for(seconds(2));
   for (std::uint32_t round = 0; round < kRounds; ++round) {
     const std::string proxy = run.random_proxy();
-    run.fleet().declare_drain(config::ObjectKind::kProxy, proxy, true);
+    run.fleet().declare_drain(declared::config::ObjectKind::kProxy, proxy, true);
     run.run_for(run.random_between(milliseconds(100), seconds(3)));
-    run.fleet().declare_drain(config::ObjectKind::kProxy, proxy, false);
+    run.fleet().declare_drain(declared::config::ObjectKind::kProxy, proxy, false);
     run.run_for(run.random_between(milliseconds(100), seconds(3)));
   }
 }
--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -9,7 +9,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::admission {
 
 /// The class that goes first, and may borrow slots (urgent_allowance.h).
 inline constexpr std::uint8_t kUrgentClass = 0;
@@ -58,4 +58,4 @@
   std::uint64_t next_arrival_ = 0;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::admission
--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::admission {
 
 namespace {
 
@@ -112,4 +112,4 @@
   changed_at_ = now;
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::admission
--- a/src/admission/concurrency_limit.h
+++ b/src/admission/concurrency_limit.h
@@ -11,7 +11,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::admission {
 
 class ConcurrencyLimit {
  public:
@@ -49,4 +49,4 @@
   bool was_busy_ = false;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::admission
--- a/src/cli/change_commands.cpp
+++ b/src/cli/change_commands.cpp
@@ -31,21 +31,23 @@
 void print_objects(CommandContext& context, const ChangePlan& plan) {
   if (context.line.output != OutputFormat::kTable) return;
   for (const auto& planned : plan.changes) {
-    context.output << config::to_string(planned.change.object.key()) << " " << verb_of(planned) << "\n";
+    context.output << declared::config::to_string(planned.change.object.key()) << " " << verb_of(planned)
+                   << "\n";
   }
-  for (const auto& key : plan.unchanged) context.output << config::to_string(key) << " unchanged\n";
+  for (const auto& key : plan.unchanged) context.output << declared::config::to_string(key) << " unchanged\n";
 }
 
-void print_outcome(CommandContext& context, const config::ChangeOutcome& outcome) {
-  if (write_document(context.output, context.line.output, control::to_json(outcome))) return;
+void print_outcome(CommandContext& context, const declared::config::ChangeOutcome& outcome) {
+  if (write_document(context.output, context.line.output, declared::control::to_json(outcome))) return;
   context.output << "revision " << outcome.revision << "\n";
 }
 
 /// Who won, and how the winner differs from what was sent.
-void print_conflict(CommandContext& context, const ChangePlan& plan, const config::StoredObject& winner) {
+void print_conflict(CommandContext& context, const ChangePlan& plan,
+                    const declared::config::StoredObject& winner) {
   for (const auto& planned : plan.changes) {
     if (planned.change.object.key() != winner.object.key()) continue;
-    std::optional<config::Object> sent;
+    std::optional<declared::config::Object> sent;
     if (!planned.change.deletion) sent = planned.change.object;
     context.errors << "from what is in force (-) to what was sent (+):\n"
                    << object_difference(winner.object, sent);
@@ -59,7 +61,7 @@
     print_objects(context, plan);
     co_return ExitCode::kDone;
   }
-  config::ChangeRequest request;
+  declared::config::ChangeRequest request;
   request.change_id = context.line.change_id;
   if (request.change_id.empty()) request.change_id = make_change_id(context.runtime.random());
   request.at_revision = plan.at_revision;
@@ -88,7 +90,7 @@
 }
 
 /// The plan that sends manifests exactly as they are written.
-ChangePlan verbatim_plan(const CommandLine& line, const std::vector<config::Manifest>& manifests,
+ChangePlan verbatim_plan(const CommandLine& line, const std::vector<declared::config::Manifest>& manifests,
                          bool deletion) {
   ChangePlan plan;
   plan.at_revision = line.at_revision;
@@ -111,11 +113,11 @@
 
 /// One changed object as a document.
 boost::json::value difference_json(const PlannedChange& planned) {
-  boost::json::object entry{{"kind", config::kind_name(planned.change.object.kind())},
+  boost::json::object entry{{"kind", declared::config::kind_name(planned.change.object.kind())},
                             {"name", planned.change.object.name},
                             {"change", verb_of(planned)}};
-  if (planned.before) entry["before"] = config::to_json(*planned.before);
-  entry["after"] = config::to_json(planned.change.object);
+  if (planned.before) entry["before"] = declared::config::to_json(*planned.before);
+  entry["after"] = declared::config::to_json(planned.change.object);
   return entry;
 }
 
@@ -142,7 +144,7 @@
   const ExitCode code = plan->changes.empty() ? ExitCode::kDone : ExitCode::kDifferent;
   if (write_document(context.output, context.line.output, differences_json(*plan))) co_return code;
   for (const auto& planned : plan->changes) {
-    context.output << config::to_string(planned.change.object.key()) << "\n"
+    context.output << declared::config::to_string(planned.change.object.key()) << "\n"
                    << object_difference(planned.before, planned.change.object);
   }
   co_return code;
--- a/src/cli/change_plan.cpp
+++ b/src/cli/change_plan.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 /// Adds the write of `after` unless it is what is in force.
-void add_write(ChangePlan& plan, const config::StoredObject& before, config::Object after) {
+void add_write(ChangePlan& plan, const declared::config::StoredObject& before,
+               declared::config::Object after) {
   if (after == before.object) {
     plan.unchanged.push_back(after.key());
     return;
@@ -15,33 +16,34 @@
   plan.changes.push_back({{std::move(after), false, before.version}, before.object});
 }
 
-using ObjectsByKey = std::map<config::ObjectKey, const config::StoredObject*>;
+using ObjectsByKey = std::map<declared::config::ObjectKey, const declared::config::StoredObject*>;
 
-ObjectsByKey by_key(const std::vector<config::StoredObject>& objects) {
+ObjectsByKey by_key(const std::vector<declared::config::StoredObject>& objects) {
   ObjectsByKey table;
   for (const auto& stored : objects) table.emplace(stored.object.key(), &stored);
   return table;
 }
 
-ChangePlan plan_on(const control::ObjectList& list) {
+ChangePlan plan_on(const declared::control::ObjectList& list) {
   ChangePlan plan;
   plan.at_revision = list.revision;
   return plan;
 }
 
-void add_deletion(ChangePlan& plan, const config::StoredObject& before,
+void add_deletion(ChangePlan& plan, const declared::config::StoredObject& before,
                   std::optional<std::uint64_t> based_on) {
   plan.changes.push_back({{before.object, true, based_on}, before.object});
 }
 
-void set_drain(config::Object& object, bool drain) {
-  if (auto* proxy = std::get_if<config::ProxySpec>(&object.spec)) proxy->drain = drain;
-  if (auto* backend = std::get_if<config::BackendSpec>(&object.spec)) backend->drain = drain;
+void set_drain(declared::config::Object& object, bool drain) {
+  if (auto* proxy = std::get_if<declared::config::ProxySpec>(&object.spec)) proxy->drain = drain;
+  if (auto* backend = std::get_if<declared::config::BackendSpec>(&object.spec)) backend->drain = drain;
 }
 
 }  // namespace
 
-ChangePlan plan_apply(const std::vector<config::Manifest>& manifests, const control::ObjectList& in_force) {
+ChangePlan plan_apply(const std::vector<declared::config::Manifest>& manifests,
+                      const declared::control::ObjectList& in_force) {
   ChangePlan plan = plan_on(in_force);
   const auto objects = by_key(in_force.objects);
   for (const auto& manifest : manifests) {
@@ -61,7 +63,8 @@
   return plan;
 }
 
-ChangePlan plan_delete(const std::vector<config::Manifest>& manifests, const control::ObjectList& in_force) {
+ChangePlan plan_delete(const std::vector<declared::config::Manifest>& manifests,
+                       const declared::control::ObjectList& in_force) {
   ChangePlan plan = plan_on(in_force);
   const auto objects = by_key(in_force.objects);
   for (const auto& manifest : manifests) {
@@ -75,16 +78,17 @@
   return plan;
 }
 
-ChangePlan plan_delete(const control::ObjectList& selected) {
+ChangePlan plan_delete(const declared::control::ObjectList& selected) {
   ChangePlan plan = plan_on(selected);
   for (const auto& stored : selected.objects) add_deletion(plan, stored, stored.version);
   return plan;
 }
 
-ChangePlan plan_labels(const control::ObjectList& selected, const std::vector<LabelChange>& changes) {
+ChangePlan plan_labels(const declared::control::ObjectList& selected,
+                       const std::vector<LabelChange>& changes) {
   ChangePlan plan = plan_on(selected);
   for (const auto& stored : selected.objects) {
-    config::Object after = stored.object;
+    declared::config::Object after = stored.object;
     for (const auto& change : changes) {
       if (change.value) {
         after.labels.entries[change.key] = *change.value;
@@ -97,10 +101,10 @@
   return plan;
 }
 
-ChangePlan plan_drain(const control::ObjectList& selected, bool drain) {
+ChangePlan plan_drain(const declared::control::ObjectList& selected, bool drain) {
   ChangePlan plan = plan_on(selected);
   for (const auto& stored : selected.objects) {
-    config::Object after = stored.object;
+    declared::config::Object after = stored.object;
     set_drain(after, drain);
     add_write(plan, stored, std::move(after));
   }
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -20,19 +20,19 @@
 
 struct KindAlias {
   std::string_view word;
-  config::ObjectKind kind;
+  declared::config::ObjectKind kind;
 };
 constexpr KindAlias kKindAliases[] = {
-    {"proxy", config::ObjectKind::kProxy},
-    {"proxies", config::ObjectKind::kProxy},
-    {"backend", config::ObjectKind::kBackend},
-    {"backends", config::ObjectKind::kBackend},
-    {"group", config::ObjectKind::kDatabaseGroup},
-    {"groups", config::ObjectKind::kDatabaseGroup},
-    {"databasegroup", config::ObjectKind::kDatabaseGroup},
-    {"databasegroups", config::ObjectKind::kDatabaseGroup},
-    {"route", config::ObjectKind::kRoute},
-    {"routes", config::ObjectKind::kRoute},
+    {"proxy", declared::config::ObjectKind::kProxy},
+    {"proxies", declared::config::ObjectKind::kProxy},
+    {"backend", declared::config::ObjectKind::kBackend},
+    {"backends", declared::config::ObjectKind::kBackend},
+    {"group", declared::config::ObjectKind::kDatabaseGroup},
+    {"groups", declared::config::ObjectKind::kDatabaseGroup},
+    {"databasegroup", declared::config::ObjectKind::kDatabaseGroup},
+    {"databasegroups", declared::config::ObjectKind::kDatabaseGroup},
+    {"route", declared::config::ObjectKind::kRoute},
+    {"routes", declared::config::ObjectKind::kRoute},
 };
 
 /// Turns docopt's values into typed ones; the first fault is kept.
@@ -56,7 +56,7 @@
     read_objects();
     if (flag("evacuate")) read_evacuation();
     read_label_words();
-    line_.target = selector("--to").value_or(config::Selector{});
+    line_.target = selector("--to").value_or(declared::config::Selector{});
     if (has("--since")) line_.since = number("--since");
     line_.limit = static_cast<std::uint32_t>(std::min<std::uint64_t>(number("--limit"), UINT32_MAX));
     if (has("REVISION")) line_.revision = number("REVISION");
@@ -93,7 +93,7 @@
   }
 
   std::uint64_t milliseconds(const std::string& name) {
-    const auto value = config::parse_milliseconds(text(name));
+    const auto value = declared::config::parse_milliseconds(text(name));
     constexpr std::uint64_t kLongest = 24ULL * 3'600'000;
     if (!value || *value > kLongest) {
       fail(fmt::format("{}: '{}' is not a duration such as 500ms, 10s, 2m", name, text(name)));
@@ -101,10 +101,10 @@
     return value.value_or(0);
   }
 
-  std::optional<config::Selector> selector(const std::string& name) {
+  std::optional<declared::config::Selector> selector(const std::string& name) {
     if (!has(name)) return std::nullopt;
     Reason fault;
-    auto parsed = config::parse_selector(text(name), fault);
+    auto parsed = declared::config::parse_selector(text(name), fault);
     if (!parsed) fail(fmt::format("{}: {}", name, fault.detail));
     return parsed;
   }
@@ -182,8 +182,8 @@
   void read_evacuation() {
     if (line_.selector) fail("--selector: evacuate takes a zone");
     Reason fault;
-    line_.kind = config::ObjectKind::kBackend;
-    line_.selector = config::parse_selector("zone=" + text("ZONE"), fault);
+    line_.kind = declared::config::ObjectKind::kBackend;
+    line_.selector = declared::config::parse_selector("zone=" + text("ZONE"), fault);
     if (!line_.selector) fail(fmt::format("ZONE: {}", fault.detail));
     line_.undo = flag("--end");
   }
@@ -246,8 +246,8 @@
     if (line_.command == Command::kLabel && line_.label_changes.empty()) {
       fail("WORD: name at least one label change, key=value or key-");
     }
-    const bool drains_machine =
-        line_.kind == config::ObjectKind::kProxy || line_.kind == config::ObjectKind::kBackend;
+    const bool drains_machine = line_.kind == declared::config::ObjectKind::kProxy ||
+                                line_.kind == declared::config::ObjectKind::kBackend;
     if (line_.command == Command::kDrain && !drains_machine) fail("KIND: only a proxy or backend drains");
     if (line_.command == Command::kSwitchover && line_.names.empty() == !line_.selector) {
       fail("name a group or select groups with -l, not both");
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -62,13 +62,13 @@
   bool wait = false;
 
   std::vector<std::string> paths;  ///< of manifests; "-" is standard input
-  std::optional<config::ObjectKind> kind;
+  std::optional<declared::config::ObjectKind> kind;
   std::vector<std::string> names;
-  std::optional<config::Selector> selector;
+  std::optional<declared::config::Selector> selector;
   std::vector<LabelChange> label_changes;
   bool undo = false;
 
-  config::Selector target;             ///< switchover: which backends may become primary
+  declared::config::Selector target;   ///< switchover: which backends may become primary
   std::optional<std::uint64_t> since;  ///< events: unset for the latest ones
   std::uint32_t limit = 0;
   bool every_line = false;     ///< get, status: --all, however many lines there are
--- a/src/cli/difference.cpp
+++ b/src/cli/difference.cpp
@@ -54,10 +54,10 @@
   return text;
 }
 
-std::string object_difference(const std::optional<config::Object>& before,
-                              const std::optional<config::Object>& after) {
-  const auto manifest = [](const std::optional<config::Object>& object) {
-    return object ? config::to_yaml(config::to_document(*object)) : std::string();
+std::string object_difference(const std::optional<declared::config::Object>& before,
+                              const std::optional<declared::config::Object>& after) {
+  const auto manifest = [](const std::optional<declared::config::Object>& object) {
+    return object ? declared::config::to_yaml(declared::config::to_document(*object)) : std::string();
   };
   return line_difference(manifest(before), manifest(after));
 }
--- a/src/cli/difference.h
+++ b/src/cli/difference.h
@@ -13,7 +13,7 @@
 std::string line_difference(const std::string& before, const std::string& after);
 
 /// The same over the objects' manifests; an object that is not there has no lines.
-std::string object_difference(const std::optional<config::Object>& before,
-                              const std::optional<config::Object>& after);
+std::string object_difference(const std::optional<declared::config::Object>& before,
+                              const std::optional<declared::config::Object>& after);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/document_output.cpp
+++ b/src/cli/document_output.cpp
@@ -14,7 +14,7 @@
       stream << boost::json::serialize(document) << "\n";
       return true;
     case OutputFormat::kYaml:
-      stream << config::to_yaml(config::from_json(document));
+      stream << declared::config::to_yaml(declared::config::from_json(document));
       return true;
   }
   return false;
--- a/src/cli/explain_command.cpp
+++ b/src/cli/explain_command.cpp
@@ -104,14 +104,14 @@
     endpoints.push_back(*context.line.question.proxy);
     co_return endpoints;
   }
-  config::ObjectQuery query;
-  query.kind = config::ObjectKind::kProxy;
-  query.selector = context.line.selector.value_or(config::Selector{});
+  declared::config::ObjectQuery query;
+  query.kind = declared::config::ObjectKind::kProxy;
+  query.selector = context.line.selector.value_or(declared::config::Selector{});
   const TimePoint deadline = context.deadline();
   const auto list = co_await context.client.list(std::move(query), deadline, reason);
   if (!list) co_return std::nullopt;
   for (const auto& stored : list->objects) {
-    endpoints.push_back(std::get<config::ProxySpec>(stored.object.spec).endpoint);
+    endpoints.push_back(std::get<declared::config::ProxySpec>(stored.object.spec).endpoint);
   }
   if (endpoints.empty()) {
     reason = Reason{ReasonCode::kNotFound, "select_proxies", "", "no proxy is selected"};
--- a/src/cli/fleet_commands.cpp
+++ b/src/cli/fleet_commands.cpp
@@ -15,8 +15,8 @@
 Awaitable<std::optional<std::vector<std::string>>> read_group_names(CommandContext& context, ExitCode& code) {
   if (!context.line.names.empty()) co_return context.line.names;
   Reason reason;
-  config::ObjectQuery query;
-  query.kind = config::ObjectKind::kDatabaseGroup;
+  declared::config::ObjectQuery query;
+  query.kind = declared::config::ObjectKind::kDatabaseGroup;
   query.selector = *context.line.selector;
   const TimePoint deadline = context.deadline();
   const auto list = co_await context.client.list(std::move(query), deadline, reason);
@@ -43,7 +43,7 @@
     context.errors << "no group, backend or proxy of these names is known now\n";
     co_return ExitCode::kRefused;
   }
-  if (!write_document(context.output, context.line.output, control::to_json(*status))) {
+  if (!write_document(context.output, context.line.output, declared::control::to_json(*status))) {
     context.output << status_text(*status, context.line.every_line);
   }
   co_return ExitCode::kDone;
@@ -55,7 +55,7 @@
   if (!filter) co_return report_failure(context, reason);
   const auto events = co_await read_fleet_events(context, *filter, reason);
   if (!events) co_return report_failure(context, reason);
-  if (!write_document(context.output, context.line.output, control::to_json(*events))) {
+  if (!write_document(context.output, context.line.output, declared::control::to_json(*events))) {
     context.output << event_table(*events);
   }
   co_return ExitCode::kDone;
@@ -66,7 +66,7 @@
   const auto names = co_await read_group_names(context, code);
   if (!names) co_return code;
   for (const auto& name : *names) {
-    control::SwitchoverRequest request;
+    declared::control::SwitchoverRequest request;
     request.group = GroupName(name);
     request.target = context.line.target;
     Reason reason;
@@ -76,7 +76,7 @@
       context.errors << "switchover of " << name << " failed\n";
       co_return report_failure(context, reason);
     }
-    if (!write_document(context.output, context.line.output, control::to_json(*outcome))) {
+    if (!write_document(context.output, context.line.output, declared::control::to_json(*outcome))) {
       context.output << name << ": " << outcome->primary.value << " is primary in term " << outcome->term
                      << "\n";
     }
--- a/src/cli/fleet_summary.cpp
+++ b/src/cli/fleet_summary.cpp
@@ -27,7 +27,7 @@
   std::size_t proxies_draining = 0;
 };
 
-std::map<ZoneName, ZoneCounts> count_by_zone(const control::FleetStatus& status) {
+std::map<ZoneName, ZoneCounts> count_by_zone(const declared::control::FleetStatus& status) {
   std::map<ZoneName, ZoneCounts> zones;
   for (const auto& group : status.groups) {
     for (const auto& member : group.members) {
@@ -47,7 +47,7 @@
   return zones;
 }
 
-std::string zone_table(const control::FleetStatus& status) {
+std::string zone_table(const declared::control::FleetStatus& status) {
   Table table(
       {"ZONE", "BACKENDS", "UNREACHABLE", "LEAVING", "PRIMARIES", "PROXIES", "WITH-LEASE", "DRAINING"});
   for (const auto& [zone, counts] : count_by_zone(status)) {
@@ -59,7 +59,7 @@
   return table.to_string();
 }
 
-std::string supervisor_table(const control::FleetStatus& status) {
+std::string supervisor_table(const declared::control::FleetStatus& status) {
   std::map<NodeName, std::size_t> groups;
   std::map<NodeName, std::size_t> followers;
   for (const auto& group : status.groups) ++groups[group.supervisor];
@@ -81,8 +81,8 @@
   return fmt::format("and {} more\n", left_out);
 }
 
-std::string group_exceptions(const control::FleetStatus& status) {
-  std::vector<control::GroupStatus> groups;
+std::string group_exceptions(const declared::control::FleetStatus& status) {
+  std::vector<declared::control::GroupStatus> groups;
   for (const auto& group : status.groups) {
     if (needs_a_look(group)) groups.push_back(group);
   }
@@ -94,8 +94,8 @@
   return heading + group_table(groups) + left_out;
 }
 
-std::string proxy_exceptions(const control::FleetStatus& status) {
-  std::vector<control::ProxyStatus> proxies;
+std::string proxy_exceptions(const declared::control::FleetStatus& status) {
+  std::vector<declared::control::ProxyStatus> proxies;
   for (const auto& proxy : status.proxies) {
     if (needs_a_look(proxy, status.revision)) proxies.push_back(proxy);
   }
@@ -109,21 +109,21 @@
 
 }  // namespace
 
-bool is_large(const control::FleetStatus& status) {
+bool is_large(const declared::control::FleetStatus& status) {
   return status.groups.size() > kGroupsInFull || status.proxies.size() > kProxiesInFull;
 }
 
-bool needs_a_look(const control::GroupStatus& group) {
+bool needs_a_look(const declared::control::GroupStatus& group) {
   if (group.primary.empty() || group.supervisor.empty()) return true;
   return std::any_of(group.members.begin(), group.members.end(),
                      [](const auto& member) { return !member.reachable; });
 }
 
-bool needs_a_look(const control::ProxyStatus& proxy, std::uint64_t revision) {
+bool needs_a_look(const declared::control::ProxyStatus& proxy, std::uint64_t revision) {
   return proxy.lease_left <= Duration::zero() || proxy.draining || proxy.revision != revision;
 }
 
-std::string summary_text(const control::FleetStatus& status) {
+std::string summary_text(const declared::control::FleetStatus& status) {
   return zone_table(status) + "\n" + supervisor_table(status) + "\n" + group_exceptions(status) + "\n" +
          proxy_exceptions(status) +
          "\nsummarized: --all prints every group and proxy, names or -l SELECTOR those selected\n";
--- a/src/cli/fleet_summary.h
+++ b/src/cli/fleet_summary.h
@@ -9,14 +9,14 @@
 namespace cairnhollow::cli {
 
 /// Whether status prints a summary unless it is asked for every line.
-bool is_large(const control::FleetStatus& status);
+bool is_large(const declared::control::FleetStatus& status);
 
 /// No primary, no supervisor, or a member that does not answer.
-bool needs_a_look(const control::GroupStatus& group);
+bool needs_a_look(const declared::control::GroupStatus& group);
 /// Without a lease, draining, or with another revision than `revision`.
-bool needs_a_look(const control::ProxyStatus& proxy, std::uint64_t revision);
+bool needs_a_look(const declared::control::ProxyStatus& proxy, std::uint64_t revision);
 
 /// The counts, and of each sort the first kExceptionsShown that need a look, with the number left out.
-std::string summary_text(const control::FleetStatus& status);
+std::string summary_text(const declared::control::FleetStatus& status);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/fleet_view.cpp
+++ b/src/cli/fleet_view.cpp
@@ -28,7 +28,7 @@
 }
 
 /// A relay knows no members: they are taken from a node that has the log.
-void merge_members(control::FleetStatus& status, const control::FleetStatus& other) {
+void merge_members(declared::control::FleetStatus& status, const declared::control::FleetStatus& other) {
   if (!status.members.empty() || other.members.empty()) return;
   status.leader = other.leader;
   status.consensus_term = other.consensus_term;
@@ -38,9 +38,9 @@
 }
 
 /// Takes over from `other` what it knows better.
-void merge(control::FleetStatus& status, const control::FleetStatus& other) {
+void merge(declared::control::FleetStatus& status, const declared::control::FleetStatus& other) {
   merge_members(status, other);
-  std::map<NodeName, control::ProxyStatus> proxies;
+  std::map<NodeName, declared::control::ProxyStatus> proxies;
   for (auto& proxy : status.proxies) proxies[proxy.proxy] = std::move(proxy);
   for (const auto& proxy : other.proxies) {
     auto& entry = proxies[proxy.proxy];
@@ -49,7 +49,7 @@
   status.proxies.clear();
   for (auto& [name, proxy] : proxies) status.proxies.push_back(std::move(proxy));
 
-  std::map<GroupName, control::GroupStatus> groups;
+  std::map<GroupName, declared::control::GroupStatus> groups;
   for (auto& group : status.groups) groups[group.group] = std::move(group);
   for (const auto& group : other.groups) {
     auto& entry = groups[group.group];
@@ -61,13 +61,13 @@
 }
 
 /// Events of one node that the filter selects, by number. Unfiltered: one page, of the command's limit.
-Awaitable<std::optional<std::vector<control::FleetEvent>>> read_node_events(
+Awaitable<std::optional<std::vector<declared::control::FleetEvent>>> read_node_events(
     CommandContext& context, Endpoint endpoint, SubjectFilter filter, TimePoint deadline, Reason& reason) {
   auto client = client_of(context, endpoint);
   if (filter.selects_all()) {
     co_return co_await client.events(context.line.since, context.line.limit, deadline, reason);
   }
-  std::vector<control::FleetEvent> selected;
+  std::vector<declared::control::FleetEvent> selected;
   std::uint64_t since = context.line.since.value_or(0);
   for (std::size_t page = 0; page < kMaximumPages; ++page) {
     const auto events = co_await client.events(since, kPageSize, deadline, reason);
@@ -82,7 +82,7 @@
 }
 
 /// The latest events that fit the command's limit.
-void keep_latest(CommandContext& context, std::vector<control::FleetEvent>& events) {
+void keep_latest(CommandContext& context, std::vector<declared::control::FleetEvent>& events) {
   if (events.size() <= context.line.limit) return;
   const std::size_t left_out = events.size() - context.line.limit;
   events.erase(events.begin(), events.begin() + static_cast<std::ptrdiff_t>(left_out));
@@ -91,7 +91,8 @@
 
 }  // namespace
 
-std::vector<Endpoint> control_endpoints(const CommandLine& line, const control::FleetStatus& status) {
+std::vector<Endpoint> control_endpoints(const CommandLine& line,
+                                        const declared::control::FleetStatus& status) {
   std::set<Endpoint> endpoints(line.servers.begin(), line.servers.end());
   for (const auto& member : status.members) {
     if (member.reachable && member.operator_endpoint) endpoints.insert(*member.operator_endpoint);
@@ -102,7 +103,8 @@
   return {endpoints.begin(), endpoints.end()};
 }
 
-Awaitable<std::optional<control::FleetStatus>> read_fleet_status(CommandContext& context, Reason& reason) {
+Awaitable<std::optional<declared::control::FleetStatus>> read_fleet_status(CommandContext& context,
+                                                                           Reason& reason) {
   const TimePoint deadline = context.deadline();
   auto status = co_await context.client.status(deadline, reason);
   if (!status) co_return std::nullopt;
@@ -118,13 +120,12 @@
   co_return status;
 }
 
-Awaitable<std::optional<std::vector<control::FleetEvent>>> read_fleet_events(CommandContext& context,
-                                                                             SubjectFilter filter,
-                                                                             Reason& reason) {
+Awaitable<std::optional<std::vector<declared::control::FleetEvent>>> read_fleet_events(
+    CommandContext& context, SubjectFilter filter, Reason& reason) {
   const TimePoint deadline = context.deadline();
   const auto status = co_await context.client.status(deadline, reason);
   if (!status) co_return std::nullopt;
-  std::vector<control::FleetEvent> events;
+  std::vector<declared::control::FleetEvent> events;
   std::set<NodeName> answered;
   bool any_answer = false;
   const auto endpoints = control_endpoints(context.line, *status);
--- a/src/cli/manifest_files.cpp
+++ b/src/cli/manifest_files.cpp
@@ -52,15 +52,16 @@
 
 }  // namespace
 
-std::optional<std::vector<config::Manifest>> load_manifests(const std::vector<std::string>& paths,
-                                                            Reason& reason) {
-  std::vector<config::Manifest> manifests;
+std::optional<std::vector<declared::config::Manifest>> load_manifests(const std::vector<std::string>& paths,
+                                                                      Reason& reason) {
+  std::vector<declared::config::Manifest> manifests;
   std::string faults;
   for (const auto& file : expand(paths)) {
     const auto text = read_all(file, reason);
     if (!text) return std::nullopt;
     Reason fault;
-    auto parsed = config::parse_manifests(*text, file == kStandardInput ? "standard input" : file, fault);
+    auto parsed =
+        declared::config::parse_manifests(*text, file == kStandardInput ? "standard input" : file, fault);
     if (parsed) {
       std::move(parsed->begin(), parsed->end(), std::back_inserter(manifests));
     } else {
--- a/src/cli/manifest_files.h
+++ b/src/cli/manifest_files.h
@@ -12,7 +12,7 @@
 
 /// `paths`: files, folders (their *.yaml and *.yml files by name, not below) and "-" for standard input.
 /// All faults of all files are in the reason's detail.
-std::optional<std::vector<config::Manifest>> load_manifests(const std::vector<std::string>& paths,
-                                                            Reason& reason);
+std::optional<std::vector<declared::config::Manifest>> load_manifests(const std::vector<std::string>& paths,
+                                                                      Reason& reason);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/member_commands.cpp
+++ b/src/cli/member_commands.cpp
@@ -31,7 +31,7 @@
   const TimePoint deadline = context.deadline();
   const auto status = co_await context.client.status(deadline, reason);
   if (!status) co_return report_failure(context, reason);
-  const auto document = control::to_json(*status);
+  const auto document = declared::control::to_json(*status);
   if (!write_document(context.output, context.line.output, document.at("members"))) {
     context.output << member_table(status->members);
   }
--- a/src/cli/object_tables.cpp
+++ b/src/cli/object_tables.cpp
@@ -15,50 +15,51 @@
 
 using Cells = std::vector<std::string>;
 
-std::string selector_cell(const config::Selector& selector) {
-  const std::string text = config::format_selector(selector);
+std::string selector_cell(const declared::config::Selector& selector) {
+  const std::string text = declared::config::format_selector(selector);
   return text.empty() ? "(all)" : text;
 }
 
 const char* yes_or_no(bool value) { return value ? "yes" : "no"; }
 
-Cells header_of(config::ObjectKind kind) {
+Cells header_of(declared::config::ObjectKind kind) {
   switch (kind) {
-    case config::ObjectKind::kProxy:
-    case config::ObjectKind::kBackend:
+    case declared::config::ObjectKind::kProxy:
+    case declared::config::ObjectKind::kBackend:
       return {"ZONE", "ENDPOINT", "DRAIN"};
-    case config::ObjectKind::kDatabaseGroup:
+    case declared::config::ObjectKind::kDatabaseGroup:
       return {"BACKENDS", "HASH-SLOTS", "CONNECTIONS", "SLOTS"};
-    case config::ObjectKind::kRoute:
+    case declared::config::ObjectKind::kRoute:
       return {"PRECEDENCE", "STATEMENTS", "GROUPS", "REPLICAS", "MAX-STALENESS", "REPLICA-WAIT"};
   }
   return {};
 }
 
-Cells cells_of(const config::ProxySpec& spec) {
+Cells cells_of(const declared::config::ProxySpec& spec) {
   return {spec.zone.value, spec.endpoint.to_string(), yes_or_no(spec.drain)};
 }
 
-Cells cells_of(const config::BackendSpec& spec) {
+Cells cells_of(const declared::config::BackendSpec& spec) {
   return {spec.zone.value, spec.endpoint.to_string(), yes_or_no(spec.drain)};
 }
 
-Cells cells_of(const config::DatabaseGroupSpec& spec) {
+Cells cells_of(const declared::config::DatabaseGroupSpec& spec) {
   return {selector_cell(spec.backend_selector),
           fmt::format("{}-{}", spec.hash_slots.first, spec.hash_slots.last),
           std::to_string(spec.connections_per_backend), std::to_string(spec.slots_per_backend)};
 }
 
-Cells cells_of(const config::RouteSpec& spec) {
+Cells cells_of(const declared::config::RouteSpec& spec) {
   return {std::to_string(spec.precedence),
           selector_cell(spec.statement_selector),
           selector_cell(spec.group_selector),
           spec.replica_reads ? selector_cell(spec.replica_selector) : "(none)",
-          config::format_milliseconds(spec.max_staleness_milliseconds),
-          config::format_milliseconds(spec.replica_wait_milliseconds)};
+          declared::config::format_milliseconds(spec.max_staleness_milliseconds),
+          declared::config::format_milliseconds(spec.replica_wait_milliseconds)};
 }
 
-std::string table_of(config::ObjectKind kind, const std::vector<config::StoredObject>& objects) {
+std::string table_of(declared::config::ObjectKind kind,
+                     const std::vector<declared::config::StoredObject>& objects) {
   Cells header = header_of(kind);
   header.insert(header.begin(), "NAME");
   header.insert(header.end(), {"VERSION", "LABELS"});
@@ -84,9 +85,9 @@
   return text.empty() ? "-" : text;
 }
 
-std::string object_tables(const std::vector<config::StoredObject>& objects) {
+std::string object_tables(const std::vector<declared::config::StoredObject>& objects) {
   std::string text;
-  for (const config::ObjectKind kind : config::kAllKinds) {
+  for (const declared::config::ObjectKind kind : declared::config::kAllKinds) {
     const auto of_kind = [&](const auto& stored) { return stored.object.kind() == kind; };
     if (std::none_of(objects.begin(), objects.end(), of_kind)) continue;
     if (!text.empty()) text += '\n';
--- a/src/cli/object_tables.h
+++ b/src/cli/object_tables.h
@@ -9,7 +9,7 @@
 namespace cairnhollow::cli {
 
 /// One table for objects of one kind; with several kinds a table for each, behind a blank line.
-std::string object_tables(const std::vector<config::StoredObject>& objects);
+std::string object_tables(const std::vector<declared::config::StoredObject>& objects);
 
 /// "zone=kelburn,service=study-records"; "-" for none.
 std::string labels_text(const LabelSet& labels);
--- a/src/cli/operator_client.cpp
+++ b/src/cli/operator_client.cpp
@@ -44,12 +44,12 @@
   return boost::urls::encode(text, boost::urls::unreserved_chars);
 }
 
-std::string objects_target(const config::ObjectQuery& query) {
+std::string objects_target(const declared::config::ObjectQuery& query) {
   boost::urls::url url("/v1/objects");
   auto parameters = url.params();
-  if (query.kind) parameters.append({"kind", config::kind_name(*query.kind)});
+  if (query.kind) parameters.append({"kind", declared::config::kind_name(*query.kind)});
   if (!query.names.empty()) parameters.append({"names", boost::algorithm::join(query.names, ",")});
-  const std::string selector = config::format_selector(query.selector);
+  const std::string selector = declared::config::format_selector(query.selector);
   if (!selector.empty()) parameters.append({"selector", selector});
   return std::string(url.buffer());
 }
@@ -70,14 +70,14 @@
 }
 
 /// A refused change as an outcome: the problem document carries revision and winner.
-std::optional<config::ChangeOutcome> refused_outcome(const boost::json::value& document,
-                                                     const Reason& reason) {
+std::optional<declared::config::ChangeOutcome> refused_outcome(const boost::json::value& document,
+                                                               const Reason& reason) {
   const auto* object = document.if_object();
   if (object == nullptr || !object->contains("revision")) return std::nullopt;
   boost::json::object answer{{"accepted", false}, {"revision", object->at("revision")}};
   if (const auto* winner = object->if_contains("conflicting")) answer["conflicting"] = *winner;
   Reason fault;
-  auto outcome = control::change_outcome_from_json(answer, fault);
+  auto outcome = declared::control::change_outcome_from_json(answer, fault);
   if (outcome) outcome->reason = reason;
   return outcome;
 }
@@ -88,7 +88,7 @@
                                                       const std::string& peer, Reason& reason) {
   Attempt attempt;
   Reason fault;
-  auto document = config::parse_json(response.body, fault);
+  auto document = declared::config::parse_json(response.body, fault);
   if (document) attempt.body = std::move(*document);
   if (response.status < kFirstErrorStatus) {
     attempt.result = document ? AttemptResult::kAnswered : AttemptResult::kTryNext;
@@ -179,54 +179,55 @@
   co_return std::nullopt;
 }
 
-Awaitable<std::optional<config::ChangeOutcome>> OperatorClient::apply(config::ChangeRequest request,
-                                                                      TimePoint deadline, Reason& reason) {
-  ApiCall change{HttpMethod::kPost, "/v1/changes", boost::json::serialize(control::to_json(request)),
-                 Repeat::kSafe};
+Awaitable<std::optional<declared::config::ChangeOutcome>> OperatorClient::apply(
+    declared::config::ChangeRequest request, TimePoint deadline, Reason& reason) {
+  ApiCall change{HttpMethod::kPost, "/v1/changes",
+                 boost::json::serialize(declared::control::to_json(request)), Repeat::kSafe};
   boost::json::value refusal;
   const auto answer = co_await call(std::move(change), deadline, refusal, reason);
-  if (answer) co_return control::change_outcome_from_json(*answer, reason);
+  if (answer) co_return declared::control::change_outcome_from_json(*answer, reason);
   co_return refused_outcome(refusal, reason);
 }
 
-Awaitable<std::optional<control::ObjectList>> OperatorClient::list(config::ObjectQuery query,
-                                                                   TimePoint deadline, Reason& reason) {
+Awaitable<std::optional<declared::control::ObjectList>> OperatorClient::list(
+    declared::config::ObjectQuery query, TimePoint deadline, Reason& reason) {
   ApiCall question;
   question.target = objects_target(query);
   boost::json::value refusal;
   const auto answer = co_await call(std::move(question), deadline, refusal, reason);
-  co_return decode(answer, control::object_list_from_json, reason);
+  co_return decode(answer, declared::control::object_list_from_json, reason);
 }
 
-Awaitable<std::optional<control::FleetStatus>> OperatorClient::status(TimePoint deadline, Reason& reason) {
+Awaitable<std::optional<declared::control::FleetStatus>> OperatorClient::status(TimePoint deadline,
+                                                                                Reason& reason) {
   ApiCall query;
   query.target = "/v1/status";
   boost::json::value refusal;
   const auto answer = co_await call(std::move(query), deadline, refusal, reason);
-  co_return decode(answer, control::fleet_status_from_json, reason);
+  co_return decode(answer, declared::control::fleet_status_from_json, reason);
 }
 
-Awaitable<std::optional<std::vector<control::FleetEvent>>> OperatorClient::events(
+Awaitable<std::optional<std::vector<declared::control::FleetEvent>>> OperatorClient::events(
     std::optional<std::uint64_t> since, std::uint32_t limit, TimePoint deadline, Reason& reason) {
   ApiCall query;
   query.target = fmt::format("/v1/events?limit={}", limit);
   if (since) query.target += fmt::format("&since={}", *since);
   boost::json::value refusal;
   const auto answer = co_await call(std::move(query), deadline, refusal, reason);
-  co_return decode(answer, control::events_from_json, reason);
+  co_return decode(answer, declared::control::events_from_json, reason);
 }
 
-Awaitable<std::optional<control::InForceReport>> OperatorClient::in_force(TimePoint deadline,
-                                                                          Reason& reason) {
+Awaitable<std::optional<declared::control::InForceReport>> OperatorClient::in_force(TimePoint deadline,
+                                                                                    Reason& reason) {
   ApiCall query;
   query.target = "/v1/in-force";
   boost::json::value refusal;
   const auto answer = co_await call(std::move(query), deadline, refusal, reason);
-  co_return decode(answer, control::in_force_report_from_json, reason);
+  co_return decode(answer, declared::control::in_force_report_from_json, reason);
 }
 
 Awaitable<bool> OperatorClient::add_member(consensus::Member member, TimePoint deadline, Reason& reason) {
-  ApiCall change{HttpMethod::kPost, "/v1/members", boost::json::serialize(control::to_json(member)),
+  ApiCall change{HttpMethod::kPost, "/v1/members", boost::json::serialize(declared::control::to_json(member)),
                  Repeat::kUnsafe};
   boost::json::value refusal;
   const auto answer = co_await call(std::move(change), deadline, refusal, reason);
@@ -243,19 +244,19 @@
 Awaitable<bool> OperatorClient::replace_member(std::string lost, consensus::Member replacement,
                                                TimePoint deadline, Reason& reason) {
   ApiCall change{HttpMethod::kPost, fmt::format("/v1/members/{}/replace", percent_encoded(lost)),
-                 boost::json::serialize(control::to_json(replacement)), Repeat::kUnsafe};
+                 boost::json::serialize(declared::control::to_json(replacement)), Repeat::kUnsafe};
   boost::json::value refusal;
   const auto answer = co_await call(std::move(change), deadline, refusal, reason);
   co_return answer.has_value();
 }
 
-Awaitable<std::optional<control::SwitchoverOutcome>> OperatorClient::switchover(
-    control::SwitchoverRequest request, TimePoint deadline, Reason& reason) {
-  ApiCall change{HttpMethod::kPost, "/v1/switchover", boost::json::serialize(control::to_json(request)),
-                 Repeat::kUnsafe};
+Awaitable<std::optional<declared::control::SwitchoverOutcome>> OperatorClient::switchover(
+    declared::control::SwitchoverRequest request, TimePoint deadline, Reason& reason) {
+  ApiCall change{HttpMethod::kPost, "/v1/switchover",
+                 boost::json::serialize(declared::control::to_json(request)), Repeat::kUnsafe};
   boost::json::value refusal;
   const auto answer = co_await call(std::move(change), deadline, refusal, reason);
-  co_return decode(answer, control::switchover_outcome_from_json, reason);
+  co_return decode(answer, declared::control::switchover_outcome_from_json, reason);
 }
 
 }  // namespace cairnhollow::cli
--- a/src/cli/operator_client.h
+++ b/src/cli/operator_client.h
@@ -41,22 +41,21 @@
       : runtime_(runtime), settings_(std::move(settings)) {}
 
   /// Also a refusal by the configuration is an outcome. Every attempt carries the same change id.
-  Awaitable<std::optional<config::ChangeOutcome>> apply(config::ChangeRequest request, TimePoint deadline,
-                                                        Reason& reason);
-  Awaitable<std::optional<control::ObjectList>> list(config::ObjectQuery query, TimePoint deadline,
-                                                     Reason& reason);
-  Awaitable<std::optional<control::FleetStatus>> status(TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<declared::config::ChangeOutcome>> apply(declared::config::ChangeRequest request,
+                                                                  TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<declared::control::ObjectList>> list(declared::config::ObjectQuery query,
+                                                               TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<declared::control::FleetStatus>> status(TimePoint deadline, Reason& reason);
   /// Events of the first control node that answers, oldest first: those next above `since`, or the latest.
-  Awaitable<std::optional<std::vector<control::FleetEvent>>> events(std::optional<std::uint64_t> since,
-                                                                    std::uint32_t limit, TimePoint deadline,
-                                                                    Reason& reason);
-  Awaitable<std::optional<control::InForceReport>> in_force(TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<std::vector<declared::control::FleetEvent>>> events(
+      std::optional<std::uint64_t> since, std::uint32_t limit, TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<declared::control::InForceReport>> in_force(TimePoint deadline, Reason& reason);
   Awaitable<bool> add_member(consensus::Member member, TimePoint deadline, Reason& reason);
   Awaitable<bool> remove_member(std::string node, TimePoint deadline, Reason& reason);
   Awaitable<bool> replace_member(std::string lost, consensus::Member replacement, TimePoint deadline,
                                  Reason& reason);
-  Awaitable<std::optional<control::SwitchoverOutcome>> switchover(control::SwitchoverRequest request,
-                                                                  TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<declared::control::SwitchoverOutcome>> switchover(
+      declared::control::SwitchoverRequest request, TimePoint deadline, Reason& reason);
 
   /// The JSON of a definite answer. Empty with the refusal's reason; `refusal` then holds its problem
   /// document where there is one.
--- a/src/cli/operator_program.cpp
+++ b/src/cli/operator_program.cpp
@@ -56,11 +56,11 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context io_context{1};
-  runtime::AsioRuntimeSettings settings;
+  host::AsioRuntimeSettings settings;
   settings.program = "cairnhollow";
   settings.random_seed = random_seed();
   settings.log_level = runtime::LogLevel::kWarning;
-  const auto runtime = runtime::make_asio_runtime(io_context, settings);
+  const auto runtime = host::make_asio_runtime(io_context, settings);
   OperatorClientSettings client_settings;
   client_settings.servers = parsed->command_line->servers;
   OperatorClient client(*runtime, client_settings);
--- a/src/cli/program.cpp
+++ b/src/cli/program.cpp
@@ -58,14 +58,14 @@
         flags_(flags),
         signals_(context_, SIGTERM, SIGINT),
         reload_(context_, SIGHUP) {
-    runtime::AsioRuntimeSettings settings;
+    host::AsioRuntimeSettings settings;
     settings.program = definition.name;
     settings.node = program.plan.node;
     settings.zone = program.plan.zone;
     settings.data_folder = program.plan.data_folder;
     settings.random_seed = random_seed();
     settings.log_level = program.log_level;
-    runtime_ = runtime::make_asio_runtime(context_, settings);
+    runtime_ = host::make_asio_runtime(context_, settings);
     role_ = program.plan.make_role(*runtime_);
   }
 
--- a/src/cli/read_objects.cpp
+++ b/src/cli/read_objects.cpp
@@ -14,12 +14,13 @@
 /// More names of one kind are not asked for by name: the whole kind is read.
 constexpr std::size_t kMaximumNamesAsked = 100;
 
-std::vector<config::ObjectQuery> queries_for(const std::vector<config::Manifest>& manifests) {
-  std::map<config::ObjectKind, std::vector<std::string>> names;
+std::vector<declared::config::ObjectQuery> queries_for(
+    const std::vector<declared::config::Manifest>& manifests) {
+  std::map<declared::config::ObjectKind, std::vector<std::string>> names;
   for (const auto& manifest : manifests) names[manifest.object.kind()].push_back(manifest.object.name);
-  std::vector<config::ObjectQuery> queries;
+  std::vector<declared::config::ObjectQuery> queries;
   for (auto& [kind, of_kind] : names) {
-    config::ObjectQuery query;
+    declared::config::ObjectQuery query;
     query.kind = kind;
     if (of_kind.size() <= kMaximumNamesAsked) query.names = std::move(of_kind);
     queries.push_back(std::move(query));
@@ -27,7 +28,8 @@
   return queries;
 }
 
-bool all_found(const std::vector<std::string>& names, const control::ObjectList& list, Reason& reason) {
+bool all_found(const std::vector<std::string>& names, const declared::control::ObjectList& list,
+               Reason& reason) {
   std::set<std::string> missing(names.begin(), names.end());
   for (const auto& stored : list.objects) missing.erase(stored.object.name);
   if (missing.empty()) return true;
@@ -39,27 +41,28 @@
 
 }  // namespace
 
-Awaitable<std::optional<control::ObjectList>> read_manifests_objects(
-    CommandContext& context, const std::vector<config::Manifest>& manifests, Reason& reason) {
+Awaitable<std::optional<declared::control::ObjectList>> read_manifests_objects(
+    CommandContext& context, const std::vector<declared::config::Manifest>& manifests, Reason& reason) {
   const TimePoint deadline = context.deadline();
-  std::optional<control::ObjectList> all;
+  std::optional<declared::control::ObjectList> all;
   const auto queries = queries_for(manifests);
   for (const auto& query : queries) {
-    config::ObjectQuery question = query;
+    declared::config::ObjectQuery question = query;
     auto list = co_await context.client.list(std::move(question), deadline, reason);
     if (!list) co_return std::nullopt;
-    if (!all) all = control::ObjectList{list->revision, {}};
+    if (!all) all = declared::control::ObjectList{list->revision, {}};
     all->revision = std::min(all->revision, list->revision);
     std::move(list->objects.begin(), list->objects.end(), std::back_inserter(all->objects));
   }
   co_return all;
 }
 
-Awaitable<std::optional<control::ObjectList>> read_selected_objects(CommandContext& context, Reason& reason) {
-  config::ObjectQuery query;
+Awaitable<std::optional<declared::control::ObjectList>> read_selected_objects(CommandContext& context,
+                                                                              Reason& reason) {
+  declared::config::ObjectQuery query;
   query.kind = context.line.kind;
   if (context.line.names.size() <= kMaximumNamesAsked) query.names = context.line.names;
-  query.selector = context.line.selector.value_or(config::Selector{});
+  query.selector = context.line.selector.value_or(declared::config::Selector{});
   const TimePoint deadline = context.deadline();
   auto list = co_await context.client.list(std::move(query), deadline, reason);
   if (!list || !all_found(context.line.names, *list, reason)) co_return std::nullopt;
--- a/src/cli/read_objects.h
+++ b/src/cli/read_objects.h
@@ -10,10 +10,11 @@
 
 /// The objects in force that the manifests name. `revision` is one that had been reached before any of them
 /// was read.
-Awaitable<std::optional<control::ObjectList>> read_manifests_objects(
-    CommandContext& context, const std::vector<config::Manifest>& manifests, Reason& reason);
+Awaitable<std::optional<declared::control::ObjectList>> read_manifests_objects(
+    CommandContext& context, const std::vector<declared::config::Manifest>& manifests, Reason& reason);
 
 /// The objects of the command line's kind that it names or selects. kNotFound names what is not there.
-Awaitable<std::optional<control::ObjectList>> read_selected_objects(CommandContext& context, Reason& reason);
+Awaitable<std::optional<declared::control::ObjectList>> read_selected_objects(CommandContext& context,
+                                                                              Reason& reason);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/settings_control.cpp
+++ b/src/cli/settings_control.cpp
@@ -20,13 +20,13 @@
   return member;
 }
 
-void check_timeouts(SettingsReader& reader, const control::ControlSettings& settings) {
+void check_timeouts(SettingsReader& reader, const declared::control::ControlSettings& settings) {
   if (settings.heartbeat_interval * kHeartbeatsPerElectionTimeout > settings.election_timeout) {
     reader.report("heartbeat_interval", "must be at most half of election_timeout");
   }
 }
 
-void check_members(SettingsReader& reader, const control::ControlSettings& settings) {
+void check_members(SettingsReader& reader, const declared::control::ControlSettings& settings) {
   const auto& members = settings.initial_members;
   if (settings.join && !members.empty()) {
     reader.report("initial_members", "must be left out when join is true");
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-control::ControlSettings read_control_settings(SettingsReader& reader) {
-  control::ControlSettings settings;
+declared::control::ControlSettings read_control_settings(SettingsReader& reader) {
+  declared::control::ControlSettings settings;
   reader.read("node", settings.node, Presence::kRequired);
   reader.read("zone", settings.zone, Presence::kRequired);
   reader.read("peer_endpoint", settings.peer_endpoint, Presence::kRequired);
--- a/src/cli/settings_control.h
+++ b/src/cli/settings_control.h
@@ -8,6 +8,6 @@
 
 /// Also checks what must hold between settings: heartbeats come well before an election, and a node either
 /// founds the cluster (`initial_members`) or waits to be added (`join`).
-control::ControlSettings read_control_settings(SettingsReader& reader);
+declared::control::ControlSettings read_control_settings(SettingsReader& reader);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/settings_proxy.cpp
+++ b/src/cli/settings_proxy.cpp
@@ -17,7 +17,7 @@
 };
 
 /// A database is decided in one place, and a control process belongs to one domain.
-void check_domain(SettingsReader& item, const proxy::DomainSettings& domain, DomainsSeen& seen) {
+void check_domain(SettingsReader& item, const declared::proxy::DomainSettings& domain, DomainsSeen& seen) {
   if (!domain.name.empty() && !seen.names.insert(domain.name).second) {
     item.report("name", "names a domain twice: " + domain.name.value);
   }
@@ -34,8 +34,8 @@
   }
 }
 
-proxy::DomainSettings read_domain(SettingsReader& item, DomainsSeen& seen) {
-  proxy::DomainSettings domain;
+declared::proxy::DomainSettings read_domain(SettingsReader& item, DomainsSeen& seen) {
+  declared::proxy::DomainSettings domain;
   std::vector<std::string> databases;
   item.read("name", domain.name, Presence::kRequired);
   item.read("control_endpoints", domain.control_endpoints, Presence::kRequired);
@@ -45,7 +45,7 @@
   return domain;
 }
 
-void read_control(SettingsReader& reader, proxy::ProxySettings& settings) {
+void read_control(SettingsReader& reader, declared::proxy::ProxySettings& settings) {
   DomainsSeen seen;
   reader.read_list("domains",
                    [&](SettingsReader& item) { settings.domains.push_back(read_domain(item, seen)); });
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-proxy::ProxySettings read_proxy_settings(SettingsReader& reader) {
-  proxy::ProxySettings settings;
+declared::proxy::ProxySettings read_proxy_settings(SettingsReader& reader) {
+  declared::proxy::ProxySettings settings;
   reader.read("node", settings.node, Presence::kRequired);
   reader.read("zone", settings.zone, Presence::kRequired);
   reader.read("caller_endpoint", settings.caller_endpoint, Presence::kRequired);
--- a/src/cli/settings_proxy.h
+++ b/src/cli/settings_proxy.h
@@ -6,6 +6,6 @@
 
 namespace cairnhollow::cli {
 
-proxy::ProxySettings read_proxy_settings(SettingsReader& reader);
+declared::proxy::ProxySettings read_proxy_settings(SettingsReader& reader);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/settings_registered.cpp
+++ b/src/cli/settings_registered.cpp
@@ -22,8 +22,9 @@
 
 /// Registrations that say nothing new come in on the port after the peers'; it has no key of its own, since
 /// all proxies of a fleet must agree on it.
-void check_registration_port(SettingsReader& reader, const session::SessionProxySettings& settings) {
-  const Endpoint taken = registry::registrations_at(settings.peer_endpoint);
+void check_registration_port(SettingsReader& reader,
+                             const registered::proxy::SessionProxySettings& settings) {
+  const Endpoint taken = registered::registry::registrations_at(settings.peer_endpoint);
   const std::string reason = "is taken: the port after peer_endpoint's is for registrations";
   if (settings.session_endpoint == taken) reader.report("session_endpoint", reason);
   if (settings.readiness_endpoint == taken) reader.report("readiness_endpoint", reason);
@@ -39,8 +40,8 @@
   return choice == 1U ? FleetKind::kRegistered : FleetKind::kDeclared;
 }
 
-session::SessionProxySettings read_session_proxy_settings(SettingsReader& reader) {
-  session::SessionProxySettings settings;
+registered::proxy::SessionProxySettings read_session_proxy_settings(SettingsReader& reader) {
+  registered::proxy::SessionProxySettings settings;
   std::uint32_t control_port = 0;
   reader.read("node", settings.node, Presence::kRequired);
   reader.read("zone", settings.zone, Presence::kRequired);
@@ -72,8 +73,8 @@
   return settings;
 }
 
-control::registered::RegisteredControlSettings read_registered_control_settings(SettingsReader& reader) {
-  control::registered::RegisteredControlSettings settings;
+registered::control::RegisteredControlSettings read_registered_control_settings(SettingsReader& reader) {
+  registered::control::RegisteredControlSettings settings;
   reader.read("node", settings.node, Presence::kRequired);
   reader.read("zone", settings.zone, Presence::kRequired);
   reader.read("peer_endpoint", settings.peer_endpoint, Presence::kRequired);
--- a/src/cli/settings_registered.h
+++ b/src/cli/settings_registered.h
@@ -11,7 +11,7 @@
 enum class FleetKind : std::uint8_t { kDeclared, kRegistered };
 FleetKind read_fleet_kind(SettingsReader& reader);
 
-session::SessionProxySettings read_session_proxy_settings(SettingsReader& reader);
-control::registered::RegisteredControlSettings read_registered_control_settings(SettingsReader& reader);
+registered::proxy::SessionProxySettings read_session_proxy_settings(SettingsReader& reader);
+registered::control::RegisteredControlSettings read_registered_control_settings(SettingsReader& reader);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/status_tables.cpp
+++ b/src/cli/status_tables.cpp
@@ -24,7 +24,7 @@
 /// Milliseconds, rounded down.
 std::string duration_text(Duration duration) { return fmt::format("{}ms", in_ms(duration)); }
 
-std::string state_of(const control::GroupMemberStatus& member) {
+std::string state_of(const declared::control::GroupMemberStatus& member) {
   std::string state = member.reachable ? "reachable" : "unreachable";
   if (member.leaving) state += ", leaving";
   return state;
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::string member_table(const std::vector<control::MemberStatus>& members) {
+std::string member_table(const std::vector<declared::control::MemberStatus>& members) {
   Table table({"CONTROL-NODE", "ZONE", "ROLE", "STATE", "ENDPOINT", "OPERATORS", "IDENTITY"});
   for (const auto& status : members) {
     std::string role = status.member.role == consensus::MemberRole::kVoter ? "voter" : "learner";
@@ -45,7 +45,7 @@
   return table.to_string();
 }
 
-std::string other_node_table(const std::vector<control::OtherControlNode>& nodes) {
+std::string other_node_table(const std::vector<declared::control::OtherControlNode>& nodes) {
   Table table({"RELAY-OR-STANDBY", "STATE", "OPERATORS"});
   for (const auto& other : nodes) {
     table.add({other.node.value, other.reachable ? "reachable" : "unreachable",
@@ -54,7 +54,7 @@
   return table.to_string();
 }
 
-std::string group_table(const std::vector<control::GroupStatus>& groups) {
+std::string group_table(const std::vector<declared::control::GroupStatus>& groups) {
   Table table(
       {"GROUP", "BACKEND", "ZONE", "ROLE", "STATE", "TERM", "APPLIED", "SLOTS", "CONNECTIONS", "PROBLEM"});
   for (const auto& group : groups) {
@@ -73,7 +73,7 @@
   return table.to_string();
 }
 
-std::string proxy_table(const std::vector<control::ProxyStatus>& proxies) {
+std::string proxy_table(const std::vector<declared::control::ProxyStatus>& proxies) {
   Table table({"PROXY", "ZONE", "FOLLOWS", "REVISION", "LEASE-LEFT", "IN-FLIGHT", "STATE"});
   for (const auto& proxy : proxies) {
     std::string state = proxy.lease_left > Duration::zero() ? "serving" : "lease lapsed";
@@ -84,7 +84,7 @@
   return table.to_string();
 }
 
-std::string event_table(const std::vector<control::FleetEvent>& events) {
+std::string event_table(const std::vector<declared::control::FleetEvent>& events) {
   Table table({"TIME", "NODE", "NUMBER", "KIND", "SUBJECT", "MESSAGE", "CAUSE"});
   for (const auto& event : events) {
     table.add({time_text(event.wall_clock_microseconds), event.node.value, std::to_string(event.number),
@@ -94,7 +94,7 @@
   return table.to_string();
 }
 
-std::string status_text(const control::FleetStatus& status, bool every_line) {
+std::string status_text(const declared::control::FleetStatus& status, bool every_line) {
   std::string text = fmt::format(
       "answered by {}, leader {}, consensus term {}, committed {}, revision {}\n\n", status.answered_by.value,
       or_dash(status.leader.value), status.consensus_term, status.commit_index, status.revision);
--- a/src/cli/subject_filter.cpp
+++ b/src/cli/subject_filter.cpp
@@ -4,7 +4,7 @@
 
 namespace cairnhollow::cli {
 
-bool SubjectFilter::selects(const control::GroupStatus& group) const {
+bool SubjectFilter::selects(const declared::control::GroupStatus& group) const {
   if (selects(group.group.value)) return true;
   return std::any_of(group.members.begin(), group.members.end(),
                      [this](const auto& member) { return selects(member.backend.value); });
@@ -15,7 +15,7 @@
   if (!line.selector && line.names.empty()) co_return SubjectFilter{};
   std::set<std::string> names(line.names.begin(), line.names.end());
   if (!line.selector) co_return SubjectFilter{std::move(names)};
-  config::ObjectQuery query;
+  declared::config::ObjectQuery query;
   query.selector = *line.selector;
   const TimePoint deadline = context.deadline();
   const auto list = co_await context.client.list(std::move(query), deadline, reason);
@@ -28,7 +28,7 @@
   co_return SubjectFilter{std::move(names)};
 }
 
-void apply_filter(control::FleetStatus& status, const SubjectFilter& filter) {
+void apply_filter(declared::control::FleetStatus& status, const SubjectFilter& filter) {
   if (filter.selects_all()) return;
   std::erase_if(status.groups, [&](const auto& group) { return !filter.selects(group); });
   std::erase_if(status.proxies, [&](const auto& proxy) { return !filter.selects(proxy.proxy.value); });
--- a/src/cli/subject_filter.h
+++ b/src/cli/subject_filter.h
@@ -20,7 +20,7 @@
   [[nodiscard]] bool selects_all() const { return !names_; }
   [[nodiscard]] bool selects(const std::string& name) const { return !names_ || names_->contains(name); }
   /// A group is selected by its own name or by one of its members.
-  [[nodiscard]] bool selects(const control::GroupStatus& group) const;
+  [[nodiscard]] bool selects(const declared::control::GroupStatus& group) const;
 
  private:
   std::optional<std::set<std::string>> names_;  ///< unset: everything
@@ -32,6 +32,6 @@
 Awaitable<std::optional<SubjectFilter>> read_subject_filter(CommandContext& context, Reason& reason);
 
 /// `status` without the groups and proxies that the filter leaves out.
-void apply_filter(control::FleetStatus& status, const SubjectFilter& filter);
+void apply_filter(declared::control::FleetStatus& status, const SubjectFilter& filter);
 
 }  // namespace cairnhollow::cli
--- a/src/cli/wait_command.cpp
+++ b/src/cli/wait_command.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kPollInterval = std::chrono::milliseconds(100);
 constexpr std::size_t kNamesShown = 5;
 
-std::string names_behind(const control::InForceReport& report) {
+std::string names_behind(const declared::control::InForceReport& report) {
   std::string names;
   for (std::size_t i = 0; i < report.behind.size() && i < kNamesShown; ++i) {
     const auto& proxy = report.behind[i];
@@ -29,7 +29,7 @@
  public:
   explicit Progress(std::ostream& stream) : stream_(stream) {}
 
-  void show(std::uint64_t wanted, const control::InForceReport& report) {
+  void show(std::uint64_t wanted, const declared::control::InForceReport& report) {
     std::string line =
         fmt::format("waiting for revision {}: {} is in force everywhere", wanted, report.least);
     if (!report.behind.empty()) line += "; behind: " + names_behind(report);
--- a/src/declared/backend/admitted_connection.cpp
+++ b/src/declared/backend/admitted_connection.cpp
@@ -1,6 +1,6 @@
 #include "declared/backend/admitted_connection.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 AdmittedConnection::AdmittedConnection(BackendAdmission& admission,
                                        std::shared_ptr<BackendConnection> connection,
@@ -31,7 +31,8 @@
 }
 
 AdmittedConnection::Measurement AdmittedConnection::begin_measurement() const {
-  const bool borrowed = priority_class_ == kUrgentClass && admission_.running_ > admission_.limit_.limit();
+  const bool borrowed =
+      priority_class_ == admission::kUrgentClass && admission_.running_ > admission_.limit_.limit();
   return {admission_.runtime_.now(), admission_.running_, borrowed};
 }
 
@@ -121,4 +122,4 @@
   co_return co_await connection_->resolve(std::move(request), term, deadline, reason);
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/admitted_connection.h
+++ b/src/declared/backend/admitted_connection.h
@@ -4,7 +4,7 @@
 
 #include "declared/backend/backend_admission.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// Holds a permit until its first statement is answered. In a transaction each further statement takes one
 /// again, and is answered Busy when it gets none in time; one that the backend was too busy for did not run,
@@ -59,4 +59,4 @@
   bool has_permit_ = true;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -5,7 +5,7 @@
 #include "declared/backend/admitted_connection.h"
 #include "declared/backend/pool_knobs.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 BackendAdmission::BackendAdmission(runtime::Runtime& runtime, BackendConnector& connector,
                                    BackendName backend)
@@ -98,7 +98,7 @@
   }
   // Only statements that run tell how long one takes now: without them nobody is refused on an estimate.
   if (running_ < limit_.limit()) return true;
-  const AdmissionKey key{request.priority_class, request.deadline, 0};
+  const admission::AdmissionKey key{request.priority_class, request.deadline, 0};
   const auto needed = expected_wait(queue_.ahead_of(key), limit_for(key)) + limit_.expected_latency();
   if (now + needed <= request.deadline) return true;
   ++statistics_.refused_early;
@@ -109,18 +109,18 @@
   return limit_.expected_latency() * static_cast<Duration::rep>(ahead + 1) / at_once;
 }
 
-std::uint32_t BackendAdmission::limit_for(const AdmissionKey& key) const {
+std::uint32_t BackendAdmission::limit_for(const admission::AdmissionKey& key) const {
   return key.is_urgent() ? allowance_.raise(limit_.limit()) : limit_.limit();
 }
 
-bool BackendAdmission::is_pressed(const AdmissionKey& key, std::size_t ahead) const {
+bool BackendAdmission::is_pressed(const admission::AdmissionKey& key, std::size_t ahead) const {
   return latest_start(key.deadline) - runtime_.now() < kPressedWaits * expected_wait(ahead, limit_.limit());
 }
 
 bool BackendAdmission::urgent_is_pressed() const {
   if (queue_.urgent() == 0) return false;
   const auto& entries = queue_.entries();
-  const auto last = std::prev(entries.upper_bound({kUrgentClass, TimePoint::max(), UINT64_MAX}));
+  const auto last = std::prev(entries.upper_bound({admission::kUrgentClass, TimePoint::max(), UINT64_MAX}));
   return is_pressed(entries.begin()->first, 0) || is_pressed(last->first, queue_.urgent() - 1);
 }
 
@@ -132,7 +132,7 @@
   return std::max(kShortestRetryAfter, expected_wait(queue_.size(), limit_.limit()));
 }
 
-bool BackendAdmission::make_room(const AdmissionKey& key) {
+bool BackendAdmission::make_room(const admission::AdmissionKey& key) {
   if (queue_.size() < kQueueLimit) return true;
   const auto last = std::prev(queue_.entries().end());
   ++statistics_.refused_early;
@@ -141,7 +141,7 @@
   Reason reason;
   refuse(ReasonCode::kOverloaded, "more urgent statements fill the queue", reason);
   evicted->refusal = std::move(reason);
-  decide(AdmissionKey(last->first), evicted);
+  decide(admission::AdmissionKey(last->first), evicted);
   return true;
 }
 
@@ -150,14 +150,14 @@
   return false;
 }
 
-void BackendAdmission::cancel(const AdmissionKey& key, const std::shared_ptr<Waiter>& waiter) {
+void BackendAdmission::cancel(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter) {
   if (waiter->decided) return;
   waiter->refusal =
       Reason{ReasonCode::kCancelled, "admit_to_backend", backend_.value, "it is wanted no more"};
   decide(key, waiter);
 }
 
-void BackendAdmission::decide(const AdmissionKey& key, const std::shared_ptr<Waiter>& waiter) {
+void BackendAdmission::decide(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter) {
   waiter->decided = true;
   queue_.erase(key);
   waiter->woken.notify_all();
@@ -239,4 +239,4 @@
   return statistics;
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/backend_admission.h
+++ b/src/declared/backend/backend_admission.h
@@ -13,7 +13,7 @@
 #include "declared/backend/wait_cancellation.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 struct AdmissionRequest {
   std::uint8_t priority_class = 0;  ///< 0 is the most urgent
@@ -75,7 +75,7 @@
     std::optional<Reason> refusal;                  ///< set when refused
     runtime::Signal woken;
   };
-  using Queue = AdmissionQueue<Waiter>;
+  using Queue = admission::AdmissionQueue<Waiter>;
 
   /// Waits for a permit, and for a connection when `connection` is given.
   Awaitable<bool> enter(AdmissionRequest request, std::shared_ptr<BackendConnection>* connection,
@@ -83,19 +83,19 @@
   bool enter_at_once(std::shared_ptr<BackendConnection>* connection);
   bool may_wait(const AdmissionRequest& request, Reason& reason);
   /// Makes room in a full queue for `key`; false when nobody in it is less urgent.
-  bool make_room(const AdmissionKey& key);
+  bool make_room(const admission::AdmissionKey& key);
   void dispatch();
-  void cancel(const AdmissionKey& key, const std::shared_ptr<Waiter>& waiter);
-  void decide(const AdmissionKey& key, const std::shared_ptr<Waiter>& waiter);
+  void cancel(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter);
+  void decide(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter);
   void refuse_all_without_connection(const Reason& reason);
   bool refuse(ReasonCode code, const char* detail, Reason& reason) const;
   [[nodiscard]] std::size_t waiting_for_connection() const;
   [[nodiscard]] Duration expected_wait(std::size_t ahead, std::uint32_t at_once) const;
   /// What may be under way for a statement of this class to be sent or awaited.
-  [[nodiscard]] std::uint32_t limit_for(const AdmissionKey& key) const;
+  [[nodiscard]] std::uint32_t limit_for(const admission::AdmissionKey& key) const;
   /// An urgent statement that waits would be late, or just in time, with the limit alone.
   [[nodiscard]] bool urgent_is_pressed() const;
-  [[nodiscard]] bool is_pressed(const AdmissionKey& key, std::size_t ahead) const;
+  [[nodiscard]] bool is_pressed(const admission::AdmissionKey& key, std::size_t ahead) const;
   /// A statement that starts later is not answered by its deadline: it would only take a slot from one that
   /// is.
   [[nodiscard]] TimePoint latest_start(TimePoint deadline) const;
@@ -113,7 +113,7 @@
   runtime::Runtime& runtime_;
   BackendName backend_;
   ConnectionPool pool_;
-  ConcurrencyLimit limit_;
+  admission::ConcurrencyLimit limit_;
   UrgentAllowance allowance_;
   Queue queue_;
   std::uint32_t running_ = 0;
@@ -122,4 +122,4 @@
   AdmissionStatistics statistics_;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/backend_connection.h
+++ b/src/declared/backend/backend_connection.h
@@ -14,7 +14,7 @@
 #include "runtime/awaitable.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 enum class BackendRole : std::uint8_t { kReplica = 1, kPrimary = 2 };
 
@@ -157,4 +157,4 @@
                                                              TimePoint deadline, Reason& reason) = 0;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/connection_pool.cpp
+++ b/src/declared/backend/connection_pool.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/backend/pool_knobs.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 namespace {
 
@@ -149,4 +149,4 @@
   if (none_left && on_unreachable_) on_unreachable_(reason);
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/connection_pool.h
+++ b/src/declared/backend/connection_pool.h
@@ -11,7 +11,7 @@
 #include "declared/backend/pool_share.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// Counters since the start, and what is held now.
 struct PoolStatistics {
@@ -86,4 +86,4 @@
   std::function<void(const Reason&)> on_unreachable_;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/contract_answers.cpp
+++ b/src/declared/backend/contract_answers.cpp
@@ -4,7 +4,7 @@
 #include "declared/backend/contract_codec.h"
 #include "declared/backend/json_values.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 namespace json = boost::json;
 
@@ -257,4 +257,4 @@
 template std::optional<DoneAnswer> decode_answer(const std::string&, const std::optional<RequestId>&,
                                                  Reason&);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/contract_calls.cpp
+++ b/src/declared/backend/contract_calls.cpp
@@ -3,7 +3,7 @@
 #include "declared/backend/contract_codec.h"
 #include "declared/backend/json_values.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 namespace json = boost::json;
 
@@ -141,4 +141,4 @@
 template std::optional<FollowCall> decode_call(const std::string&, TimePoint, Reason&);
 template std::optional<ResolveCall> decode_call(const std::string&, TimePoint, Reason&);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/contract_codec.h
+++ b/src/declared/backend/contract_codec.h
@@ -9,7 +9,7 @@
 #include "base/types.h"
 #include "declared/backend/backend_connection.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// Header that carries the exchange's number; an answer must echo it.
 inline constexpr const char* kExchangeHeader = "x-exchange-id";
@@ -103,4 +103,4 @@
 std::optional<Answer> decode_answer(const std::string& body, const std::optional<RequestId>& request,
                                     Reason& reason);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/http_backend.cpp
+++ b/src/declared/backend/http_backend.cpp
@@ -6,7 +6,7 @@
 
 #include "declared/backend/contract_codec.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 namespace {
 
@@ -241,4 +241,4 @@
   return std::make_unique<HttpBackendConnector>(runtime, purpose);
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/http_backend.h
+++ b/src/declared/backend/http_backend.h
@@ -6,7 +6,7 @@
 #include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// What a connection is for. A database counts only statement connections against its connection limit,
 /// so that a full primary still answers probes and failover calls.
@@ -20,4 +20,4 @@
 std::unique_ptr<BackendConnector> make_http_backend_connector(
     runtime::Runtime& runtime, ConnectionPurpose purpose = ConnectionPurpose::kStatements);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/json_values.cpp
+++ b/src/declared/backend/json_values.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 namespace json = boost::json;
 
@@ -117,4 +117,4 @@
   return std::move(value.as_object());
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/json_values.h
+++ b/src/declared/backend/json_values.h
@@ -10,7 +10,7 @@
 #include "base/reason.h"
 #include "base/types.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 boost::json::value write_json(const Position& position);
 boost::json::value write_json(const RequestId& request);
@@ -32,4 +32,4 @@
 /// Parses `text` as one object; throws std::exception when it is none.
 boost::json::object parse_object(const std::string& text);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/pool_knobs.h
+++ b/src/declared/backend/pool_knobs.h
@@ -6,7 +6,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 // Admission.
 /// Statements that wait for one backend at most; beyond it the least urgent one is refused.
@@ -38,4 +38,4 @@
 /// Pools are looked after this often, besides when something happens.
 inline constexpr Duration kPoolCheckInterval = std::chrono::milliseconds(500);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/pool_share.cpp
+++ b/src/declared/backend/pool_share.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/backend/pool_knobs.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 std::uint32_t connection_share(const BackendCapacity& capacity) {
   const auto proxies = std::max(1U, capacity.proxies_serving);
@@ -22,4 +22,4 @@
   return std::min(connection_share(capacity), std::max(kWarmConnections, slot_share(capacity)));
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/pool_share.h
+++ b/src/declared/backend/pool_share.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// What a group declares for each of its backends, and how many proxies serve it.
 struct BackendCapacity {
@@ -21,4 +21,4 @@
 /// The connections opened ahead of need; none when there are more proxies than connections.
 std::uint32_t warm_connections(const BackendCapacity& capacity);
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/urgent_allowance.h
+++ b/src/declared/backend/urgent_allowance.h
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cstdint>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 class UrgentAllowance {
  public:
@@ -29,4 +29,4 @@
   std::uint32_t allowance_ = 1;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/wait_cancellation.h
+++ b/src/declared/backend/wait_cancellation.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <utility>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// Belongs to one request and outlives its wait. Used on one thread, as the wait itself.
 class WaitCancellation {
@@ -20,4 +20,4 @@
   std::function<void()> end_wait_;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/src/declared/config/change_history.cpp
+++ b/src/declared/config/change_history.cpp
@@ -1,6 +1,6 @@
 #include "declared/config/change_history.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 void ChangeHistory::record(std::uint64_t revision, std::vector<ObjectKey> touched) {
   last_revision_ = revision;
@@ -24,4 +24,4 @@
   return keys;
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/change_history.h
+++ b/src/declared/config/change_history.h
@@ -11,7 +11,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Bounded: keeps the latest kMaximumRevisions revisions and, of them, at most about kMaximumKeys keys.
 /// Holds keys only; the content of an object is what is in force now.
@@ -36,4 +36,4 @@
   std::deque<std::vector<ObjectKey>> touched_;  ///< one entry a revision, the last one at the back
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/change_memory.cpp
+++ b/src/declared/config/change_memory.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 const RememberedChange* ChangeMemory::find(const std::string& change_id) const {
   const auto found = changes_.find(change_id);
@@ -33,4 +33,4 @@
   return fmt::format("{} (change {})", author.empty() ? "an unnamed operator" : author, id);
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/change_memory.h
+++ b/src/declared/config/change_memory.h
@@ -12,7 +12,7 @@
 
 #include "declared/config/change_outcome.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// 128 bits of hash over a whole request, so that two different requests never look like a resend of one.
 struct ChangeFingerprint {
@@ -66,4 +66,4 @@
   std::uint64_t forgotten_up_to_ = 0;  ///< the changes of this revision and of those below are forgotten
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/change_outcome.h
+++ b/src/declared/config/change_outcome.h
@@ -9,7 +9,7 @@
 #include "base/reason.h"
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Writes or deletes one object.
 struct ObjectChange {
@@ -51,4 +51,4 @@
   }
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/changes.h
+++ b/src/declared/config/changes.h
@@ -5,7 +5,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Objects changed after the revision asked for, in order of revision.
 struct ConfigChanges {
@@ -28,4 +28,4 @@
   }
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/document.cpp
+++ b/src/declared/config/document.cpp
@@ -1,6 +1,6 @@
 #include "declared/config/document.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 DocumentNode DocumentNode::mapping() {
   DocumentNode node;
@@ -42,4 +42,4 @@
 
 bool DocumentNode::is_scalar() const { return type != Type::kMapping && type != Type::kSequence; }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/document.h
+++ b/src/declared/config/document.h
@@ -9,7 +9,7 @@
 
 #include "base/reason.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 struct DocumentEntry;
 
@@ -52,4 +52,4 @@
 /// One YAML document without a leading "---"; ends with a newline.
 std::string to_yaml(const DocumentNode& node);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_json.cpp
+++ b/src/declared/config/document_json.cpp
@@ -6,7 +6,7 @@
 
 #include "declared/config/document.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 std::optional<boost::json::value> parse_json(const std::string& text, Reason& reason) {
   boost::json::parse_options options;
@@ -79,4 +79,4 @@
   return nullptr;
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_reader.cpp
+++ b/src/declared/config/document_reader.cpp
@@ -6,7 +6,7 @@
 #include <charconv>
 #include <limits>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -127,4 +127,4 @@
   }
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_reader.h
+++ b/src/declared/config/document_reader.h
@@ -10,7 +10,7 @@
 #include "base/reason.h"
 #include "declared/config/document.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Faults of one text, in the order found.
 class FaultList {
@@ -60,4 +60,4 @@
 /// Text of a string or unquoted scalar; empty for another type.
 std::optional<std::string> scalar_text(const DocumentNode& node);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_yaml.cpp
+++ b/src/declared/config/document_yaml.cpp
@@ -12,7 +12,7 @@
 
 #include "declared/config/document.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -239,4 +239,4 @@
   return std::string(emitter.c_str()) + "\n";
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/duration_text.cpp
+++ b/src/declared/config/duration_text.cpp
@@ -7,7 +7,7 @@
 #include <limits>
 #include <string_view>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -43,4 +43,4 @@
   return fmt::format("{}ms", milliseconds);
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/duration_text.h
+++ b/src/declared/config/duration_text.h
@@ -5,11 +5,11 @@
 #include <optional>
 #include <string>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Milliseconds; empty for another form or when the value does not fit.
 std::optional<std::uint64_t> parse_milliseconds(const std::string& text);
 /// In the largest unit that needs no fraction.
 std::string format_milliseconds(std::uint64_t milliseconds);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/label_index.cpp
+++ b/src/declared/config/label_index.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 std::vector<LabelRequirement> requirements_of(const Selector& selector) {
   std::vector<LabelRequirement> requirements;
@@ -134,4 +134,4 @@
   return selecting;
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/label_index.h
+++ b/src/declared/config/label_index.h
@@ -11,7 +11,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 struct OrderByName {
   bool operator()(const StoredObject* left, const StoredObject* right) const {
@@ -82,4 +82,4 @@
   ObjectSet unconditional_;
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/manifest.cpp
+++ b/src/declared/config/manifest.cpp
@@ -8,7 +8,7 @@
 #include "declared/config/object_names.h"
 #include "declared/config/selector_text.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -207,4 +207,4 @@
   return std::nullopt;
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/manifest.h
+++ b/src/declared/config/manifest.h
@@ -12,7 +12,7 @@
 #include "declared/config/document.h"
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// One object as it was written.
 struct Manifest {
@@ -38,4 +38,4 @@
 boost::json::value to_json(const Object& object);
 boost::json::value to_json(const StoredObject& stored);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/manifest_writer.cpp
+++ b/src/declared/config/manifest_writer.cpp
@@ -4,7 +4,7 @@
 #include "declared/config/object_names.h"
 #include "declared/config/selector_text.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -98,4 +98,4 @@
 
 boost::json::value to_json(const StoredObject& stored) { return to_json(to_document(stored)); }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/object_names.cpp
+++ b/src/declared/config/object_names.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 std::string_view kind_name(ObjectKind kind) {
   switch (kind) {
@@ -27,4 +27,4 @@
 
 std::string to_string(const ObjectKey& key) { return fmt::format("{}/{}", kind_name(key.kind), key.name); }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/object_names.h
+++ b/src/declared/config/object_names.h
@@ -7,7 +7,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 inline constexpr ObjectKind kAllKinds[] = {ObjectKind::kProxy, ObjectKind::kBackend,
                                            ObjectKind::kDatabaseGroup, ObjectKind::kRoute};
@@ -19,4 +19,4 @@
 /// "Backend/study-records-1-kelburn".
 std::string to_string(const ObjectKey& key);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/object_query.h
+++ b/src/declared/config/object_query.h
@@ -7,7 +7,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Objects that meet every part that is given.
 struct ObjectQuery {
@@ -16,4 +16,4 @@
   Selector selector;
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/object_store.cpp
+++ b/src/declared/config/object_store.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -93,4 +93,4 @@
   }
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/object_store.h
+++ b/src/declared/config/object_store.h
@@ -8,7 +8,7 @@
 #include "declared/config/label_index.h"
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// The objects in force, by kind, then name.
 using ObjectTable = std::map<ObjectKey, StoredObject>;
@@ -66,4 +66,4 @@
   SelectorIndex routes_by_group_;
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/objects.h
+++ b/src/declared/config/objects.h
@@ -10,7 +10,7 @@
 #include "base/types.h"
 #include "wire/format.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 enum class ObjectKind : std::uint8_t { kProxy = 1, kBackend = 2, kDatabaseGroup = 3, kRoute = 4 };
 
@@ -160,4 +160,4 @@
   }
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/relations.cpp
+++ b/src/declared/config/relations.cpp
@@ -6,7 +6,7 @@
 #include "declared/config/object_names.h"
 #include "declared/config/validation.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -128,4 +128,4 @@
   return validator.take_faults();
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/selector.cpp
+++ b/src/declared/config/selector.cpp
@@ -2,7 +2,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -38,4 +38,4 @@
          std::all_of(match_expressions.begin(), match_expressions.end(), expression_holds);
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/selector_text.cpp
+++ b/src/declared/config/selector_text.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/algorithm/string.hpp>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -140,4 +140,4 @@
   return boost::algorithm::join(clauses, ",");
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/selector_text.h
+++ b/src/declared/config/selector_text.h
@@ -8,7 +8,7 @@
 #include "base/reason.h"
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// "In", "NotIn", "Exists" or "DoesNotExist".
 std::string_view selector_operator_name(SelectorOperator op);
@@ -20,4 +20,4 @@
 /// The reverse of parse_selector(); "" for the empty selector.
 std::string format_selector(const Selector& selector);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/state_machine.cpp
+++ b/src/declared/config/state_machine.cpp
@@ -9,7 +9,7 @@
 #include "declared/config/object_names.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -263,4 +263,4 @@
   return true;
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/state_machine.h
+++ b/src/declared/config/state_machine.h
@@ -15,7 +15,7 @@
 #include "declared/config/validation.h"
 #include "wire/format.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Deterministic; holds no clock and no randomness. A change costs what it touches, not the whole
 /// configuration. Every accepted change raises the revision by one, also
@@ -61,4 +61,4 @@
   ChangeMemory memory_;
 };
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/validation.cpp
+++ b/src/declared/config/validation.cpp
@@ -7,7 +7,7 @@
 
 #include "declared/config/object_names.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -165,4 +165,4 @@
   return Reason{ReasonCode::kInvalidArgument, "validate_change", "", detail};
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/config/validation.h
+++ b/src/declared/config/validation.h
@@ -9,7 +9,7 @@
 #include "declared/config/object_store.h"
 #include "declared/config/objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 // Limits of single fields; docs/MANIFESTS.md lists them for operators.
 inline constexpr std::size_t kMaximumNameLength = 63;
@@ -47,4 +47,4 @@
 /// kInvalidArgument with all faults, sorted, in its detail (long lists are cut with their count).
 Reason reason_for_faults(std::vector<FieldFault> faults);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/src/declared/control/control_core.cpp
+++ b/src/declared/control/control_core.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/backend/http_backend.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -93,4 +93,4 @@
   return message;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/control_core.h
+++ b/src/declared/control/control_core.h
@@ -13,7 +13,7 @@
 #include "declared/control/settings.h"
 #include "wire/connection_dispatcher.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// What it refers to outlives it; it lives until the process ends.
 class ControlCore {
@@ -30,7 +30,7 @@
   /// The last part of a stop: the others are told until then.
   void stop_news() { news_.stop(); }
 
-  ConnectionDispatcher& dispatcher() { return dispatcher_; }
+  wire::ConnectionDispatcher& dispatcher() { return dispatcher_; }
   NewsDirectory& directory() { return directory_; }
   NewsExchange& news() { return news_; }
   EventLog& events() { return events_; }
@@ -53,7 +53,7 @@
   GroupSupervision groups_;
   FollowServer follow_server_;
   PlatformPoller platform_;
-  ConnectionDispatcher dispatcher_;
+  wire::ConnectionDispatcher dispatcher_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/control_node.cpp
+++ b/src/declared/control/control_node.cpp
@@ -14,7 +14,7 @@
 #include "declared/control/relay_node.h"
 #include "declared/control/voter_repair.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -160,4 +160,4 @@
   return std::make_unique<ControlNode>(runtime, std::move(settings));
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/control_node.h
+++ b/src/declared/control/control_node.h
@@ -7,9 +7,9 @@
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Creates a control node on `runtime`, which outlives it.
 std::unique_ptr<runtime::Role> make_control_node(runtime::Runtime& runtime, ControlSettings settings);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_messages.cpp
+++ b/src/declared/control/failover/failover_messages.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 std::string failover_started_message(const GroupObservation& observation, FailoverCause cause,
                                      Duration held) {
@@ -45,4 +45,4 @@
       in_ms(attempt.next_after));
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_messages.h
+++ b/src/declared/control/failover/failover_messages.h
@@ -5,7 +5,7 @@
 
 #include "declared/control/failover/failover_run.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// `held`: how long the cause had lasted before the failover was begun.
 std::string failover_started_message(const GroupObservation& observation, FailoverCause cause, Duration held);
@@ -24,4 +24,4 @@
 };
 std::string failover_failed_message(const FailedAttempt& attempt, FailoverCause cause);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_rules.cpp
+++ b/src/declared/control/failover/failover_rules.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -181,4 +181,4 @@
   return best->member;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_rules.h
+++ b/src/declared/control/failover/failover_rules.h
@@ -10,7 +10,7 @@
 #include "declared/control/failover/group_definition.h"
 #include "declared/follow/messages.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// How long conditions must last before they are acted on.
 struct FailoverLimits {
@@ -94,4 +94,4 @@
 std::optional<GroupMember> choose_candidate(const std::vector<FenceGrant>& grants,
                                             const CandidatePreference& preference);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_run.cpp
+++ b/src/declared/control/failover/failover_run.cpp
@@ -6,7 +6,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 FailoverRun::FailoverRun(runtime::Runtime& runtime, backend::BackendConnector& connector, FailoverPlan plan)
     : runtime_(runtime),
@@ -202,4 +202,4 @@
                      [](const auto& each) { return !each->asked || each->answered; });
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_run.h
+++ b/src/declared/control/failover/failover_run.h
@@ -15,7 +15,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct FailoverPlan {
   GroupDefinition definition;
@@ -98,4 +98,4 @@
   std::function<void(const FenceResult&)> on_fenced_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_definition.cpp
+++ b/src/declared/control/failover/group_definition.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/config/label_index.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -48,4 +48,4 @@
   return definitions;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_definition.h
+++ b/src/declared/control/failover/group_definition.h
@@ -7,7 +7,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct GroupMember {
   BackendName backend;
@@ -31,4 +31,4 @@
 /// More than half of `members`.
 constexpr std::size_t majority_of(std::size_t members) { return members / 2 + 1; }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -7,7 +7,7 @@
 #include "declared/control/failover/failover_messages.h"
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -391,4 +391,4 @@
   return statuses;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_monitor.h
+++ b/src/declared/control/failover/group_monitor.h
@@ -14,7 +14,7 @@
 #include "declared/control/news/news_directory.h"
 #include "declared/control/operator/event_log.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// What all monitors of a node share; outlives them.
 struct MonitorServices {
@@ -112,4 +112,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_supervision.cpp
+++ b/src/declared/control/failover/group_supervision.cpp
@@ -5,7 +5,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 GroupSupervision::GroupSupervision(MonitorServices& services, ConfigView& configuration,
                                    const PeerDirectory& peers)
@@ -258,4 +258,4 @@
   for (const auto& [group, monitor] : monitors_) monitor->update_interval();
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_supervision.h
+++ b/src/declared/control/failover/group_supervision.h
@@ -15,7 +15,7 @@
 #include "declared/control/news/peer_directory.h"
 #include "declared/control/operator/operator_sources.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// What it refers to outlives it; it lives until the process ends.
 class GroupSupervision : public GroupStatusSource, public SwitchoverExecutor {
@@ -84,4 +84,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/member_probe.cpp
+++ b/src/declared/control/failover/member_probe.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 MemberProbe::MemberProbe(runtime::Runtime& runtime, backend::BackendConnector& connector,
                          MemberProbeSettings settings, GroupMember member, std::function<void()> on_result)
@@ -116,4 +116,4 @@
   on_result_();
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/member_probe.h
+++ b/src/declared/control/failover/member_probe.h
@@ -10,7 +10,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct MemberProbeSettings {
   GroupName group;
@@ -65,4 +65,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/node_health.cpp
+++ b/src/declared/control/failover/node_health.cpp
@@ -1,6 +1,6 @@
 #include "declared/control/failover/node_health.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 NodeHealth::NodeHealth(runtime::Runtime& runtime, const ConfigView& configuration,
                        const FollowServer& followers, const GroupSupervision& groups,
@@ -57,4 +57,4 @@
   return metrics.render();
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/node_health.h
+++ b/src/declared/control/failover/node_health.h
@@ -8,7 +8,7 @@
 #include "declared/control/operator/operator_sources.h"
 #include "runtime/metrics.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// What it refers to outlives it.
 class NodeHealth : public NodeHealthSource {
@@ -36,4 +36,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/supervisor_choice.cpp
+++ b/src/declared/control/failover/supervisor_choice.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -35,4 +35,4 @@
   return nodes;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/supervisor_choice.h
+++ b/src/declared/control/failover/supervisor_choice.h
@@ -6,9 +6,9 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// The nodes in the order in which they take a group; the first one supervises it.
 std::vector<NodeName> supervisor_order(const GroupName& group, std::vector<NodeName> nodes);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/supervisor_table.cpp
+++ b/src/declared/control/failover/supervisor_table.cpp
@@ -5,7 +5,7 @@
 #include "declared/control/failover/supervisor_choice.h"
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 bool SupervisorTable::set_able(std::map<NodeName, std::vector<GroupName>> able) {
   if (able == able_) return false;
@@ -58,4 +58,4 @@
   return assignment;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/supervisor_table.h
+++ b/src/declared/control/failover/supervisor_table.h
@@ -9,7 +9,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct Assignment {
   NodeName supervisor;
@@ -44,4 +44,4 @@
   std::unordered_map<GroupName, Order> orders_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/batch_history.cpp
+++ b/src/declared/control/follow/batch_history.cpp
@@ -1,6 +1,6 @@
 #include "declared/control/follow/batch_history.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 void BatchHistory::restart(std::uint64_t revision) {
   known_from_ = revision;
@@ -30,4 +30,4 @@
   return touched;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/batch_history.h
+++ b/src/declared/control/follow/batch_history.h
@@ -10,7 +10,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Bounded: old batches are dropped once more than kMaximumKeys objects are named.
 class BatchHistory {
@@ -36,4 +36,4 @@
   std::size_t key_count_ = 0;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/change_command.cpp
+++ b/src/declared/control/follow/change_command.cpp
@@ -4,7 +4,7 @@
 
 #include "wire/codec.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 std::optional<std::string> encode_change(const config::ChangeRequest& request, wire::Format feature_level,
                                          Reason& reason) {
@@ -18,4 +18,4 @@
   return std::nullopt;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/change_command.h
+++ b/src/declared/control/follow/change_command.h
@@ -8,11 +8,11 @@
 #include "declared/config/change_outcome.h"
 #include "wire/format.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Written in the format `feature_level`. Empty with kUnsupported when the change says something that the
 /// format can't hold: voters of an earlier build would drop it, and their configuration would be another one.
 std::optional<std::string> encode_change(const config::ChangeRequest& request, wire::Format feature_level,
                                          Reason& reason);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/config_replica.cpp
+++ b/src/declared/control/follow/config_replica.cpp
@@ -3,7 +3,7 @@
 #include "declared/control/knobs.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 void ConfigReplica::apply(std::uint64_t index, const std::string& command) {
   Reason reason;
@@ -50,4 +50,4 @@
   return revision;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/config_replica.h
+++ b/src/declared/control/follow/config_replica.h
@@ -12,7 +12,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Applies committed ChangeRequests and remembers when and with what outcome. `runtime` outlives it.
 class ConfigReplica : public consensus::ReplicatedStateMachine, public ConfigView {
@@ -55,4 +55,4 @@
   runtime::Signal changed_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/config_view.h
+++ b/src/declared/control/follow/config_view.h
@@ -10,7 +10,7 @@
 #include "runtime/signal.h"
 #include "wire/format.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 class ConfigView {
  public:
@@ -26,4 +26,4 @@
   virtual runtime::Signal& changed() = 0;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -5,7 +5,7 @@
 #include "declared/control/knobs.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 FollowServer::FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
                            ConfigView& configuration, NewsDirectory& directory)
@@ -266,4 +266,4 @@
   }
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -19,7 +19,7 @@
 #include "runtime/runtime.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Counters since the start.
 struct FollowServerStatistics {
@@ -126,4 +126,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/followed_config.cpp
+++ b/src/declared/control/follow/followed_config.cpp
@@ -1,6 +1,6 @@
 #include "declared/control/follow/followed_config.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 void FollowedConfig::note_answer(const follow::AnswerEffect& effect) {
   if (!effect.configuration) return;
@@ -36,4 +36,4 @@
   return changes;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/followed_config.h
+++ b/src/declared/control/follow/followed_config.h
@@ -7,7 +7,7 @@
 #include "declared/control/follow/renewal_barrier.h"
 #include "declared/follow/follow_client.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// `client` and `runtime` outlive it.
 class FollowedConfig : public ConfigView {
@@ -46,4 +46,4 @@
   follow::FollowClient& client_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/follower_registry.cpp
+++ b/src/declared/control/follow/follower_registry.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 Duration lease_with_drift(Duration serving_lease) {
   return serving_lease + serving_lease / kClockDriftDivisor;
@@ -53,4 +53,4 @@
   return least;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/follower_registry.h
+++ b/src/declared/control/follow/follower_registry.h
@@ -9,7 +9,7 @@
 #include "base/types.h"
 #include "declared/follow/messages.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct FollowerStatus {
   NodeName node;
@@ -46,4 +46,4 @@
 /// How long after a question's arrival its lease has lapsed on the proxy's clock too, which may be slower.
 Duration lease_with_drift(Duration serving_lease);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/renewal_barrier.h
+++ b/src/declared/control/follow/renewal_barrier.h
@@ -4,7 +4,7 @@
 
 #include "consensus/consensus.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 class RenewalBarrier {
  public:
@@ -27,4 +27,4 @@
   consensus::Consensus& consensus_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/update_encoder.cpp
+++ b/src/declared/control/follow/update_encoder.cpp
@@ -3,7 +3,7 @@
 #include "declared/follow/messages.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 const std::string& UpdateEncoder::update_since(std::uint64_t revision, std::uint64_t news_version) {
   const Place present{configuration_.revision(), directory_.version()};
@@ -37,4 +37,4 @@
   return wire::encode_from(update, configuration_.feature_level());
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/update_encoder.h
+++ b/src/declared/control/follow/update_encoder.h
@@ -9,7 +9,7 @@
 #include "declared/control/follow/config_view.h"
 #include "declared/control/news/news_directory.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// `configuration` and `directory` outlive it.
 class UpdateEncoder {
@@ -40,4 +40,4 @@
   std::uint64_t encoded_ = 0;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/knobs.h
+++ b/src/declared/control/knobs.h
@@ -6,7 +6,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 // Follow server.
 /// Held questions are looked at this often, so that renewals share a quorum round.
@@ -114,4 +114,4 @@
 // Events.
 inline constexpr std::size_t kEventsKept = 2000;
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/machines/machine_list.cpp
+++ b/src/declared/control/machines/machine_list.cpp
@@ -6,7 +6,7 @@
 
 #include "declared/config/document.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -63,4 +63,4 @@
   return leaving;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/machines/machine_list.h
+++ b/src/declared/control/machines/machine_list.h
@@ -9,7 +9,7 @@
 
 #include "base/reason.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 enum class MachineState : std::uint8_t { kLive = 1, kLeaving = 2 };
 
@@ -24,4 +24,4 @@
 std::set<std::string> leaving_machines(const std::set<std::string>& leaving_before,
                                        const MachineStates& listed);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/machines/platform_poller.cpp
+++ b/src/declared/control/machines/platform_poller.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -87,4 +87,4 @@
   answering_ = false;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/machines/platform_poller.h
+++ b/src/declared/control/machines/platform_poller.h
@@ -9,7 +9,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// While the platform does not answer, the last list holds. What it refers to outlives it; it lives until the
 /// process ends.
@@ -39,4 +39,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/news_directory.cpp
+++ b/src/declared/control/news/news_directory.cpp
@@ -1,6 +1,6 @@
 #include "declared/control/news/news_directory.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 bool NewsDirectory::learn(const follow::GroupState& state) {
   if (!follow::accept_group_state(groups_, state)) return false;
@@ -31,4 +31,4 @@
   return changed;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/news_directory.h
+++ b/src/declared/control/news/news_directory.h
@@ -13,7 +13,7 @@
 #include "declared/follow/serving_configuration.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Every change gets a version number of this process; followers ask for what is newer than theirs.
 class NewsDirectory {
@@ -41,4 +41,4 @@
   runtime::Signal changed_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/news_exchange.cpp
+++ b/src/declared/control/news/news_exchange.cpp
@@ -5,7 +5,7 @@
 #include "declared/control/knobs.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 NewsExchange::NewsExchange(runtime::Runtime& runtime, wire::Hello hello, Endpoint self,
                            NewsDirectory& directory, std::function<NewsMessage()> describe)
@@ -161,4 +161,4 @@
   peers_.note_message(std::move(message), runtime_.now());
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/news_exchange.h
+++ b/src/declared/control/news/news_exchange.h
@@ -13,7 +13,7 @@
 #include "runtime/signal.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Keeps one outgoing connection to each other control node that it is told of, and opens it again when
 /// it breaks. What it refers to outlives it; it lives until the process ends.
@@ -77,4 +77,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/news_messages.h
+++ b/src/declared/control/news/news_messages.h
@@ -10,7 +10,7 @@
 #include "consensus/consensus.h"
 #include "declared/follow/messages.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Sent at every interval and at once on news, in one direction: each node opens a connection to each
 /// other one. The first message on a connection names every group known, later ones what changed.
@@ -33,4 +33,4 @@
   }
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/peer_directory.cpp
+++ b/src/declared/control/news/peer_directory.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 bool Peer::alive(TimePoint now) const { return now < heard_at + kPeerSilenceLimit; }
 
@@ -38,4 +38,4 @@
   return able;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/peer_directory.h
+++ b/src/declared/control/news/peer_directory.h
@@ -7,7 +7,7 @@
 
 #include "declared/control/news/news_messages.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct Peer {
   NewsMessage last_message;  ///< its `groups`, `suspects` and `known_nodes` are taken out
@@ -30,4 +30,4 @@
   std::map<NodeName, Peer> peers_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/drain_events.cpp
+++ b/src/declared/control/operator/drain_events.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -44,4 +44,4 @@
   return events;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/drain_events.h
+++ b/src/declared/control/operator/drain_events.h
@@ -6,7 +6,7 @@
 #include "declared/config/state_machine.h"
 #include "declared/control/operator/operator_service.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 inline constexpr std::size_t kDrainEventsPerChange = 20;
 
@@ -31,4 +31,4 @@
   std::vector<Drain> drains_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/event_log.cpp
+++ b/src/declared/control/operator/event_log.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 std::vector<FleetEvent> EventLog::events_since(std::uint64_t since, std::uint32_t limit) const {
   const auto first = std::find_if(events_.begin(), events_.end(),
@@ -38,4 +38,4 @@
   record(std::move(event));
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/event_log.h
+++ b/src/declared/control/operator/event_log.h
@@ -8,7 +8,7 @@
 #include "declared/control/operator/operator_sources.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Keeps the last kEventsKept events. `runtime` outlives it.
 class EventLog : public EventSource {
@@ -28,4 +28,4 @@
   std::uint64_t next_number_ = 1;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/fleet_status.cpp
+++ b/src/declared/control/operator/fleet_status.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 std::vector<ProxyStatus> proxy_status(const FollowerRegistry& registry, const PeerDirectory& peers,
                                       const NodeName& control_node, TimePoint now) {
@@ -72,4 +72,4 @@
 
 Duration FleetStatusSource::longest_lease() const { return lease_with_drift(serving_lease_); }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/fleet_status.h
+++ b/src/declared/control/operator/fleet_status.h
@@ -5,7 +5,7 @@
 #include "declared/control/news/news_exchange.h"
 #include "declared/control/operator/operator_sources.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// The proxies among a node's followers, by name; relays, which send news, are left out.
 std::vector<ProxyStatus> proxy_status(const FollowerRegistry& registry, const PeerDirectory& peers,
@@ -44,4 +44,4 @@
   const consensus::Consensus& consensus_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_api.cpp
+++ b/src/declared/control/operator/operator_api.cpp
@@ -15,7 +15,7 @@
 #include "http/problem.h"
 #include "http/request_target.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -352,4 +352,4 @@
   return std::make_unique<OperatorApi>(runtime, service);
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_api.h
+++ b/src/declared/control/operator/operator_api.h
@@ -8,9 +8,9 @@
 #include "runtime/http.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// `service` and `runtime` outlive the handler.
 std::unique_ptr<runtime::HttpHandler> make_operator_api(runtime::Runtime& runtime, OperatorService& service);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_json.h
+++ b/src/declared/control/operator/operator_json.h
@@ -7,7 +7,7 @@
 
 #include "declared/control/operator/operator_service.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 boost::json::value to_json(const Reason& reason);
 boost::json::value to_json(const config::ChangeRequest& request);
@@ -37,4 +37,4 @@
 std::optional<SwitchoverOutcome> switchover_outcome_from_json(const boost::json::value& value,
                                                               Reason& reason);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_json_read.cpp
+++ b/src/declared/control/operator/operator_json_read.cpp
@@ -7,7 +7,7 @@
 #include "declared/config/selector_text.h"
 #include "declared/control/operator/operator_json.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -338,4 +338,4 @@
   });
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_json_write.cpp
+++ b/src/declared/control/operator/operator_json_write.cpp
@@ -6,7 +6,7 @@
 #include "declared/config/selector_text.h"
 #include "declared/control/operator/operator_json.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace json = boost::json;
 
@@ -160,4 +160,4 @@
   return entry;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_service.cpp
+++ b/src/declared/control/operator/operator_service.cpp
@@ -1,6 +1,6 @@
 #include "declared/control/operator/operator_service.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 Reason OperatorService::has_no_log(std::string step) const {
   return Reason{ReasonCode::kNotLeader, std::move(step), node_.value,
@@ -48,4 +48,4 @@
   co_return false;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_service.h
+++ b/src/declared/control/operator/operator_service.h
@@ -13,7 +13,7 @@
 #include "declared/config/state_machine.h"
 #include "runtime/awaitable.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Objects as of one revision.
 struct ObjectList {
@@ -171,4 +171,4 @@
   NodeName node_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -9,7 +9,7 @@
 #include "declared/control/operator/drain_events.h"
 #include "declared/control/operator/fleet_status.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 OperatorServiceImpl::OperatorServiceImpl(runtime::Runtime& runtime, NodeName node, Endpoint operator_endpoint,
                                          consensus::Consensus& consensus, const ConfigReplica& replica,
@@ -198,4 +198,4 @@
   sources_.events.record(std::move(event));
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_service_impl.h
+++ b/src/declared/control/operator/operator_service_impl.h
@@ -9,7 +9,7 @@
 #include "declared/control/operator/operator_sources.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// What it refers to outlives it.
 class OperatorServiceImpl : public OperatorService {
@@ -50,4 +50,4 @@
   OperatorSources sources_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_sources.h
+++ b/src/declared/control/operator/operator_sources.h
@@ -9,7 +9,7 @@
 
 #include "declared/control/operator/operator_service.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// How the database groups stand.
 class GroupStatusSource {
@@ -85,4 +85,4 @@
   NodeHealthSource& health;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/relay_operator_service.cpp
+++ b/src/declared/control/operator/relay_operator_service.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/operator/fleet_status.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 Awaitable<std::optional<FleetStatus>> RelayOperatorService::status(TimePoint /*deadline*/,
                                                                    Reason& /*reason*/) {
@@ -42,4 +42,4 @@
   return std::nullopt;
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/relay_operator_service.h
+++ b/src/declared/control/operator/relay_operator_service.h
@@ -5,7 +5,7 @@
 #include "declared/control/failover/node_health.h"
 #include "declared/control/operator/operator_service.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// What it refers to outlives it.
 class RelayOperatorService : public OperatorService {
@@ -34,4 +34,4 @@
   const NodeHealth& health_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -6,7 +6,7 @@
 #include "declared/control/operator/operator_api.h"
 #include "declared/control/operator/relay_operator_service.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -91,4 +91,4 @@
   return std::make_unique<RelayNode>(runtime, std::move(settings));
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/relay_node.h
+++ b/src/declared/control/relay_node.h
@@ -9,10 +9,10 @@
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Keeps no files. It watches and supervises database groups like any control node. Operators' calls that
 /// need the log are refused with kNotLeader and the endpoint of a node that has it.
 std::unique_ptr<runtime::Role> make_relay_node(runtime::Runtime& runtime, ControlSettings settings);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/settings.h
+++ b/src/declared/control/settings.h
@@ -9,7 +9,7 @@
 #include "consensus/consensus.h"
 #include "wire/format.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 struct ControlSettings {
   NodeName node;
@@ -34,4 +34,4 @@
   wire::Format feature_level = wire::kWrittenFormat;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/control/knobs.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -96,4 +96,4 @@
   }
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/control/voter_repair.h
+++ b/src/declared/control/voter_repair.h
@@ -10,7 +10,7 @@
 #include "declared/control/operator/event_log.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 /// Acts on the leader only, one voter at a time. What it refers to outlives it; it lives until the process
 /// ends.
@@ -42,4 +42,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/src/declared/follow/follow_client.cpp
+++ b/src/declared/follow/follow_client.cpp
@@ -6,7 +6,7 @@
 #include "wire/codec.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 
 FollowClient::FollowClient(runtime::Runtime& runtime, FollowClientSettings settings)
     : runtime_(runtime), settings_(std::move(settings)), answered_(runtime), wake_(runtime) {
@@ -271,4 +271,4 @@
   while (!link->broken && !stopping_ && runtime_.now() < end) co_await wake_.wait_until(end);
 }
 
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
