--- a/src/declared/follow/follow_client.h
+++ b/src/declared/follow/follow_client.h
@@ -14,7 +14,7 @@
 #include "runtime/signal.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 
 struct FollowClientSettings {
   NodeName node;
@@ -138,4 +138,4 @@
   std::size_t failures_in_a_row_ = 0;
 };
 
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/src/declared/follow/knobs.h
+++ b/src/declared/follow/knobs.h
@@ -3,7 +3,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 
 /// The same suspicion is not sent again within this time.
 inline constexpr Duration kSuspectRepeatInterval = std::chrono::milliseconds(100);
@@ -32,4 +32,4 @@
 inline constexpr double kHoldShareLow = 0.75;
 inline constexpr double kHoldShareHigh = 1.0;
 
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/src/declared/follow/messages.h
+++ b/src/declared/follow/messages.h
@@ -10,7 +10,7 @@
 #include "declared/config/changes.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 
 /// What is known of one database group now. A higher term replaces a lower one; within a term the
 /// primary never changes. Not part of the replicated configuration: safety is the group's own.
@@ -86,4 +86,4 @@
   }
 };
 
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/src/declared/follow/serving_configuration.cpp
+++ b/src/declared/follow/serving_configuration.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 
 namespace {
 
@@ -87,4 +87,4 @@
   return true;
 }
 
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/src/declared/follow/serving_configuration.h
+++ b/src/declared/follow/serving_configuration.h
@@ -9,7 +9,7 @@
 #include "declared/config/objects.h"
 #include "declared/follow/messages.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 
 /// A follower's copy of the configuration. `revision` and each group's term only grow.
 struct ServingConfiguration {
@@ -40,4 +40,4 @@
 /// Takes in a group's state when it is newer: a higher term, or the primary of a term known without one.
 bool accept_group_state(std::map<GroupName, GroupState>& groups, const GroupState& state);
 
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/src/declared/proxy/calls/caller_answer.cpp
+++ b/src/declared/proxy/calls/caller_answer.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/calls/caller_request.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace json = boost::json;
 using runtime::HttpResponse;
@@ -116,4 +116,4 @@
   return refusal_answer(refused, context.request_id);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_answer.h
+++ b/src/declared/proxy/calls/caller_answer.h
@@ -8,7 +8,7 @@
 #include "declared/proxy/transaction/transaction_service.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// What an answer carries besides the outcome.
 struct AnswerContext {
@@ -27,4 +27,4 @@
 
 runtime::HttpResponse text_answer(unsigned status, std::string content_type, std::string body);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_api.cpp
+++ b/src/declared/proxy/calls/caller_api.cpp
@@ -1,6 +1,6 @@
 #include "declared/proxy/calls/caller_api.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 using runtime::HttpConnectionId;
 using runtime::HttpMethod;
@@ -297,4 +297,4 @@
   domains_.caller_gone(connection);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_api.h
+++ b/src/declared/proxy/calls/caller_api.h
@@ -10,7 +10,7 @@
 #include "declared/proxy/proxy_metrics.h"
 #include "http/request_target.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// What serves the calls; all outlive the API.
 struct CallerServices {
@@ -113,4 +113,4 @@
   bool draining_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -4,7 +4,7 @@
 #include "declared/proxy/calls/caller_api.h"
 #include "declared/proxy/calls/explain.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace json = boost::json;
 
@@ -91,4 +91,4 @@
   return text_answer(kOk, "application/json", decision_json(*decision));
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_api_forwarding.cpp
+++ b/src/declared/proxy/calls/caller_api_forwarding.cpp
@@ -1,7 +1,7 @@
 // The calls of the caller API for groups that other proxies serve.
 #include "declared/proxy/calls/caller_api.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 using runtime::HttpConnectionId;
 using runtime::HttpRequest;
@@ -103,4 +103,4 @@
   co_return hop_answer(std::move(answer), body.request_id);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_request.cpp
+++ b/src/declared/proxy/calls/caller_request.cpp
@@ -10,7 +10,7 @@
 #include "declared/proxy/forwarding/forward_messages.h"
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -279,4 +279,4 @@
   return fmt::format("{}:{}", request_id.session.value, request_id.number);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/caller_request.h
+++ b/src/declared/proxy/calls/caller_request.h
@@ -7,7 +7,7 @@
 #include "declared/proxy/statement/statement.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 struct StatementBody {
   StatementCall call;
@@ -70,4 +70,4 @@
 std::optional<RequestId> parse_request_id(const std::string& text);
 std::string request_id_text(const RequestId& request_id);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/decision_log.cpp
+++ b/src/declared/proxy/calls/decision_log.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 void DecisionLog::record(const std::optional<RequestId>& request_id, const routing::Decision& decision) {
   if (!request_id) return;
@@ -17,4 +17,4 @@
   return newest->decision;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/decision_log.h
+++ b/src/declared/proxy/calls/decision_log.h
@@ -7,7 +7,7 @@
 
 #include "declared/routing/decision.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Decisions kept at most.
 inline constexpr std::size_t kDecisionsKept = 1024;
@@ -27,4 +27,4 @@
   std::deque<Entry> entries_;  ///< oldest first
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/explain.cpp
+++ b/src/declared/proxy/calls/explain.cpp
@@ -6,7 +6,7 @@
 #include "declared/proxy/forwarding/forwarder.h"
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace json = boost::json;
 
@@ -144,4 +144,4 @@
   return decision;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/explain.h
+++ b/src/declared/proxy/calls/explain.h
@@ -10,7 +10,7 @@
 #include "http/request_target.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// What a hypothetical statement is decided on.
 struct ExplainContext {
@@ -32,4 +32,4 @@
 std::optional<routing::Decision> explain(const http::RequestTarget& target, const DecisionLog& decisions,
                                          const ExplainContext& context, Reason& reason);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/field_reader.cpp
+++ b/src/declared/proxy/calls/field_reader.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <boost/json/value.hpp>
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -93,4 +93,4 @@
   }
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/field_reader.h
+++ b/src/declared/proxy/calls/field_reader.h
@@ -11,7 +11,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Each accessor returns a harmless value when it records a fault. `object` outlives the reader.
 class FieldReader {
@@ -40,4 +40,4 @@
   std::vector<std::string> faults_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/calls/request_table.h
+++ b/src/declared/proxy/calls/request_table.h
@@ -6,7 +6,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class RequestTable {
  public:
@@ -39,4 +39,4 @@
   std::size_t count_ = 0;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/domain.cpp
+++ b/src/declared/proxy/domain/domain.cpp
@@ -1,6 +1,6 @@
 #include "declared/proxy/domain/domain.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -75,4 +75,4 @@
                                 {{"domain", name().value}});
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/domain.h
+++ b/src/declared/proxy/domain/domain.h
@@ -16,7 +16,7 @@
 #include "declared/proxy/statement/write_executor.h"
 #include "declared/proxy/transaction/transaction_service.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// What the domains of one proxy use together; all outlive them.
 struct DomainContext {
@@ -83,4 +83,4 @@
   bool lease_was_valid_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/domain_table.cpp
+++ b/src/declared/proxy/domain/domain_table.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 DomainTable::DomainTable(const DomainContext& context) {
   auto settings = context.settings.domains;
@@ -81,4 +81,4 @@
   }
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/domain_table.h
+++ b/src/declared/proxy/domain/domain_table.h
@@ -8,7 +8,7 @@
 
 #include "declared/proxy/domain/domain.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class DomainTable {
  public:
@@ -36,4 +36,4 @@
   std::map<DatabaseName, Domain*> by_database_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/follow_feed.h
+++ b/src/declared/proxy/domain/follow_feed.h
@@ -4,7 +4,7 @@
 #include "declared/follow/follow_client.h"
 #include "declared/proxy/domain/serving_state.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// `client` outlives it.
 class FollowFeed : public FollowSource {
@@ -27,4 +27,4 @@
   follow::FollowClient& client_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/freshness_prober.cpp
+++ b/src/declared/proxy/domain/freshness_prober.cpp
@@ -2,7 +2,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 Awaitable<void> FreshnessProber::run() {
   while (!stopping_) {
@@ -116,4 +116,4 @@
   state_.estimates.load.probe_answered(ordinal);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/freshness_prober.h
+++ b/src/declared/proxy/domain/freshness_prober.h
@@ -10,7 +10,7 @@
 #include "declared/proxy/domain/probe_schedule.h"
 #include "declared/proxy/statement/attempt.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class FreshnessProber {
  public:
@@ -56,4 +56,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/group_activity.cpp
+++ b/src/declared/proxy/domain/group_activity.cpp
@@ -2,11 +2,11 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 void GroupActivity::forget_inactive(TimePoint now) {
   std::erase_if(last_statement_,
                 [now](const auto& entry) { return now - entry.second > kGroupActivityTime; });
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/group_activity.h
+++ b/src/declared/proxy/domain/group_activity.h
@@ -6,7 +6,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class GroupActivity {
  public:
@@ -22,4 +22,4 @@
   std::map<GroupName, TimePoint> last_statement_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/position_news.cpp
+++ b/src/declared/proxy/domain/position_news.cpp
@@ -1,6 +1,6 @@
 #include "declared/proxy/domain/position_news.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 Awaitable<void> PositionNews::wait_until(GroupName group, TimePoint deadline) {
   auto& entry = signals_[group];
@@ -19,4 +19,4 @@
   if (found != signals_.end()) found->second->notify_all();
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/position_news.h
+++ b/src/declared/proxy/domain/position_news.h
@@ -7,7 +7,7 @@
 #include "base/types.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Holds an entry for each group that reads are held for now, none for the others. `runtime` outlives it, and
 /// it lives until the process ends.
@@ -28,4 +28,4 @@
   std::size_t waiting_ = 0;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/probe_schedule.cpp
+++ b/src/declared/proxy/domain/probe_schedule.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -40,4 +40,4 @@
   return candidates;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/probe_schedule.h
+++ b/src/declared/proxy/domain/probe_schedule.h
@@ -8,7 +8,7 @@
 
 #include "declared/routing/decision.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// A member of an active group that could be probed now. The view that it comes from outlives it.
 struct ProbeCandidate {
@@ -30,4 +30,4 @@
 std::vector<ProbeCandidate> pick_probes(std::vector<ProbeCandidate> candidates, std::size_t allowed,
                                         Duration interval, TimePoint now);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/serving_state.cpp
+++ b/src/declared/proxy/domain/serving_state.cpp
@@ -1,6 +1,6 @@
 #include "declared/proxy/domain/serving_state.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 ServingState::ServingState(runtime::Runtime& runtime, FollowSource& source, NodeName this_proxy,
                            DomainName domain)
@@ -93,4 +93,4 @@
   changed_.notify_all();
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/serving_state.h
+++ b/src/declared/proxy/domain/serving_state.h
@@ -16,7 +16,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// The follow stream as the proxy sees it.
 class FollowSource {
@@ -78,4 +78,4 @@
   PrimaryAttempts primary_attempts_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forward_messages.cpp
+++ b/src/declared/proxy/forwarding/forward_messages.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/calls/caller_request.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace json = boost::json;
 using runtime::HttpRequest;
@@ -104,4 +104,4 @@
   return passed;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forward_messages.h
+++ b/src/declared/proxy/forwarding/forward_messages.h
@@ -10,7 +10,7 @@
 #include "http/problem.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// The name of the proxy that forwards; its presence is the mark.
 inline constexpr const char* kForwardedByHeader = "cairnhollow-forwarded-by";
@@ -50,4 +50,4 @@
 /// The far proxy's answer as the caller gets it: without what concerns the hop's connection.
 runtime::HttpResponse passed_through(runtime::HttpResponse response);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forwarded_transactions.cpp
+++ b/src/declared/proxy/forwarding/forwarded_transactions.cpp
@@ -2,7 +2,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 using runtime::HttpRequest;
 using runtime::HttpResponse;
@@ -152,4 +152,4 @@
   }
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forwarded_transactions.h
+++ b/src/declared/proxy/forwarding/forwarded_transactions.h
@@ -8,7 +8,7 @@
 #include "declared/proxy/forwarding/forwarder.h"
 #include "declared/proxy/transaction/transaction_table.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 enum class TransactionStep : std::uint8_t { kStatement, kCommit, kRollback };
 
@@ -71,4 +71,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forwarder.cpp
+++ b/src/declared/proxy/forwarding/forwarder.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 using routing::ForwardTarget;
 using runtime::HttpResponse;
@@ -214,4 +214,4 @@
   co_return HopAnswer(std::move(resolved->response));
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forwarder.h
+++ b/src/declared/proxy/forwarding/forwarder.h
@@ -12,7 +12,7 @@
 #include "declared/proxy/statement/attempt.h"
 #include "declared/proxy/statement/retry_budget.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// A caller's call for a group that other proxies serve.
 struct HopCall {
@@ -111,4 +111,4 @@
   ForwardStatistics statistics_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/hop_pool.cpp
+++ b/src/declared/proxy/forwarding/hop_pool.cpp
@@ -2,7 +2,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 HopPool::Hop::Hop(runtime::Runtime& runtime, std::shared_ptr<Peer> peer,
                   std::shared_ptr<runtime::HttpConnection> connection)
@@ -73,4 +73,4 @@
   return count;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/hop_pool.h
+++ b/src/declared/proxy/forwarding/hop_pool.h
@@ -8,7 +8,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class HopPool {
  public:
@@ -61,4 +61,4 @@
   runtime::Signal released;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/hop_watch.cpp
+++ b/src/declared/proxy/forwarding/hop_watch.cpp
@@ -5,7 +5,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 HopWatch::Exchange::Exchange(HopWatch& watch, const routing::ForwardTarget& target,
                              runtime::HttpConnection& connection)
@@ -70,4 +70,4 @@
   co_return response.has_value();
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/hop_watch.h
+++ b/src/declared/proxy/forwarding/hop_watch.h
@@ -10,7 +10,7 @@
 #include "declared/proxy/forwarding/hop_pool.h"
 #include "declared/routing/decision.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class HopWatch {
  public:
@@ -61,4 +61,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/knobs.h
+++ b/src/declared/proxy/knobs.h
@@ -6,7 +6,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 // Limits on what a caller may send.
 inline constexpr std::size_t kMaximumBodyLength = std::size_t{512} * 1024;  ///< bytes of a request's body
@@ -104,4 +104,4 @@
 inline constexpr Duration kRetryAfterNewRequest = std::chrono::milliseconds(0);  ///< under a new number
 inline constexpr Duration kRetryAfterOperator = std::chrono::seconds(1);         ///< a change may mend it
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/proxy_metrics.cpp
+++ b/src/declared/proxy/proxy_metrics.cpp
@@ -1,6 +1,6 @@
 #include "declared/proxy/proxy_metrics.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -148,4 +148,4 @@
   shed("unreachable", statistics.unreachable);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/proxy_metrics.h
+++ b/src/declared/proxy/proxy_metrics.h
@@ -36,7 +36,7 @@
 #include "declared/proxy/statement/statement.h"
 #include "runtime/metrics.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// What is counted by the kind of call.
 enum class CallKind : std::uint8_t { kRead, kWrite, kTransaction, kCommit, kResolve };
@@ -95,4 +95,4 @@
   std::array<prometheus::Counter*, routing::kPrimaryReadCauses> primary_reads_by_cause_{};
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/proxy_server.cpp
+++ b/src/declared/proxy/proxy_server.cpp
@@ -5,7 +5,7 @@
 #include "declared/proxy/domain/domain_table.h"
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -85,4 +85,4 @@
   return std::make_unique<ProxyServer>(runtime, std::move(settings));
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/proxy_server.h
+++ b/src/declared/proxy/proxy_server.h
@@ -7,9 +7,9 @@
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Creates a proxy on `runtime`, which outlives it.
 std::unique_ptr<runtime::Role> make_proxy(runtime::Runtime& runtime, ProxySettings settings);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/settings.h
+++ b/src/declared/proxy/settings.h
@@ -5,7 +5,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// A configuration log with control voters of its own, and the databases that it decides on.
 struct DomainSettings {
@@ -30,4 +30,4 @@
   std::uint32_t queue_limit_per_backend = 200;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/attempt.cpp
+++ b/src/declared/proxy/statement/attempt.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -120,4 +120,4 @@
   }
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/attempt.h
+++ b/src/declared/proxy/statement/attempt.h
@@ -11,7 +11,7 @@
 #include "declared/proxy/statement/backend_access.h"
 #include "declared/proxy/statement/statement.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Lives as long as the proxy.
 struct ProxyState {
@@ -83,4 +83,4 @@
 void learn_from(ProxyState& state, const AttemptTarget& target, const backend::ExecuteAnswer& answer,
                 const Reason& reason, TimePoint asked_at);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/backend_access.h
+++ b/src/declared/proxy/statement/backend_access.h
@@ -10,7 +10,7 @@
 #include "declared/proxy/statement/statement.h"
 #include "declared/routing/decision.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Holds one connection. On destruction the connection goes back to be used again, unless it is closed.
 class ConnectionLease {
@@ -41,4 +41,4 @@
   }
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/outcome_resolver.cpp
+++ b/src/declared/proxy/statement/outcome_resolver.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 Reason aborted_reason(const AttemptTarget& target) {
   return Reason{ReasonCode::kAborted, "request_ledger", target.backend_name().value,
@@ -52,4 +52,4 @@
   co_return Outcome(std::move(done));
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/outcome_resolver.h
+++ b/src/declared/proxy/statement/outcome_resolver.h
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/statement/attempt.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// The reason of a request id whose ledger entry says aborted.
 Reason aborted_reason(const AttemptTarget& target);
@@ -26,4 +26,4 @@
   ProxyState& state_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/pooled_access.cpp
+++ b/src/declared/proxy/statement/pooled_access.cpp
@@ -5,7 +5,7 @@
 #include "declared/backend/admitted_connection.h"
 #include "declared/backend/pool_knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -82,4 +82,4 @@
   }
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/pooled_access.h
+++ b/src/declared/proxy/statement/pooled_access.h
@@ -8,7 +8,7 @@
 #include "declared/proxy/domain/serving_state.h"
 #include "declared/proxy/statement/backend_access.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// All arguments outlive it, it outlives its leases, and it lives until the process ends.
 class PooledBackendAccess : public BackendAccess {
@@ -44,4 +44,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/primary_wait.cpp
+++ b/src/declared/proxy/statement/primary_wait.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -59,4 +59,4 @@
   return refused;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/primary_wait.h
+++ b/src/declared/proxy/statement/primary_wait.h
@@ -4,7 +4,7 @@
 #include "declared/proxy/statement/attempt.h"
 #include "declared/proxy/statement/retry_budget.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Why an attempt at the primary did not run.
 struct PrimaryFailure {
@@ -40,4 +40,4 @@
 /// The refusal of work that no primary took.
 Refused refuse(const PrimaryFailure& failure);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/primary_watch.cpp
+++ b/src/declared/proxy/statement/primary_watch.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 void PrimaryAttempts::replaced(const GroupName& group, std::uint64_t term) {
   const auto found = attempts_.find(group);
@@ -33,4 +33,4 @@
   of_group_.erase(place_);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/primary_watch.h
+++ b/src/declared/proxy/statement/primary_watch.h
@@ -10,7 +10,7 @@
 #include "base/types.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// The attempts under way at the groups' primaries. `runtime` outlives it, and it lives as long as the proxy.
 class PrimaryAttempts {
@@ -52,4 +52,4 @@
   PrimaryAttempts::Attempts::iterator place_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/read_executor.cpp
+++ b/src/declared/proxy/statement/read_executor.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -181,4 +181,4 @@
   return attempt;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/read_executor.h
+++ b/src/declared/proxy/statement/read_executor.h
@@ -6,7 +6,7 @@
 #include "declared/proxy/statement/read_watch.h"
 #include "declared/proxy/statement/retry_budget.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class ReadExecutor {
  public:
@@ -62,4 +62,4 @@
   ReadWatch watch_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/read_watch.cpp
+++ b/src/declared/proxy/statement/read_watch.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 ReadWatch::Watched::Watched(ReadWatch& watch, std::uint32_t ordinal, backend::BackendConnection& connection)
     : watch_(watch) {
@@ -39,4 +39,4 @@
   return owes_since && now - std::max(*owes_since, read.heard_at) >= kReadSilenceLimit;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/read_watch.h
+++ b/src/declared/proxy/statement/read_watch.h
@@ -9,7 +9,7 @@
 #include "declared/routing/backend_load.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// A backend is silent when it has owed an answer to a freshness probe for kReadSilenceLimit and has answered
 /// no statement meanwhile. Both references outlive the watch, and it lives until the process ends.
@@ -53,4 +53,4 @@
   bool running_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/resolve_access.cpp
+++ b/src/declared/proxy/statement/resolve_access.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class ResolveAccess::Lease : public ConnectionLease {
  public:
@@ -50,4 +50,4 @@
   co_return nullptr;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/resolve_access.h
+++ b/src/declared/proxy/statement/resolve_access.h
@@ -10,7 +10,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// A backend's connections are used again, and there are at most kResolveConnections of each. Waits are short
 /// (kConnectTimeout, kResolveAttemptLimit) and not cancelled. Both arguments
@@ -39,4 +39,4 @@
   std::map<BackendName, Pool> pools_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/retry_budget.cpp
+++ b/src/declared/proxy/statement/retry_budget.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 void RetryBudget::record_success() { balance_ = std::min(balance_ + kEarnedPerSuccess, kCap); }
 
@@ -19,4 +19,4 @@
   return static_cast<double>(balance_) / static_cast<double>(kOneRetry);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/retry_budget.h
+++ b/src/declared/proxy/statement/retry_budget.h
@@ -6,7 +6,7 @@
 
 #include "base/reason.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Counted in hundredths of a retry, so that no rounding depends on the machine.
 class RetryBudget {
@@ -26,4 +26,4 @@
   std::int64_t balance_ = kCap / 2;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/statement.cpp
+++ b/src/declared/proxy/statement/statement.cpp
@@ -2,7 +2,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -72,4 +72,4 @@
   return refused;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/statement.h
+++ b/src/declared/proxy/statement/statement.h
@@ -12,7 +12,7 @@
 #include "declared/routing/session_token.h"
 #include "http/problem.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// Order of admission when a backend is busy.
 enum class Priority : std::uint8_t { kHigh = 0, kNormal = 1, kLow = 2 };
@@ -64,4 +64,4 @@
 /// A refusal that says when to come back, by the reason's code.
 Refused refuse(Reason reason, http::RunState run_state = http::RunState::kNotRun);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/write_executor.cpp
+++ b/src/declared/proxy/statement/write_executor.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 std::optional<Outcome> outcome_of_write(const AttemptTarget& target, const backend::ExecuteAnswer& answer,
                                         const Reason& reason) {
@@ -111,4 +111,4 @@
   return attempt;
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/write_executor.h
+++ b/src/declared/proxy/statement/write_executor.h
@@ -8,7 +8,7 @@
 #include "declared/proxy/statement/primary_wait.h"
 #include "declared/proxy/statement/retry_budget.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class WriteExecutor {
  public:
@@ -43,4 +43,4 @@
 std::optional<Outcome> outcome_of_write(const AttemptTarget& target, const backend::ExecuteAnswer& answer,
                                         const Reason& reason);
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/transaction/transaction_service.cpp
+++ b/src/declared/proxy/transaction/transaction_service.cpp
@@ -7,7 +7,7 @@
 #include "declared/proxy/knobs.h"
 #include "declared/proxy/statement/write_executor.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -308,4 +308,4 @@
   opened_.notify_all();
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/transaction/transaction_service.h
+++ b/src/declared/proxy/transaction/transaction_service.h
@@ -10,7 +10,7 @@
 #include "declared/proxy/statement/primary_wait.h"
 #include "declared/proxy/transaction/transaction_table.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 struct Begun {
   TransactionId transaction;
@@ -93,4 +93,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/transaction/transaction_table.h
+++ b/src/declared/proxy/transaction/transaction_table.h
@@ -10,7 +10,7 @@
 #include "base/reason.h"
 #include "declared/proxy/calls/caller_request.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// What the table knows of a transaction; the kinds add what they hold.
 struct TransactionState {
@@ -81,4 +81,4 @@
   std::map<TransactionId, Pointer> transactions_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/src/declared/routing/backend_load.cpp
+++ b/src/declared/routing/backend_load.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -55,4 +55,4 @@
   return known.awaits_probe || known.hold_off_until > now;
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/backend_load.h
+++ b/src/declared/routing/backend_load.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// A backend that could not be reached is not chosen for reads for this long, doubled with each failure
 /// in a row up to the limit, and not before it has answered a probe: no caller's read tries it out.
@@ -52,4 +52,4 @@
   std::vector<Entry> entries_;
 };
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/base64url.cpp
+++ b/src/declared/routing/base64url.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <cstdint>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -62,4 +62,4 @@
   return bytes;
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/base64url.h
+++ b/src/declared/routing/base64url.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 std::string encode_base64url(std::string_view bytes);
 /// Empty when the text holds other characters, has an impossible length or unused bits that are not zero.
 std::optional<std::string> decode_base64url(std::string_view text);
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/choice.cpp
+++ b/src/declared/routing/choice.cpp
@@ -7,7 +7,7 @@
 
 #include "declared/routing/hash.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -279,4 +279,4 @@
   return decision;
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/choice.h
+++ b/src/declared/routing/choice.h
@@ -6,7 +6,7 @@
 #include "declared/routing/decision.h"
 #include "declared/routing/freshness.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// What the proxy has learned of the backends by itself.
 struct BackendEstimates {
@@ -40,4 +40,4 @@
 Decision choose(const Request& request, const RoutingView& view, const BackendEstimates& estimates,
                 const ChoiceSettings& settings, TimePoint now);
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/decision.h
+++ b/src/declared/routing/decision.h
@@ -15,7 +15,7 @@
 #include "declared/routing/shared_list.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// What the proxy knows of one backend when it chooses.
 struct BackendView {
@@ -34,10 +34,10 @@
   config::DatabaseGroupSpec spec;
   std::vector<BackendView> members;
   std::uint64_t term = 0;
-  BackendName primary;                        ///< empty: not known
-  std::vector<ProxyPointer> serving_proxies;  ///< the group's subset
-  std::uint32_t proxies_serving = 1;          ///< for this proxy's share of a backend's connections and slots
-  bool served_here = true;                    ///< by this proxy; else it forwards to one of serving_proxies
+  BackendName primary;                                ///< empty: not known
+  std::vector<subset::ProxyPointer> serving_proxies;  ///< the group's subset
+  std::uint32_t proxies_serving = 1;  ///< for this proxy's share of a backend's connections and slots
+  bool served_here = true;            ///< by this proxy; else it forwards to one of serving_proxies
 };
 
 using GroupPointer = std::shared_ptr<const GroupView>;
@@ -171,4 +171,4 @@
   std::optional<ForwardTarget> forwarded_to;                ///< set when this proxy does not serve the group
 };
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/freshness.cpp
+++ b/src/declared/routing/freshness.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -143,4 +143,4 @@
   return samples == nullptr || samples->empty() ? Position{} : samples->back().position;
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/freshness.h
+++ b/src/declared/routing/freshness.h
@@ -10,7 +10,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// One sample of a primary's position stands for at least this much time...
 inline constexpr Duration kPrimarySampleInterval = std::chrono::milliseconds(25);
@@ -82,4 +82,4 @@
   std::unordered_map<GroupName, WriteSamples> writes_;
 };
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/hash.cpp
+++ b/src/declared/routing/hash.cpp
@@ -4,7 +4,7 @@
 
 #include "declared/config/objects.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 std::uint32_t hash_slot(std::string_view partition_key) {
   return static_cast<std::uint32_t>(XXH64(partition_key.data(), partition_key.size(), 0) %
@@ -16,4 +16,4 @@
   return XXH64(key.data(), key.size(), seed);
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/hash.h
+++ b/src/declared/routing/hash.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// The slot of a partition key, below config::kHashSlots: XXH64 of its bytes modulo the number of slots.
 std::uint32_t hash_slot(std::string_view partition_key);
@@ -13,4 +13,4 @@
 /// Ravishankar, IEEE/ACM Transactions on Networking 1998).
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view node);
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/route_table.cpp
+++ b/src/declared/routing/route_table.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -51,4 +51,4 @@
   }
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/route_table.h
+++ b/src/declared/routing/route_table.h
@@ -3,7 +3,7 @@
 
 #include "declared/routing/decision.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// Takes a route into the table; costs in proportion to the databases that it names. The table must not hold
 /// a route with its precedence and name.
@@ -12,4 +12,4 @@
 /// Takes out a route that is in the table.
 void remove_route(RouteTable& table, const RouteView& route);
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/session_token.cpp
+++ b/src/declared/routing/session_token.cpp
@@ -7,7 +7,7 @@
 #include "declared/routing/base64url.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -126,4 +126,4 @@
   return wire::decode<SessionToken>(std::string(content.substr(1)), reason);
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/session_token.h
+++ b/src/declared/routing/session_token.h
@@ -12,7 +12,7 @@
 #include "base/reason.h"
 #include "base/types.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// Groups kept in one token; more are dropped, and the reads of groups that the token does not name then go
 /// to the primary.
@@ -45,4 +45,4 @@
 /// Empty with kCorrupt when the text is no whole token of this version; treat it as no token.
 std::optional<SessionToken> decode_session_token(std::string_view text, Reason& reason);
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/shared_list.h
+++ b/src/declared/routing/shared_list.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// Elements in ascending order of `Order::key_of(element)`, one for each key, in chunks that are copied
 /// before they are changed while another list shares them: lists that share belong to one thread.
@@ -129,4 +129,4 @@
   std::size_t size_ = 0;
 };
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/view_builder.cpp
+++ b/src/declared/routing/view_builder.cpp
@@ -5,7 +5,7 @@
 
 #include "declared/routing/route_table.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 namespace {
 
@@ -44,7 +44,7 @@
   objects_ = config::ObjectStore();
   routes_.clear();
   proxies_serving_.clear();
-  subsets_ = SubsetTable();
+  subsets_ = subset::SubsetTable();
   leaving_ = sources.leaving;
   view_ = std::make_shared<RoutingView>();
   ViewChange everything;
@@ -138,9 +138,9 @@
     touched.proxies = true;
     return;
   }
-  ProxyView view{NodeName(name), spec->zone, spec->endpoint};
+  subset::ProxyView view{NodeName(name), spec->zone, spec->endpoint};
   if (known != proxies_serving_.end() && *known->second == view) return;
-  proxies_serving_[name] = std::make_shared<const ProxyView>(std::move(view));
+  proxies_serving_[name] = std::make_shared<const subset::ProxyView>(std::move(view));
   touched.proxies = true;
 }
 
@@ -171,22 +171,23 @@
 }
 
 void ViewBuilder::take_membership() {
-  std::vector<ProxyPointer> proxies;
+  std::vector<subset::ProxyPointer> proxies;
   proxies.reserve(proxies_serving_.size());
   for (const auto& [name, proxy] : proxies_serving_) proxies.push_back(proxy);
-  subsets_ = SubsetTable(proxies);
+  subsets_ = subset::SubsetTable(proxies);
 }
 
 void ViewBuilder::set_proxies(GroupView& group) const {
-  const auto size = subset_size(group.spec.connections_per_backend, subsets_.proxies());
+  const auto size = subset::subset_size(group.spec.connections_per_backend, subsets_.proxies());
   group.serving_proxies = subsets_.serving(group.name, size);
   group.proxies_serving = std::max(size, 1U);
   // Before few proxies each serves each group, also one that leaves and is not among them any more; but not
   // one of another domain.
   const bool belongs_here = domain_.empty() || this_proxy_object() != nullptr;
-  group.served_here = (belongs_here && size == subsets_.proxies()) ||
-                      std::any_of(group.serving_proxies.begin(), group.serving_proxies.end(),
-                                  [&](const ProxyPointer& proxy) { return proxy->name == this_proxy_; });
+  group.served_here =
+      (belongs_here && size == subsets_.proxies()) ||
+      std::any_of(group.serving_proxies.begin(), group.serving_proxies.end(),
+                  [&](const subset::ProxyPointer& proxy) { return proxy->name == this_proxy_; });
 }
 
 void ViewBuilder::move_groups(RoutingView& view) const {
@@ -238,4 +239,4 @@
   view.proxies_serving = std::max(static_cast<std::uint32_t>(proxies_serving_.size()), 1U);
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -13,7 +13,7 @@
 #include "declared/follow/messages.h"
 #include "declared/routing/decision.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 
 /// Gives each backend name a place in the estimate tables, the same for the life of the process.
 class BackendOrdinals {
@@ -88,10 +88,10 @@
   BackendOrdinals ordinals_;
   config::ObjectStore objects_;
   std::set<std::string> leaving_;
-  std::map<std::string, ProxyPointer> proxies_serving_;  ///< proxies that neither drain nor leave
-  SubsetTable subsets_;                                  ///< of these
+  std::map<std::string, subset::ProxyPointer> proxies_serving_;  ///< proxies that neither drain nor leave
+  subset::SubsetTable subsets_;                                  ///< of these
   std::map<std::string, RoutePointer> routes_;
   ViewPointer view_ = std::make_shared<RoutingView>();
 };
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/src/host/asio_runtime.cpp
+++ b/src/host/asio_runtime.cpp
@@ -10,7 +10,7 @@
 #include "runtime/json_logger.h"
 #include "runtime/seeded_random.h"
 
-namespace cairnhollow::runtime {
+namespace cairnhollow::host {
 namespace {
 
 std::int64_t system_microseconds() {
@@ -18,40 +18,42 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
 }
 
-class AsioRuntime : public Runtime {
+class AsioRuntime : public runtime::Runtime {
  public:
   AsioRuntime(boost::asio::io_context& context, const AsioRuntimeSettings& settings)
       : executor_(context.get_executor()),
         logger_({settings.program, settings.node, settings.zone}, settings.log_level, system_microseconds,
-                standard_output_sink()),
+                runtime::standard_output_sink()),
         random_(settings.random_seed),
         storage_(executor_, settings.data_folder),
         network_(executor_),
         http_(http::make_http_transport(executor_, *this)),
         lines_(executor_) {}
 
-  [[nodiscard]] TimePoint now() const override { return steady_now(); }
+  [[nodiscard]] TimePoint now() const override { return runtime::steady_now(); }
   [[nodiscard]] std::int64_t wall_clock_microseconds() const override { return system_microseconds(); }
-  std::unique_ptr<Timer> make_timer() override { return std::make_unique<AsioTimer>(executor_); }
+  std::unique_ptr<runtime::Timer> make_timer() override {
+    return std::make_unique<runtime::AsioTimer>(executor_);
+  }
   void spawn(std::string_view name, Awaitable<void> task) override;
 
-  Network& network() override { return network_; }
-  HttpTransport& http() override { return *http_; }
-  LineTransport& lines() override { return lines_; }
-  Storage& storage() override { return storage_; }
-  Random& random() override { return random_; }
-  Logger& logger() override { return logger_; }
+  runtime::Network& network() override { return network_; }
+  runtime::HttpTransport& http() override { return *http_; }
+  runtime::LineTransport& lines() override { return lines_; }
+  runtime::Storage& storage() override { return storage_; }
+  runtime::Random& random() override { return random_; }
+  runtime::Logger& logger() override { return logger_; }
 
  private:
   void report_fault(const std::string& coroutine, const std::exception_ptr& fault);
 
   boost::asio::any_io_executor executor_;
-  JsonLogger logger_;
-  SeededRandom random_;
-  PosixStorage storage_;
-  AsioNetwork network_;
-  std::unique_ptr<HttpTransport> http_;
-  AsioLineTransport lines_;
+  runtime::JsonLogger logger_;
+  runtime::SeededRandom random_;
+  runtime::PosixStorage storage_;
+  runtime::AsioNetwork network_;
+  std::unique_ptr<runtime::HttpTransport> http_;
+  runtime::AsioLineTransport lines_;
 };
 
 void AsioRuntime::spawn(std::string_view name, Awaitable<void> task) {
@@ -70,14 +72,14 @@
   } catch (...) {
     // `reason` already says so.
   }
-  logger_.log(LogLevel::kError, "coroutine_failed", reason, {});
+  logger_.log(runtime::LogLevel::kError, "coroutine_failed", reason, {});
 }
 
 }  // namespace
 
-std::unique_ptr<Runtime> make_asio_runtime(boost::asio::io_context& context,
-                                           const AsioRuntimeSettings& settings) {
+std::unique_ptr<runtime::Runtime> make_asio_runtime(boost::asio::io_context& context,
+                                                    const AsioRuntimeSettings& settings) {
   return std::make_unique<AsioRuntime>(context, settings);
 }
 
-}  // namespace cairnhollow::runtime
+}  // namespace cairnhollow::host
--- a/src/host/asio_runtime.h
+++ b/src/host/asio_runtime.h
@@ -7,7 +7,7 @@
 
 #include "runtime/runtime.h"
 
-namespace cairnhollow::runtime {
+namespace cairnhollow::host {
 
 struct AsioRuntimeSettings {
   std::string program;      ///< log field
@@ -15,11 +15,11 @@
   std::string zone;         ///< log field
   std::string data_folder;  ///< created when missing; empty: Storage refuses everything
   std::uint64_t random_seed = 0;
-  LogLevel log_level = LogLevel::kInfo;
+  runtime::LogLevel log_level = runtime::LogLevel::kInfo;
 };
 
 /// `context` is run by one thread and outlives the runtime. `http` is made by http::make_http_transport.
-std::unique_ptr<Runtime> make_asio_runtime(boost::asio::io_context& context,
-                                           const AsioRuntimeSettings& settings);
+std::unique_ptr<runtime::Runtime> make_asio_runtime(boost::asio::io_context& context,
+                                                    const AsioRuntimeSettings& settings);
 
-}  // namespace cairnhollow::runtime
+}  // namespace cairnhollow::host
--- a/src/programs/cairnhollow_control.cpp
+++ b/src/programs/cairnhollow_control.cpp
@@ -7,18 +7,19 @@
 #include "registered/control/registered_control_node.h"
 
 namespace cli = cairnhollow::cli;
-namespace control = cairnhollow::control;
+namespace declared = cairnhollow::declared;
 namespace platform = cairnhollow::platform;
+namespace registered = cairnhollow::registered;
 namespace runtime = cairnhollow::runtime;
 
 namespace {
 
 void read_declared(cli::SettingsReader& reader, cli::ProgramPlan& plan) {
-  const control::ControlSettings settings = cli::read_control_settings(reader);
+  const declared::control::ControlSettings settings = cli::read_control_settings(reader);
   plan.node = settings.node.value;
   plan.zone = settings.zone.value;
   plan.make_role = [settings](runtime::Runtime& runtime) {
-    return control::make_control_node(runtime, settings);
+    return declared::control::make_control_node(runtime, settings);
   };
 }
 
@@ -27,15 +28,15 @@
   plan.node = settings.node.value;
   plan.zone = settings.zone.value;
   plan.make_role = [settings](runtime::Runtime& runtime) {
-    return control::registered::make_registered_control_node(runtime, settings, platform::control_edge());
+    return registered::control::make_registered_control_node(runtime, settings, platform::control_edge());
   };
 }
 
 cli::ProgramPlan read_settings(cli::SettingsReader& reader) {
   cli::ProgramPlan plan;
-  const bool registered = cli::read_fleet_kind(reader) == cli::FleetKind::kRegistered;
-  if (registered) read_registered(reader, plan);
-  if (!registered) read_declared(reader, plan);
+  const bool is_registered = cli::read_fleet_kind(reader) == cli::FleetKind::kRegistered;
+  if (is_registered) read_registered(reader, plan);
+  if (!is_registered) read_declared(reader, plan);
   plan.data_folder = cli::read_data_folder(reader);
   return plan;
 }
--- a/src/programs/cairnhollow_proxy.cpp
+++ b/src/programs/cairnhollow_proxy.cpp
@@ -7,34 +7,36 @@
 #include "registered/proxy/session_proxy.h"
 
 namespace cli = cairnhollow::cli;
+namespace declared = cairnhollow::declared;
 namespace platform = cairnhollow::platform;
-namespace proxy = cairnhollow::proxy;
+namespace registered = cairnhollow::registered;
 namespace runtime = cairnhollow::runtime;
-namespace session = cairnhollow::session;
 
 namespace {
 
 void read_declared(cli::SettingsReader& reader, cli::ProgramPlan& plan) {
-  const proxy::ProxySettings settings = cli::read_proxy_settings(reader);
+  const declared::proxy::ProxySettings settings = cli::read_proxy_settings(reader);
   plan.node = settings.node.value;
   plan.zone = settings.zone.value;
-  plan.make_role = [settings](runtime::Runtime& runtime) { return proxy::make_proxy(runtime, settings); };
+  plan.make_role = [settings](runtime::Runtime& runtime) {
+    return declared::proxy::make_proxy(runtime, settings);
+  };
 }
 
 void read_registered(cli::SettingsReader& reader, cli::ProgramPlan& plan) {
-  const session::SessionProxySettings settings = cli::read_session_proxy_settings(reader);
+  const registered::proxy::SessionProxySettings settings = cli::read_session_proxy_settings(reader);
   plan.node = settings.node.value;
   plan.zone = settings.zone.value;
   plan.make_role = [settings](runtime::Runtime& runtime) {
-    return session::make_session_proxy(runtime, settings, platform::session_edge());
+    return registered::proxy::make_session_proxy(runtime, settings, platform::session_edge());
   };
 }
 
 cli::ProgramPlan read_settings(cli::SettingsReader& reader) {
   cli::ProgramPlan plan;
-  const bool registered = cli::read_fleet_kind(reader) == cli::FleetKind::kRegistered;
-  if (registered) read_registered(reader, plan);
-  if (!registered) read_declared(reader, plan);
+  const bool is_registered = cli::read_fleet_kind(reader) == cli::FleetKind::kRegistered;
+  if (is_registered) read_registered(reader, plan);
+  if (!is_registered) read_declared(reader, plan);
   return plan;
 }
 
--- a/src/registered/control/control_metrics.cpp
+++ b/src/registered/control/control_metrics.cpp
@@ -5,7 +5,7 @@
 
 #include "runtime/metrics.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -78,4 +78,4 @@
   co_return response;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/control_metrics.h
+++ b/src/registered/control/control_metrics.h
@@ -10,7 +10,7 @@
 #include "registered/registry/state_machine.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// Answers `GET /metrics`. What it refers to outlives it.
 class ControlMetrics : public runtime::HttpHandler {
@@ -37,4 +37,4 @@
   const RegistrationService& registrations_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/control_node_directory.cpp
+++ b/src/registered/control/control_node_directory.cpp
@@ -2,7 +2,7 @@
 
 #include "base/add_once.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 std::vector<consensus::Member> ControlNodeDirectory::all_alive(TimePoint now) const {
   std::vector<consensus::Member> members;
@@ -27,4 +27,4 @@
   return endpoints;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/control_node_directory.h
+++ b/src/registered/control/control_node_directory.h
@@ -8,7 +8,7 @@
 #include "consensus/consensus.h"
 #include "registered/control/knobs.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// A node's name in the consensus group is its address: addresses are all that seeds say.
 inline NodeName consensus_name(const Endpoint& endpoint) { return NodeName(endpoint.address); }
@@ -48,4 +48,4 @@
   std::map<NodeName, Presence> presences_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/evacuation_orders.cpp
+++ b/src/registered/control/evacuation_orders.cpp
@@ -4,7 +4,7 @@
 
 #include "registered/control/knobs.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -91,4 +91,4 @@
                          {"revision", std::to_string(fleet_.revision())}});
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/evacuation_orders.h
+++ b/src/registered/control/evacuation_orders.h
@@ -11,7 +11,7 @@
 #include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// What became of an order.
 enum class OrderOutcome : std::uint8_t {
@@ -57,4 +57,4 @@
   std::array<std::uint64_t, kOrderOutcomes> counts_{};
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/close_answers.cpp
+++ b/src/registered/control/failover/close_answers.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 void CloseAnswers::set_proxies(const std::vector<registry::AdmittedProxy>& proxies) {
   proxies_.clear();
@@ -72,4 +72,4 @@
   return progress;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/close_answers.h
+++ b/src/registered/control/failover/close_answers.h
@@ -14,7 +14,7 @@
 #include "registered/registry/messages.h"
 #include "registered/registry/model.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// What the proxies said of a group that was closed.
 struct CloseProgress {
@@ -63,4 +63,4 @@
   std::map<GroupName, Close> closes_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_failover.cpp
+++ b/src/registered/control/failover/group_failover.cpp
@@ -6,7 +6,7 @@
 #include "registered/control/failover/group_keeper.h"
 #include "registered/control/knobs.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using registry::GroupTerm;
 
@@ -241,4 +241,4 @@
   }
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -9,7 +9,7 @@
 #include "registered/control/knobs.h"
 #include "registered/registry/division.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using registry::GroupTerm;
 
@@ -178,7 +178,7 @@
   if (!closed) co_await runtime_.sleep_for(kFailoverRetry);
 }
 
-bool GroupKeeper::is_dead(const std::optional<session::BackendStatus>& status, const GroupTerm& term) const {
+bool GroupKeeper::is_dead(const std::optional<BackendStatus>& status, const GroupTerm& term) const {
   return !status || !status->is_primary || status->term != term.term;
 }
 
@@ -360,4 +360,4 @@
   co_return done;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -23,7 +23,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 struct GroupKeeperSettings {
   NodeName node;
@@ -94,7 +94,7 @@
   /// The most urgent priority of the routes that lead to each group, 0 first; the largest number for none.
   [[nodiscard]] std::map<GroupName, std::uint64_t> urgencies() const;
   [[nodiscard]] std::vector<GroupName> groups_by_urgency() const;
-  [[nodiscard]] bool is_dead(const std::optional<session::BackendStatus>& status,
+  [[nodiscard]] bool is_dead(const std::optional<BackendStatus>& status,
                              const registry::GroupTerm& term) const;
   /// How many looks in a row must find the primary dead, by how many proxies suspect it.
   [[nodiscard]] int looks_needed(const registry::GroupTerm& term, std::size_t suspecting_proxies) const;
@@ -178,4 +178,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_members.cpp
+++ b/src/registered/control/failover/group_members.cpp
@@ -5,7 +5,7 @@
 #include "registered/control/failover/group_keeper.h"
 #include "registered/control/knobs.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -96,4 +96,4 @@
   return runtime_.now() - found->second.left_at > kMembersSettleTime;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_prober.cpp
+++ b/src/registered/control/failover/group_prober.cpp
@@ -2,7 +2,7 @@
 
 #include "registered/control/knobs.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 struct GroupProber::Survey {
   explicit Survey(runtime::Runtime& runtime) : answered(runtime) {}
@@ -11,42 +11,40 @@
   runtime::Signal answered;
 };
 
-Awaitable<std::optional<session::BackendStatus>> GroupProber::ask(registry::BackendEntry entry,
-                                                                  TimePoint deadline, Reason& reason) {
-  session::BackendRequest request = session::AskStatus{};
+Awaitable<std::optional<BackendStatus>> GroupProber::ask(registry::BackendEntry entry, TimePoint deadline,
+                                                         Reason& reason) {
+  BackendRequest request = AskStatus{};
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
 
-Awaitable<std::optional<session::BackendStatus>> GroupProber::demote(registry::BackendEntry entry,
-                                                                     std::uint64_t term, TimePoint deadline,
-                                                                     Reason& reason) {
-  session::BackendRequest request = session::Demote{term};
+Awaitable<std::optional<BackendStatus>> GroupProber::demote(registry::BackendEntry entry, std::uint64_t term,
+                                                            TimePoint deadline, Reason& reason) {
+  BackendRequest request = Demote{term};
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
 
-Awaitable<std::optional<session::BackendStatus>> GroupProber::pause(registry::BackendEntry entry,
-                                                                    std::uint64_t term, TimePoint deadline,
-                                                                    Reason& reason) {
-  session::BackendRequest request = session::Pause{term};
+Awaitable<std::optional<BackendStatus>> GroupProber::pause(registry::BackendEntry entry, std::uint64_t term,
+                                                           TimePoint deadline, Reason& reason) {
+  BackendRequest request = Pause{term};
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
 
-Awaitable<std::optional<session::BackendStatus>> GroupProber::resume(registry::BackendEntry entry,
-                                                                     TimePoint deadline, Reason& reason) {
-  session::BackendRequest request = session::Resume{};
+Awaitable<std::optional<BackendStatus>> GroupProber::resume(registry::BackendEntry entry, TimePoint deadline,
+                                                            Reason& reason) {
+  BackendRequest request = Resume{};
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
 
 Awaitable<bool> GroupProber::is_another(registry::BackendEntry entry, TimePoint deadline) {
   Reason reason;
-  std::optional<session::Refusal> refusal;
-  const session::BackendAddress address{entry.endpoint, entry.group, entry.name};
+  std::optional<Refusal> refusal;
+  const BackendAddress address{entry.endpoint, entry.group, entry.name};
   const auto link = co_await dialer_.open(address, deadline, refusal, reason);
   if (link) link->close();
-  co_return refusal == session::Refusal::kWrongBackend;
+  co_return refusal == Refusal::kWrongBackend;
 }
 
-std::shared_ptr<session::BackendLink> GroupProber::take_idle(const registry::BackendEntry& entry) {
+std::shared_ptr<BackendLink> GroupProber::take_idle(const registry::BackendEntry& entry) {
   const auto idle = idle_.find(entry.name);
   if (idle == idle_.end()) return nullptr;
   const IdleLink held = std::move(idle->second);
@@ -64,13 +62,12 @@
   held.link->close();
 }
 
-Awaitable<std::optional<session::BackendStatus>> GroupProber::run(registry::BackendEntry entry,
-                                                                  session::BackendRequest request,
-                                                                  TimePoint deadline, Reason& reason) {
-  std::shared_ptr<session::BackendLink> link = take_idle(entry);
+Awaitable<std::optional<BackendStatus>> GroupProber::run(registry::BackendEntry entry, BackendRequest request,
+                                                         TimePoint deadline, Reason& reason) {
+  std::shared_ptr<BackendLink> link = take_idle(entry);
   if (!link || !link->is_open()) {
-    std::optional<session::Refusal> refusal;
-    const session::BackendAddress address{entry.endpoint, entry.group, entry.name};
+    std::optional<Refusal> refusal;
+    const BackendAddress address{entry.endpoint, entry.group, entry.name};
     link = co_await dialer_.open(address, deadline, refusal, reason);
   }
   if (!link) co_return std::nullopt;
@@ -80,7 +77,7 @@
   idle_[entry.name] = IdleLink{entry.incarnation(), link};
   if (answer->refusal) {
     reason =
-        Reason{ReasonCode::kOverloaded, "ask_status", link->peer(), session::refusal_name(*answer->refusal)};
+        Reason{ReasonCode::kOverloaded, "ask_status", link->peer(), proxy::refusal_name(*answer->refusal)};
     co_return std::nullopt;
   }
   co_return link->read_status(*answer, reason);
@@ -114,4 +111,4 @@
   co_return co_await ask_all(std::move(members));
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -13,25 +13,24 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// What it refers to outlives it; it lives until the process ends.
 class GroupProber {
  public:
-  GroupProber(runtime::Runtime& runtime, session::BackendDialer& dialer)
-      : runtime_(runtime), dialer_(dialer) {}
+  GroupProber(runtime::Runtime& runtime, BackendDialer& dialer) : runtime_(runtime), dialer_(dialer) {}
 
   /// Empty when it does not answer by `deadline`.
-  Awaitable<std::optional<session::BackendStatus>> ask(registry::BackendEntry entry, TimePoint deadline,
-                                                       Reason& reason);
+  Awaitable<std::optional<BackendStatus>> ask(registry::BackendEntry entry, TimePoint deadline,
+                                              Reason& reason);
   /// As ask(), after telling it to step down from any term below `term`.
-  Awaitable<std::optional<session::BackendStatus>> demote(registry::BackendEntry entry, std::uint64_t term,
-                                                          TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<BackendStatus>> demote(registry::BackendEntry entry, std::uint64_t term,
+                                                 TimePoint deadline, Reason& reason);
   /// As ask(), after keeping it from receiving under `term`, or letting it receive again.
-  Awaitable<std::optional<session::BackendStatus>> pause(registry::BackendEntry entry, std::uint64_t term,
-                                                         TimePoint deadline, Reason& reason);
-  Awaitable<std::optional<session::BackendStatus>> resume(registry::BackendEntry entry, TimePoint deadline,
-                                                          Reason& reason);
+  Awaitable<std::optional<BackendStatus>> pause(registry::BackendEntry entry, std::uint64_t term,
+                                                TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<BackendStatus>> resume(registry::BackendEntry entry, TimePoint deadline,
+                                                 Reason& reason);
   /// Whether a backend of another name answers at the entry's address. False when nobody answers clearly.
   Awaitable<bool> is_another(registry::BackendEntry entry, TimePoint deadline);
   /// All at once; returns when all have answered or the time is over, or `enough` says that what came will
@@ -44,20 +43,19 @@
 
  private:
   struct Survey;
-  Awaitable<std::optional<session::BackendStatus>> run(registry::BackendEntry entry,
-                                                       session::BackendRequest request, TimePoint deadline,
-                                                       Reason& reason);
+  Awaitable<std::optional<BackendStatus>> run(registry::BackendEntry entry, BackendRequest request,
+                                              TimePoint deadline, Reason& reason);
   Awaitable<void> ask_one(std::shared_ptr<Survey> survey, std::size_t place);
 
   runtime::Runtime& runtime_;
-  session::BackendDialer& dialer_;
+  BackendDialer& dialer_;
   struct IdleLink {
     registry::BackendIncarnation to;
-    std::shared_ptr<session::BackendLink> link;
+    std::shared_ptr<BackendLink> link;
   };
   /// An idle link to this life of the backend; null: there is none. One to another life is closed.
-  std::shared_ptr<session::BackendLink> take_idle(const registry::BackendEntry& entry);
+  std::shared_ptr<BackendLink> take_idle(const registry::BackendEntry& entry);
   std::map<BackendName, IdleLink> idle_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/member_pauses.cpp
+++ b/src/registered/control/failover/member_pauses.cpp
@@ -6,7 +6,7 @@
 #include "registered/registry/member_lease.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using registry::BackendEntry;
 using registry::BackendIncarnation;
@@ -151,4 +151,4 @@
   while (answers->missing > 0) co_await answers->changed.wait();
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/member_pauses.h
+++ b/src/registered/control/failover/member_pauses.h
@@ -12,7 +12,7 @@
 #include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// What it refers to outlives it; it lives until the process ends.
 class MemberPauses {
@@ -78,4 +78,4 @@
   std::map<GroupName, GroupPauses> paused_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -246,4 +246,4 @@
   return {PromotionVerdict::kNotYet, {}, 0, proof.why};
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -10,12 +10,12 @@
 #include "registered/protocol/backend_link.h"
 #include "registered/registry/model.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// One member of the group, as found after the group was closed.
 struct MemberFinding {
   registry::BackendEntry entry;
-  std::optional<session::BackendStatus> status;  ///< empty: it did not answer
+  std::optional<BackendStatus> status;  ///< empty: it did not answer
   /// It was registered, or changed, since the closed term opened: it may be a life that began since.
   bool joined_in_term = false;
   bool evacuated = false;  ///< its zone is: as primary it would serve nobody
@@ -73,4 +73,4 @@
 /// is proved without being the furthest.
 PromotionChoice choose_promotion(const PromotionFacts& facts, bool reopen_allowed);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/promotion_turns.cpp
+++ b/src/registered/control/failover/promotion_turns.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <cmath>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -59,4 +59,4 @@
   co_return at_once;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/promotion_turns.h
+++ b/src/registered/control/failover/promotion_turns.h
@@ -14,7 +14,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// `runtime` outlives it; it lives until the process ends.
 class PromotionTurns {
@@ -45,4 +45,4 @@
   runtime::Signal taken_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/region_preference.cpp
+++ b/src/registered/control/failover/region_preference.cpp
@@ -2,7 +2,7 @@
 
 #include "registered/locality/permitted_regions.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 void RegionPreference::follow_document() {
   if (version_ == fleet_.document_version()) return;
@@ -36,4 +36,4 @@
   return counts;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/region_preference.h
+++ b/src/registered/control/failover/region_preference.h
@@ -9,7 +9,7 @@
 #include "registered/locality/region_map.h"
 #include "registered/registry/state_machine.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// `fleet` outlives it. Goes through all routes once a document, not once a question.
 class RegionPreference {
@@ -31,4 +31,4 @@
   std::map<GroupName, std::vector<registry::RouteRule>> routes_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/knobs.h
+++ b/src/registered/control/knobs.h
@@ -8,7 +8,7 @@
 #include "base/types.h"
 #include "registered/registry/member_lease.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// Longest wait for a command to be committed, or for a quorum round, on behalf of a caller.
 inline constexpr Duration kCommitTimeout = std::chrono::milliseconds(800);
@@ -106,4 +106,4 @@
 inline constexpr Duration kDemoteLimit = std::chrono::seconds(30);
 inline constexpr Duration kDemotePause = std::chrono::milliseconds(500);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/leader_calls.cpp
+++ b/src/registered/control/leader_calls.cpp
@@ -4,7 +4,7 @@
 
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 LeaderCalls::LeaderCalls(runtime::Runtime& runtime, consensus::Consensus& consensus,
                          ControlNodeDirectory& directory, NodeName node, Endpoint own_endpoint)
@@ -203,4 +203,4 @@
   }
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/leader_calls.h
+++ b/src/registered/control/leader_calls.h
@@ -14,7 +14,7 @@
 #include "runtime/signal.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// Both sides. What it refers to outlives it; it lives until the process ends.
 class LeaderCalls {
@@ -81,4 +81,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -7,7 +7,7 @@
 #include "wire/codec.h"
 #include "wire/compression.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 LeaseKeeper::LeaseKeeper(runtime::Runtime& runtime, consensus::Consensus& consensus,
                          registry::FleetStateMachine& fleet, ControlNodeDirectory& directory,
@@ -323,4 +323,4 @@
   if (!sent) follower->connection->close();
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/leases/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -16,7 +16,7 @@
 #include "runtime/signal.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// What it refers to outlives it; it lives until the process ends.
 class LeaseKeeper {
@@ -128,4 +128,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -14,7 +14,7 @@
 #include "registered/registry/state_machine.h"
 #include "wire/connection_dispatcher.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -151,7 +151,7 @@
   ControlNodeDirectory directory_;
   LeaderCalls calls_;
   LeaseKeeper leases_;
-  std::unique_ptr<session::BackendDialer> dialer_;
+  std::unique_ptr<BackendDialer> dialer_;
   GroupProber prober_;
   std::unique_ptr<registry::PromotionCaller> promotions_;
   GroupKeeper groups_;
@@ -181,4 +181,4 @@
   return std::make_unique<RegisteredControlNode>(runtime, std::move(settings), edge);
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/registered_control_node.h
+++ b/src/registered/control/registered_control_node.h
@@ -13,13 +13,13 @@
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// How the node speaks with the world around the fleet. Made once, at the start.
 struct ControlEdge {
   std::function<std::unique_ptr<runtime::HttpHandler>(registry::ControlService&)> make_operator_calls;
   std::function<std::unique_ptr<registry::PromotionCaller>(runtime::Runtime&, Endpoint)> make_promotions;
-  std::function<std::unique_ptr<session::BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
+  std::function<std::unique_ptr<BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
 };
 
 /// Creates a control node on `runtime`, which outlives it.
@@ -32,4 +32,4 @@
 /// What the node has applied; for tests and the simulator. `control_node` was made here.
 const registry::FleetStateMachine& fleet_of(runtime::Role& control_node);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -6,7 +6,7 @@
 #include "registered/control/knobs.h"
 #include "registered/registry/validation.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using runtime::LogLevel;
 
@@ -193,4 +193,4 @@
   co_return done;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -12,7 +12,7 @@
 #include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// Registrations that were acknowledged here and changed more, or less, than others do.
 struct RegistrationCounts {
@@ -89,4 +89,4 @@
   TimePoint takers_at_{};
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/settings.h
+++ b/src/registered/control/settings.h
@@ -8,7 +8,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 struct RegisteredControlSettings {
   NodeName node;
@@ -32,4 +32,4 @@
   std::map<ZoneName, RegionName> zone_regions;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/voter_keeper.cpp
+++ b/src/registered/control/voter_keeper.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using consensus::Member;
 using consensus::MemberRole;
@@ -116,4 +116,4 @@
   heard_at_.clear();
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/control/voter_keeper.h
+++ b/src/registered/control/voter_keeper.h
@@ -10,7 +10,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// What it refers to outlives it; it lives until the process ends.
 class VoterKeeper {
@@ -46,4 +46,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/src/registered/limits/budget_home.cpp
+++ b/src/registered/limits/budget_home.cpp
@@ -5,7 +5,7 @@
 
 #include "registered/registry/budget_authority.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 void BudgetHome::set_homes(BudgetHomes homes, std::uint64_t revision) {
   homes_ = std::move(homes);
@@ -71,4 +71,4 @@
   return grant;
 }
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/budget_home.h
+++ b/src/registered/limits/budget_home.h
@@ -19,7 +19,7 @@
 #include "registered/limits/limit_budget.h"
 #include "registered/limits/token_bucket.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 enum class GrantOutcome : std::uint8_t {
   kGranted,
@@ -91,4 +91,4 @@
   std::optional<TimePoint> settled_since_;
 };
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/budget_homes.cpp
+++ b/src/registered/limits/budget_homes.cpp
@@ -4,27 +4,26 @@
 
 #include "registered/limits/limit_budget.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 namespace {
 
-std::vector<routing::ProxyPointer> homes_among(const routing::SubsetTable& table,
-                                               const LimitedName& limited) {
+std::vector<subset::ProxyPointer> homes_among(const subset::SubsetTable& table, const LimitedName& limited) {
   return table.serving(GroupName(kind_name(limited.kind) + (" " + limited.name)),
                        static_cast<std::uint32_t>(kHomes));
 }
 
-bool holds(const std::vector<routing::ProxyPointer>& proxies, const NodeName& node) {
+bool holds(const std::vector<subset::ProxyPointer>& proxies, const NodeName& node) {
   return std::any_of(proxies.begin(), proxies.end(),
-                     [&](const routing::ProxyPointer& proxy) { return proxy->name == node; });
+                     [&](const subset::ProxyPointer& proxy) { return proxy->name == node; });
 }
 
-std::vector<routing::ProxyPointer> united(const std::vector<routing::ProxyPointer>& takers,
-                                          const std::vector<routing::ProxyPointer>& changed) {
-  std::map<NodeName, routing::ProxyPointer> by_name;
+std::vector<subset::ProxyPointer> united(const std::vector<subset::ProxyPointer>& takers,
+                                         const std::vector<subset::ProxyPointer>& changed) {
+  std::map<NodeName, subset::ProxyPointer> by_name;
   for (const auto& proxy : takers) by_name.emplace(proxy->name, proxy);
   for (const auto& proxy : changed) by_name.emplace(proxy->name, proxy);
-  std::vector<routing::ProxyPointer> both;
+  std::vector<subset::ProxyPointer> both;
   both.reserve(by_name.size());
   for (const auto& [name, proxy] : by_name) both.push_back(proxy);
   return both;
@@ -32,13 +31,13 @@
 
 }  // namespace
 
-BudgetHomes::BudgetHomes(const std::vector<routing::ProxyPointer>& takers,
-                         const std::vector<routing::ProxyPointer>& changed)
+BudgetHomes::BudgetHomes(const std::vector<subset::ProxyPointer>& takers,
+                         const std::vector<subset::ProxyPointer>& changed)
     : takers_(takers), with_changed_(united(takers, changed)) {
   for (const auto& proxy : changed) changed_.insert(proxy->name);
 }
 
-const std::vector<routing::ProxyPointer>& BudgetHomes::of(const LimitedName& limited) const {
+const std::vector<subset::ProxyPointer>& BudgetHomes::of(const LimitedName& limited) const {
   const auto [homes, is_new] = homes_.try_emplace(limited);
   if (is_new) homes->second = homes_among(takers_, limited);
   return homes->second;
@@ -52,4 +51,4 @@
   return changed_.count(node) == 0 && holds(homes_among(with_changed_, limited), node);
 }
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/budget_homes.h
+++ b/src/registered/limits/budget_homes.h
@@ -9,7 +9,7 @@
 #include "registered/limits/limit.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 /// The homes of all that is limited among the proxies that take work, before and after a change.
 ///
@@ -20,21 +20,21 @@
  public:
   BudgetHomes() = default;
   /// `changed`: proxies that came, went or started anew since the view before, also those that came and went.
-  BudgetHomes(const std::vector<routing::ProxyPointer>& takers,
-              const std::vector<routing::ProxyPointer>& changed);
+  BudgetHomes(const std::vector<subset::ProxyPointer>& takers,
+              const std::vector<subset::ProxyPointer>& changed);
 
   /// Up to kHomes proxies, in different zones as far as possible.
-  [[nodiscard]] const std::vector<routing::ProxyPointer>& of(const LimitedName& limited) const;
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& of(const LimitedName& limited) const;
   [[nodiscard]] bool is_home(const LimitedName& limited, const NodeName& node) const;
   /// Whether `node`, a home now, was one all the time.
   [[nodiscard]] bool was_home(const LimitedName& limited, const NodeName& node) const;
 
  private:
-  routing::SubsetTable takers_;
-  routing::SubsetTable with_changed_;
+  subset::SubsetTable takers_;
+  subset::SubsetTable with_changed_;
   std::set<NodeName> changed_;
   /// Of those that were asked for: each operation asks, and a membership stays.
-  mutable std::map<LimitedName, std::vector<routing::ProxyPointer>> homes_;
+  mutable std::map<LimitedName, std::vector<subset::ProxyPointer>> homes_;
 };
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/limit.h
+++ b/src/registered/limits/limit.h
@@ -7,7 +7,7 @@
 
 #include "registered/limits/limit_window.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 enum class LimitedKind : std::uint8_t {
   kTenant,      ///< operations of a tenant, counted where they come in
@@ -42,4 +42,4 @@
   [[nodiscard]] bool bounds() const { return rate_per_s > 0 || burst > 0; }
 };
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/limit_budget.cpp
+++ b/src/registered/limits/limit_budget.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 namespace {
 
@@ -24,4 +24,4 @@
   return {rate / kHomes, (allowed - rate * counted_s) / kHomes};
 }
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/limit_budget.h
+++ b/src/registered/limits/limit_budget.h
@@ -18,7 +18,7 @@
 
 #include "registered/limits/limit.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 /// Proxies that count for one limited thing. Two of three give two thirds of the rate, which is what a tenant
 /// that uses 0.6 of its limit needs while one of them is away; one would give nothing. Chosen, not measured.
@@ -38,4 +38,4 @@
 /// Operations that may run in any window.
 double allowance(const Limit& limit);
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/limit_window.h
+++ b/src/registered/limits/limit_window.h
@@ -5,7 +5,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 /// In any `window` of time at most (rate x window + burst) x (1 + overshoot) + slack operations are
 /// run, counted over all proxies.
@@ -18,4 +18,4 @@
   Duration lowered_after{0};
 };
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/token_bucket.h
+++ b/src/registered/limits/token_bucket.h
@@ -8,7 +8,7 @@
 
 #include "registered/limits/limit_budget.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 class TokenBucket {
  public:
@@ -43,4 +43,4 @@
   TimePoint filled_at_;
 };
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/token_stock.h
+++ b/src/registered/limits/token_stock.h
@@ -10,7 +10,7 @@
 
 #include "registered/limits/limit_budget.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 /// Demand is averaged over this time: several lives of a token, so that a pause does not end asking ahead.
 inline constexpr Duration kDemandMemory = std::chrono::seconds(1);
@@ -55,4 +55,4 @@
   TimePoint noted_at_{};
 };
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/src/registered/locality/permitted_regions.cpp
+++ b/src/registered/locality/permitted_regions.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::locality {
+namespace cairnhollow::registered::locality {
 
 namespace {
 
@@ -37,4 +37,4 @@
   return text;
 }
 
-}  // namespace cairnhollow::locality
+}  // namespace cairnhollow::registered::locality
--- a/src/registered/locality/permitted_regions.h
+++ b/src/registered/locality/permitted_regions.h
@@ -7,7 +7,7 @@
 
 #include "registered/locality/region_map.h"
 
-namespace cairnhollow::locality {
+namespace cairnhollow::registered::locality {
 
 /// Invariant: where a list binds, a zone whose region is not known is not allowed.
 class PermittedRegions {
@@ -33,4 +33,4 @@
   std::vector<RegionName> regions_;
 };
 
-}  // namespace cairnhollow::locality
+}  // namespace cairnhollow::registered::locality
--- a/src/registered/locality/region_map.h
+++ b/src/registered/locality/region_map.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::locality {
+namespace cairnhollow::registered::locality {
 
 class RegionMap {
  public:
@@ -24,4 +24,4 @@
   std::map<ZoneName, RegionName> regions_;
 };
 
-}  // namespace cairnhollow::locality
+}  // namespace cairnhollow::registered::locality
--- a/src/registered/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 namespace {
 
@@ -129,4 +129,4 @@
   return other.backend && !backends[*other.backend].avoided && !backends[*other.backend].lags;
 }
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/backend_choice.h
+++ b/src/registered/placement/backend_choice.h
@@ -8,7 +8,7 @@
 #include "registered/placement/facts.h"
 #include "registered/placement/obstacle.h"
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 /// What keeps all new work away from the backend, whatever the work is; kNone when nothing does.
 Obstacle obstacle_to_new_work(const BackendFacts& backend);
@@ -37,4 +37,4 @@
 /// Whether a backend other than those tried is likely to serve such a read now.
 bool has_other_reader(bool primary_only, std::span<const BackendFacts> backends);
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -8,7 +8,7 @@
 #include "base/types.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 struct StatementNeed {
   bool reads = false;         ///< and no more: it, or the transaction that it opens
@@ -40,7 +40,7 @@
 };
 
 /// Proxies in the order in which they are to be asked. Null stands for none.
-using ProxyList = std::vector<routing::ProxyPointer>;
+using ProxyList = std::vector<subset::ProxyPointer>;
 
 /// What this proxy may do in the statement's group, and who could stand in.
 struct ProxyFacts {
@@ -87,4 +87,4 @@
   KeyFacts key;
 };
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/obstacle.cpp
+++ b/src/registered/placement/obstacle.cpp
@@ -2,7 +2,7 @@
 
 #include <array>
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 namespace {
 
@@ -58,4 +58,4 @@
   return kForwardCauses.at(static_cast<std::size_t>(cause));
 }
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/obstacle.h
+++ b/src/registered/placement/obstacle.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <string_view>
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 /// The places are part of nothing that is stored or sent: names are what others see.
 enum class Obstacle : std::uint8_t {
@@ -52,4 +52,4 @@
 /// Stable lower-case name for metrics.
 const char* forward_cause_name(ForwardCause cause);
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -1,6 +1,6 @@
 #include "registered/placement/placement.h"
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 namespace {
 
@@ -122,4 +122,4 @@
   return counts_on_primary && !facts.may_use_primary ? Obstacle::kPrimaryGivenUp : Obstacle::kNone;
 }
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -12,7 +12,7 @@
 #include "registered/placement/facts.h"
 #include "registered/placement/obstacle.h"
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 
 /// Pass the statement on to one of these, first choice first.
 struct Forwarding {
@@ -72,4 +72,4 @@
 /// Why a transaction may not go on at the backend where it is open: it is ended and nothing of it is kept.
 Obstacle obstacle_in_transaction(const TransactionFacts& facts, const BackendFacts& backend);
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/src/registered/protocol/backend_link.h
+++ b/src/registered/protocol/backend_link.h
@@ -12,7 +12,7 @@
 #include "runtime/http.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered {
 
 /// A caller's read, write or commit, passed on with its id and text.
 struct PassOn {
@@ -98,4 +98,4 @@
                                                        std::optional<Refusal>& refusal, Reason& reason) = 0;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered
--- a/src/registered/protocol/caller_protocol.h
+++ b/src/registered/protocol/caller_protocol.h
@@ -10,7 +10,7 @@
 #include "runtime/awaitable.h"
 #include "runtime/lines.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered {
 
 /// What a caller says first.
 struct SessionStart {
@@ -42,4 +42,4 @@
   virtual std::shared_ptr<CallerConnection> wrap(std::shared_ptr<runtime::LineConnection> lines) = 0;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered
--- a/src/registered/protocol/statement.cpp
+++ b/src/registered/protocol/statement.cpp
@@ -1,6 +1,6 @@
 #include "registered/protocol/statement.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered {
 
 const char* refusal_name(Refusal refusal) {
   switch (refusal) {
@@ -45,4 +45,4 @@
          refusal == Refusal::kOverLimit;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered
--- a/src/registered/protocol/statement.h
+++ b/src/registered/protocol/statement.h
@@ -8,7 +8,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered {
 
 enum class StatementKind : std::uint8_t {
   kBegin,
@@ -81,4 +81,4 @@
   }
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -8,7 +8,7 @@
 #include "registered/proxy/statement/placement_facts.h"
 #include "registered/tenancy/tenant_limit.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
@@ -426,4 +426,4 @@
   if (!answering_) caller_->close();
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/callers/caller_session.h
+++ b/src/registered/proxy/callers/caller_session.h
@@ -10,7 +10,7 @@
 #include "registered/proxy/session_services.h"
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 class CallerSession : public std::enable_shared_from_this<CallerSession> {
  public:
@@ -101,4 +101,4 @@
   bool answered_since_leaving_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/control_conversation.cpp
+++ b/src/registered/proxy/fleet/control_conversation.cpp
@@ -4,7 +4,7 @@
 
 #include "registered/proxy/knobs.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 bool ControlConversation::is_stalled(TimePoint now) {
   const std::uint64_t received = connection->bytes_received();
@@ -16,4 +16,4 @@
   return now - std::max(asked.begin()->second, bytes_at) > limit;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/control_conversation.h
+++ b/src/registered/proxy/fleet/control_conversation.h
@@ -7,7 +7,7 @@
 
 #include "runtime/network.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 struct ControlConversation {
   std::shared_ptr<runtime::FrameConnection> connection;
@@ -28,4 +28,4 @@
   [[nodiscard]] bool is_stalled(TimePoint now);
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/fleet_link.cpp
+++ b/src/registered/proxy/fleet/fleet_link.cpp
@@ -7,7 +7,7 @@
 #include "wire/compression.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
@@ -211,4 +211,4 @@
   wake_.notify_all();
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -15,7 +15,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Why a primary is suspected.
 enum class SuspicionKind : std::uint8_t {
@@ -77,4 +77,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -9,7 +9,7 @@
 #include "registered/tenancy/tenant_division.h"
 #include "registered/tenancy/tenant_limit.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 std::shared_ptr<GroupAccess> FleetView::access(const GroupName& group) {
   auto& access = groups_[group];
@@ -45,7 +45,7 @@
   if (group == group_of_.end()) return std::nullopt;
   const double rate = groups_.at(group->second)->cold_rate_per_s();
   if (rate <= 0 || !limits_cold_) return std::nullopt;
-  return session::cold_limit(backend, rate, cold_window_);
+  return proxy::cold_limit(backend, rate, cold_window_);
 }
 
 std::shared_ptr<GroupAccess> FleetView::find_group(const GroupName& group) {
@@ -144,15 +144,14 @@
 
 namespace {
 
-routing::ProxyPointer view_of(const registry::AdmittedProxy& proxy) {
-  return std::make_shared<routing::ProxyView>(
-      routing::ProxyView{proxy.node, proxy.zone, proxy.peer_endpoint});
+subset::ProxyPointer view_of(const registry::AdmittedProxy& proxy) {
+  return std::make_shared<subset::ProxyView>(subset::ProxyView{proxy.node, proxy.zone, proxy.peer_endpoint});
 }
 
 }  // namespace
 
-std::vector<routing::ProxyPointer> FleetView::changed_proxies(const registry::FleetDelta& delta) const {
-  std::vector<routing::ProxyPointer> changed;
+std::vector<subset::ProxyPointer> FleetView::changed_proxies(const registry::FleetDelta& delta) const {
+  std::vector<subset::ProxyPointer> changed;
   for (const registry::AdmittedProxy& proxy : delta.proxies) changed.push_back(view_of(proxy));
   for (const NodeName& node : delta.removed_proxies) {
     const auto held = proxies_.find(node);
@@ -163,18 +162,18 @@
   return changed;
 }
 
-std::vector<routing::ProxyPointer> FleetView::takers() const {
-  std::vector<routing::ProxyPointer> takers;
+std::vector<subset::ProxyPointer> FleetView::takers() const {
+  std::vector<subset::ProxyPointer> takers;
   for (const auto& [node, proxy] : proxies_) {
     if (!proxy.leaving) takers.push_back(view_of(proxy));
   }
   return takers;
 }
 
-void FleetView::divide_groups(const std::vector<routing::ProxyPointer>& takers) {
+void FleetView::divide_groups(const std::vector<subset::ProxyPointer>& takers) {
   others_ = routing::forwarding_order(takers, node_, zone_);
-  std::erase_if(others_, [this](const routing::ProxyPointer& proxy) { return proxy->name == node_; });
-  const routing::SubsetTable table(takers);
+  std::erase_if(others_, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
+  const subset::SubsetTable table(takers);
   forward_to_.clear();
   also_serving_.clear();
   serving_.clear();
@@ -192,16 +191,16 @@
     share_connections(*group, serving);
     const bool serves =
         std::any_of(serving.begin(), serving.end(),
-                    [this](const routing::ProxyPointer& proxy) { return proxy->name == node_; });
+                    [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
     auto order = routing::forwarding_order(serving, node_, zone_);
     serving_[name] = order;
-    std::erase_if(order, [this](const routing::ProxyPointer& proxy) { return proxy->name == node_; });
+    std::erase_if(order, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
     (serves ? also_serving_ : forward_to_)[name] = std::move(order);
   }
 }
 
 void FleetView::share_connections(GroupAccess& group,
-                                  const std::vector<routing::ProxyPointer>& serving) const {
+                                  const std::vector<subset::ProxyPointer>& serving) const {
   if (!requires_keys_) return group.share_connections(serving.size());
   tenancy::ServingProxies counts;
   counts.all = serving.size();
@@ -224,20 +223,20 @@
 
 namespace {
 
-const std::vector<routing::ProxyPointer>& nobody() {
-  static const std::vector<routing::ProxyPointer> none;
+const std::vector<subset::ProxyPointer>& nobody() {
+  static const std::vector<subset::ProxyPointer> none;
   return none;
 }
 
 }  // namespace
 
-const std::vector<routing::ProxyPointer>& FleetView::forward_to(const GroupName& group) {
+const std::vector<subset::ProxyPointer>& FleetView::forward_to(const GroupName& group) {
   const auto found = forward_to_.find(group);
   return found == forward_to_.end() ? nobody() : found->second;
 }
 
-const std::vector<routing::ProxyPointer>& FleetView::forward_to(const GroupName& group,
-                                                                const TenantName& tenant, GroupWork work) {
+const std::vector<subset::ProxyPointer>& FleetView::forward_to(const GroupName& group,
+                                                               const TenantName& tenant, GroupWork work) {
   if (tenant.empty()) return forward_to(group);
   if (forward_for_.size() > kMostTenantDivisions) forward_for_.clear();
   const auto zone = zone_of_work(group, tenant, work);
@@ -249,7 +248,7 @@
   return forward_for_.emplace(TenantPlace{group, tenant, *zone}, std::move(order)).first->second;
 }
 
-const std::vector<routing::ProxyPointer>& FleetView::also_serving(const GroupName& group) {
+const std::vector<subset::ProxyPointer>& FleetView::also_serving(const GroupName& group) {
   return also_serving_[group];
 }
 
@@ -262,10 +261,10 @@
   return {regions_, route.allowed_regions, {}};
 }
 
-std::vector<routing::ProxyPointer> FleetView::in_regions(const std::vector<routing::ProxyPointer>& proxies,
-                                                         const locality::PermittedRegions& allowed) const {
-  std::vector<routing::ProxyPointer> inside = proxies;
-  std::erase_if(inside, [&](const routing::ProxyPointer& proxy) {
+std::vector<subset::ProxyPointer> FleetView::in_regions(const std::vector<subset::ProxyPointer>& proxies,
+                                                        const locality::PermittedRegions& allowed) const {
+  std::vector<subset::ProxyPointer> inside = proxies;
+  std::erase_if(inside, [&](const subset::ProxyPointer& proxy) {
     return proxy->name != node_ && !allowed.allows(proxy->zone);
   });
   return inside;
@@ -354,4 +353,4 @@
   return closed;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -18,7 +18,7 @@
 #include "registered/tenancy/tenant_directory.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What a group's backends are to do for a tenant.
 enum class GroupWork : std::uint8_t { kAtPrimary, kSingleReads };
@@ -100,20 +100,19 @@
   [[nodiscard]] const std::map<GroupName, std::shared_ptr<GroupAccess>>& groups() const { return groups_; }
   /// The proxies to which statements for the group are to be forwarded, first choice first. Empty: this proxy
   /// serves it. Only so many serve a group that each has connections to work with.
-  [[nodiscard]] const std::vector<routing::ProxyPointer>& forward_to(const GroupName& group);
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& forward_to(const GroupName& group);
   /// The same for one tenant's statements: a tenant's links to a backend are with few of the proxies of its
   /// zone that serve the group. This proxy is among them, behind others, where it serves the group as well.
   /// Empty as well for work at a primary while none may be used: it waits here until its zone is known.
-  [[nodiscard]] const std::vector<routing::ProxyPointer>& forward_to(const GroupName& group,
-                                                                     const TenantName& tenant,
-                                                                     GroupWork work);
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& forward_to(const GroupName& group,
+                                                                    const TenantName& tenant, GroupWork work);
   /// The other proxies that serve a group which this proxy serves as well, first choice first.
-  [[nodiscard]] const std::vector<routing::ProxyPointer>& also_serving(const GroupName& group);
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& also_serving(const GroupName& group);
   /// Every other proxy that takes work, those of this zone first.
-  [[nodiscard]] const std::vector<routing::ProxyPointer>& others() const { return others_; }
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& others() const { return others_; }
   /// Those of `proxies` to which a statement's text may be sent, and this proxy, which has it.
-  [[nodiscard]] std::vector<routing::ProxyPointer> in_regions(
-      const std::vector<routing::ProxyPointer>& proxies, const locality::PermittedRegions& allowed) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> in_regions(const std::vector<subset::ProxyPointer>& proxies,
+                                                             const locality::PermittedRegions& allowed) const;
   /// What is to be told of every closed group.
   [[nodiscard]] std::vector<registry::ClosedGroup> closed_groups() const;
 
@@ -149,7 +148,7 @@
   [[nodiscard]] std::optional<ZoneName> zone_of_work(const GroupName& group, const TenantName& tenant,
                                                      GroupWork work) const;
   /// Divides the group's connections among those that serve it.
-  void share_connections(GroupAccess& group, const std::vector<routing::ProxyPointer>& serving) const;
+  void share_connections(GroupAccess& group, const std::vector<subset::ProxyPointer>& serving) const;
   void apply_routes(const registry::FleetDelta& delta);
   void apply_backends(const registry::FleetDelta& delta);
   /// The zones that are given back by it.
@@ -165,12 +164,12 @@
   void note_unknown_regions(const registry::FleetDelta& delta);
   void note_zone(const ZoneName& zone);
   /// Proxies that the delta names, as they are or were.
-  [[nodiscard]] std::vector<routing::ProxyPointer> changed_proxies(const registry::FleetDelta& delta) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> changed_proxies(const registry::FleetDelta& delta) const;
   /// Those that take new work.
-  [[nodiscard]] std::vector<routing::ProxyPointer> takers() const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> takers() const;
   void apply_proxies(const registry::FleetDelta& delta);
   /// Who serves each group, and how its connections are shared.
-  void divide_groups(const std::vector<routing::ProxyPointer>& takers);
+  void divide_groups(const std::vector<subset::ProxyPointer>& takers);
   /// Whether it may change which proxies serve a group, or their shares of its connections. A backend counts
   /// with its slots and where it is, not with what it is doing. Asked before its backends are taken over.
   [[nodiscard]] bool changes_division(const registry::FleetDelta& delta) const;
@@ -202,12 +201,12 @@
   std::map<GroupName, std::shared_ptr<GroupAccess>> groups_;
   std::map<BackendName, GroupName> group_of_;
   std::map<NodeName, registry::AdmittedProxy> proxies_;
-  std::map<GroupName, std::vector<routing::ProxyPointer>> forward_to_;
-  std::map<GroupName, std::vector<routing::ProxyPointer>> also_serving_;
-  std::map<GroupName, std::vector<routing::ProxyPointer>> serving_;  ///< with this proxy, where it does
+  std::map<GroupName, std::vector<subset::ProxyPointer>> forward_to_;
+  std::map<GroupName, std::vector<subset::ProxyPointer>> also_serving_;
+  std::map<GroupName, std::vector<subset::ProxyPointer>> serving_;  ///< with this proxy, where it does
   /// Worked out when wanted, from `serving_` and the tenants' limits.
-  std::map<TenantPlace, std::vector<routing::ProxyPointer>, PlaceOrder> forward_for_;
-  std::vector<routing::ProxyPointer> others_;
+  std::map<TenantPlace, std::vector<subset::ProxyPointer>, PlaceOrder> forward_for_;
+  std::vector<subset::ProxyPointer> others_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -6,7 +6,7 @@
 #include "registered/proxy/session_metrics.h"
 #include "registered/registry/control_service.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What it refers to outlives it. What the view holds is committed: it may be old, but then it is not newer
 /// than what the backend says, and a difference sends the backend to control. A heartbeat of a life before
@@ -38,4 +38,4 @@
   SessionMetrics& metrics_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/leader_search.cpp
+++ b/src/registered/proxy/fleet/leader_search.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/knobs.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 LeaderSearch::LeaderSearch(runtime::Runtime& runtime, wire::Hello hello, std::uint16_t control_port,
                            MakeReport make_report)
@@ -135,4 +135,4 @@
                         {{"control", endpoint.to_string()}});
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/leader_search.h
+++ b/src/registered/proxy/fleet/leader_search.h
@@ -17,7 +17,7 @@
 #include "runtime/signal.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What it refers to outlives it; it lives until the process ends.
 class LeaderSearch {
@@ -72,4 +72,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/forwarding/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -14,7 +14,7 @@
 #include "registered/registry/model.h"
 #include "wire/format.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// A RunOrder on the way. Times are told as durations, since clocks differ.
 struct ForwardedOrder {
@@ -115,4 +115,4 @@
   }
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -6,7 +6,7 @@
 #include "wire/codec.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 bool ForwardServer::start(const Endpoint& endpoint, Reason& reason) {
   listener_ = services_.runtime.network().listen(endpoint, reason);
@@ -209,4 +209,4 @@
   }
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/forwarding/forward_server.h
+++ b/src/registered/proxy/forwarding/forward_server.h
@@ -8,7 +8,7 @@
 #include "registered/proxy/statement/statement_runner.h"
 #include "runtime/network.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What it refers to outlives it; it lives until the process ends.
 class ForwardServer {
@@ -58,4 +58,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/forwarding/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/knobs.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -124,7 +124,7 @@
   for (const auto& [correlation, pending] : pending_) pending->answered.notify_all();
 }
 
-Awaitable<std::shared_ptr<ForwardConnection>> Forwarder::connect(routing::ProxyPointer proxy,
+Awaitable<std::shared_ptr<ForwardConnection>> Forwarder::connect(subset::ProxyPointer proxy,
                                                                  TimePoint deadline, Reason& reason) {
   auto& held = peers_[proxy->name];
   if (!held) held = std::make_shared<ForwardPeer>(runtime_, proxy->name);
@@ -242,4 +242,4 @@
   return for_group != avoided_for_until_.end() && runtime_.now() < for_group->second;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/forwarding/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -13,7 +13,7 @@
 #include "subset/subset.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// One connection to another proxy, shared by the statements that are forwarded over it.
 class ForwardConnection {
@@ -85,7 +85,7 @@
       : runtime_(runtime), node_(std::move(node)), zone_(std::move(zone)) {}
 
   /// An open connection to the proxy; null when it can't be had by `deadline`, or is not to be had soon.
-  Awaitable<std::shared_ptr<ForwardConnection>> connect(routing::ProxyPointer proxy, TimePoint deadline,
+  Awaitable<std::shared_ptr<ForwardConnection>> connect(subset::ProxyPointer proxy, TimePoint deadline,
                                                         Reason& reason);
   /// A statement of the group had no answer: others are tried first until the proxy shows life.
   void note_no_answer(const NodeName& proxy, const GroupName& group);
@@ -115,4 +115,4 @@
   std::map<std::pair<NodeName, GroupName>, TimePoint> avoided_for_until_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/backend_use.cpp
+++ b/src/registered/proxy/group/backend_use.cpp
@@ -5,7 +5,7 @@
 
 #include "registered/proxy/group/group_access.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::duration;
 
@@ -48,4 +48,4 @@
   return shown_.index == 0;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/evacuated_zones.h
+++ b/src/registered/proxy/group/evacuated_zones.h
@@ -9,7 +9,7 @@
 #include "base/types.h"
 #include "registered/proxy/knobs.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Two moments count. From the first, when this proxy heard, nothing new goes to a replica of the zone; its
 /// primaries and open transactions go on, so that control can hand over while they run. From the second on
@@ -51,4 +51,4 @@
   std::map<ZoneName, TimePoint> since_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -8,7 +8,7 @@
 
 #include "registered/registry/division.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::duration;
 
@@ -372,4 +372,4 @@
   return silent;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/group_access.h
+++ b/src/registered/proxy/group/group_access.h
@@ -21,7 +21,7 @@
 #include "registered/registry/model.h"
 #include "registered/tenancy/tenant_division.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// A backend and how it has done lately.
 struct BackendUse {
@@ -299,4 +299,4 @@
   runtime::Signal changed_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -7,7 +7,7 @@
 #include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
@@ -140,4 +140,4 @@
   metrics_.set_member_leases(serving);
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -12,7 +12,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What it refers to outlives it; it lives until the process ends.
 class MemberLeaseKeeper {
@@ -51,4 +51,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_history.h
+++ b/src/registered/proxy/group/position_history.h
@@ -7,7 +7,7 @@
 #include "base/types.h"
 #include "registered/proxy/knobs.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Invariant: everything that anybody had acknowledged before `asked_at` is within the position noted with
 /// it, since the primary showed that position to a question sent at that time.
@@ -48,4 +48,4 @@
   std::deque<Sighting> seen_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -2,7 +2,7 @@
 
 #include "registered/proxy/knobs.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 void PositionKeeper::start() { runtime_.spawn("position_keeper", run()); }
 
@@ -54,4 +54,4 @@
   co_return answer->position;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_keeper.h
+++ b/src/registered/proxy/group/position_keeper.h
@@ -9,7 +9,7 @@
 #include "registered/proxy/fleet/fleet_view.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What it refers to outlives it; it lives until the process ends.
 class PositionKeeper {
@@ -34,4 +34,4 @@
   bool stopping_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -2,7 +2,7 @@
 
 #include "registered/proxy/knobs.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -41,4 +41,4 @@
   if (group->begin_position_question()) runtime.spawn("ask_position", ask(&runtime, &view, group));
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_question.h
+++ b/src/registered/proxy/group/position_question.h
@@ -6,10 +6,10 @@
 
 #include "registered/proxy/fleet/fleet_view.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Notes the position with the group when the primary is still the one that may be used as the answer comes.
 /// One question a group at a time: without effect while one is under way. What is named outlives it.
 void ask_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/knobs.h
+++ b/src/registered/proxy/knobs.h
@@ -6,7 +6,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -206,4 +206,4 @@
 /// A statement waits this part of the time that callers aim at for a backend that is full.
 inline constexpr int kGatePatienceDivisor = 2;
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/knobs.h"
 #include "registered/tenancy/tenant_limit.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using limits::Grant;
 using limits::GrantOutcome;
@@ -72,7 +72,7 @@
   const limits::TokenWish wish{std::max<std::uint64_t>(account->waiting, 1),
                                account->stock.expected(asked_at)};
   AdmissionAnswer answer{AdmissionOutcome::kNotCounted, kComeBackAfter, {}};
-  for (const routing::ProxyPointer& home : order_of(limit.of)) {
+  for (const subset::ProxyPointer& home : order_of(limit.of)) {
     const Grant grant = co_await ask(limit, wish, home);
     if (grant.outcome == GrantOutcome::kNotCounting) continue;
     if (grant.outcome == GrantOutcome::kGranted) {
@@ -92,10 +92,10 @@
   account->answered.notify_all();
 }
 
-std::vector<routing::ProxyPointer> LimitClient::order_of(const limits::LimitedName& limited) const {
+std::vector<subset::ProxyPointer> LimitClient::order_of(const limits::LimitedName& limited) const {
   auto homes = view_.budgets().homes().of(limited);
   const TimePoint now = runtime_.now();
-  const auto rank = [&](const routing::ProxyPointer& home) {
+  const auto rank = [&](const subset::ProxyPointer& home) {
     const auto silent = silent_until_.find(home->name);
     if (silent != silent_until_.end() && now < silent->second) return 3;
     if (forwarder_.is_unreachable(home->name)) return 3;
@@ -107,7 +107,7 @@
   return homes;
 }
 
-Awaitable<Grant> LimitClient::ask(limits::Limit limit, limits::TokenWish wish, routing::ProxyPointer home) {
+Awaitable<Grant> LimitClient::ask(limits::Limit limit, limits::TokenWish wish, subset::ProxyPointer home) {
   if (home->name == view_.node()) co_return view_.budgets().grant(limit, wish, runtime_.now());
   metrics_.count_token_question();
   Reason reason;
@@ -131,4 +131,4 @@
   if (found != accounts_.end()) found->second->stock.give_back(expires_at);
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -13,7 +13,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What an operation is told that wants to begin, or a statement that wants to be sent: what may pass has
 /// passed, or no proxy that counts answered.
@@ -53,9 +53,9 @@
 
   Awaitable<AdmissionAnswer> take_or_ask(limits::Limit limit);
   Awaitable<void> ask_homes(limits::Limit limit, AccountPointer account);
-  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenWish wish, routing::ProxyPointer home);
+  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenWish wish, subset::ProxyPointer home);
   /// This proxy, those of its zone, the others; those that did not answer a moment ago last.
-  [[nodiscard]] std::vector<routing::ProxyPointer> order_of(const limits::LimitedName& limited) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitedName& limited) const;
 
   runtime::Runtime& runtime_;
   FleetView& view_;
@@ -65,4 +65,4 @@
   std::map<NodeName, TimePoint> silent_until_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -10,7 +10,7 @@
 #include "registered/limits/limit.h"
 #include "registered/tenancy/key_confirmation.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What the operator bounds: statements within this time.
 inline constexpr Duration kColdWindow = std::chrono::seconds(1);
@@ -58,4 +58,4 @@
   std::optional<TimePoint> reached_at_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -6,7 +6,7 @@
 
 #include "registered/proxy/knobs.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -192,4 +192,4 @@
   idle_.clear();
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -15,7 +15,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using SessionValues = std::map<std::string, std::string>;
 
@@ -143,4 +143,4 @@
   bool lost_idle_ = false;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/links/statement_gate.cpp
+++ b/src/registered/proxy/links/statement_gate.cpp
@@ -1,6 +1,6 @@
 #include "registered/proxy/links/statement_gate.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 Awaitable<bool> StatementGate::enter(std::uint8_t priority, TimePoint deadline) {
   if (queue_.empty() && running_ < limit_.limit()) {
@@ -46,4 +46,4 @@
   }
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/links/statement_gate.h
+++ b/src/registered/proxy/links/statement_gate.h
@@ -9,7 +9,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Lives until the process ends, as `runtime` does.
 class StatementGate {
@@ -40,9 +40,9 @@
   void admit_waiting();
 
   runtime::Runtime& runtime_;
-  backend::ConcurrencyLimit limit_;
-  backend::AdmissionQueue<Waiter> queue_;
+  admission::ConcurrencyLimit limit_;
+  admission::AdmissionQueue<Waiter> queue_;
   std::uint32_t running_ = 0;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_metrics.cpp
+++ b/src/registered/proxy/session_metrics.cpp
@@ -4,7 +4,7 @@
 #include <prometheus/gauge.h>
 #include <prometheus/histogram.h>
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -86,4 +86,4 @@
   refused_[static_cast<std::size_t>(refusal)]->Increment();
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_metrics.h
+++ b/src/registered/proxy/session_metrics.h
@@ -10,7 +10,7 @@
 #include "registered/registry/registration_fault.h"
 #include "runtime/metrics.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Where a statement was served.
 enum class ServedBy : std::uint8_t { kProxy, kPrimary, kReplica };
@@ -75,4 +75,4 @@
   prometheus::Gauge& member_leases_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -14,7 +14,7 @@
 #include "registered/proxy/knobs.h"
 #include "registered/proxy/session_metrics.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
@@ -311,4 +311,4 @@
   return std::make_unique<SessionProxy>(runtime, std::move(settings), edge);
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_proxy.h
+++ b/src/registered/proxy/session_proxy.h
@@ -11,7 +11,7 @@
 #include "runtime/role.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// How the proxy speaks with callers and backends. Made once, at the start.
 struct SessionEdge {
@@ -26,4 +26,4 @@
 std::unique_ptr<runtime::Role> make_session_proxy(runtime::Runtime& runtime, SessionProxySettings settings,
                                                   const SessionEdge& edge);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_services.h
+++ b/src/registered/proxy/session_services.h
@@ -8,7 +8,7 @@
 #include "registered/proxy/session_metrics.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 struct SessionServices {
   runtime::Runtime& runtime;
@@ -19,4 +19,4 @@
   LimitClient& limits;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/settings.h
+++ b/src/registered/proxy/settings.h
@@ -9,7 +9,7 @@
 #include "base/types.h"
 #include "registered/limits/limit_window.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 struct SessionProxySettings {
   NodeName node;
@@ -36,4 +36,4 @@
   Duration drain_limit = std::chrono::seconds(6);  ///< from SIGTERM to the end of the process
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/placement_facts.cpp
+++ b/src/registered/proxy/statement/placement_facts.cpp
@@ -1,6 +1,6 @@
 #include "registered/proxy/statement/placement_facts.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 placement::ProxyFacts proxy_facts(const FleetView& view, GroupAccess& group) {
   placement::ProxyFacts facts;
@@ -29,4 +29,4 @@
   return obstacle == placement::Obstacle::kOverLimit ? Refusal::kOverLimit : Refusal::kBusy;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/placement_facts.h
+++ b/src/registered/proxy/statement/placement_facts.h
@@ -6,7 +6,7 @@
 #include "registered/protocol/statement.h"
 #include "registered/proxy/fleet/fleet_view.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Without lists of proxies.
 placement::ProxyFacts proxy_facts(const FleetView& view, GroupAccess& group);
@@ -17,4 +17,4 @@
 /// What the caller is told of the obstacle.
 Refusal refusal_of(placement::Obstacle obstacle);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -8,7 +8,7 @@
 
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// Gives back the place that a statement took, with what its answer tells of the backend.
 inline void leave_gate(StatementGate& gate, const std::optional<Answer>& answer, Duration latency) {
@@ -46,7 +46,7 @@
   Unplaced unplaced;      ///< why this proxy refuses it
   RunResult result;
   /// Not empty: it has waited, and is to be passed on to these.
-  std::vector<routing::ProxyPointer> moved_to;
+  std::vector<subset::ProxyPointer> moved_to;
 
   // Of the attempt under way.
   std::shared_ptr<BackendUse> backend;
@@ -70,4 +70,4 @@
   [[nodiscard]] bool is_read() const { return order.reads(); }
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_cold.cpp
+++ b/src/registered/proxy/statement/statement_cold.cpp
@@ -5,7 +5,7 @@
 #include "registered/proxy/statement/statement_attempt.h"
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
@@ -68,7 +68,7 @@
     const bool passed = co_await wait_for_cold_token(group, backend, deadline, token);
     if (!passed) obstacle = placement::Obstacle::kColdLimit;
     if (!passed) co_return false;
-    const bool entered = co_await backend->gate.enter(backend::kUrgentClass, deadline);
+    const bool entered = co_await backend->gate.enter(admission::kUrgentClass, deadline);
     if (entered && holds(token)) co_return true;
     if (token) services_.limits.give_back(limited(backend->entry.name), *token);
     if (!entered) co_return false;
@@ -97,4 +97,4 @@
   co_return true;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/statement/placement_facts.h"
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 GroupWork StatementRunner::work_of(const RunOrder& order) {
   const bool reads = order.opens_transaction ? order.read_only_transaction : !order.writes;
@@ -34,10 +34,10 @@
   return forwarded;
 }
 
-Awaitable<RunResult> StatementRunner::forward(RunOrder order, std::vector<routing::ProxyPointer> proxies) {
+Awaitable<RunResult> StatementRunner::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
   // Those that did not answer a moment ago go last.
   const GroupName group = order.group->group();
-  std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const routing::ProxyPointer& proxy) {
+  std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const subset::ProxyPointer& proxy) {
     return !services_.forwarder.is_avoided(proxy->name, group);
   });
   RunResult result;
@@ -91,7 +91,7 @@
   }
 }
 
-Awaitable<std::optional<RunResult>> StatementRunner::forward_to(RunOrder order, routing::ProxyPointer proxy,
+Awaitable<std::optional<RunResult>> StatementRunner::forward_to(RunOrder order, subset::ProxyPointer proxy,
                                                                 bool& may_try_another, Reason& reason) {
   may_try_another = true;
   const auto connection = co_await services_.forwarder.connect(proxy, order.deadline, reason);
@@ -155,4 +155,4 @@
   co_await remote.connection->call(std::move(request), services_.runtime.now() + kLinkSetupTimeout, reason);
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_in_transaction.cpp
+++ b/src/registered/proxy/statement/statement_in_transaction.cpp
@@ -7,7 +7,7 @@
 #include "registered/proxy/statement/statement_attempt.h"
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using placement::Obstacle;
 using runtime::SendState;
@@ -132,4 +132,4 @@
   }
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -4,7 +4,7 @@
 #include "registered/proxy/statement/statement_attempt.h"
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
@@ -48,4 +48,4 @@
        {"waited_ms", std::to_string(in_ms(services_.runtime.now() - order.arrived))}});
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_placement.cpp
+++ b/src/registered/proxy/statement/statement_placement.cpp
@@ -7,7 +7,7 @@
 #include "registered/proxy/statement/placement_facts.h"
 #include "registered/proxy/statement/statement_attempt.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using placement::Action;
 using placement::Obstacle;
@@ -166,4 +166,4 @@
   co_return look_again(*attempt, facts);
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_regions.cpp
+++ b/src/registered/proxy/statement/statement_regions.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/statement/statement_attempt.h"
 #include "registered/proxy/statement/statement_runner.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -59,4 +59,4 @@
     co_await group.changed().wait_until(patience);
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -6,7 +6,7 @@
 
 #include "registered/proxy/statement/statement_attempt.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using placement::Obstacle;
 using placement::SendAction;
@@ -36,7 +36,7 @@
   if (!order.is_forwarded) elsewhere = find_elsewhere(order, inside);
   if (!elsewhere) co_return co_await run_here(std::move(order));
   services_.metrics.count_forwarded(elsewhere->since);
-  std::vector<routing::ProxyPointer> proxies = *elsewhere->proxies;
+  std::vector<subset::ProxyPointer> proxies = *elsewhere->proxies;
   co_return co_await forward(std::move(order), std::move(proxies));
 }
 
@@ -302,4 +302,4 @@
   return Step::kDone;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -13,7 +13,7 @@
 #include "registered/proxy/links/stateful_pool.h"
 #include "registered/proxy/session_services.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What a statement needs beside its text.
 struct RunOrder {
@@ -126,12 +126,12 @@
   /// Whether it runs at the primary whatever is known of replicas.
   [[nodiscard]] static GroupWork work_of(const RunOrder& order);
   Awaitable<RunResult> run_here(RunOrder order);
-  Awaitable<RunResult> forward(RunOrder order, std::vector<routing::ProxyPointer> proxies);
+  Awaitable<RunResult> forward(RunOrder order, std::vector<subset::ProxyPointer> proxies);
   /// No proxy took the order: waits for the lease as long as that is worth it.
   Awaitable<placement::Placement> await_lease(std::shared_ptr<GroupAccess> group, TimePoint refuse_at,
                                               bool may_try_another);
   [[nodiscard]] static TimePoint refuse_limit(const RunOrder& order);
-  Awaitable<std::optional<RunResult>> forward_to(RunOrder order, routing::ProxyPointer proxy,
+  Awaitable<std::optional<RunResult>> forward_to(RunOrder order, subset::ProxyPointer proxy,
                                                  bool& may_try_another, Reason& reason);
   Awaitable<Answer> forward_pinned(RemotePin remote, RunOrder order, bool commits, bool wrote);
   Awaitable<void> end_remote(RemotePin remote);
@@ -205,4 +205,4 @@
   SessionServices services_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/registry/budget_authority.h
+++ b/src/registered/registry/budget_authority.h
@@ -5,7 +5,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// Counted by the proxy from its question to control. Twice control's lease: while control has no quorum the
 /// homes go on counting for as long as callers with a key are owed service (0.6 of the time in which a
@@ -16,4 +16,4 @@
 /// run alike.
 inline constexpr Duration kBudgetAuthorityWait = kBudgetAuthority + kBudgetAuthority / 50;
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -9,7 +9,7 @@
 
 #include "registered/registry/model.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// Holds when its version is above the one held.
 struct ReplaceDocument {
@@ -125,4 +125,4 @@
   }
 };
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/control_service.h
+++ b/src/registered/registry/control_service.h
@@ -9,7 +9,7 @@
 #include "registered/registry/registration_fault.h"
 #include "runtime/awaitable.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// What a backend is told when its registration is taken.
 struct Registration {
@@ -72,4 +72,4 @@
   virtual Awaitable<bool> promote(PromotionOrder order, TimePoint deadline, Reason& reason) = 0;
 };
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/delta.h
+++ b/src/registered/registry/delta.h
@@ -6,7 +6,7 @@
 
 #include "registered/registry/model.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// `is_whole`: replaces all that the receiver has; else it changes what it names.
 struct FleetDelta {
@@ -41,4 +41,4 @@
   }
 };
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/division.cpp
+++ b/src/registered/registry/division.cpp
@@ -4,7 +4,7 @@
 
 #include "subset/subset.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 std::uint64_t usable_connections(const GroupRule& rule) {
   if (rule.max_connections == 0) return 0;
@@ -15,7 +15,7 @@
                             std::size_t proxies, bool tenants) {
   std::size_t serving = proxies;
   const std::uint64_t usable = usable_connections(rule);
-  if (usable > 0) serving = routing::subset_size(static_cast<std::uint32_t>(usable), proxies);
+  if (usable > 0) serving = subset::subset_size(static_cast<std::uint32_t>(usable), proxies);
   for (const std::uint64_t of_backend : slots) {
     const std::uint64_t by_slots =
         of_backend * (tenants ? kServingProxiesPerSlotOfTenants : kServingProxiesPerSlot);
@@ -24,4 +24,4 @@
   return serving;
 }
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/division.h
+++ b/src/registered/registry/division.h
@@ -8,7 +8,7 @@
 
 #include "registered/registry/model.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// Proxies that serve one group, at most, for each slot of its backends.
 inline constexpr std::uint64_t kServingProxiesPerSlot = 5;
@@ -27,4 +27,4 @@
 std::size_t serving_proxies(const GroupRule& rule, const std::vector<std::uint64_t>& slots,
                             std::size_t proxies, bool tenants);
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/member_lease.h
+++ b/src/registered/registry/member_lease.h
@@ -14,7 +14,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// Counted by the proxy from the sending of its questions. Shorter: rounds of up to 0.25 s at busy members
 /// leave nothing. Longer: a failover with a silent proxy waits for it.
@@ -27,4 +27,4 @@
 /// than the time by which an unstable core may delay a configuration (12 s at least on all deployments).
 inline constexpr Duration kServeWithoutControl = std::chrono::seconds(10);
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/messages.h
+++ b/src/registered/registry/messages.h
@@ -13,7 +13,7 @@
 #include "registered/registry/commands.h"
 #include "registered/registry/delta.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// A proxy has stopped using the primary of a closed group and acknowledges nothing of it any more.
 struct ClosedGroup {
@@ -119,4 +119,4 @@
   }
 };
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/model.h
+++ b/src/registered/registry/model.h
@@ -9,7 +9,7 @@
 #include "base/types.h"
 #include "wire/format.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// How fresh the data must be that a route's reads show.
 enum class ReadPolicy : std::uint8_t {
@@ -208,4 +208,4 @@
   return {peer_endpoint.address, static_cast<std::uint16_t>(peer_endpoint.port + 1)};
 }
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/registration_fault.cpp
+++ b/src/registered/registry/registration_fault.cpp
@@ -1,6 +1,6 @@
 #include "registered/registry/registration_fault.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 namespace {
 
@@ -30,4 +30,4 @@
               {"backend", printable_name(refused.backend)}});
 }
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/registration_fault.h
+++ b/src/registered/registry/registration_fault.h
@@ -11,7 +11,7 @@
 #include "base/reason.h"
 #include "runtime/logger.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 enum class RegistrationFault : std::uint8_t {
   kUnreadable = 0,  ///< the bytes are no object
@@ -56,4 +56,4 @@
 /// One line `registration_refused`, of bounded length.
 void log_refused_registration(runtime::Logger& logger, const RefusedRegistration& refused);
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/revised_table.h
+++ b/src/registered/registry/revised_table.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 template <class Key, class Row>
 class RevisedTable {
@@ -75,4 +75,4 @@
   std::map<Key, std::uint64_t> removed_;
 };
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/settled_revision.h
+++ b/src/registered/registry/settled_revision.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// What the leader knows of one life of a proxy that may count operations for tenants.
 struct ProxyKnowledge {
@@ -26,4 +26,4 @@
   return settled;
 }
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/state_machine.cpp
+++ b/src/registered/registry/state_machine.cpp
@@ -6,7 +6,7 @@
 
 #include "wire/codec.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 namespace {
 
@@ -262,4 +262,4 @@
   return delta;
 }
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -14,7 +14,7 @@
 #include "registered/registry/revised_table.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 /// Deterministic: the same commands in the same order give the same state on every node. A command without
 /// effect leaves the revision as it is.
@@ -161,4 +161,4 @@
   runtime::Signal changed_;
 };
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/validation.cpp
+++ b/src/registered/registry/validation.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 namespace {
 
@@ -77,4 +77,4 @@
   return faults;
 }
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/src/registered/tenancy/key_confirmation.h
+++ b/src/registered/tenancy/key_confirmation.h
@@ -14,7 +14,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 /// Kept back from the bound, in parts of it: for clocks that do not run alike, and for the time between the
 /// check and the write to the connection. Chosen: crystals differ by 0.005%, four hundred times less.
@@ -47,4 +47,4 @@
   std::optional<TimePoint> confirmed_at_;
 };
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_directory.cpp
+++ b/src/registered/tenancy/tenant_directory.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 void TenantDirectory::clear() {
   tenants_.clear();
@@ -68,4 +68,4 @@
   return found == tenants_.end() ? nullptr : &found->second;
 }
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_directory.h
+++ b/src/registered/tenancy/tenant_directory.h
@@ -8,7 +8,7 @@
 
 #include "registered/registry/model.h"
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 /// Tenants that metrics name; the others are counted as one. Chosen: a page of a dashboard.
 inline constexpr std::size_t kNamedTenants = 20;
@@ -43,4 +43,4 @@
   mutable bool large_is_old_ = true;
 };
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_division.cpp
+++ b/src/registered/tenancy/tenant_division.cpp
@@ -5,23 +5,23 @@
 #include <algorithm>
 #include <cmath>
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 std::size_t proxies_of_tenant(std::size_t in_zone, double part) {
   const double earned = std::ceil(static_cast<double>(in_zone) * part / kWholeZonePart);
   return std::clamp<std::size_t>(static_cast<std::size_t>(earned), 1, std::max<std::size_t>(in_zone, 1));
 }
 
-std::vector<routing::ProxyPointer> order_for_tenant(const std::vector<routing::ProxyPointer>& serving,
-                                                    const TenantName& tenant, double part,
-                                                    const ZoneName& zone) {
+std::vector<subset::ProxyPointer> order_for_tenant(const std::vector<subset::ProxyPointer>& serving,
+                                                   const TenantName& tenant, double part,
+                                                   const ZoneName& zone) {
   // The weights of the tenant stand in for those of a forwarder.
   auto order = routing::forwarding_order(serving, NodeName(tenant.value), zone);
   const auto near = static_cast<std::size_t>(std::count_if(
-      order.begin(), order.end(), [&](const routing::ProxyPointer& proxy) { return proxy->zone == zone; }));
+      order.begin(), order.end(), [&](const subset::ProxyPointer& proxy) { return proxy->zone == zone; }));
   const std::size_t own = std::min(proxies_of_tenant(near, part), near);
   // Forwarders spread over the tenant's proxies of the zone, each in its own order.
-  const auto place_of = [&](const routing::ProxyPointer& proxy) {
+  const auto place_of = [&](const subset::ProxyPointer& proxy) {
     return std::find(serving.begin(), serving.end(), proxy);
   };
   std::sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(own),
@@ -48,4 +48,4 @@
   return usable > kept_back ? (usable - kept_back) / near : 1;
 }
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_division.h
+++ b/src/registered/tenancy/tenant_division.h
@@ -13,7 +13,7 @@
 
 #include "subset/subset.h"
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 /// A tenant with this part of all limits has all proxies of a zone that serve a group.
 inline constexpr double kWholeZonePart = 0.5;
@@ -25,9 +25,9 @@
 /// `serving`: those that serve the group, in the order in which this proxy would forward to them. `part`: the
 /// tenant's of all limits, 0 to 1. The result is an order of the same proxies: the tenant's in `zone` first,
 /// then the others of that zone, then those of other zones, each zone's by weight for the tenant.
-std::vector<routing::ProxyPointer> order_for_tenant(const std::vector<routing::ProxyPointer>& serving,
-                                                    const TenantName& tenant, double part,
-                                                    const ZoneName& zone);
+std::vector<subset::ProxyPointer> order_for_tenant(const std::vector<subset::ProxyPointer>& serving,
+                                                   const TenantName& tenant, double part,
+                                                   const ZoneName& zone);
 
 /// How many of `in_zone` proxies a tenant with this part of all limits has.
 std::size_t proxies_of_tenant(std::size_t in_zone, double part);
@@ -52,4 +52,4 @@
 std::uint64_t links_of_proxy(std::uint64_t usable, const ServingProxies& serving, const ZoneName& backend,
                              const ZoneName& proxy);
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_limit.h
+++ b/src/registered/tenancy/tenant_limit.h
@@ -4,7 +4,7 @@
 #include "registered/limits/limit.h"
 #include "registered/registry/model.h"
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 inline limits::LimitedName limited(const TenantName& tenant) {
   return {limits::LimitedKind::kTenant, tenant.value};
@@ -15,4 +15,4 @@
           window};
 }
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <map>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::subset {
 
 namespace {
 
@@ -115,4 +115,4 @@
   return order;
 }
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::subset
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -12,7 +12,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::subset {
 
 /// A serving proxy has at least this many connections to each backend of its groups, where the limit allows.
 inline constexpr std::uint32_t kLeastConnectionsOfServingProxy = 3;
@@ -69,4 +69,4 @@
 std::vector<ProxyPointer> forwarding_order(const std::vector<ProxyPointer>& subset, const NodeName& from,
                                            const ZoneName& zone);
 
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::subset
--- a/src/wire/connection_dispatcher.cpp
+++ b/src/wire/connection_dispatcher.cpp
@@ -1,6 +1,6 @@
 #include "wire/connection_dispatcher.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::wire {
 
 namespace {
 
@@ -89,4 +89,4 @@
   co_await service->second(std::move(connection), std::move(hello));
 }
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::wire
--- a/src/wire/connection_dispatcher.h
+++ b/src/wire/connection_dispatcher.h
@@ -8,7 +8,7 @@
 #include "runtime/runtime.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::wire {
 
 /// `runtime` outlives it; it lives until the process ends.
 class ConnectionDispatcher {
@@ -41,4 +41,4 @@
   std::unique_ptr<runtime::FrameListener> listener_;
 };
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::wire
--- a/standins/callers/load_options.cpp
+++ b/standins/callers/load_options.cpp
@@ -157,7 +157,7 @@
   if (!is_check) read_load_settings(reader, options.load);
   reader.endpoints("--backend", options.backends);
   reader.number("--connections", 1U, kMostConnections, options.connections);
-  if (values.at("--writes").asBool()) options.statements = backend::StatementKind::kWrite;
+  if (values.at("--writes").asBool()) options.statements = declared::backend::StatementKind::kWrite;
   options.seed = random_load_seed();
   reader.number("--seed", std::uint64_t{0}, std::numeric_limits<std::uint64_t>::max(), options.seed);
   options.load.run_name = reader.text("--run-name").value_or(fmt::format("run-{:x}", options.seed));
--- a/standins/callers/load_options.h
+++ b/standins/callers/load_options.h
@@ -25,7 +25,7 @@
   /// kLatency, kThroughput: members of one database group; for writes its primary
   std::vector<Endpoint> backends;
   /// kLatency, kThroughput
-  backend::StatementKind statements = backend::StatementKind::kRead;
+  declared::backend::StatementKind statements = declared::backend::StatementKind::kRead;
   std::uint32_t connections = 32;  ///< kLatency, kThroughput: of each way; kIdle: in all
   std::uint64_t seed = 0;
   std::string history_file;  ///< written by kRun when not empty, read by kCheck
--- a/standins/callers/load_program.cpp
+++ b/standins/callers/load_program.cpp
@@ -103,12 +103,12 @@
 [[noreturn]] void run_on_sockets(const LoadOptions& options) {
   // A peer that closes while it is written to is an error of that write, not of the process.
   std::signal(SIGPIPE, SIG_IGN);
-  runtime::AsioRuntimeSettings settings;
+  host::AsioRuntimeSettings settings;
   settings.program = "cairnhollow-load";
   settings.random_seed = options.seed;
   settings.log_level = runtime::LogLevel::kWarning;
   boost::asio::io_context context{1};
-  const auto runtime = runtime::make_asio_runtime(context, settings);
+  const auto runtime = host::make_asio_runtime(context, settings);
   runtime->spawn("load", run_to_the_end(*runtime, options));
   context.run();
   std::_Exit(kLoadExitFailed);
--- a/standins/callers/path_measurements.cpp
+++ b/standins/callers/path_measurements.cpp
@@ -34,7 +34,7 @@
     co_return std::nullopt;
   }
   // Writes go to a record of their own, so that a read's answer stays short.
-  if (statement.kind == backend::StatementKind::kWrite) statement.key.record = "measured-writes";
+  if (statement.kind == declared::backend::StatementKind::kWrite) statement.key.record = "measured-writes";
   co_return statement;
 }
 
--- a/standins/callers/statement_route.cpp
+++ b/standins/callers/statement_route.cpp
@@ -14,7 +14,9 @@
 /// What a write appends.
 constexpr const char* kWrittenValue = "value";
 
-bool is_write(const RoutedStatement& statement) { return statement.kind == backend::StatementKind::kWrite; }
+bool is_write(const RoutedStatement& statement) {
+  return statement.kind == declared::backend::StatementKind::kWrite;
+}
 
 std::string text_of(const RoutedStatement& statement) {
   return is_write(statement) ? make_append_text(statement.key, kWrittenValue) : make_get_text(statement.key);
@@ -54,7 +56,7 @@
   DirectRoute(runtime::Runtime& runtime, Endpoint backend, const RoutedStatement& statement,
               SessionName session)
       : runtime_(runtime),
-        connector_(backend::make_http_backend_connector(runtime)),
+        connector_(declared::backend::make_http_backend_connector(runtime)),
         endpoint_(std::move(backend)),
         session_(std::move(session)) {
     statement_.kind = statement.kind;
@@ -67,16 +69,16 @@
     const TimePoint deadline = runtime_.now() + kStatementLimit;
     const bool open = co_await ensure_open(deadline, reason);
     if (!open) co_return false;
-    backend::Requirements requirements;
+    declared::backend::Requirements requirements;
     requirements.deadline = deadline;
-    if (statement_.kind == backend::StatementKind::kWrite) {
+    if (statement_.kind == declared::backend::StatementKind::kWrite) {
       requirements.term = term_;
       requirements.answered_up_to = number_;
       requirements.request_id = RequestId{session_, ++number_};
     }
     const auto answer = co_await connection_->execute(statement_, requirements, reason);
-    co_return std::holds_alternative<backend::Rows>(answer) ||
-        std::holds_alternative<backend::Written>(answer);
+    co_return std::holds_alternative<declared::backend::Rows>(answer) ||
+        std::holds_alternative<declared::backend::Written>(answer);
   }
 
  private:
@@ -85,7 +87,7 @@
     const BackendName unnamed;
     connection_ = co_await connector_->open(unnamed, endpoint_, deadline, reason);
     if (connection_ == nullptr) co_return false;
-    if (statement_.kind == backend::StatementKind::kRead) co_return true;
+    if (statement_.kind == declared::backend::StatementKind::kRead) co_return true;
     const auto status = co_await connection_->status(deadline, reason);
     if (!status) co_return false;
     term_ = status->term;
@@ -93,13 +95,13 @@
   }
 
   runtime::Runtime& runtime_;
-  std::unique_ptr<backend::BackendConnector> connector_;
+  std::unique_ptr<declared::backend::BackendConnector> connector_;
   Endpoint endpoint_;
   SessionName session_;
   std::uint64_t number_ = 0;  ///< of the last write
   std::uint64_t term_ = 0;
-  backend::Statement statement_;
-  std::shared_ptr<backend::BackendConnection> connection_;
+  declared::backend::Statement statement_;
+  std::shared_ptr<declared::backend::BackendConnection> connection_;
 };
 
 }  // namespace
--- a/standins/callers/statement_route.h
+++ b/standins/callers/statement_route.h
@@ -14,7 +14,7 @@
 
 /// What all connections of a measurement send.
 struct RoutedStatement {
-  backend::StatementKind kind = backend::StatementKind::kRead;
+  declared::backend::StatementKind kind = declared::backend::StatementKind::kRead;
   RecordKey key;
   std::string session_token;  ///< reads through a proxy: any backend that is fresh enough may serve
 };
--- a/standins/database/database_handler.cpp
+++ b/standins/database/database_handler.cpp
@@ -4,12 +4,12 @@
 
 namespace cairnhollow::standins::database {
 
-using backend::decode_call;
-using backend::encode_answer;
+using declared::backend::decode_call;
+using declared::backend::encode_answer;
 using runtime::HttpConnectionId;
 using runtime::HttpRequest;
 using runtime::HttpResponse;
-namespace target = backend::target;
+namespace target = declared::backend::target;
 
 namespace {
 
@@ -31,16 +31,16 @@
 }
 
 HttpResponse refused(unsigned status, const Reason& reason, Duration retry_after = Duration(0)) {
-  const backend::DoneAnswer answer = backend::Refused{retry_after};
+  const declared::backend::DoneAnswer answer = declared::backend::Refused{retry_after};
   return make_response(status, encode_answer(answer, reason));
 }
 
-unsigned status_of(const backend::ExecuteAnswer& answer) {
-  if (std::holds_alternative<backend::NotPrimary>(answer)) return kStatusMisdirected;
-  if (std::holds_alternative<backend::Busy>(answer)) return kStatusUnavailable;
-  if (std::holds_alternative<backend::TooStale>(answer)) return kStatusConflict;
-  if (std::holds_alternative<backend::StatementRefused>(answer)) return kStatusUnprocessable;
-  if (std::holds_alternative<backend::Failed>(answer)) return kStatusTimeout;
+unsigned status_of(const declared::backend::ExecuteAnswer& answer) {
+  if (std::holds_alternative<declared::backend::NotPrimary>(answer)) return kStatusMisdirected;
+  if (std::holds_alternative<declared::backend::Busy>(answer)) return kStatusUnavailable;
+  if (std::holds_alternative<declared::backend::TooStale>(answer)) return kStatusConflict;
+  if (std::holds_alternative<declared::backend::StatementRefused>(answer)) return kStatusUnprocessable;
+  if (std::holds_alternative<declared::backend::Failed>(answer)) return kStatusTimeout;
   return kStatusOk;
 }
 
@@ -52,7 +52,7 @@
 
 HttpResponse done_or_refused(bool done, const Reason& reason) {
   if (!done) return refused(kStatusConflict, reason);
-  const backend::DoneAnswer answer = backend::Done{};
+  const declared::backend::DoneAnswer answer = declared::backend::Done{};
   return make_response(kStatusOk, encode_answer(answer, reason));
 }
 
@@ -79,11 +79,11 @@
 
 Awaitable<HttpResponse> DatabaseHandler::handle(HttpRequest request, HttpConnectionId connection) {
   if (request.target == kPullTarget) co_return co_await handle_pull(std::move(request));
-  const auto exchange_id = request.headers.find(backend::kExchangeHeader);
+  const auto exchange_id = request.headers.find(declared::backend::kExchangeHeader);
   const bool may_spoil = is_statement(request.target);
   ++in_flight_;
   auto response = co_await dispatch(std::move(request), connection);
-  if (exchange_id) response.headers.fields[backend::kExchangeHeader] = *exchange_id;
+  if (exchange_id) response.headers.fields[declared::backend::kExchangeHeader] = *exchange_id;
   if (may_spoil) response = co_await faults_.spoil(connection, std::move(response));
   --in_flight_;
   co_return response;
@@ -103,28 +103,28 @@
   Reason reason;
   const auto now = runtime_.now();
   if (request.target == target::kBegin) {
-    auto call = decode_call<backend::BeginCall>(request.body, now, reason);
+    auto call = decode_call<declared::backend::BeginCall>(request.body, now, reason);
     if (!call) co_return refused(kStatusBadRequest, reason);
     const auto answer = co_await statements_.begin(connection, std::move(*call), reason);
     co_return make_response(status_of_call(answer), encode_answer(answer, reason));
   }
   if (request.target == target::kRollback) {
-    const auto call = decode_call<backend::FinishCall>(request.body, now, reason);
+    const auto call = decode_call<declared::backend::FinishCall>(request.body, now, reason);
     if (!call) co_return refused(kStatusBadRequest, reason);
     const auto answer = statements_.rollback(connection, *call, reason);
     co_return make_response(status_of_call(answer), encode_answer(answer, reason));
   }
   if (request.target == target::kCommit) {
-    auto call = decode_call<backend::FinishCall>(request.body, now, reason);
+    auto call = decode_call<declared::backend::FinishCall>(request.body, now, reason);
     if (!call) co_return refused(kStatusBadRequest, reason);
     const auto request_id = call->requirements.request_id;
     const auto answer = co_await statements_.commit(connection, std::move(*call), reason);
     co_return make_response(status_of(answer), encode_answer(answer, reason, request_id));
   }
-  auto call = decode_call<backend::StatementCall>(request.body, now, reason);
+  auto call = decode_call<declared::backend::StatementCall>(request.body, now, reason);
   if (!call) co_return refused(kStatusBadRequest, reason);
   const auto request_id = call->requirements.request_id;
-  backend::ExecuteAnswer answer;
+  declared::backend::ExecuteAnswer answer;
   if (request.target == target::kExecuteIn) {
     answer = co_await statements_.execute_in(connection, std::move(*call), reason);
   } else {
@@ -142,7 +142,7 @@
 
 Awaitable<HttpResponse> DatabaseHandler::handle_resolve(HttpRequest request) {
   Reason reason;
-  auto call = decode_call<backend::ResolveCall>(request.body, runtime_.now(), reason);
+  auto call = decode_call<declared::backend::ResolveCall>(request.body, runtime_.now(), reason);
   if (!call) co_return refused(kStatusBadRequest, reason);
   const auto request_id = call->request;
   const auto answer = co_await statements_.resolve(std::move(*call), reason);
@@ -153,13 +153,13 @@
   Reason reason;
   const auto now = runtime_.now();
   if (request.target == target::kFollow) {
-    auto call = decode_call<backend::FollowCall>(request.body, now, reason);
+    auto call = decode_call<declared::backend::FollowCall>(request.body, now, reason);
     if (!call) co_return refused(kStatusBadRequest, reason);
     const bool follows = co_await member_.follow(call->term, call->primary, call->endpoint, reason);
     co_return done_or_refused(follows, reason);
   }
   if (request.target == target::kPromote || request.target == target::kFence) {
-    auto call = decode_call<backend::TermCall>(request.body, now, reason);
+    auto call = decode_call<declared::backend::TermCall>(request.body, now, reason);
     if (!call) co_return refused(kStatusBadRequest, reason);
     if (request.target == target::kPromote) {
       const bool promoted = co_await member_.promote(call->term, call->owner, reason);
@@ -167,7 +167,7 @@
     }
     const auto fenced = co_await member_.fence(call->term, call->owner, reason);
     if (!fenced) co_return refused(kStatusConflict, reason);
-    const backend::FenceReply answer = *fenced;
+    const declared::backend::FenceReply answer = *fenced;
     co_return make_response(kStatusOk, encode_answer(answer, reason));
   }
   reason = Reason{ReasonCode::kNotFound, "dispatch", "", "no such call"};
@@ -186,11 +186,12 @@
 }
 
 HttpResponse DatabaseHandler::handle_status() const {
-  backend::BackendStatus status;
+  declared::backend::BackendStatus status;
   status.backend = settings_.backend;
   status.group = settings_.group;
   status.term = member_.term();
-  status.role = member_.is_primary() ? backend::BackendRole::kPrimary : backend::BackendRole::kReplica;
+  status.role = member_.is_primary() ? declared::backend::BackendRole::kPrimary
+                                     : declared::backend::BackendRole::kReplica;
   status.primary = member_.known_primary();
   status.last = member_.last_durable();
   status.committed = member_.committed();
@@ -201,7 +202,7 @@
   status.slots = tunables_.slots;
   status.connections_in_use = connections_.in_use();
   status.connections = tunables_.connections;
-  const backend::StatusAnswer answer = std::move(status);
+  const declared::backend::StatusAnswer answer = std::move(status);
   return make_response(kStatusOk, encode_answer(answer, Reason{}));
 }
 
--- a/standins/database/database_member.cpp
+++ b/standins/database/database_member.cpp
@@ -5,7 +5,7 @@
 
 namespace cairnhollow::standins::database {
 
-using backend::BackendRole;
+using declared::backend::BackendRole;
 
 DatabaseMember::DatabaseMember(runtime::Runtime& runtime, const DatabaseSettings& settings,
                                const Tunables& tunables)
@@ -49,10 +49,11 @@
   co_return term_saved_;
 }
 
-Awaitable<std::optional<backend::FenceAnswer>> DatabaseMember::fence(std::uint64_t term, std::string owner,
-                                                                     Reason& reason) {
+Awaitable<std::optional<declared::backend::FenceAnswer>> DatabaseMember::fence(std::uint64_t term,
+                                                                               std::string owner,
+                                                                               Reason& reason) {
   co_await term_lock_.acquire();
-  backend::FenceAnswer answer;
+  declared::backend::FenceAnswer answer;
   bool durable = true;
   if (term > term_.term) {
     // Lower terms are refused from here on, before the record is on disk: refusing early does no harm.
--- a/standins/database/database_member.h
+++ b/standins/database/database_member.h
@@ -45,14 +45,15 @@
   void stop();
 
   // Failover; docs/BACKEND_CONTRACT.md.
-  Awaitable<std::optional<backend::FenceAnswer>> fence(std::uint64_t term, std::string owner, Reason& reason);
+  Awaitable<std::optional<declared::backend::FenceAnswer>> fence(std::uint64_t term, std::string owner,
+                                                                 Reason& reason);
   Awaitable<bool> promote(std::uint64_t term, std::string owner, Reason& reason);
   Awaitable<bool> follow(std::uint64_t term, BackendName primary, Endpoint endpoint, Reason& reason);
 
   [[nodiscard]] std::uint64_t term() const { return term_.term; }
   /// Whom it follows, itself when it is the primary; empty when there is none.
   [[nodiscard]] BackendName known_primary() const;
-  [[nodiscard]] bool is_primary() const { return role_ == backend::BackendRole::kPrimary; }
+  [[nodiscard]] bool is_primary() const { return role_ == declared::backend::BackendRole::kPrimary; }
   /// The primary whose term's first entry is committed, so that it knows every committed entry.
   [[nodiscard]] bool serves() const;
   /// A majority pulled within the primary silence limit.
@@ -132,7 +133,7 @@
   StateMachine state_;
   TermRecord term_;
   bool term_saved_ = true;  ///< false: `term_` is not known to be on disk
-  backend::BackendRole role_ = backend::BackendRole::kReplica;
+  declared::backend::BackendRole role_ = declared::backend::BackendRole::kReplica;
   std::uint64_t committed_ = 0;  ///< index
   std::deque<DueEntry> due_entries_;
   std::optional<TimePoint> primary_heard_at_;
--- a/standins/database/statement_service.cpp
+++ b/standins/database/statement_service.cpp
@@ -6,8 +6,8 @@
 
 namespace cairnhollow::standins::database {
 
-using backend::ExecuteAnswer;
-using backend::Requirements;
+using declared::backend::ExecuteAnswer;
+using declared::backend::Requirements;
 using runtime::HttpConnectionId;
 
 namespace {
@@ -16,18 +16,18 @@
 
 ExecuteAnswer refuse(ReasonCode code, const char* step, std::string detail, Reason& reason) {
   reason = Reason{code, step, "", detail};
-  return backend::StatementRefused{std::move(detail)};
+  return declared::backend::StatementRefused{std::move(detail)};
 }
 
 ExecuteAnswer unknown(const char* step, std::string detail, Reason& reason) {
   reason = Reason{ReasonCode::kOutcomeUnknown, step, "", std::move(detail)};
-  return backend::Failed{runtime::SendState::kMaybeSent};
+  return declared::backend::Failed{runtime::SendState::kMaybeSent};
 }
 
 ExecuteAnswer already_decided(const RequestOutcome& outcome, Reason& reason) {
   reason = Reason{outcome.committed ? ReasonCode::kAlreadyExists : ReasonCode::kAborted, "check_ledger", "",
                   "the request was decided before"};
-  return backend::AlreadyDecided{outcome.committed, outcome.body, outcome.position};
+  return declared::backend::AlreadyDecided{outcome.committed, outcome.body, outcome.position};
 }
 
 ExecuteAnswer expired(Reason& reason) {
@@ -37,7 +37,7 @@
 ExecuteAnswer answer_for(const ApplyResult& result, Reason& reason) {
   switch (result.kind) {
     case ApplyResultKind::kCommitted:
-      return backend::Written{result.outcome.body, result.outcome.position};
+      return declared::backend::Written{result.outcome.body, result.outcome.position};
     case ApplyResultKind::kConflict:
       return refuse(ReasonCode::kConflict, "commit", "a record that it read was written since", reason);
     case ApplyResultKind::kAlreadyDecided:
@@ -50,14 +50,14 @@
 
 }  // namespace
 
-Awaitable<ExecuteAnswer> StatementService::execute(HttpConnectionId connection, backend::StatementCall call,
-                                                   Reason& reason) {
+Awaitable<ExecuteAnswer> StatementService::execute(HttpConnectionId connection,
+                                                   declared::backend::StatementCall call, Reason& reason) {
   if (!connections_.is_open(connection)) {
     co_return refuse(ReasonCode::kInvalidArgument, "execute", "the connection was not opened", reason);
   }
   auto statement = parse_statement(call.statement.database, call.statement.text, reason);
-  if (!statement) co_return backend::StatementRefused{reason.detail};
-  if (call.statement.kind == backend::StatementKind::kWrite) {
+  if (!statement) co_return declared::backend::StatementRefused{reason.detail};
+  if (call.statement.kind == declared::backend::StatementKind::kWrite) {
     co_return co_await write(std::move(*statement), std::move(call.requirements), reason);
   }
   if (statement->writes()) {
@@ -79,7 +79,7 @@
     result.entries = member_.state().records().read(operation.record).entries;
     results.push_back(std::move(result));
   }
-  backend::Rows rows;
+  declared::backend::Rows rows;
   rows.body = format_results(results, statement.single_operation);
   rows.position = member_.state().applied();
   co_return rows;
@@ -101,7 +101,7 @@
   const bool applied = co_await member_.wait_until_applied(requirements.minimum_position, wait_until);
   if (applied) co_return std::nullopt;
   reason = Reason{ReasonCode::kTooStale, "read", "", "the required position is not applied"};
-  co_return backend::TooStale{member_.state().applied()};
+  co_return declared::backend::TooStale{member_.state().applied()};
 }
 
 Awaitable<ExecuteAnswer> StatementService::write(ParsedStatement statement, Requirements requirements,
@@ -173,7 +173,7 @@
   }
   if (!member_.serves()) {
     reason = Reason{ReasonCode::kNoQuorum, "check_primary", "", "the term's first entry is not committed"};
-    return backend::Busy{tunables_.primary_silence_limit};
+    return declared::backend::Busy{tunables_.primary_silence_limit};
   }
   return std::nullopt;
 }
@@ -200,28 +200,29 @@
   co_return std::nullopt;
 }
 
-Awaitable<backend::BeginAnswer> StatementService::begin(HttpConnectionId connection, backend::BeginCall call,
-                                                        Reason& reason) {
+Awaitable<declared::backend::BeginAnswer> StatementService::begin(HttpConnectionId connection,
+                                                                  declared::backend::BeginCall call,
+                                                                  Reason& reason) {
   if (!connections_.is_open(connection)) {
     reason = Reason{ReasonCode::kInvalidArgument, "begin", "", "the connection was not opened"};
-    co_return backend::Refused{};
+    co_return declared::backend::Refused{};
   }
   const auto term = call.requirements.term;
   const auto refusal = co_await check_primary(term, call.requirements.deadline, reason);
-  if (refusal) co_return backend::Refused{tunables_.primary_silence_limit};
+  if (refusal) co_return declared::backend::Refused{tunables_.primary_silence_limit};
   if (!connections_.is_open(connection)) {
     reason = Reason{ReasonCode::kConnectionLost, "begin", "", "closed while the transaction began"};
-    co_return backend::Refused{};
+    co_return declared::backend::Refused{};
   }
-  co_return backend::Begun{connections_.begin(connection, call.database, term)->id()};
+  co_return declared::backend::Begun{connections_.begin(connection, call.database, term)->id()};
 }
 
 Awaitable<ExecuteAnswer> StatementService::execute_in(HttpConnectionId connection,
-                                                      backend::StatementCall call, Reason& reason) {
+                                                      declared::backend::StatementCall call, Reason& reason) {
   const auto transaction = connections_.find(connection, call.transaction, reason);
-  if (!transaction) co_return backend::StatementRefused{reason.detail};
+  if (!transaction) co_return declared::backend::StatementRefused{reason.detail};
   const auto statement = parse_statement(transaction->database(), call.statement.text, reason);
-  if (!statement) co_return backend::StatementRefused{reason.detail};
+  if (!statement) co_return declared::backend::StatementRefused{reason.detail};
   const auto slot = slots_.take();
   if (!slot) co_return busy(reason);
   co_await hold_slot();
@@ -231,37 +232,39 @@
   for (const auto& operation : statement->operations) {
     results.push_back(transaction->run(operation, member_.state().records()));
   }
-  backend::Rows rows;
+  declared::backend::Rows rows;
   rows.body = format_results(results, statement->single_operation);
   rows.position = member_.state().applied();
   if (!statement->writes()) co_return rows;
-  co_return backend::Written{rows.body, Position{}};
+  co_return declared::backend::Written{rows.body, Position{}};
 }
 
-Awaitable<ExecuteAnswer> StatementService::commit(HttpConnectionId connection, backend::FinishCall call,
-                                                  Reason& reason) {
+Awaitable<ExecuteAnswer> StatementService::commit(HttpConnectionId connection,
+                                                  declared::backend::FinishCall call, Reason& reason) {
   auto requirements = std::move(call.requirements);
   auto outcome = co_await find_outcome(requirements.request_id, requirements.deadline, reason);
   if (outcome) co_return std::move(*outcome);
   const auto transaction = connections_.find(connection, call.transaction, reason);
-  if (!transaction) co_return backend::StatementRefused{reason.detail};
+  if (!transaction) co_return declared::backend::StatementRefused{reason.detail};
   connections_.end_transaction(connection);
   requirements.term = transaction->term();
   co_return co_await write_to_log(transaction->to_command(), std::move(requirements), reason);
 }
 
-backend::DoneAnswer StatementService::rollback(HttpConnectionId connection, const backend::FinishCall& call,
-                                               Reason& reason) {
-  if (!connections_.find(connection, call.transaction, reason)) return backend::Refused{};
+declared::backend::DoneAnswer StatementService::rollback(HttpConnectionId connection,
+                                                         const declared::backend::FinishCall& call,
+                                                         Reason& reason) {
+  if (!connections_.find(connection, call.transaction, reason)) return declared::backend::Refused{};
   connections_.end_transaction(connection);
-  return backend::Done{};
+  return declared::backend::Done{};
 }
 
-Awaitable<backend::ResolveReply> StatementService::resolve(backend::ResolveCall call, Reason& reason) {
+Awaitable<declared::backend::ResolveReply> StatementService::resolve(declared::backend::ResolveCall call,
+                                                                     Reason& reason) {
   const auto& ledger = member_.state().ledger();
   if (!ledger.find(call.request)) {
     const auto refusal = co_await check_primary(call.term, call.deadline, reason);
-    if (refusal) co_return backend::Refused{tunables_.primary_silence_limit};
+    if (refusal) co_return declared::backend::Refused{tunables_.primary_silence_limit};
   }
   // A copy in flight decides; without one an abort is put in its way.
   auto entry = member_.in_flight(call.request);
@@ -270,22 +273,22 @@
   const auto outcome = ledger.find(call.request);
   if (outcome) {
     reason = Reason{};
-    co_return backend::ResolveAnswer{outcome->committed, outcome->body, outcome->position};
+    co_return declared::backend::ResolveAnswer{outcome->committed, outcome->body, outcome->position};
   }
   const auto* detail = ledger.expired(call.request) ? "the outcome is older than the ledger's memory"
                                                     : "the outcome could not be decided in time";
   reason = Reason{ReasonCode::kOutcomeUnknown, "resolve", "", detail};
-  co_return backend::Refused{tunables_.primary_silence_limit};
+  co_return declared::backend::Refused{tunables_.primary_silence_limit};
 }
 
-backend::NotPrimary StatementService::not_primary() const {
+declared::backend::NotPrimary StatementService::not_primary() const {
   const auto primary = member_.known_primary();
   return {member_.term(), member_.is_primary() ? BackendName() : primary};
 }
 
 ExecuteAnswer StatementService::busy(Reason& reason) const {
   reason = Reason{ReasonCode::kOverloaded, "take_slot", "", "all slots are in use"};
-  return backend::Busy{std::max(tunables_.statement_duration, kShortestRetryAfter)};
+  return declared::backend::Busy{std::max(tunables_.statement_duration, kShortestRetryAfter)};
 }
 
 Awaitable<void> StatementService::hold_slot() {
--- a/standins/database/statement_service.h
+++ b/standins/database/statement_service.h
@@ -25,30 +25,34 @@
         slots_(tunables) {}
 
   // The calls of docs/BACKEND_CONTRACT.md. `reason` explains every answer but Rows and Written.
-  Awaitable<backend::ExecuteAnswer> execute(runtime::HttpConnectionId connection, backend::StatementCall call,
-                                            Reason& reason);
-  Awaitable<backend::BeginAnswer> begin(runtime::HttpConnectionId connection, backend::BeginCall call,
-                                        Reason& reason);
-  Awaitable<backend::ExecuteAnswer> execute_in(runtime::HttpConnectionId connection,
-                                               backend::StatementCall call, Reason& reason);
-  Awaitable<backend::ExecuteAnswer> commit(runtime::HttpConnectionId connection, backend::FinishCall call,
-                                           Reason& reason);
-  backend::DoneAnswer rollback(runtime::HttpConnectionId connection, const backend::FinishCall& call,
-                               Reason& reason);
-  Awaitable<backend::ResolveReply> resolve(backend::ResolveCall call, Reason& reason);
+  Awaitable<declared::backend::ExecuteAnswer> execute(runtime::HttpConnectionId connection,
+                                                      declared::backend::StatementCall call, Reason& reason);
+  Awaitable<declared::backend::BeginAnswer> begin(runtime::HttpConnectionId connection,
+                                                  declared::backend::BeginCall call, Reason& reason);
+  Awaitable<declared::backend::ExecuteAnswer> execute_in(runtime::HttpConnectionId connection,
+                                                         declared::backend::StatementCall call,
+                                                         Reason& reason);
+  Awaitable<declared::backend::ExecuteAnswer> commit(runtime::HttpConnectionId connection,
+                                                     declared::backend::FinishCall call, Reason& reason);
+  declared::backend::DoneAnswer rollback(runtime::HttpConnectionId connection,
+                                         const declared::backend::FinishCall& call, Reason& reason);
+  Awaitable<declared::backend::ResolveReply> resolve(declared::backend::ResolveCall call, Reason& reason);
 
   [[nodiscard]] std::uint32_t slots_in_use() const { return slots_.in_use(); }
 
  private:
-  using MaybeAnswer = std::optional<backend::ExecuteAnswer>;
+  using MaybeAnswer = std::optional<declared::backend::ExecuteAnswer>;
 
-  Awaitable<backend::ExecuteAnswer> read(ParsedStatement statement, backend::Requirements requirements,
-                                         Reason& reason);
-  Awaitable<MaybeAnswer> check_read(backend::Requirements requirements, Reason& reason);
-  Awaitable<backend::ExecuteAnswer> write(ParsedStatement statement, backend::Requirements requirements,
-                                          Reason& reason);
-  Awaitable<backend::ExecuteAnswer> write_to_log(WriteCommand command, backend::Requirements requirements,
-                                                 Reason& reason);
+  Awaitable<declared::backend::ExecuteAnswer> read(ParsedStatement statement,
+                                                   declared::backend::Requirements requirements,
+                                                   Reason& reason);
+  Awaitable<MaybeAnswer> check_read(declared::backend::Requirements requirements, Reason& reason);
+  Awaitable<declared::backend::ExecuteAnswer> write(ParsedStatement statement,
+                                                    declared::backend::Requirements requirements,
+                                                    Reason& reason);
+  Awaitable<declared::backend::ExecuteAnswer> write_to_log(WriteCommand command,
+                                                           declared::backend::Requirements requirements,
+                                                           Reason& reason);
 
   /// Empty when this is the serving primary of `term` and hears a majority; waits a little for the first.
   Awaitable<MaybeAnswer> check_primary(std::uint64_t term, TimePoint deadline, Reason& reason);
@@ -58,10 +62,10 @@
   Awaitable<MaybeAnswer> find_outcome(std::optional<RequestId> request, TimePoint deadline, Reason& reason);
   [[nodiscard]] bool is_known(const std::optional<RequestId>& request) const;
   /// Waits for the entry's result, and gives up early when no majority is heard any more.
-  Awaitable<backend::ExecuteAnswer> wait_for_result(std::shared_ptr<PendingEntry> entry, TimePoint deadline,
-                                                    Reason& reason);
-  [[nodiscard]] backend::NotPrimary not_primary() const;
-  backend::ExecuteAnswer busy(Reason& reason) const;
+  Awaitable<declared::backend::ExecuteAnswer> wait_for_result(std::shared_ptr<PendingEntry> entry,
+                                                              TimePoint deadline, Reason& reason);
+  [[nodiscard]] declared::backend::NotPrimary not_primary() const;
+  declared::backend::ExecuteAnswer busy(Reason& reason) const;
   Awaitable<void> hold_slot();
 
   runtime::Runtime& runtime_;
--- a/standins/database/statement_text.cpp
+++ b/standins/database/statement_text.cpp
@@ -16,7 +16,7 @@
 Operation read_operation(const DatabaseName& database, const json::value& value) {
   if (!value.is_object()) throw std::invalid_argument("an operation must be an object");
   const auto& object = value.get_object();
-  const auto name = backend::read_text(object, "op");
+  const auto name = declared::backend::read_text(object, "op");
   Operation operation;
   if (name == "get") {
     operation.kind = OperationKind::kGet;
@@ -27,8 +27,8 @@
   } else {
     throw std::invalid_argument("op: '" + name + "' is none of get, append, put");
   }
-  operation.record = database.value + "/" + backend::read_text(object, "record");
-  if (operation.kind != OperationKind::kGet) operation.value = backend::read_text(object, "value");
+  operation.record = database.value + "/" + declared::backend::read_text(object, "record");
+  if (operation.kind != OperationKind::kGet) operation.value = declared::backend::read_text(object, "value");
   return operation;
 }
 
