--- a/standins/database/tunables.cpp
+++ b/standins/database/tunables.cpp
@@ -83,7 +83,7 @@
 bool update_tunables(const std::string& body, Tunables& tunables, Reason& reason) {
   try {
     Tunables changed = tunables;
-    for (const auto& field : backend::parse_object(body)) {
+    for (const auto& field : declared::backend::parse_object(body)) {
       set_field(std::string(field.key()), field.value(), changed);
     }
     tunables = changed;
--- a/standins/platform/platform_server.cpp
+++ b/standins/platform/platform_server.cpp
@@ -96,10 +96,10 @@
 
   HttpResponse change_machine(const HttpRequest& request) {
     try {
-      const auto body = backend::parse_object(request.body);
+      const auto body = declared::backend::parse_object(request.body);
       MachineChange change;
-      change.name = backend::read_text(body, "name");
-      change.state = backend::read_text(body, "state");
+      change.name = declared::backend::read_text(body, "name");
+      change.state = declared::backend::read_text(body, "state");
       change.visible_at = runtime_.now() + settings_.list_lag;
       if (change.state != "live" && change.state != "leaving" && change.state != "gone") {
         return make_response(kStatusBadRequest,
@@ -116,7 +116,8 @@
   HttpResponse freeze(const HttpRequest& request) {
     try {
       const bool frozen =
-          request.body.empty() || backend::read_flag(backend::parse_object(request.body), "frozen");
+          request.body.empty() ||
+          declared::backend::read_flag(declared::backend::parse_object(request.body), "frozen");
       list_.freeze(frozen, runtime_.now());
       return make_response(kStatusOk, json::object{});
     } catch (const std::exception& error) {
--- a/standins/programs/cairnhollow_environment.cpp
+++ b/standins/programs/cairnhollow_environment.cpp
@@ -17,7 +17,7 @@
 
 namespace json = boost::json;
 namespace runtime = cairnhollow::runtime;
-namespace unfenced = cairnhollow::standins::unfenced;
+namespace registered = cairnhollow::standins::registered;
 using cairnhollow::Awaitable;
 using cairnhollow::Duration;
 using cairnhollow::Endpoint;
@@ -69,7 +69,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-std::string print_report(const unfenced::EnvironmentReport& report) {
+std::string print_report(const registered::EnvironmentReport& report) {
   json::array gaps;
   for (const Duration gap : report.gaps) gaps.emplace_back(milliseconds_of(gap));
   json::array violations;
@@ -89,8 +89,8 @@
   return json::serialize(object) + "\n";
 }
 
-Awaitable<void> run(unfenced::Environment& environment, std::string report_file) {
-  const unfenced::EnvironmentReport report = co_await environment.run();
+Awaitable<void> run(registered::Environment& environment, std::string report_file) {
+  const registered::EnvironmentReport report = co_await environment.run();
   const std::string text = print_report(report);
   fmt::print("{}", text);
   if (!report_file.empty()) std::ofstream(report_file) << text;
@@ -99,8 +99,8 @@
   std::_Exit(report.violations.empty() ? kPassed : kFailed);
 }
 
-std::optional<unfenced::EnvironmentSettings> read_settings(std::map<std::string, docopt::value>& options) {
-  unfenced::EnvironmentSettings settings;
+std::optional<registered::EnvironmentSettings> read_settings(std::map<std::string, docopt::value>& options) {
+  registered::EnvironmentSettings settings;
   const auto control = read_endpoints(options["--control"].asStringList());
   const auto proxies = read_endpoints(options["--proxy"].asStringList());
   const auto promotion = read_endpoints({options["--promotion"].asString()});
@@ -115,25 +115,25 @@
   settings.replica_lag = std::chrono::milliseconds(options["--lag-ms"].asLong());
   settings.tenants = options["--tenants"].asBool();
   const std::string faults = options["--faults"].asString();
-  if (faults == "none") settings.faults = unfenced::BackendFaults::kNone;
-  if (faults == "primaries") settings.faults = unfenced::BackendFaults::kPrimaries;
+  if (faults == "none") settings.faults = registered::BackendFaults::kNone;
+  if (faults == "primaries") settings.faults = registered::BackendFaults::kPrimaries;
   const bool is_known = faults == "none" || faults == "primaries" || faults == "all";
   if (!is_known) fmt::print(stderr, "--faults: '{}' is none of none, primaries, all\n", faults);
   if (!is_known) return std::nullopt;
   return settings;
 }
 
-int run_on_sockets(const unfenced::EnvironmentSettings& settings, std::uint64_t seed,
+int run_on_sockets(const registered::EnvironmentSettings& settings, std::uint64_t seed,
                    std::string report_file) {
   // A peer that closes while it is written to is an error of that write, not of the process.
   std::signal(SIGPIPE, SIG_IGN);
-  runtime::AsioRuntimeSettings runtime_settings;
+  host::AsioRuntimeSettings runtime_settings;
   runtime_settings.program = "cairnhollow-environment";
   runtime_settings.random_seed = seed;
   runtime_settings.log_level = runtime::LogLevel::kWarning;
   boost::asio::io_context context{1};
-  const auto runtime = runtime::make_asio_runtime(context, runtime_settings);
-  unfenced::Environment environment(*runtime, settings);
+  const auto runtime = host::make_asio_runtime(context, runtime_settings);
+  registered::Environment environment(*runtime, settings);
   runtime->spawn("environment", run(environment, std::move(report_file)));
   context.run();
   return kFailed;
--- a/standins/registered/caller.cpp
+++ b/standins/registered/caller.cpp
@@ -6,7 +6,7 @@
 
 #include "platform/wire_words.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -21,7 +21,7 @@
 struct Reply {
   bool whole = false;  ///< an answer came
   bool done = false;
-  std::optional<session::Refusal> refusal;
+  std::optional<cairnhollow::registered::Refusal> refusal;
   std::vector<std::string> rows;
 };
 
@@ -146,7 +146,7 @@
   static void take_outcome(const Reply& reply, Attempt& attempt) {
     attempt.cut = !reply.whole;
     if (reply.done) attempt.outcome = AttemptOutcome::kAcknowledged;
-    if (reply.refusal && session::is_promise(*reply.refusal))
+    if (reply.refusal && cairnhollow::registered::is_promise(*reply.refusal))
       attempt.outcome = AttemptOutcome::kPromisedNotKept;
   }
 
@@ -208,4 +208,4 @@
   co_await caller.run(stopped);
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/caller.h
+++ b/standins/registered/caller.h
@@ -9,13 +9,14 @@
 #include "standins/registered/session_history.h"
 #include "standins/registered/tenant_history.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 struct CallerSettings {
   std::string name;
   std::vector<Endpoint> proxies;  ///< tried in turn
   std::string database;
-  registry::ReadPolicy policy = registry::ReadPolicy::kPrimary;  ///< of the database's route
+  cairnhollow::registered::registry::ReadPolicy policy =
+      cairnhollow::registered::registry::ReadPolicy::kPrimary;  ///< of the database's route
   Duration staleness{0};
   Duration pause = std::chrono::milliseconds(20);  ///< between operations
   std::uint32_t records = 4;
@@ -35,4 +36,4 @@
 Awaitable<void> run_caller(runtime::Runtime& runtime, CallerSettings settings, std::vector<Attempt>& history,
                            CallerCounts& counts, const bool& stopped);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/database.cpp
+++ b/standins/registered/database.cpp
@@ -9,15 +9,15 @@
 
 #include "platform/wire_words.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
 namespace words = ::cairnhollow::platform;
-using session::Answer;
-using session::Refusal;
-using session::StatementKind;
-using session::TransactionState;
+using cairnhollow::registered::Answer;
+using cairnhollow::registered::Refusal;
+using cairnhollow::registered::StatementKind;
+using cairnhollow::registered::TransactionState;
 using words::take_word;
 
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(400);
@@ -29,7 +29,7 @@
 struct Connection {
   std::shared_ptr<runtime::LineConnection> lines;
   std::map<std::string, std::string> values;
-  std::map<std::string, session::Statement> prepared;
+  std::map<std::string, cairnhollow::registered::Statement> prepared;
   TransactionState state = TransactionState::kIdle;
   bool read_only = false;
   std::uint64_t begun_in_term = 0;
@@ -227,7 +227,7 @@
       connection.prepared.clear();
       co_return done();
     }
-    session::Statement statement = words::parse_statement(id, rest);
+    cairnhollow::registered::Statement statement = words::parse_statement(id, rest);
     if (statement.kind == StatementKind::kExecute) {
       const auto prepared = connection.prepared.find(statement.name);
       if (prepared == connection.prepared.end()) co_return refuse(connection, Refusal::kUnknownStatement);
@@ -252,7 +252,7 @@
     return answer;
   }
 
-  Awaitable<Answer> run(Connection& connection, session::Statement statement) {
+  Awaitable<Answer> run(Connection& connection, cairnhollow::registered::Statement statement) {
     const bool in_failed = connection.state == TransactionState::kFailed;
     switch (statement.kind) {
       case StatementKind::kSetValue:
@@ -288,7 +288,7 @@
     co_return refuse(connection, Refusal::kMalformed);
   }
 
-  Awaitable<Answer> read(Connection& connection, session::Statement statement) {
+  Awaitable<Answer> read(Connection& connection, cairnhollow::registered::Statement statement) {
     ++statements_run_;
     co_await runtime_.sleep_for(settings_.work);
     std::string_view record = statement.text;
@@ -302,7 +302,7 @@
     co_return answer;
   }
 
-  Awaitable<Answer> write(Connection& connection, session::Statement statement) {
+  Awaitable<Answer> write(Connection& connection, cairnhollow::registered::Statement statement) {
     if (!state().primary || connection.read_only) co_return refuse(connection, Refusal::kNotPrimary);
     ++statements_run_;
     co_await runtime_.sleep_for(settings_.work);
@@ -425,4 +425,4 @@
   return std::make_unique<PromotionCall>(runtime, std::move(models), std::move(endpoint), takes);
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/database.h
+++ b/standins/registered/database.h
@@ -12,7 +12,7 @@
 #include "standins/registered/tenant_history.h"
 #include "standins/registered/zone_history.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 struct DatabaseSettings {
   BackendName backend;
@@ -70,4 +70,4 @@
 std::unique_ptr<runtime::Role> make_promotion_call(runtime::Runtime& runtime, std::vector<GroupModel*> models,
                                                    Endpoint endpoint, Duration takes);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/document_text.cpp
+++ b/standins/registered/document_text.cpp
@@ -5,7 +5,7 @@
 #include <boost/json/parse.hpp>
 #include <boost/json/serialize.hpp>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace json = boost::json;
 
@@ -18,9 +18,9 @@
 constexpr std::uint64_t kTransactionIdleMs = 3000;
 constexpr std::uint64_t kColdStartS = 5;
 
-const char* word_of(registry::ReadPolicy reads) {
-  if (reads == registry::ReadPolicy::kBoundedStaleness) return "bounded_staleness";
-  if (reads == registry::ReadPolicy::kReadYourWrites) return "read_your_writes";
+const char* word_of(cairnhollow::registered::registry::ReadPolicy reads) {
+  if (reads == cairnhollow::registered::registry::ReadPolicy::kBoundedStaleness) return "bounded_staleness";
+  if (reads == cairnhollow::registered::registry::ReadPolicy::kReadYourWrites) return "read_your_writes";
   return "primary";
 }
 
@@ -30,9 +30,9 @@
   return list;
 }
 
-json::array tenant_list(const std::vector<registry::TenantRule>& tenants) {
+json::array tenant_list(const std::vector<cairnhollow::registered::registry::TenantRule>& tenants) {
   json::array list;
-  for (const registry::TenantRule& tenant : tenants) {
+  for (const cairnhollow::registered::registry::TenantRule& tenant : tenants) {
     json::array keys;
     for (const ApiKey& key : tenant.keys) keys.emplace_back(key.value);
     json::object one{{"Name", tenant.name.value},
@@ -49,7 +49,8 @@
 
 std::string document_text(std::uint64_t version, const std::vector<DatabaseText>& databases,
                           const std::vector<std::string>& groups,
-                          const std::vector<registry::TenantRule>& tenants, double cold_rate_per_s) {
+                          const std::vector<cairnhollow::registered::registry::TenantRule>& tenants,
+                          double cold_rate_per_s) {
   json::array routes;
   for (const DatabaseText& database : databases) {
     json::object route{{"Name", "r-" + database.name},
@@ -110,4 +111,4 @@
   return version == nullptr ? 0 : version->to_number<std::uint64_t>();
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/document_text.h
+++ b/standins/registered/document_text.h
@@ -9,11 +9,12 @@
 #include "registered/registry/model.h"
 #include "runtime/http.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 struct DatabaseText {
   std::string name;
-  registry::ReadPolicy reads = registry::ReadPolicy::kPrimary;
+  cairnhollow::registered::registry::ReadPolicy reads =
+      cairnhollow::registered::registry::ReadPolicy::kPrimary;
   std::uint64_t staleness_ms = 0;
   std::string group;
   std::vector<RegionName> allowed_regions{};  ///< empty: the document says nothing of them
@@ -22,13 +23,13 @@
 /// The databases that tests declare: one for each read policy.
 struct PolicyOfDatabase {
   const char* name;
-  registry::ReadPolicy policy;
+  cairnhollow::registered::registry::ReadPolicy policy;
   std::uint64_t staleness_ms;
 };
 inline constexpr std::array<PolicyOfDatabase, 3> kPolicies{
-    {{"records", registry::ReadPolicy::kPrimary, 0},
-     {"browse", registry::ReadPolicy::kBoundedStaleness, 1500},
-     {"assign", registry::ReadPolicy::kReadYourWrites, 2500}}};
+    {{"records", cairnhollow::registered::registry::ReadPolicy::kPrimary, 0},
+     {"browse", cairnhollow::registered::registry::ReadPolicy::kBoundedStaleness, 1500},
+     {"assign", cairnhollow::registered::registry::ReadPolicy::kReadYourWrites, 2500}}};
 /// The zones that tests spread machines over.
 inline const std::vector<std::string> kZones{"kelburn", "petone", "porirua"};
 
@@ -37,7 +38,8 @@
 /// limit.
 std::string document_text(std::uint64_t version, const std::vector<DatabaseText>& databases,
                           const std::vector<std::string>& groups,
-                          const std::vector<registry::TenantRule>& tenants = {}, double cold_rate_per_s = 0);
+                          const std::vector<cairnhollow::registered::registry::TenantRule>& tenants = {},
+                          double cold_rate_per_s = 0);
 
 runtime::HttpRequest replace_document(std::string text);
 runtime::HttpRequest read_document();
@@ -46,4 +48,4 @@
 /// 0 when the text is no document.
 std::uint64_t version_of(const std::string& text);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/environment.cpp
+++ b/standins/registered/environment.cpp
@@ -7,7 +7,7 @@
 
 #include "standins/registered/document_text.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -36,8 +36,9 @@
 constexpr Duration kNotYet = std::chrono::hours(24);
 constexpr unsigned kOk = 200;
 
-registry::TenantRule tenant_of(const std::string& name, const std::string& key, std::uint64_t rate) {
-  registry::TenantRule tenant;
+cairnhollow::registered::registry::TenantRule tenant_of(const std::string& name, const std::string& key,
+                                                        std::uint64_t rate) {
+  cairnhollow::registered::registry::TenantRule tenant;
   tenant.name = TenantName(name);
   tenant.keys = {ApiKey(key)};
   tenant.rate_per_s = rate;
@@ -147,12 +148,12 @@
   }
 }
 
-std::vector<registry::TenantRule> Environment::begin_era() {
+std::vector<cairnhollow::registered::registry::TenantRule> Environment::begin_era() {
   if (!settings_.tenants) return {};
-  std::vector<registry::TenantRule> tenants{
+  std::vector<cairnhollow::registered::registry::TenantRule> tenants{
       tenant_of("weka", "key-weka", 0), tenant_of("kea", "key-kea", kLimitedRate),
       tenant_of("tui", version_ % 2 == 0 ? "key-tui-1" : "key-tui-2", 0)};
-  for (const registry::TenantRule& tenant : tenants)
+  for (const cairnhollow::registered::registry::TenantRule& tenant : tenants)
     tenant_history_.eras.push_back({tenant, runtime_.now() + kNotYet});
   return tenants;
 }
@@ -325,4 +326,4 @@
   co_return report;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/environment.h
+++ b/standins/registered/environment.h
@@ -16,7 +16,7 @@
 #include "standins/registered/foreign_writer.h"
 #include "standins/registered/group_model.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 /// What the environment breaks.
 enum class BackendFaults : std::uint8_t { kNone, kPrimaries, kAll };
@@ -77,7 +77,7 @@
   bool start_foreign();
   /// The tenants of the document of `version_`; noted before it is sent, since it may be in force before its
   /// acknowledgement comes.
-  std::vector<registry::TenantRule> begin_era();
+  std::vector<cairnhollow::registered::registry::TenantRule> begin_era();
   void note_acknowledged();
   Awaitable<void> send_documents();
   /// Status of the answer; 0: none.
@@ -107,4 +107,4 @@
   bool breaking_ = false;  ///< a backend fault is under way
 };
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/foreign_writer.cpp
+++ b/standins/registered/foreign_writer.cpp
@@ -9,7 +9,7 @@
 #include "runtime/http.h"
 #include "runtime/lines.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace json = boost::json;
 
@@ -164,4 +164,4 @@
   return true;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/foreign_writer.h
+++ b/standins/registered/foreign_writer.h
@@ -10,7 +10,7 @@
 
 #include "runtime/runtime.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 /// How a registration is malformed.
 struct ForeignKind {
@@ -49,4 +49,4 @@
 bool start_foreign_writer(runtime::Runtime& runtime, ForeignWriterSettings settings, ForeignHistory& history,
                           const bool& stopped);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/group_model.cpp
+++ b/standins/registered/group_model.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -129,4 +129,4 @@
   return leader;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/group_model.h
+++ b/standins/registered/group_model.h
@@ -12,7 +12,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 /// One committed write.
 struct LogEntry {
@@ -84,4 +84,4 @@
   std::uint64_t promotions_ = 0;
 };
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/region_history.cpp
+++ b/standins/registered/region_history.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -48,4 +48,4 @@
   return violations;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/region_history.h
+++ b/standins/registered/region_history.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 /// A statement's text came to a machine other than the proxy that its caller asked.
 struct PlacedStatement {
@@ -41,4 +41,4 @@
 /// A document binds from `settles` after its acknowledgement; until then the one before it may.
 std::vector<std::string> find_region_violations(const RegionHistory& history, Duration settles);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/session_history.cpp
+++ b/standins/registered/session_history.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -17,8 +17,9 @@
 /// Whether `read` must show what `write` wrote.
 bool must_show(const Attempt& read, const Attempt& write) {
   if (write.record != read.record || !is_acknowledged_write(write)) return false;
-  if (read.policy == registry::ReadPolicy::kPrimary) return write.ended < read.begun;
-  const bool own = read.policy == registry::ReadPolicy::kReadYourWrites && write.session == read.session;
+  if (read.policy == cairnhollow::registered::registry::ReadPolicy::kPrimary) return write.ended < read.begun;
+  const bool own = read.policy == cairnhollow::registered::registry::ReadPolicy::kReadYourWrites &&
+                   write.session == read.session;
   if (own) return write.ended < read.begun;
   return write.ended < read.begun - read.staleness;
 }
@@ -81,4 +82,4 @@
   return longest;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/session_history.h
+++ b/standins/registered/session_history.h
@@ -7,14 +7,15 @@
 #include "base/types.h"
 #include "registered/registry/model.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 enum class AttemptOutcome : std::uint8_t { kAcknowledged, kPromisedNotKept, kUnknown };
 
 /// One try of a caller: a write, a read, or a transaction of both.
 struct Attempt {
   std::string session;
-  registry::ReadPolicy policy = registry::ReadPolicy::kPrimary;
+  cairnhollow::registered::registry::ReadPolicy policy =
+      cairnhollow::registered::registry::ReadPolicy::kPrimary;
   Duration staleness{0};
   std::string record;
   std::string token;                ///< written; empty for a read
@@ -35,4 +36,4 @@
 /// The longest time between two acknowledged writes that lies within `from` and `to`.
 Duration longest_write_gap(const std::vector<Attempt>& history, TimePoint from, TimePoint to);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/tenant_history.cpp
+++ b/standins/registered/tenant_history.cpp
@@ -9,11 +9,11 @@
 #include "registered/limits/limit_budget.h"
 #include "registered/tenancy/tenant_limit.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
-bool has_key(const registry::TenantRule& tenant, const ApiKey& key) {
+bool has_key(const cairnhollow::registered::registry::TenantRule& tenant, const ApiKey& key) {
   return std::find(tenant.keys.begin(), tenant.keys.end(), key) != tenant.keys.end();
 }
 
@@ -60,9 +60,9 @@
 }
 
 /// The highest limit that may hold at `at`.
-registry::TenantRule limit_at(const TenantHistory& history, const TenantName& tenant, TimePoint at,
-                              Duration settles) {
-  registry::TenantRule limit;
+cairnhollow::registered::registry::TenantRule limit_at(const TenantHistory& history, const TenantName& tenant,
+                                                       TimePoint at, Duration settles) {
+  cairnhollow::registered::registry::TenantRule limit;
   bool is_first = true;
   for (const TenantEra& era : history.eras) {
     if (era.rule.name != tenant) continue;
@@ -91,12 +91,14 @@
   for (std::size_t last = 0; last < operations.size(); ++last) {
     const TimePoint end = operations[last].run_at;
     const TimePoint begin = end - bounds.window.window;
-    const registry::TenantRule limit = limit_at(history, tenant, begin, bounds.limit_settles);
+    const cairnhollow::registered::registry::TenantRule limit =
+        limit_at(history, tenant, begin, bounds.limit_settles);
     if (!limit.is_limited()) continue;
     const auto within = std::count_if(
         operations.begin(), operations.begin() + static_cast<std::ptrdiff_t>(last) + 1,
         [&](const Operation& operation) { return operation.sent_at >= begin && operation.run_at <= end; });
-    const double allowed = limits::allowance(tenancy::limit_of(limit, bounds.window));
+    const double allowed = cairnhollow::registered::limits::allowance(
+        cairnhollow::registered::tenancy::limit_of(limit, bounds.window));
     if (static_cast<double>(within) <= allowed) continue;
     violations.push_back(
         fmt::format("{} ran {} operations in a window, {} are allowed", tenant.value, within, allowed));
@@ -128,4 +130,4 @@
   return violations;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/tenant_history.h
+++ b/standins/registered/tenant_history.h
@@ -8,7 +8,7 @@
 #include "registered/limits/limit_window.h"
 #include "registered/registry/model.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 /// One statement as its caller sent it.
 struct SentStatement {
@@ -27,7 +27,7 @@
 
 /// What one document says of a tenant. `acknowledged_at`: when the operator was told that it is taken.
 struct TenantEra {
-  registry::TenantRule rule;
+  cairnhollow::registered::registry::TenantRule rule;
   TimePoint acknowledged_at{};
 };
 
@@ -41,7 +41,7 @@
 struct TenantBounds {
   Duration key_bound{0};      ///< how long after the acknowledgement of its removal a key may run something
   Duration limit_settles{0};  ///< how long after the acknowledgement of a lower limit it must hold
-  limits::LimitWindow window;
+  cairnhollow::registered::limits::LimitWindow window;
 };
 
 /// Every violation, in words: a statement run for another tenant than its key's, or with a key that nobody
@@ -49,4 +49,4 @@
 /// allowed.
 std::vector<std::string> find_tenant_violations(const TenantHistory& history, const TenantBounds& bounds);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/zone_history.cpp
+++ b/standins/registered/zone_history.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -31,4 +31,4 @@
   return violations;
 }
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/standins/registered/zone_history.h
+++ b/standins/registered/zone_history.h
@@ -7,7 +7,7 @@
 
 #include "base/types.h"
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 /// One statement of a caller as it came to a backend.
 struct ArrivedStatement {
@@ -35,4 +35,4 @@
 /// evacuation was acknowledged, and before the zone was ordered back.
 std::vector<std::string> find_evacuation_violations(const ZoneHistory& history, Duration bound);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/tests/admission/concurrency_limit_test.cpp
+++ b/tests/admission/concurrency_limit_test.cpp
@@ -7,7 +7,7 @@
 
 #include "synthetic_backend.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::admission {
 namespace {
 
 using std::chrono::milliseconds;
@@ -198,4 +198,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ConcurrencyLimitTest);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::admission
--- a/tests/cli/change_plan_test.cpp
+++ b/tests/cli/change_plan_test.cpp
@@ -7,8 +7,8 @@
 
 namespace cairnhollow::cli {
 
-using config::backend_object;
-using config::proxy_object;
+using declared::config::backend_object;
+using declared::config::proxy_object;
 
 class ChangePlanTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChangePlanTest);
@@ -21,7 +21,8 @@
 
  public:
   void apply_is_based_on_what_is_in_force() {
-    const control::ObjectList in_force{9, {{backend_object("a", 1), 4}, {backend_object("b", 2), 7}}};
+    const declared::control::ObjectList in_force{9,
+                                                 {{backend_object("a", 1), 4}, {backend_object("b", 2), 7}}};
     const auto plan = plan_apply({manifest(backend_object("a", 1)), manifest(backend_object("b", 3)),
                                   manifest(backend_object("c", 4))},
                                  in_force);
@@ -35,7 +36,7 @@
   }
 
   void apply_keeps_the_version_that_the_manifest_names() {
-    const control::ObjectList in_force{9, {{backend_object("a", 1), 4}}};
+    const declared::control::ObjectList in_force{9, {{backend_object("a", 1), 4}}};
     const auto stale = plan_apply({manifest(backend_object("a", 2), 3)}, in_force);
     CPPUNIT_ASSERT(stale.changes[0].change.based_on == 3U);
     const auto deleted_since = plan_apply({manifest(backend_object("gone", 2), 3)}, in_force);
@@ -43,7 +44,7 @@
   }
 
   void delete_of_an_absent_object_is_unchanged() {
-    const control::ObjectList in_force{9, {{backend_object("a", 1), 4}}};
+    const declared::control::ObjectList in_force{9, {{backend_object("a", 1), 4}}};
     const auto plan =
         plan_delete({manifest(backend_object("a", 1)), manifest(backend_object("b", 1))}, in_force);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, plan.changes.size());
@@ -53,7 +54,7 @@
   }
 
   void labels_are_set_and_removed() {
-    const control::ObjectList selected{
+    const declared::control::ObjectList selected{
         9, {{backend_object("a", 1, LabelSet{{{"x", "1"}, {"y", "2"}}}), 4}, {backend_object("b", 2), 5}}};
     const auto plan = plan_labels(selected, {{"x", "3"}, {"y", std::nullopt}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, plan.changes.size());
@@ -65,19 +66,21 @@
   }
 
   void drain_touches_proxies_and_backends_only() {
-    const control::ObjectList selected{
-        9, {{proxy_object("p", 1), 1}, {backend_object("a", 2), 2}, {config::route_object("r", ""), 3}}};
+    const declared::control::ObjectList selected{9,
+                                                 {{proxy_object("p", 1), 1},
+                                                  {backend_object("a", 2), 2},
+                                                  {declared::config::route_object("r", ""), 3}}};
     const auto plan = plan_drain(selected, true);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, plan.changes.size());
-    CPPUNIT_ASSERT(std::get<config::ProxySpec>(plan.changes[0].change.object.spec).drain);
-    CPPUNIT_ASSERT(std::get<config::BackendSpec>(plan.changes[1].change.object.spec).drain);
+    CPPUNIT_ASSERT(std::get<declared::config::ProxySpec>(plan.changes[0].change.object.spec).drain);
+    CPPUNIT_ASSERT(std::get<declared::config::BackendSpec>(plan.changes[1].change.object.spec).drain);
     CPPUNIT_ASSERT(plan_drain(selected, false).changes.empty());
   }
 
  private:
-  static config::Manifest manifest(config::Object object,
-                                   std::optional<std::uint64_t> version = std::nullopt) {
-    config::Manifest manifest;
+  static declared::config::Manifest manifest(declared::config::Object object,
+                                             std::optional<std::uint64_t> version = std::nullopt) {
+    declared::config::Manifest manifest;
     manifest.object = std::move(object);
     manifest.resource_version = version;
     return manifest;
--- a/tests/cli/command_line_test.cpp
+++ b/tests/cli/command_line_test.cpp
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("new"), replace.replacement);
     const auto switchover = parse({"switchover", "orders", "--to", "zone=k"});
     CPPUNIT_ASSERT((switchover.names == std::vector<std::string>{"orders"}));
-    CPPUNIT_ASSERT(switchover.target == config::selector_of("zone=k"));
+    CPPUNIT_ASSERT(switchover.target == declared::config::selector_of("zone=k"));
     CPPUNIT_ASSERT(parse({"wait", "12"}).revision == 12);
     CPPUNIT_ASSERT(parse({"wait", "--timeout", "2m"}).timeout == std::chrono::minutes(2));
     const auto verbatim = parse({"apply", "-f", "x", "--change-id", "c", "--at-revision", "7"});
--- a/tests/cli/fleet_commands_test.cpp
+++ b/tests/cli/fleet_commands_test.cpp
@@ -25,9 +25,9 @@
   return text.find(part) != std::string::npos;
 }
 
-control::ProxyStatus proxy_status(const std::string& name, const std::string& follows,
-                                  std::uint64_t revision) {
-  control::ProxyStatus status;
+declared::control::ProxyStatus proxy_status(const std::string& name, const std::string& follows,
+                                            std::uint64_t revision) {
+  declared::control::ProxyStatus status;
   status.proxy = NodeName(name);
   status.zone = ZoneName("kelburn");
   status.control_node = NodeName(follows);
@@ -87,13 +87,13 @@
   void status_puts_all_nodes_together() {
     fleet_->node(1).sources.proxies = {proxy_status("proxy-1", "control-1", 4)};
     fleet_->node(3).sources.proxies = {proxy_status("proxy-2", "control-3", 4)};
-    control::GroupStatus known;
+    declared::control::GroupStatus known;
     known.group = GroupName("orders");
     known.term = 4;
     fleet_->node(1).sources.groups = {known};
     known.supervisor = NodeName("control-3");
     known.primary = BackendName("orders-a");
-    control::GroupMemberStatus member;
+    declared::control::GroupMemberStatus member;
     member.backend = BackendName("orders-a");
     member.is_primary = true;
     member.reachable = true;
@@ -113,7 +113,7 @@
     std::erase_if(fleet_->node(1).consensus.members,
                   [](const auto& member) { return member.node.value == "control-2"; });
     fleet_->node(2).sources.proxies = {proxy_status("proxy-7", "control-2", 4)};
-    control::FleetEvent event;
+    declared::control::FleetEvent event;
     event.kind = "primary_promoted";
     fleet_->node(2).sources.record(event);
     const auto status = fleet_->run({"status", "-s", "10.0.0.1:80"});
@@ -152,7 +152,7 @@
 
   void events_of_all_nodes_by_time() {
     const auto record = [&](int node, const std::string& kind, std::int64_t time) {
-      control::FleetEvent event;
+      declared::control::FleetEvent event;
       event.kind = kind;
       event.wall_clock_microseconds = time;
       fleet_->node(node).sources.record(event);
--- a/tests/cli/large_fleet_test.cpp
+++ b/tests/cli/large_fleet_test.cpp
@@ -23,14 +23,14 @@
 
 ZoneName zone_of(int number) { return ZoneName(fmt::format("zone-{}", number % kZones)); }
 
-control::GroupStatus make_group(int number) {
-  control::GroupStatus group;
+declared::control::GroupStatus make_group(int number) {
+  declared::control::GroupStatus group;
   group.group = GroupName(fmt::format("group-{}", number));
   group.term = 3;
   group.supervisor = NodeName("control-1");
   group.primary = BackendName(fmt::format("group-{}-0", number));
   for (int place = 0; place < 3; ++place) {
-    control::GroupMemberStatus member;
+    declared::control::GroupMemberStatus member;
     member.backend = BackendName(fmt::format("group-{}-{}", number, place));
     member.zone = zone_of(number + place);
     member.is_primary = place == 0;
@@ -40,8 +40,8 @@
   return group;
 }
 
-control::ProxyStatus make_proxy(int number) {
-  control::ProxyStatus proxy;
+declared::control::ProxyStatus make_proxy(int number) {
+  declared::control::ProxyStatus proxy;
   proxy.proxy = NodeName(fmt::format("proxy-{}", number));
   proxy.zone = zone_of(number);
   proxy.control_node = NodeName("control-1");
@@ -231,7 +231,7 @@
   }
 
   void record(const std::string& kind, const std::string& subject, std::int64_t time) {
-    control::FleetEvent event;
+    declared::control::FleetEvent event;
     event.kind = kind;
     event.subject = subject;
     event.wall_clock_microseconds = time;
--- a/tests/cli/operator_fleet.cpp
+++ b/tests/cli/operator_fleet.cpp
@@ -91,7 +91,7 @@
 
 }  // namespace
 
-void SharedLog::join(const NodeName& node, control::ConfigReplica* replica) {
+void SharedLog::join(const NodeName& node, declared::control::ConfigReplica* replica) {
   replicas_[node] = replica;
   for (std::size_t i = 0; i < commands.size(); ++i) replica->apply(i + 1, commands[i]);
 }
@@ -162,24 +162,25 @@
   return status;
 }
 
-std::vector<control::FleetEvent> FakeSources::events_since(std::uint64_t since, std::uint32_t limit) const {
-  std::vector<control::FleetEvent> found;
+std::vector<declared::control::FleetEvent> FakeSources::events_since(std::uint64_t since,
+                                                                     std::uint32_t limit) const {
+  std::vector<declared::control::FleetEvent> found;
   for (const auto& event : events) {
     if (event.number > since && found.size() < limit) found.push_back(event);
   }
   return found;
 }
 
-void FakeSources::record(control::FleetEvent event) {
+void FakeSources::record(declared::control::FleetEvent event) {
   event.number = events.size() + 1;
   event.node = node;
   events.push_back(std::move(event));
 }
 
-Awaitable<std::optional<control::SwitchoverOutcome>> FakeSources::switch_over(
-    control::SwitchoverRequest request, TimePoint /*deadline*/, Reason& /*reason*/) {
+Awaitable<std::optional<declared::control::SwitchoverOutcome>> FakeSources::switch_over(
+    declared::control::SwitchoverRequest request, TimePoint /*deadline*/, Reason& /*reason*/) {
   switchovers.push_back(std::move(request));
-  co_return control::SwitchoverOutcome{BackendName("orders-b"), 8};
+  co_return declared::control::SwitchoverOutcome{BackendName("orders-b"), 8};
 }
 
 bool FakeSources::ready(Reason& reason) const {
@@ -194,7 +195,7 @@
       endpoint_(std::move(endpoint)),
       replica_(runtime),
       service_(runtime, node, endpoint_, consensus, replica_, sources.all()),
-      api_(control::make_operator_api(runtime, service_)) {
+      api_(declared::control::make_operator_api(runtime, service_)) {
   sources.node = node;
   log.join(node, &replica_);
 }
@@ -221,7 +222,7 @@
       member.zone = ZoneName("kelburn");
       node(number).consensus.members.push_back(std::move(member));
       if (other == number) continue;
-      control::ControlPeerStatus peer;
+      declared::control::ControlPeerStatus peer;
       peer.node = NodeName(fmt::format("control-{}", other));
       peer.operator_endpoint = Endpoint{address_of(other), kOperatorPort};
       peer.reachable = true;
--- a/tests/cli/operator_fleet.h
+++ b/tests/cli/operator_fleet.h
@@ -16,7 +16,7 @@
 /// The log that all nodes share: what the leader appends, every node applies at once.
 class SharedLog {
  public:
-  void join(const NodeName& node, control::ConfigReplica* replica);
+  void join(const NodeName& node, declared::control::ConfigReplica* replica);
   std::uint64_t append(const std::string& command);
 
   NodeName leader;
@@ -26,7 +26,7 @@
   std::vector<std::string> commands;
 
  private:
-  std::map<NodeName, control::ConfigReplica*> replicas_;
+  std::map<NodeName, declared::control::ConfigReplica*> replicas_;
 };
 
 class LogConsensus : public consensus::Consensus {
@@ -52,35 +52,36 @@
 };
 
 /// Every source of a control node as plain values.
-class FakeSources : public control::GroupStatusSource,
-                    public control::FollowerStatusSource,
-                    public control::EventSource,
-                    public control::SwitchoverExecutor,
-                    public control::NodeHealthSource {
+class FakeSources : public declared::control::GroupStatusSource,
+                    public declared::control::FollowerStatusSource,
+                    public declared::control::EventSource,
+                    public declared::control::SwitchoverExecutor,
+                    public declared::control::NodeHealthSource {
  public:
-  [[nodiscard]] std::vector<control::GroupStatus> group_status() const override { return groups; }
+  [[nodiscard]] std::vector<declared::control::GroupStatus> group_status() const override { return groups; }
   [[nodiscard]] std::vector<std::string> leaving_machines() const override { return leaving; }
-  [[nodiscard]] std::vector<control::ProxyStatus> followers() const override { return proxies; }
-  [[nodiscard]] std::vector<control::ControlPeerStatus> control_peers() const override { return peers; }
+  [[nodiscard]] std::vector<declared::control::ProxyStatus> followers() const override { return proxies; }
+  [[nodiscard]] std::vector<declared::control::ControlPeerStatus> control_peers() const override {
+    return peers;
+  }
   [[nodiscard]] Duration longest_lease() const override { return lease; }
-  [[nodiscard]] std::vector<control::FleetEvent> events_since(std::uint64_t since,
-                                                              std::uint32_t limit) const override;
-  void record(control::FleetEvent event) override;
-  Awaitable<std::optional<control::SwitchoverOutcome>> switch_over(control::SwitchoverRequest request,
-                                                                   TimePoint deadline,
-                                                                   Reason& reason) override;
+  [[nodiscard]] std::vector<declared::control::FleetEvent> events_since(std::uint64_t since,
+                                                                        std::uint32_t limit) const override;
+  void record(declared::control::FleetEvent event) override;
+  Awaitable<std::optional<declared::control::SwitchoverOutcome>> switch_over(
+      declared::control::SwitchoverRequest request, TimePoint deadline, Reason& reason) override;
   [[nodiscard]] bool ready(Reason& reason) const override;
   [[nodiscard]] std::string metrics_text() const override { return "up 1\n"; }
-  [[nodiscard]] control::OperatorSources all() { return {*this, *this, *this, *this, *this}; }
+  [[nodiscard]] declared::control::OperatorSources all() { return {*this, *this, *this, *this, *this}; }
 
   NodeName node;
-  std::vector<control::GroupStatus> groups;
+  std::vector<declared::control::GroupStatus> groups;
   std::vector<std::string> leaving;
-  std::vector<control::ProxyStatus> proxies;
-  std::vector<control::ControlPeerStatus> peers;
+  std::vector<declared::control::ProxyStatus> proxies;
+  std::vector<declared::control::ControlPeerStatus> peers;
   Duration lease = std::chrono::seconds(2);
-  std::vector<control::FleetEvent> events;
-  std::vector<control::SwitchoverRequest> switchovers;
+  std::vector<declared::control::FleetEvent> events;
+  std::vector<declared::control::SwitchoverRequest> switchovers;
   bool is_ready = true;
 };
 
@@ -98,8 +99,8 @@
  private:
   runtime::Runtime& runtime_;
   Endpoint endpoint_;
-  control::ConfigReplica replica_;
-  control::OperatorServiceImpl service_;
+  declared::control::ConfigReplica replica_;
+  declared::control::OperatorServiceImpl service_;
   std::unique_ptr<runtime::HttpHandler> api_;
   std::unique_ptr<runtime::HttpServer> server_;
 };
--- a/tests/cli/settings_programs_test.cpp
+++ b/tests/cli/settings_programs_test.cpp
@@ -97,12 +97,12 @@
  public:
   void a_proxy_needs_name_zone_and_endpoints() {
     SettingsReader reader = read(kProxy);
-    const proxy::ProxySettings settings = read_proxy_settings(reader);
+    const declared::proxy::ProxySettings settings = read_proxy_settings(reader);
     reader.finish();
     assert_no_faults();
     CPPUNIT_ASSERT_EQUAL(std::string("proxy-1"), settings.node.value);
     CPPUNIT_ASSERT(settings.control_endpoints.at(1) == (Endpoint{"127.0.0.1", 7101}));
-    CPPUNIT_ASSERT(settings.follow_interval == proxy::ProxySettings{}.follow_interval);
+    CPPUNIT_ASSERT(settings.follow_interval == declared::proxy::ProxySettings{}.follow_interval);
   }
 
   void a_proxy_follows_several_domains() {
@@ -143,7 +143,7 @@
 
   void a_control_node_needs_name_zone_and_endpoints() {
     SettingsReader reader = read(joined(kControl, "serving_lease: 3s\n"));
-    const control::ControlSettings settings = read_control_settings(reader);
+    const declared::control::ControlSettings settings = read_control_settings(reader);
     reader.finish();
     assert_no_faults();
     CPPUNIT_ASSERT(settings.serving_lease == milliseconds(3000));
--- a/tests/declared/backend/admission_fixture.h
+++ b/tests/declared/backend/admission_fixture.h
@@ -10,7 +10,7 @@
 #include "simulation/world.h"
 #include "tests/declared/backend/scripted_backend.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 /// What became of the callers is kept by the tests, as `CallResult`.
 template <class CallResult>
@@ -45,4 +45,4 @@
   std::vector<CallResult> results_;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/backend_admission_test.cpp
+++ b/tests/declared/backend/backend_admission_test.cpp
@@ -8,7 +8,7 @@
 #include "declared/backend/pool_knobs.h"
 #include "tests/declared/backend/admission_fixture.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 namespace {
 
 using std::chrono::milliseconds;
@@ -385,4 +385,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(BackendAdmissionTest);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/contract_codec_test.cpp
+++ b/tests/declared/backend/contract_codec_test.cpp
@@ -6,7 +6,7 @@
 #include "standins/database/statement_text.h"
 #include "standins/database/tunables.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 namespace {
 
 class ContractCodecTest : public CppUnit::TestFixture {
@@ -62,4 +62,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ContractCodecTest);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/http_backend_test.cpp
+++ b/tests/declared/backend/http_backend_test.cpp
@@ -6,7 +6,7 @@
 
 #include "tests/standins/database/database_group.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 namespace {
 
 using standins::database::DatabaseGroup;
@@ -160,4 +160,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(HttpBackendTest);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/pool_share_test.cpp
+++ b/tests/declared/backend/pool_share_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 namespace {
 
 constexpr std::uint32_t kMostConnections = 70;
@@ -68,4 +68,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(PoolShareTest);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/scripted_backend.cpp
+++ b/tests/declared/backend/scripted_backend.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 ScriptedConnection::ScriptedConnection(runtime::Runtime& runtime, BackendScript& script)
     : runtime_(runtime), script_(script) {
@@ -103,4 +103,4 @@
   co_return std::make_shared<ScriptedConnection>(runtime_, script_);
 }
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/scripted_backend.h
+++ b/tests/declared/backend/scripted_backend.h
@@ -8,7 +8,7 @@
 #include "declared/backend/backend_connection.h"
 #include "runtime/runtime.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 
 struct BackendScript {
   Duration opening_delay = std::chrono::milliseconds(10);
@@ -69,4 +69,4 @@
   BackendScript& script_;
 };
 
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/backend/urgent_allowance_test.cpp
+++ b/tests/declared/backend/urgent_allowance_test.cpp
@@ -4,7 +4,7 @@
 #include "declared/backend/admitted_connection.h"
 #include "tests/declared/backend/admission_fixture.h"
 
-namespace cairnhollow::backend {
+namespace cairnhollow::declared::backend {
 namespace {
 
 using std::chrono::milliseconds;
@@ -130,4 +130,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(UrgentAllowanceTest);
 
 }  // namespace
-}  // namespace cairnhollow::backend
+}  // namespace cairnhollow::declared::backend
--- a/tests/declared/config/generators.cpp
+++ b/tests/declared/config/generators.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -94,4 +94,4 @@
   });
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/generators.h
+++ b/tests/declared/config/generators.h
@@ -5,7 +5,7 @@
 
 #include "declared/config/change_outcome.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 rc::Gen<LabelSet> any_labels();
 rc::Gen<Selector> any_selector();
@@ -14,4 +14,4 @@
 /// Up to four objects, each once, written or deleted.
 rc::Gen<std::vector<ObjectChange>> any_changes();
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/manifest_test.cpp
+++ b/tests/declared/config/manifest_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -267,4 +267,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ManifestTest);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/properties.h
+++ b/tests/declared/config/properties.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// Fails the CppUnit test with rapidcheck's counterexample when the property does not hold.
 template <class Property>
@@ -23,4 +23,4 @@
   CPPUNIT_ASSERT_MESSAGE(name + ": " + text.str(), result.template is<rc::detail::SuccessResult>());
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/properties_test.cpp
+++ b/tests/declared/config/properties_test.cpp
@@ -8,7 +8,7 @@
 #include "tests/declared/config/properties.h"
 #include "tests/declared/config/test_objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -207,4 +207,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ConfigPropertiesTest);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/selector_text_test.cpp
+++ b/tests/declared/config/selector_text_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 class SelectorTextTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SelectorTextTest);
@@ -82,4 +82,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(SelectorTextTest);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/state_machine_test.cpp
+++ b/tests/declared/config/state_machine_test.cpp
@@ -7,7 +7,7 @@
 #include "declared/config/object_names.h"
 #include "tests/declared/config/test_objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 class StateMachineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StateMachineTest);
@@ -316,4 +316,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StateMachineTest);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/test_objects.h
+++ b/tests/declared/config/test_objects.h
@@ -6,7 +6,7 @@
 #include "declared/config/change_outcome.h"
 #include "declared/config/selector_text.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 /// A selector from its one-line form; the empty selector for a bad text.
 inline Selector selector_of(const std::string& text) {
@@ -46,4 +46,4 @@
   return {id, at_revision, "alice", std::move(changes)};
 }
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/config/validation_test.cpp
+++ b/tests/declared/config/validation_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/declared/config/test_objects.h"
 
-namespace cairnhollow::config {
+namespace cairnhollow::declared::config {
 
 namespace {
 
@@ -167,4 +167,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ValidationTest);
 
-}  // namespace cairnhollow::config
+}  // namespace cairnhollow::declared::config
--- a/tests/declared/control/control_fleet.cpp
+++ b/tests/declared/control/control_fleet.cpp
@@ -7,7 +7,7 @@
 #include "standins/database/database_server.h"
 #include "standins/platform/platform_server.h"
 
-namespace cairnhollow::control::testing {
+namespace cairnhollow::declared::control::testing {
 
 namespace {
 
@@ -375,4 +375,4 @@
   return world_->run_until([&] { return writer_->acknowledged().size() >= wanted; }, limit);
 }
 
-}  // namespace cairnhollow::control::testing
+}  // namespace cairnhollow::declared::control::testing
--- a/tests/declared/control/control_fleet.h
+++ b/tests/declared/control/control_fleet.h
@@ -13,7 +13,7 @@
 #include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::control::testing {
+namespace cairnhollow::declared::control::testing {
 
 /// Writes one record after another and keeps the times at which writes were acknowledged.
 class Writer : public runtime::Role {
@@ -88,4 +88,4 @@
   std::uint64_t next_change_ = 1;
 };
 
-}  // namespace cairnhollow::control::testing
+}  // namespace cairnhollow::declared::control::testing
--- a/tests/declared/control/failover/failover_rules_test.cpp
+++ b/tests/declared/control/failover/failover_rules_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 using std::chrono::milliseconds;
@@ -265,4 +265,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FailoverRulesTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/failover/failover_simulation_test.cpp
+++ b/tests/declared/control/failover/failover_simulation_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/declared/control/control_fleet.h"
 
-namespace cairnhollow::control::testing {
+namespace cairnhollow::declared::control::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -348,4 +348,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FailoverSimulationTest);
 
 }  // namespace
-}  // namespace cairnhollow::control::testing
+}  // namespace cairnhollow::declared::control::testing
--- a/tests/declared/control/failover/group_definition_test.cpp
+++ b/tests/declared/control/failover/group_definition_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 config::StoredObject backend(int number) {
@@ -99,4 +99,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(GroupDefinitionTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/failover/supervisor_choice_test.cpp
+++ b/tests/declared/control/failover/supervisor_choice_test.cpp
@@ -8,7 +8,7 @@
 
 #include "declared/control/failover/supervisor_table.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 constexpr int kGroups = 1000;
@@ -104,4 +104,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(SupervisorChoiceTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/follow/batch_history_test.cpp
+++ b/tests/declared/control/follow/batch_history_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 config::ObjectKey key(int number) {
@@ -68,4 +68,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(BatchHistoryTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/follow/first_configurations_test.cpp
+++ b/tests/declared/control/follow/first_configurations_test.cpp
@@ -10,7 +10,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 using std::chrono::milliseconds;
@@ -198,4 +198,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FirstConfigurationsTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/follow/follow_roles.h
+++ b/tests/declared/control/follow/follow_roles.h
@@ -13,7 +13,7 @@
 #include "wire/codec.h"
 #include "wire/connection_dispatcher.h"
 
-namespace cairnhollow::control::testing {
+namespace cairnhollow::declared::control::testing {
 
 inline constexpr Duration kLease = std::chrono::seconds(2);
 inline const Endpoint kServer{"10.0.1.1", 4000};
@@ -119,4 +119,4 @@
   return wire::encode(request);
 }
 
-}  // namespace cairnhollow::control::testing
+}  // namespace cairnhollow::declared::control::testing
--- a/tests/declared/control/follow/follow_server_test.cpp
+++ b/tests/declared/control/follow/follow_server_test.cpp
@@ -8,7 +8,7 @@
 #include "simulation/world.h"
 #include "tests/declared/control/follow/follow_roles.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 using std::chrono::milliseconds;
@@ -314,4 +314,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FollowServerTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/leaving_simulation_test.cpp
+++ b/tests/declared/control/leaving_simulation_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/declared/control/control_fleet.h"
 
-namespace cairnhollow::control::testing {
+namespace cairnhollow::declared::control::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -150,4 +150,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(LeavingSimulationTest);
 
 }  // namespace
-}  // namespace cairnhollow::control::testing
+}  // namespace cairnhollow::declared::control::testing
--- a/tests/declared/control/machines/machine_list_test.cpp
+++ b/tests/declared/control/machines/machine_list_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 class MachineListTest : public CppUnit::TestFixture {
@@ -45,4 +45,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(MachineListTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/operator/operator_api_test.cpp
+++ b/tests/declared/control/operator/operator_api_test.cpp
@@ -8,7 +8,7 @@
 #include "http/problem.h"
 #include "tests/cli/operator_fleet.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 
 namespace {
 
@@ -239,4 +239,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(OperatorApiTest);
 
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/declared/control/voter_repair_simulation_test.cpp
+++ b/tests/declared/control/voter_repair_simulation_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/declared/control/control_fleet.h"
 
-namespace cairnhollow::control::testing {
+namespace cairnhollow::declared::control::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -106,4 +106,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(VoterRepairSimulationTest);
 
 }  // namespace
-}  // namespace cairnhollow::control::testing
+}  // namespace cairnhollow::declared::control::testing
--- a/tests/declared/follow/follow_client_test.cpp
+++ b/tests/declared/follow/follow_client_test.cpp
@@ -10,7 +10,7 @@
 #include "wire/codec.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 namespace {
 
 const Endpoint kControlEndpoint{"10.0.0.1", 4000};
@@ -128,4 +128,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FollowClientTest);
 
 }  // namespace
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/tests/declared/follow/serving_configuration_test.cpp
+++ b/tests/declared/follow/serving_configuration_test.cpp
@@ -6,7 +6,7 @@
 
 #include "wire/codec.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 namespace {
 
 constexpr TimePoint kAsked{std::chrono::seconds(10)};
@@ -70,4 +70,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ServingConfigurationTest);
 
 }  // namespace
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/tests/declared/follow/slow_configuration_test.cpp
+++ b/tests/declared/follow/slow_configuration_test.cpp
@@ -10,7 +10,7 @@
 #include "tests/support/loopback.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::follow {
+namespace cairnhollow::declared::follow {
 namespace {
 
 using std::chrono::milliseconds;
@@ -99,4 +99,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(SlowConfigurationTest);
 
 }  // namespace
-}  // namespace cairnhollow::follow
+}  // namespace cairnhollow::declared::follow
--- a/tests/declared/proxy/calls/call_assertions.h
+++ b/tests/declared/proxy/calls/call_assertions.h
@@ -9,7 +9,7 @@
 #include "http/problem.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// The entries of the record that was read; fails when the answer holds none.
 inline std::vector<std::string> entries_of(const standins::callers::CallAnswer& answer) {
@@ -32,4 +32,4 @@
   CPPUNIT_ASSERT(!answer.reason.step.empty());
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/calls/caller_request_test.cpp
+++ b/tests/declared/proxy/calls/caller_request_test.cpp
@@ -5,7 +5,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using std::chrono::milliseconds;
@@ -176,4 +176,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(CallerRequestTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/calls/explain_test.cpp
+++ b/tests/declared/proxy/calls/explain_test.cpp
@@ -6,7 +6,7 @@
 #include "http/problem.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using std::chrono::seconds;
@@ -99,4 +99,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ExplainTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/control_stub.cpp
+++ b/tests/declared/proxy/control_stub.cpp
@@ -3,7 +3,7 @@
 #include "wire/codec.h"
 #include "wire/hello.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 namespace {
 
@@ -103,4 +103,4 @@
   return wire::encode(update);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/control_stub.h
+++ b/tests/declared/proxy/control_stub.h
@@ -13,7 +13,7 @@
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 class ControlStub : public runtime::Role {
  public:
@@ -53,4 +53,4 @@
   bool saw_draining_ = false;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/domain/group_activity_test.cpp
+++ b/tests/declared/proxy/domain/group_activity_test.cpp
@@ -6,7 +6,7 @@
 #include "declared/proxy/knobs.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using std::chrono::seconds;
@@ -89,4 +89,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(GroupActivityTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/domain/probe_schedule_test.cpp
+++ b/tests/declared/proxy/domain/probe_schedule_test.cpp
@@ -8,7 +8,7 @@
 
 #include "declared/proxy/knobs.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using std::chrono::milliseconds;
@@ -131,4 +131,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ProbeScheduleTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
@@ -5,7 +5,7 @@
 #include "forwarding_world.h"
 #include "http/problem.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallOutcome;
@@ -170,4 +170,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ForwardingFailuresTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/forwarding/forwarding_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_test.cpp
@@ -6,7 +6,7 @@
 #include "forwarding_world.h"
 #include "http/problem.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::StatementKind;
@@ -139,4 +139,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ForwardingTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/forwarding/forwarding_transactions_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_transactions_test.cpp
@@ -4,7 +4,7 @@
 #include "call_assertions.h"
 #include "forwarding_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallOutcome;
@@ -90,4 +90,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ForwardingTransactionsTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/forwarding/forwarding_world.h
+++ b/tests/declared/proxy/forwarding/forwarding_world.h
@@ -5,7 +5,7 @@
 
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 /// The world, and the places of the proxies by what they do for the group.
 struct ForwardingWorld : ProxyWorld {
@@ -55,4 +55,4 @@
   std::uint32_t other = 0;  ///< the other one that serves it
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_domains_test.cpp
+++ b/tests/declared/proxy/proxy_domains_test.cpp
@@ -8,7 +8,7 @@
 #include "http/problem.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallAnswer;
@@ -245,4 +245,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ProxyDomainsTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_failures_test.cpp
+++ b/tests/declared/proxy/proxy_failures_test.cpp
@@ -8,7 +8,7 @@
 #include "http/problem.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallAnswer;
@@ -355,4 +355,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ProxyFailuresTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_overload_test.cpp
+++ b/tests/declared/proxy/proxy_overload_test.cpp
@@ -6,7 +6,7 @@
 
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallAnswer;
@@ -148,4 +148,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ProxyOverloadTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_server_test.cpp
+++ b/tests/declared/proxy/proxy_server_test.cpp
@@ -4,7 +4,7 @@
 #include "call_assertions.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallOutcome;
@@ -101,4 +101,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ProxyServerTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_transactions_test.cpp
+++ b/tests/declared/proxy/proxy_transactions_test.cpp
@@ -5,7 +5,7 @@
 #include "declared/proxy/knobs.h"
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallAnswer;
@@ -300,4 +300,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ProxyTransactionsTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_world.cpp
+++ b/tests/declared/proxy/proxy_world.cpp
@@ -4,7 +4,7 @@
 #include "declared/proxy/proxy_server.h"
 #include "standins/database/database_server.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 using standins::callers::CallAnswer;
 using standins::callers::StatementKind;
@@ -253,4 +253,4 @@
   if (response.status != 200) throw std::runtime_error("the fault knobs were refused: " + response.body);
 }
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_world.h
+++ b/tests/declared/proxy/proxy_world.h
@@ -16,7 +16,7 @@
 #include "standins/callers/record_statement.h"
 #include "standins/database/settings.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 
 struct ProxyWorldSettings {
   std::uint64_t seed = 1;
@@ -117,4 +117,4 @@
   std::deque<Caller> callers_;
 };
 
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/replica_reads_test.cpp
+++ b/tests/declared/proxy/replica_reads_test.cpp
@@ -3,7 +3,7 @@
 
 #include "proxy_world.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using standins::callers::CallAnswer;
@@ -121,4 +121,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ReplicaReadsTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/statement/read_watch_test.cpp
+++ b/tests/declared/proxy/statement/read_watch_test.cpp
@@ -7,7 +7,7 @@
 #include "simulation/world.h"
 #include "tests/declared/backend/scripted_backend.h"
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 using std::chrono::milliseconds;
@@ -77,4 +77,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ReadWatchTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/statement/retry_budget_test.cpp
+++ b/tests/declared/proxy/statement/retry_budget_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::proxy {
+namespace cairnhollow::declared::proxy {
 namespace {
 
 int spend_all(RetryBudget& budget) {
@@ -49,4 +49,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(RetryBudgetTest);
 
 }  // namespace
-}  // namespace cairnhollow::proxy
+}  // namespace cairnhollow::declared::proxy
--- a/tests/declared/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -7,7 +7,7 @@
 
 #include "declared/routing/route_table.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -395,4 +395,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ChoiceTest);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/tests/declared/routing/freshness_test.cpp
+++ b/tests/declared/routing/freshness_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -154,4 +154,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FreshnessTest);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/tests/declared/routing/session_token_test.cpp
+++ b/tests/declared/routing/session_token_test.cpp
@@ -7,7 +7,7 @@
 
 #include "declared/routing/base64url.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 /// Runs a property with a fixed seed; rapidcheck prints the counterexample.
@@ -196,4 +196,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(SessionTokenTest);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/tests/declared/routing/view_builder_test.cpp
+++ b/tests/declared/routing/view_builder_test.cpp
@@ -7,7 +7,7 @@
 #include "declared/routing/choice.h"
 #include "declared/routing/hash.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 LabelSet labels(const std::string& key, const std::string& value) { return LabelSet{{{key, value}}}; }
@@ -230,4 +230,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ViewBuilderTest);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/tests/declared/routing/view_update_property_test.cpp
+++ b/tests/declared/routing/view_update_property_test.cpp
@@ -4,7 +4,7 @@
 #include "declared/routing/view_builder.h"
 #include "tests/declared/config/properties.h"
 
-namespace cairnhollow::routing {
+namespace cairnhollow::declared::routing {
 namespace {
 
 using config::ObjectKind;
@@ -222,4 +222,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(ViewUpdatePropertyTest);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::declared::routing
--- a/tests/http/http_round_trip_test.cpp
+++ b/tests/http/http_round_trip_test.cpp
@@ -29,7 +29,7 @@
  public:
   void answer_carries_status_headers_and_body() {
     boost::asio::io_context context;
-    const auto runtime = runtime::make_asio_runtime(context, {});
+    const auto runtime = host::make_asio_runtime(context, {});
     EchoHandler handler;
     Reason reason;
     const auto server = runtime->http().serve({"127.0.0.1", 0}, handler, reason);
--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -34,7 +34,7 @@
 }
 
 std::optional<Heartbeat> read_heartbeat(const std::string& id, const std::string& body, Reason& reason) {
-  registry::RegistrationFault fault{};
+  registered::registry::RegistrationFault fault{};
   return platform::read_heartbeat(id, body, fault, reason);
 }
 
@@ -42,7 +42,7 @@
   Reason reason;
   const auto document = read_document(body, reason);
   if (!document) return reason.detail;
-  const auto faults = registry::find_faults(*document);
+  const auto faults = registered::registry::find_faults(*document);
   return faults.empty() ? std::string() : faults.front();
 }
 
@@ -70,11 +70,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, document->version);
     CPPUNIT_ASSERT_EQUAL(kDocument, document->text);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, document->routes.size());
-    CPPUNIT_ASSERT(document->routes[1].reads == registry::ReadPolicy::kBoundedStaleness);
+    CPPUNIT_ASSERT(document->routes[1].reads == registered::registry::ReadPolicy::kBoundedStaleness);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1500}, document->routes[1].max_staleness_ms);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{32}, document->groups[0].max_connections);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, document->transaction_idle_ms);
-    CPPUNIT_ASSERT(registry::find_faults(*document).empty());
+    CPPUNIT_ASSERT(registered::registry::find_faults(*document).empty());
   }
 
   void the_tenants_of_the_pages() {
@@ -86,7 +86,7 @@
             R"([{"Name":"miny420","ApiKeys":["bkf8","7qdq"],"Priority":1,"RatePerS":218,"Burst":200}])"),
         reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, document && document->requires_keys);
-    const registry::TenantRule& tenant = document->tenants.at(0);
+    const registered::registry::TenantRule& tenant = document->tenants.at(0);
     CPPUNIT_ASSERT_EQUAL(std::string("miny420"), tenant.name.value);
     CPPUNIT_ASSERT(tenant.keys == (std::vector<ApiKey>{ApiKey("bkf8"), ApiKey("7qdq")}));
     CPPUNIT_ASSERT(tenant.rate_per_s == 218 && tenant.burst == 200 && tenant.priority == 1);
--- a/tests/platform/evacuation_calls_test.cpp
+++ b/tests/platform/evacuation_calls_test.cpp
@@ -9,12 +9,14 @@
 namespace {
 
 /// Notes orders, and answers as it is told to.
-class NotingService : public registry::ControlService {
+class NotingService : public registered::registry::ControlService {
  public:
-  Awaitable<bool> replace_document(registry::ConfigurationDocument, Reason&) override { co_return false; }
+  Awaitable<bool> replace_document(registered::registry::ConfigurationDocument, Reason&) override {
+    co_return false;
+  }
   Awaitable<std::optional<std::string>> read_document(Reason&) override { co_return std::nullopt; }
-  Awaitable<std::optional<registry::Registration>> register_backend(registry::BackendEntry,
-                                                                    Reason&) override {
+  Awaitable<std::optional<registered::registry::Registration>> register_backend(
+      registered::registry::BackendEntry, Reason&) override {
     co_return std::nullopt;
   }
   Awaitable<bool> deregister_backend(BackendName, Reason&) override { co_return false; }
--- a/tests/platform/heartbeat_json_test.cpp
+++ b/tests/platform/heartbeat_json_test.cpp
@@ -6,7 +6,7 @@
 
 namespace cairnhollow::platform {
 
-using registry::RegistrationFault;
+using registered::registry::RegistrationFault;
 
 namespace {
 
--- a/tests/platform/registration_calls_test.cpp
+++ b/tests/platform/registration_calls_test.cpp
@@ -13,27 +13,32 @@
     R"("State":"ready","ColdRemainingMs":0,"DbRole":"replica","Seq":4})";
 
 /// Knows one backend, ready.
-class OneBackend : public registry::RegistrationRelay {
+class OneBackend : public registered::registry::RegistrationRelay {
  public:
-  [[nodiscard]] bool knows(const registry::BackendEntry& entry) const override {
+  [[nodiscard]] bool knows(const registered::registry::BackendEntry& entry) const override {
     return entry.name.value == "i-7f3a91c2" && !entry.leaving;
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override { return control; }
-  void note_refused(const registry::RefusedRegistration& said) const override { refused.push_back(said); }
+  void note_refused(const registered::registry::RefusedRegistration& said) const override {
+    refused.push_back(said);
+  }
 
-  mutable std::vector<registry::RefusedRegistration> refused;
+  mutable std::vector<registered::registry::RefusedRegistration> refused;
   std::optional<Endpoint> control = Endpoint{"10.0.0.4", 8782};
 };
 
 /// Takes every registration and names a proxy for the next ones.
-class NamingService : public registry::ControlService {
+class NamingService : public registered::registry::ControlService {
  public:
-  Awaitable<bool> replace_document(registry::ConfigurationDocument, Reason&) override { co_return false; }
+  Awaitable<bool> replace_document(registered::registry::ConfigurationDocument, Reason&) override {
+    co_return false;
+  }
   Awaitable<std::optional<std::string>> read_document(Reason&) override { co_return std::nullopt; }
-  Awaitable<std::optional<registry::Registration>> register_backend(registry::BackendEntry,
-                                                                    Reason& reason) override {
+  Awaitable<std::optional<registered::registry::Registration>> register_backend(
+      registered::registry::BackendEntry, Reason& reason) override {
     ++taken;
-    if (refuses_as == ReasonCode::kNone) co_return registry::Registration{Endpoint{"10.1.0.8", 7441}};
+    if (refuses_as == ReasonCode::kNone)
+      co_return registered::registry::Registration{Endpoint{"10.1.0.8", 7441}};
     reason = Reason{refuses_as, "register_backend", "", "refused"};
     co_return std::nullopt;
   }
@@ -41,14 +46,16 @@
     ++taken;
     co_return true;
   }
-  void note_refused(const registry::RefusedRegistration& said) override { refused.push_back(said); }
+  void note_refused(const registered::registry::RefusedRegistration& said) override {
+    refused.push_back(said);
+  }
 
   Awaitable<bool> begin_evacuation(ZoneName, Reason&) override { co_return false; }
   Awaitable<bool> end_evacuation(ZoneName, Reason&) override { co_return false; }
 
   ReasonCode refuses_as = ReasonCode::kNone;
   int taken = 0;
-  std::vector<registry::RefusedRegistration> refused;
+  std::vector<registered::registry::RefusedRegistration> refused;
 };
 
 }  // namespace
@@ -130,8 +137,8 @@
 
  private:
   /// Whoever answers: each is refused with its fault's status, and told to who counts them.
-  void assert_malformed_is_refused(const std::vector<registry::RefusedRegistration>& refused) {
-    using registry::RegistrationFault;
+  void assert_malformed_is_refused(const std::vector<registered::registry::RefusedRegistration>& refused) {
+    using registered::registry::RegistrationFault;
     using runtime::HttpMethod;
     std::string rubbish = kReady;
     rubbish.replace(rubbish.find("ready"), 5, "bored");
--- a/tests/platform/wire_connections_test.cpp
+++ b/tests/platform/wire_connections_test.cpp
@@ -30,8 +30,8 @@
 
 struct Outcome {
   bool opened = false;
-  std::optional<session::Refusal> refusal;
-  std::optional<session::Answer> answer;
+  std::optional<registered::Refusal> refusal;
+  std::optional<registered::Answer> answer;
   bool still_open = false;
   runtime::SendState sent = runtime::SendState::kNotSent;
   Reason reason;
@@ -40,12 +40,12 @@
 
 Awaitable<void> ask(VirtualRuntime& runtime, Outcome& outcome) {
   const auto dialer = make_wire_backends(runtime, NodeName("proxy-1"));
-  const session::BackendAddress address{kBackend, GroupName("huvo11a"), BackendName("i-7f3a91c2")};
+  const registered::BackendAddress address{kBackend, GroupName("huvo11a"), BackendName("i-7f3a91c2")};
   const TimePoint deadline = runtime.now() + seconds(1);
   auto link = co_await dialer->open(address, deadline, outcome.refusal, outcome.reason);
   outcome.opened = link != nullptr;
   if (link) {
-    session::BackendRequest request = session::PassOn{"5c0e", "READ 1a4", std::nullopt};
+    registered::BackendRequest request = registered::PassOn{"5c0e", "READ 1a4", std::nullopt};
     outcome.answer = co_await link->run(std::move(request), deadline, outcome.sent, outcome.reason);
     outcome.still_open = link->is_open();
   }
@@ -90,7 +90,7 @@
   void a_refused_start_says_why() {
     const Outcome outcome = ask_a_backend_that_says({"ERR CONNLIMIT full\r\n"});
     CPPUNIT_ASSERT(!outcome.opened);
-    CPPUNIT_ASSERT(outcome.refusal == session::Refusal::kConnectionLimit);
+    CPPUNIT_ASSERT(outcome.refusal == registered::Refusal::kConnectionLimit);
   }
 
   void an_answer_out_of_order_closes_the_link() {
--- a/tests/platform/wire_property_test.cpp
+++ b/tests/platform/wire_property_test.cpp
@@ -118,7 +118,7 @@
 }
 
 struct Outcome {
-  std::optional<session::Answer> answer;
+  std::optional<registered::Answer> answer;
   bool still_open = false;
   bool finished = false;
   Reason reason;
@@ -126,11 +126,11 @@
 
 Awaitable<void> ask(VirtualRuntime& runtime, Outcome& outcome) {
   const auto dialer = make_wire_backends(runtime, NodeName("proxy-1"));
-  const session::BackendAddress address{kBackend, GroupName("group"), BackendName("backend")};
+  const registered::BackendAddress address{kBackend, GroupName("group"), BackendName("backend")};
   const TimePoint deadline = runtime.now() + seconds(1);
-  std::optional<session::Refusal> refusal;
+  std::optional<registered::Refusal> refusal;
   auto link = co_await dialer->open(address, deadline, refusal, outcome.reason);
-  session::BackendRequest request = session::PassOn{"5c0e", "READ 1a4", std::nullopt};
+  registered::BackendRequest request = registered::PassOn{"5c0e", "READ 1a4", std::nullopt};
   runtime::SendState sent = runtime::SendState::kNotSent;
   outcome.answer = co_await link->run(std::move(request), deadline, sent, outcome.reason);
   outcome.still_open = link->is_open();
--- a/tests/platform/wire_words_test.cpp
+++ b/tests/platform/wire_words_test.cpp
@@ -8,8 +8,8 @@
 
 namespace cairnhollow::platform {
 
-using session::Refusal;
-using session::StatementKind;
+using registered::Refusal;
+using registered::StatementKind;
 
 class WireWordsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WireWordsTest);
@@ -50,37 +50,37 @@
   }
 
   void answers_are_printed_as_on_the_pages() {
-    session::Answer answer;
+    registered::Answer answer;
     answer.rows = {"qhzkwmtrbelo"};
     answer.signature = "7.1f3.c.2b.90e1c4d2a7b3f655";
     answer.position = Position{3, 1209};
     CPPUNIT_ASSERT_EQUAL(
         std::string("ROW qhzkwmtrbelo\r\nDONE 7.1f3.c.2b.90e1c4d2a7b3f655\r\nREADY I 3.1209\r\n"),
         print_answer(answer));
-    session::Answer refused;
+    registered::Answer refused;
     refused.refusal = Refusal::kNotPrimary;
     refused.detail = "i-7f3a91c2";
-    refused.state = session::TransactionState::kFailed;
+    refused.state = registered::TransactionState::kFailed;
     refused.position = Position{3, 1209};
     CPPUNIT_ASSERT_EQUAL(std::string("ERR READONLY i-7f3a91c2\r\nREADY E 3.1209\r\n"), print_answer(refused));
-    session::Answer own;
+    registered::Answer own;
     own.signature = "-";
     CPPUNIT_ASSERT_EQUAL(std::string("DONE -\r\nREADY I -\r\n"), print_answer(own));
   }
 
   void requests_are_printed_as_on_the_pages() {
-    session::PassOn read{"5c0e7a21d94b36f8", "READ 1a4", Position{3, 1207}};
+    registered::PassOn read{"5c0e7a21d94b36f8", "READ 1a4", Position{3, 1207}};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY 5c0e7a21d94b36f8 AFTER 3.1207 READ 1a4\r\n"),
                          print_request(read));
-    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - STATUS\r\n"), print_request(session::AskStatus{}));
-    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - BEGIN\r\n"), print_request(session::Begin{}));
-    session::Begin begin{true, Position{3, 7}};
+    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - STATUS\r\n"), print_request(registered::AskStatus{}));
+    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - BEGIN\r\n"), print_request(registered::Begin{}));
+    registered::Begin begin{true, Position{3, 7}};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY - AFTER 3.7 BEGIN READ\r\n"), print_request(begin));
-    session::Execute execute{"5c0e", "p4", "1a4 xkqpwnzd", std::nullopt};
+    registered::Execute execute{"5c0e", "p4", "1a4 xkqpwnzd", std::nullopt};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY 5c0e EXEC p4 1a4 xkqpwnzd\r\n"), print_request(execute));
-    session::Prepare prepare{"p4", true, "q2c"};
+    registered::Prepare prepare{"p4", true, "q2c"};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY - PREPARE p4 WRITE q2c\r\n"), print_request(prepare));
-    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - DEMOTE 4\r\n"), print_request(session::Demote{4}));
+    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - DEMOTE 4\r\n"), print_request(registered::Demote{4}));
   }
 
   void positions() {
@@ -98,13 +98,13 @@
       CPPUNIT_ASSERT_EQUAL(std::string(word), std::string(error_word(*refusal)));
     }
     CPPUNIT_ASSERT(!parse_error_word("busy"));
-    CPPUNIT_ASSERT(session::is_promise(Refusal::kConnectionLimit));
-    CPPUNIT_ASSERT(!session::is_promise(Refusal::kInDoubt));
-    CPPUNIT_ASSERT(!session::is_promise(Refusal::kFailed));
+    CPPUNIT_ASSERT(registered::is_promise(Refusal::kConnectionLimit));
+    CPPUNIT_ASSERT(!registered::is_promise(Refusal::kInDoubt));
+    CPPUNIT_ASSERT(!registered::is_promise(Refusal::kFailed));
   }
 
   void any_text_is_passed_on_unchanged() {
-    config::assert_property("any text is passed on unchanged", [](const std::string& text) {
+    declared::config::assert_property("any text is passed on unchanged", [](const std::string& text) {
       const auto statement = parse_statement("id", text);
       RC_ASSERT(statement.text == text);
       RC_ASSERT(statement.name.size() + statement.argument.size() <= text.size());
--- a/tests/registered/control/control_stand.cpp
+++ b/tests/registered/control/control_stand.cpp
@@ -5,7 +5,7 @@
 
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -15,15 +15,15 @@
 const GroupName kGroup("group");
 
 /// A connection to one of the stand's backends.
-class MemberLink : public session::BackendLink {
+class MemberLink : public BackendLink {
  public:
   MemberLink(ControlStand& stand, std::string member) : stand_(stand), member_(std::move(member)) {}
 
-  Awaitable<std::optional<session::Answer>> run(session::BackendRequest request, TimePoint deadline,
-                                                runtime::SendState& sent, Reason& reason) override {
+  Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint deadline, runtime::SendState& sent,
+                                       Reason& reason) override {
     sent = runtime::SendState::kMaybeSent;
     ControlStand::Member& member = stand_.members[member_];
-    if (std::holds_alternative<session::AskStatus>(request)) ++member.questions;
+    if (std::holds_alternative<AskStatus>(request)) ++member.questions;
     if (!member.answers) {
       co_await stand_.runtime().sleep_for(deadline - stand_.now());
       close();
@@ -31,19 +31,17 @@
       co_return std::nullopt;
     }
     co_await stand_.runtime().sleep_for(milliseconds(1));
-    if (const auto* pause = std::get_if<session::Pause>(&request)) {
+    if (const auto* pause = std::get_if<Pause>(&request)) {
       stand_.events.push_back({"pause " + member_, stand_.now()});
       if (!member.forgets_pauses) member.status.pause_term = pause->term;
     }
-    if (std::holds_alternative<session::Resume>(request)) member.status.pause_term = 0;
-    if (const auto* demote = std::get_if<session::Demote>(&request);
-        demote && demote->term > member.status.term)
+    if (std::holds_alternative<Resume>(request)) member.status.pause_term = 0;
+    if (const auto* demote = std::get_if<Demote>(&request); demote && demote->term > member.status.term)
       member.status = {false, demote->term, member.status.received, 0};
-    session::Answer answer;
+    Answer answer;
     co_return answer;
   }
-  std::optional<session::BackendStatus> read_status(const session::Answer& /*answer*/,
-                                                    Reason& /*reason*/) override {
+  std::optional<BackendStatus> read_status(const Answer& /*answer*/, Reason& /*reason*/) override {
     return stand_.members[member_].status;
   }
   void close() override { open_ = false; }
@@ -209,14 +207,12 @@
   return term == nullptr ? registry::GroupTerm{} : *term;
 }
 
-Awaitable<std::shared_ptr<session::BackendLink>> ControlStand::open(session::BackendAddress address,
-                                                                    TimePoint /*deadline*/,
-                                                                    std::optional<session::Refusal>& refusal,
-                                                                    Reason& reason) {
+Awaitable<std::shared_ptr<BackendLink>> ControlStand::open(BackendAddress address, TimePoint /*deadline*/,
+                                                           std::optional<Refusal>& refusal, Reason& reason) {
   co_await runtime_->sleep_for(milliseconds(1));
   const auto other = answering_at.find(address.endpoint);
   if (other != answering_at.end() && other->second != address.backend.value) {
-    refusal = session::Refusal::kWrongBackend;
+    refusal = Refusal::kWrongBackend;
     reason = Reason{ReasonCode::kConflict, "open_session", other->second, "another backend"};
     co_return nullptr;
   }
@@ -241,4 +237,4 @@
   return found == events.end() ? nullptr : &*found;
 }
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/control_stand.h
+++ b/tests/registered/control/control_stand.h
@@ -21,7 +21,7 @@
 #include "registered/registry/state_machine.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 /// A log of one node that leads as long as the test says so.
 class ScriptedConsensus : public consensus::Consensus {
@@ -79,7 +79,7 @@
   bool stalls_ = false;
 };
 
-class ControlStand : public session::BackendDialer, public registry::PromotionCaller {
+class ControlStand : public BackendDialer, public registry::PromotionCaller {
  public:
   static constexpr Duration kLease = std::chrono::milliseconds(1500);
 
@@ -102,13 +102,12 @@
   [[nodiscard]] registry::GroupTerm term() const;
 
   // What the backends do.
-  Awaitable<std::shared_ptr<session::BackendLink>> open(session::BackendAddress address, TimePoint deadline,
-                                                        std::optional<session::Refusal>& refusal,
-                                                        Reason& reason) override;
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress address, TimePoint deadline,
+                                               std::optional<Refusal>& refusal, Reason& reason) override;
   Awaitable<bool> promote(registry::PromotionOrder order, TimePoint deadline, Reason& reason) override;
 
   struct Member {
-    session::BackendStatus status;
+    BackendStatus status;
     bool answers = true;
     bool forgets_pauses = false;
     int questions = 0;  ///< for its status
@@ -143,4 +142,4 @@
   std::unique_ptr<GroupProber> prober_;
 };
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/close_answers_test.cpp
+++ b/tests/registered/control/failover/close_answers_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -156,4 +156,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(CloseAnswersTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/group_keeper_lives_test.cpp
+++ b/tests/registered/control/failover/group_keeper_lives_test.cpp
@@ -8,11 +8,11 @@
 #include "tests/support/applied_log.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
-using session::BackendStatus;
+using BackendStatus;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -22,18 +22,18 @@
 /// What each backend answers now; who is not there does not answer.
 using Statuses = std::map<BackendName, BackendStatus>;
 
-class StatusLink : public session::BackendLink {
+class StatusLink : public BackendLink {
  public:
   StatusLink(runtime::Runtime& runtime, const Statuses& statuses, BackendName backend, Duration takes)
       : runtime_(runtime), statuses_(statuses), backend_(std::move(backend)), takes_(takes) {}
-  Awaitable<std::optional<session::Answer>> run(session::BackendRequest /*request*/, TimePoint /*deadline*/,
-                                                runtime::SendState& /*sent*/, Reason& /*reason*/) override {
-    std::optional<session::Answer> answer;
+  Awaitable<std::optional<Answer>> run(BackendRequest /*request*/, TimePoint /*deadline*/,
+                                       runtime::SendState& /*sent*/, Reason& /*reason*/) override {
+    std::optional<Answer> answer;
     co_await runtime_.sleep_for(takes_);
     if (statuses_.count(backend_) > 0) answer.emplace();
     co_return answer;
   }
-  std::optional<BackendStatus> read_status(const session::Answer& /*answer*/, Reason& /*reason*/) override {
+  std::optional<BackendStatus> read_status(const Answer& /*answer*/, Reason& /*reason*/) override {
     return statuses_.at(backend_);
   }
   void close() override { open_ = false; }
@@ -48,14 +48,13 @@
   bool open_ = true;
 };
 
-class StatusDialer : public session::BackendDialer {
+class StatusDialer : public BackendDialer {
  public:
   StatusDialer(runtime::Runtime& runtime, const Statuses& statuses)
       : runtime_(runtime), statuses_(statuses) {}
-  Awaitable<std::shared_ptr<session::BackendLink>> open(session::BackendAddress address,
-                                                        TimePoint /*deadline*/,
-                                                        std::optional<session::Refusal>& /*refusal*/,
-                                                        Reason& /*reason*/) override {
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress address, TimePoint /*deadline*/,
+                                               std::optional<Refusal>& /*refusal*/,
+                                               Reason& /*reason*/) override {
     const Duration takes = milliseconds(address.backend == slow ? 100 : 1);
     co_return std::make_shared<StatusLink>(runtime_, statuses_, address.backend, takes);
   }
@@ -345,4 +344,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(GroupKeeperLivesTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -8,7 +8,7 @@
 #include "registered/registry/member_lease.h"
 #include "tests/registered/control/control_stand.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -224,4 +224,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(GroupKeeperTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/member_pauses_test.cpp
+++ b/tests/registered/control/failover/member_pauses_test.cpp
@@ -7,7 +7,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -17,15 +17,14 @@
 constexpr std::uint64_t kKnowsAll = 1'000'000;
 
 /// Every member answers as a replica that is paused.
-class PausedLink : public session::BackendLink {
+class PausedLink : public BackendLink {
  public:
-  Awaitable<std::optional<session::Answer>> run(session::BackendRequest /*request*/, TimePoint /*deadline*/,
-                                                runtime::SendState& /*sent*/, Reason& /*reason*/) override {
-    co_return session::Answer{};
+  Awaitable<std::optional<Answer>> run(BackendRequest /*request*/, TimePoint /*deadline*/,
+                                       runtime::SendState& /*sent*/, Reason& /*reason*/) override {
+    co_return Answer{};
   }
-  std::optional<session::BackendStatus> read_status(const session::Answer& /*answer*/,
-                                                    Reason& /*reason*/) override {
-    return session::BackendStatus{false, kTerm, {kTerm, 7}, kTerm + 1};
+  std::optional<BackendStatus> read_status(const Answer& /*answer*/, Reason& /*reason*/) override {
+    return BackendStatus{false, kTerm, {kTerm, 7}, kTerm + 1};
   }
   void close() override { open_ = false; }
   [[nodiscard]] bool is_open() const override { return open_; }
@@ -35,12 +34,11 @@
   bool open_ = true;
 };
 
-class PausedDialer : public session::BackendDialer {
+class PausedDialer : public BackendDialer {
  public:
-  Awaitable<std::shared_ptr<session::BackendLink>> open(session::BackendAddress /*address*/,
-                                                        TimePoint /*deadline*/,
-                                                        std::optional<session::Refusal>& /*refusal*/,
-                                                        Reason& /*reason*/) override {
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
+                                               std::optional<Refusal>& /*refusal*/,
+                                               Reason& /*reason*/) override {
     links.push_back(std::make_shared<PausedLink>());
     co_return links.back();
   }
@@ -141,7 +139,7 @@
     world_->run_for(milliseconds(50));
   }
   bool hold(const std::string& name, std::uint64_t silent_revision) {
-    const session::BackendStatus paused{false, kTerm, {kTerm, 7}, kTerm + 1};
+    const BackendStatus paused{false, kTerm, {kTerm, 7}, kTerm + 1};
     std::vector<MemberFinding> findings;
     for (const auto& entry : fleet_->backends()) findings.push_back({entry, paused, false});
     return pauses_->hold(closed_, silent_revision, findings, BackendName(name));
@@ -159,4 +157,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(MemberPausesTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -3,12 +3,11 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
-MemberFinding finding(const std::string& name, std::optional<session::BackendStatus> status,
-                      bool leaving = false) {
+MemberFinding finding(const std::string& name, std::optional<BackendStatus> status, bool leaving = false) {
   MemberFinding member;
   member.entry.name = BackendName(name);
   member.entry.leaving = leaving;
@@ -21,12 +20,8 @@
   return member;
 }
 
-session::BackendStatus replica(std::uint64_t index, std::uint64_t term = 3) {
-  return {false, term, {term, index}};
-}
-session::BackendStatus leading(std::uint64_t index, std::uint64_t term = 3) {
-  return {true, term, {term, index}};
-}
+BackendStatus replica(std::uint64_t index, std::uint64_t term = 3) { return {false, term, {term, index}}; }
+BackendStatus leading(std::uint64_t index, std::uint64_t term = 3) { return {true, term, {term, index}}; }
 
 PromotionFacts facts(std::vector<MemberFinding> members) {
   PromotionFacts all;
@@ -303,9 +298,8 @@
 
   void who_joined_in_the_term_needs_entries_of_it() {
     // No proxy acknowledged anything in this term; those that did before have started again since.
-    auto known =
-        facts({life("old", 1000, std::nullopt), life("a", 2000, session::BackendStatus{false, 3, {2, 5}}),
-               life("b", 1000, std::nullopt)});
+    auto known = facts({life("old", 1000, std::nullopt), life("a", 2000, BackendStatus{false, 3, {2, 5}}),
+                        life("b", 1000, std::nullopt)});
     known.all_acknowledgers_answered = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.members[1].joined_in_term = true;
@@ -389,7 +383,7 @@
 
  private:
   static MemberFinding life(const std::string& name, std::uint64_t born_ms,
-                            std::optional<session::BackendStatus> status) {
+                            std::optional<BackendStatus> status) {
     MemberFinding member = finding(name, status);
     member.entry.born_ms = born_ms;
     return member;
@@ -398,4 +392,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PromotionChoiceTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -19,7 +19,7 @@
 
 #include "registered/control/failover/promotion_choice.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -225,7 +225,7 @@
       finding.joined_in_term = member.joined && guards_.joined_life_needs_entries;
       const bool is_primary = place == kPrimary && leads(state);
       if (member.answers)
-        finding.status = session::BackendStatus{is_primary, kClosedTerm, position_of(state, member.length)};
+        finding.status = BackendStatus{is_primary, kClosedTerm, position_of(state, member.length)};
       facts.members.push_back(std::move(finding));
     }
     return facts;
@@ -313,4 +313,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PromotionModelTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/promotion_turns_test.cpp
+++ b/tests/registered/control/failover/promotion_turns_test.cpp
@@ -10,7 +10,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -126,4 +126,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PromotionTurnsTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/region_preference_test.cpp
+++ b/tests/registered/control/failover/region_preference_test.cpp
@@ -6,7 +6,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -97,4 +97,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RegionPreferenceTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/control/knobs.h"
 #include "tests/registered/control/control_stand.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -155,4 +155,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LeaseKeeperTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/leases/member_lease_model_test.cpp
+++ b/tests/registered/control/leases/member_lease_model_test.cpp
@@ -18,7 +18,7 @@
 #include <optional>
 #include <string>
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -329,4 +329,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(MemberLeaseModelTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/registration_guards_test.cpp
+++ b/tests/registered/control/registration_guards_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/control/voter_keeper.h"
 #include "tests/registered/control/control_stand.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using std::chrono::seconds;
 
@@ -100,4 +100,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RegistrationGuardsTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/registration_refusal_test.cpp
+++ b/tests/registered/control/registration_refusal_test.cpp
@@ -8,7 +8,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 using std::chrono::milliseconds;
 
@@ -52,12 +52,11 @@
 };
 
 /// Whoever is dialled says that another backend is there, or nothing.
-class StrangerOrSilence : public session::BackendDialer {
+class StrangerOrSilence : public BackendDialer {
  public:
-  Awaitable<std::shared_ptr<session::BackendLink>> open(session::BackendAddress, TimePoint,
-                                                        std::optional<session::Refusal>& refusal,
-                                                        Reason&) override {
-    if (another_answers) refusal = session::Refusal::kWrongBackend;
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress, TimePoint, std::optional<Refusal>& refusal,
+                                               Reason&) override {
+    if (another_answers) refusal = Refusal::kWrongBackend;
     co_return nullptr;
   }
 
@@ -267,4 +266,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RegistrationRefusalTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/control/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -7,7 +7,7 @@
 #include "tests/support/applied_log.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::control::registered {
+namespace cairnhollow::registered::control {
 
 namespace {
 
@@ -15,12 +15,11 @@
 using std::chrono::seconds;
 
 /// Nobody answers clearly at any address.
-class SilentDialer : public session::BackendDialer {
+class SilentDialer : public BackendDialer {
  public:
-  Awaitable<std::shared_ptr<session::BackendLink>> open(session::BackendAddress /*address*/,
-                                                        TimePoint /*deadline*/,
-                                                        std::optional<session::Refusal>& /*refusal*/,
-                                                        Reason& /*reason*/) override {
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
+                                               std::optional<Refusal>& /*refusal*/,
+                                               Reason& /*reason*/) override {
     co_return nullptr;
   }
 };
@@ -170,4 +169,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RegistrationServiceTest);
 
-}  // namespace cairnhollow::control::registered
+}  // namespace cairnhollow::registered::control
--- a/tests/registered/limits/budget_home_test.cpp
+++ b/tests/registered/limits/budget_home_test.cpp
@@ -12,7 +12,7 @@
 #include "registered/limits/token_bucket.h"
 #include "tests/registered/limits/limit_play.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 namespace {
 
@@ -79,8 +79,8 @@
   }
 
   void a_home_that_returns_waits_like_a_new_one() {
-    const auto proxy = std::make_shared<routing::ProxyView>(
-        routing::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
+    const auto proxy = std::make_shared<subset::ProxyView>(
+        subset::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
     BudgetHome home(NodeName("home"));
     TimePoint now{seconds(10)};
     const auto outcome = [&] { return home.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
@@ -102,8 +102,8 @@
   }
 
   void a_home_stops_when_control_was_not_heard_for_long() {
-    const auto proxy = std::make_shared<routing::ProxyView>(
-        routing::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
+    const auto proxy = std::make_shared<subset::ProxyView>(
+        subset::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
     BudgetHome home(NodeName("home"));
     const TimePoint asked{seconds(10)};
     const auto outcome = [&](TimePoint now) { return home.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
@@ -173,4 +173,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(BudgetHomeTest);
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -8,7 +8,7 @@
 #include "registered/proxy/links/cold_backend.h"
 #include "tests/registered/limits/limit_play.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 namespace {
 
@@ -17,12 +17,12 @@
 using play::with_short_lease;
 using play::worst_of;
 
-const LimitWindow kUsual{session::kColdWindow, 0.5, 5};
+const LimitWindow kUsual{proxy::kColdWindow, 0.5, 5};
 /// Leaves each home one token beside its rate.
-const LimitWindow kTight{session::kColdWindow, 0.25, 3};
+const LimitWindow kTight{proxy::kColdWindow, 0.25, 3};
 
 Limit cold(double rate, const LimitWindow& window = kUsual) {
-  return session::cold_limit(BackendName("db-1"), rate, window);
+  return proxy::cold_limit(BackendName("db-1"), rate, window);
 }
 
 }  // namespace
@@ -67,8 +67,8 @@
 
   void the_parts_of_all_homes_fit_into_the_allowance() {
     for (const double rate : {0.5, 3.0, 12.5, 80.0}) {
-      for (const LimitWindow& window : {kUsual, kTight, LimitWindow{session::kColdWindow, 0, 4},
-                                        LimitWindow{session::kColdWindow, -1, 5}}) {
+      for (const LimitWindow& window :
+           {kUsual, kTight, LimitWindow{proxy::kColdWindow, 0, 4}, LimitWindow{proxy::kColdWindow, -1, 5}}) {
         const Limit limit = cold(rate, window);
         const HomeBudget budget = home_budget(limit);
         const double most = kHomes * (budget.rate_per_s * 1.25 + budget.depth);
@@ -82,10 +82,10 @@
     const HomeBudget usual = home_budget(cold(3));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, usual.rate_per_s, 1e-9);
     CPPUNIT_ASSERT(usual.depth >= 1);
-    const HomeBudget lowered = home_budget(cold(40, {session::kColdWindow, 0, 0}));
+    const HomeBudget lowered = home_budget(cold(40, {proxy::kColdWindow, 0, 0}));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, lowered.depth, 1e-9);
     CPPUNIT_ASSERT(lowered.rate_per_s * kHomes > 29);
-    const HomeBudget nothing = home_budget(cold(2, {session::kColdWindow, 0, 0}));
+    const HomeBudget nothing = home_budget(cold(2, {proxy::kColdWindow, 0, 0}));
     CPPUNIT_ASSERT_EQUAL(0.0, nothing.rate_per_s);
     CPPUNIT_ASSERT_MESSAGE("two statements a second can't be divided in three", nothing.depth < 1);
   }
@@ -93,8 +93,8 @@
   void a_tenant_and_a_backend_of_one_name_are_counted_apart() {
     const LimitedName tenant{LimitedKind::kTenant, "one"};
     const LimitedName backend{LimitedKind::kColdBackend, "one"};
-    const auto proxy = std::make_shared<routing::ProxyView>(
-        routing::ProxyView{NodeName("p"), ZoneName("a"), {"10.0.0.1", 1}});
+    const auto proxy =
+        std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p"), ZoneName("a"), {"10.0.0.1", 1}});
     BudgetHome home(NodeName("p"));
     home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
     home.note_confirmed(TimePoint(play::seconds(10)), 1, TimePoint(play::seconds(10)));
@@ -109,4 +109,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ColdBackendLimitTest);
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -17,7 +17,7 @@
 #include "registered/registry/budget_authority.h"
 #include "registered/registry/settled_revision.h"
 
-namespace cairnhollow::limits::play {
+namespace cairnhollow::registered::limits::play {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -236,13 +236,13 @@
     Node& node = nodes_[number];
     if (update.incarnation != node.incarnation) return;
     if (update.revision > node.revision) {
-      std::vector<routing::ProxyPointer> takers;
-      std::vector<routing::ProxyPointer> changed;
+      std::vector<subset::ProxyPointer> takers;
+      std::vector<subset::ProxyPointer> changed;
       for (int each = 0; each < kNodes; ++each) {
         const std::string name = name_of(each);
         const Row& row = update.rows.at(name);
-        const auto proxy = std::make_shared<routing::ProxyView>(
-            routing::ProxyView{NodeName(name), zone_of(each), {"10.0.0.1", 1}});
+        const auto proxy = std::make_shared<subset::ProxyView>(
+            subset::ProxyView{NodeName(name), zone_of(each), {"10.0.0.1", 1}});
         if (!row.leaving) takers.push_back(proxy);
         const bool was_told = node.view.count(name) > 0 && node.view.at(name).leaving == row.leaving;
         const bool is_changed = node.revision == 0 || row.changed_at > node.revision;
@@ -339,4 +339,4 @@
   return worst;
 }
 
-}  // namespace cairnhollow::limits::play
+}  // namespace cairnhollow::registered::limits::play
--- a/tests/registered/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -4,7 +4,7 @@
 
 #include "registered/limits/budget_home.h"
 
-namespace cairnhollow::limits {
+namespace cairnhollow::registered::limits {
 
 namespace {
 
@@ -29,8 +29,8 @@
 
  public:
   void setUp() override {
-    const auto proxy = std::make_shared<routing::ProxyView>(
-        routing::ProxyView{NodeName("proxy"), ZoneName("a"), {"10.0.0.1", 1}});
+    const auto proxy = std::make_shared<subset::ProxyView>(
+        subset::ProxyView{NodeName("proxy"), ZoneName("a"), {"10.0.0.1", 1}});
     home_ = std::make_unique<BudgetHome>(NodeName("proxy"));
     home_->set_homes(BudgetHomes({proxy}, {proxy}), 1);
     now_ = TimePoint(seconds(100));
@@ -89,4 +89,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LoweredLimitTest);
 
-}  // namespace cairnhollow::limits
+}  // namespace cairnhollow::registered::limits
--- a/tests/registered/locality/permitted_regions_test.cpp
+++ b/tests/registered/locality/permitted_regions_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::locality {
+namespace cairnhollow::registered::locality {
 
 namespace {
 
@@ -76,4 +76,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PermittedRegionsTest);
 
-}  // namespace cairnhollow::locality
+}  // namespace cairnhollow::registered::locality
--- a/tests/registered/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 namespace {
 
 using std::chrono::milliseconds;
@@ -262,4 +262,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(BackendChoiceTest);
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 namespace {
 
 using std::chrono::milliseconds;
@@ -316,11 +316,11 @@
   }
 
   const ProxyList nobody_{};
-  const ProxyList serving_{std::make_shared<routing::ProxyView>()};
-  const ProxyList others_{std::make_shared<routing::ProxyView>()};
-  const ProxyList also_serving_{std::make_shared<routing::ProxyView>()};
+  const ProxyList serving_{std::make_shared<subset::ProxyView>()};
+  const ProxyList others_{std::make_shared<subset::ProxyView>()};
+  const ProxyList also_serving_{std::make_shared<subset::ProxyView>()};
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PlacementTest);
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/tests/registered/placement/sending_test.cpp
+++ b/tests/registered/placement/sending_test.cpp
@@ -3,7 +3,7 @@
 
 #include "registered/placement/placement.h"
 
-namespace cairnhollow::placement {
+namespace cairnhollow::registered::placement {
 namespace {
 
 template <class Facts, class Change>
@@ -111,4 +111,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(SendingTest);
 
-}  // namespace cairnhollow::placement
+}  // namespace cairnhollow::registered::placement
--- a/tests/registered/proxy/callers/caller_session_test.cpp
+++ b/tests/registered/proxy/callers/caller_session_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/registered/proxy/session_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -242,4 +242,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(CallerSessionTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -4,7 +4,7 @@
 #include "registered/proxy/fleet/fleet_view.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -115,4 +115,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(EvacuationViewTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/registered/proxy/session_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 class FleetViewGuardsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetViewGuardsTest);
@@ -65,9 +65,9 @@
     stand_->view().apply(delta);
   }
   [[nodiscard]] bool knows(const std::string& name) {
-    const auto holds = [&](const std::vector<routing::ProxyPointer>& proxies) {
+    const auto holds = [&](const std::vector<subset::ProxyPointer>& proxies) {
       return std::any_of(proxies.begin(), proxies.end(),
-                         [&](const routing::ProxyPointer& proxy) { return proxy->name.value == name; });
+                         [&](const subset::ProxyPointer& proxy) { return proxy->name.value == name; });
     };
     return holds(stand_->view().others()) || holds(stand_->view().also_serving(GroupName("group")));
   }
@@ -77,4 +77,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FleetViewGuardsTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -56,7 +56,7 @@
   return all;
 }
 
-std::string names(const std::vector<routing::ProxyPointer>& proxies) {
+std::string names(const std::vector<subset::ProxyPointer>& proxies) {
   std::string text;
   for (const auto& one : proxies) text += (text.empty() ? "" : " ") + one->name.value;
   return text;
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(view_->in_regions(view_->others(), allowed("northern", "tui")).empty());
     // This proxy has the text already, wherever it is.
     const auto self =
-        std::make_shared<routing::ProxyView>(routing::ProxyView{NodeName("p1"), ZoneName("s1"), Endpoint{}});
+        std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p1"), ZoneName("s1"), Endpoint{}});
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), names(view_->in_regions({self}, allowed("northern", ""))));
   }
 
@@ -155,7 +155,7 @@
  private:
   /// The views of other proxies are made with each division.
   bool is_divided_by(const registry::FleetDelta& delta) {
-    const routing::ProxyPointer before = view_->others().front();
+    const subset::ProxyPointer before = view_->others().front();
     view_->apply(delta);
     return view_->others().front() != before;
   }
@@ -176,4 +176,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FleetViewTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 
@@ -83,4 +83,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(KnownRegistrationsTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/fleet/leader_search_test.cpp
+++ b/tests/registered/proxy/fleet/leader_search_test.cpp
@@ -11,7 +11,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -182,4 +182,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LeaderSearchTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/forwarding/forward_server_test.cpp
+++ b/tests/registered/proxy/forwarding/forward_server_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/forwarding/forwarder.h"
 #include "tests/registered/proxy/session_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -116,8 +116,8 @@
                          std::optional<ForwardAnswer>& told) -> Awaitable<void> {
       Reason reason;
       const TimePoint deadline = test.stand_->now() + seconds(4);
-      const auto proxy = std::make_shared<routing::ProxyView>(
-          routing::ProxyView{NodeName("proxy"), ZoneName("a"), kEndpoint});
+      const auto proxy =
+          std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("proxy"), ZoneName("a"), kEndpoint});
       if (!test.connection_) test.connection_ = co_await test.forwarder_->connect(proxy, deadline, reason);
       if (test.connection_) told = co_await test.connection_->call(request, deadline, reason);
     };
@@ -137,4 +137,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ForwardServerTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/forwarding/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -7,7 +7,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -66,7 +66,7 @@
   Reason reason;
 };
 
-Awaitable<void> call(runtime::Runtime& runtime, Forwarder& forwarder, routing::ProxyPointer proxy,
+Awaitable<void> call(runtime::Runtime& runtime, Forwarder& forwarder, subset::ProxyPointer proxy,
                      Call& result) {
   const TimePoint deadline = runtime.now() + seconds(5);
   const auto connection = co_await forwarder.connect(proxy, deadline, result.reason);
@@ -85,7 +85,7 @@
   TimePoint ended{};
 };
 
-Awaitable<void> connect(runtime::Runtime& runtime, Forwarder& forwarder, routing::ProxyPointer proxy,
+Awaitable<void> connect(runtime::Runtime& runtime, Forwarder& forwarder, subset::ProxyPointer proxy,
                         Connect& result) {
   Reason reason;
   const auto connection = co_await forwarder.connect(proxy, runtime.now() + seconds(5), reason);
@@ -113,7 +113,7 @@
     runtime_ = &world_->start_bare({"proxy", "10.0.0.1", ZoneName("a")});
     peer_ = std::make_unique<Peer>(world_->start_bare({"peer", kPeer.address, ZoneName("a")}));
     forwarder_ = std::make_unique<Forwarder>(*runtime_, NodeName("proxy"), ZoneName("a"));
-    proxy_ = std::make_shared<routing::ProxyView>(routing::ProxyView{NodeName("peer"), ZoneName("a"), kPeer});
+    proxy_ = std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("peer"), ZoneName("a"), kPeer});
   }
   void tearDown() override {
     // Connections end in their world.
@@ -215,9 +215,9 @@
   runtime::Runtime* runtime_ = nullptr;
   std::unique_ptr<Peer> peer_;
   std::unique_ptr<Forwarder> forwarder_;
-  routing::ProxyPointer proxy_;
+  subset::ProxyPointer proxy_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ForwarderTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/evacuated_zones_test.cpp
+++ b/tests/registered/proxy/group/evacuated_zones_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -57,4 +57,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(EvacuatedZonesTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -409,4 +409,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(GroupAccessTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 
@@ -129,4 +129,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(GroupRegionsTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -8,7 +8,7 @@
 #include "registered/registry/member_lease.h"
 #include "tests/registered/proxy/session_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -169,4 +169,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(MemberLeaseKeeperTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/position_history_test.cpp
+++ b/tests/registered/proxy/group/position_history_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 namespace {
 TimePoint at(int ms) { return TimePoint(milliseconds(ms)); }
@@ -53,4 +53,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PositionHistoryTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -200,4 +200,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(PositionKeeperTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/limits/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -133,4 +133,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LimitClientTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/fleet/fleet_view.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -233,4 +233,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ColdBackendTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -326,4 +326,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StatefulPoolTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/links/statement_gate_test.cpp
+++ b/tests/registered/proxy/links/statement_gate_test.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -118,4 +118,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StatementGateTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -15,7 +15,7 @@
 #include "simulation/world.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -75,8 +75,8 @@
   pool.release(link);
 }
 
-routing::ProxyPointer proxy_of(const std::string& name, const ZoneName& zone) {
-  return std::make_shared<routing::ProxyView>(routing::ProxyView{NodeName(name), zone, {"10.0.0.1", 1}});
+subset::ProxyPointer proxy_of(const std::string& name, const ZoneName& zone) {
+  return std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName(name), zone, {"10.0.0.1", 1}});
 }
 
 }  // namespace
@@ -90,7 +90,7 @@
   void skewed_tenants_find_their_links_open() {
     simulation::World world(simulation::WorldSettings{});
     runtime_ = &world.start_bare({"proxy", "10.0.0.1", ZoneName("zone-0")});
-    const routing::SubsetTable table(all_proxies());
+    const subset::SubsetTable table(all_proxies());
     serving_ = table.serving(GroupName("group"), 9);
     for (const auto& proxy : serving_) ++counts_.in_zone[proxy->zone];
     counts_.all = serving_.size();
@@ -115,8 +115,8 @@
   /// for the first time.
   static constexpr int kMostNewLinks = 22;
 
-  static std::vector<routing::ProxyPointer> all_proxies() {
-    std::vector<routing::ProxyPointer> proxies;
+  static std::vector<subset::ProxyPointer> all_proxies() {
+    std::vector<subset::ProxyPointer> proxies;
     proxies.reserve(78);
     for (int number = 0; number < 78; ++number)
       proxies.push_back(
@@ -136,7 +136,7 @@
   }
 
   /// The proxy's links to the backend of the zone.
-  StatefulPool& pool_of(const routing::ProxyPointer& proxy, const ZoneName& zone) {
+  StatefulPool& pool_of(const subset::ProxyPointer& proxy, const ZoneName& zone) {
     const std::string key = proxy->name.value + " " + zone.value;
     auto found = pools_.find(key);
     if (found != pools_.end()) return found->second;
@@ -152,11 +152,11 @@
 
   simulation::VirtualRuntime* runtime_ = nullptr;
   CountingDialer dialer_;
-  std::vector<routing::ProxyPointer> serving_;
+  std::vector<subset::ProxyPointer> serving_;
   tenancy::ServingProxies counts_;
   std::map<std::string, StatefulPool> pools_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TenantLinksTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -4,7 +4,7 @@
 
 #include <utility>
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -315,4 +315,4 @@
   return order;
 }
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -14,7 +14,7 @@
 #include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 /// What a backend is asked, and what is waited for before that.
 enum class Step : std::uint8_t { kGate, kDial, kSetValue, kPrepare, kBegin, kStatement, kRollback, kStatus };
@@ -103,4 +103,4 @@
   std::uint64_t position_ = 10;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -6,7 +6,7 @@
 #include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -352,7 +352,7 @@
   }
   StatementGate& gate() { return group()->backends().at(kBackend)->gate; }
   Awaitable<void> take_place(std::uint32_t& taken) {
-    const bool entered = co_await gate().enter(backend::kUrgentClass, runtime_->now());
+    const bool entered = co_await gate().enter(admission::kUrgentClass, runtime_->now());
     if (entered) ++taken;
   }
   /// Takes the places that are left; says how many.
@@ -382,4 +382,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ColdSendingTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/last_look_test.cpp
+++ b/tests/registered/proxy/statement/last_look_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/registered/proxy/statement/runner_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 
@@ -149,4 +149,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LastLookTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -13,7 +13,7 @@
 #include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 inline const GroupName kGroup("group");
 inline const DatabaseName kDatabase("database");
@@ -243,4 +243,4 @@
   std::unique_ptr<Proxy> proxy_;
 };
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -7,7 +7,7 @@
 #include "registered/proxy/statement/statement_runner.h"
 #include "simulation/world.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -315,4 +315,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StatementRegionsTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -7,7 +7,7 @@
 #include "registered/proxy/knobs.h"
 #include "tests/registered/proxy/session_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -395,4 +395,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(StatementRunnerTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/transaction_look_test.cpp
+++ b/tests/registered/proxy/statement/transaction_look_test.cpp
@@ -1,7 +1,7 @@
 // An open transaction is looked at with each of its statements, before and after its wait.
 #include "tests/registered/proxy/statement/runner_stand.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 
@@ -95,4 +95,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TransactionLookTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/statement/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -7,7 +7,7 @@
 #include "tests/registered/proxy/statement/runner_stand.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::session {
+namespace cairnhollow::registered::proxy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -188,4 +188,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(WaitingStatementTest);
 
-}  // namespace cairnhollow::session
+}  // namespace cairnhollow::registered::proxy
--- a/tests/registered/registry/division_test.cpp
+++ b/tests/registered/registry/division_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 class DivisionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DivisionTest);
@@ -37,4 +37,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(DivisionTest);
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/tests/registered/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -6,7 +6,7 @@
 #include "simulation/world.h"
 #include "wire/codec.h"
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 namespace {
 
@@ -399,4 +399,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(FleetStateMachineTest);
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/tests/registered/registry/validation_test.cpp
+++ b/tests/registered/registry/validation_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::registry {
+namespace cairnhollow::registered::registry {
 
 namespace {
 
@@ -69,4 +69,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ValidationTest);
 
-}  // namespace cairnhollow::registry
+}  // namespace cairnhollow::registered::registry
--- a/tests/registered/tenancy/key_revocation_model_test.cpp
+++ b/tests/registered/tenancy/key_revocation_model_test.cpp
@@ -11,7 +11,7 @@
 #include <set>
 #include <string>
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 namespace {
 
@@ -199,4 +199,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(KeyRevocationModelTest);
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/tests/registered/tenancy/tenant_directory_test.cpp
+++ b/tests/registered/tenancy/tenant_directory_test.cpp
@@ -5,7 +5,7 @@
 
 #include "registered/tenancy/key_confirmation.h"
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -94,4 +94,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TenantDirectoryTest);
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/tests/registered/tenancy/tenant_division_test.cpp
+++ b/tests/registered/tenancy/tenant_division_test.cpp
@@ -8,18 +8,18 @@
 #include <map>
 #include <set>
 
-namespace cairnhollow::tenancy {
+namespace cairnhollow::registered::tenancy {
 
 namespace {
 
-std::vector<routing::ProxyPointer> proxies(int count) {
-  std::vector<routing::ProxyPointer> result;
+std::vector<subset::ProxyPointer> proxies(int count) {
+  std::vector<subset::ProxyPointer> result;
   result.reserve(static_cast<std::size_t>(count));
   for (int number = 0; number < count; ++number) {
-    result.push_back(std::make_shared<routing::ProxyView>(
-        routing::ProxyView{NodeName(fmt::format("proxy-{}", number)),
-                           ZoneName(fmt::format("zone-{}", number % 3)),
-                           {"10.0.0.1", static_cast<std::uint16_t>(number + 1)}}));
+    result.push_back(std::make_shared<subset::ProxyView>(
+        subset::ProxyView{NodeName(fmt::format("proxy-{}", number)),
+                          ZoneName(fmt::format("zone-{}", number % 3)),
+                          {"10.0.0.1", static_cast<std::uint16_t>(number + 1)}}));
   }
   return result;
 }
@@ -151,4 +151,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TenantDivisionTest);
 
-}  // namespace cairnhollow::tenancy
+}  // namespace cairnhollow::registered::tenancy
--- a/tests/simulation/checkers/checkers_test.cpp
+++ b/tests/simulation/checkers/checkers_test.cpp
@@ -60,14 +60,14 @@
                     const std::vector<std::uint64_t>& revisions, Duration answered = seconds(1)) {
   ChangeRecord record;
   record.request.change_id = id;
-  config::ObjectChange object;
+  declared::config::ObjectChange object;
   object.object.name = "route";
-  object.object.spec = config::RouteSpec{};
+  object.object.spec = declared::config::RouteSpec{};
   object.based_on = based_on;
   record.request.changes.push_back(object);
   record.answered = at(answered);
   for (const std::uint64_t revision : revisions) {
-    config::ChangeOutcome outcome;
+    declared::config::ChangeOutcome outcome;
     outcome.accepted = revision > 0;
     outcome.revision = revision;
     record.answers.push_back(outcome);
--- a/tests/simulation/cold_backends_test.cpp
+++ b/tests/simulation/cold_backends_test.cpp
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::simulation {
 
-using standins::unfenced::Database;
+using standins::registered::Database;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/simulation/incarnations_test.cpp
+++ b/tests/simulation/incarnations_test.cpp
@@ -74,7 +74,7 @@
       fleet.run_for(seconds(2));
       const std::uint64_t born = fleet.registered_birth(BackendName(replica));
       CPPUNIT_ASSERT(born > former);
-      standins::unfenced::Heartbeat late;
+      standins::registered::Heartbeat late;
       late.leaving = true;
       late.sequence = 1'000;
       late.born_ms = former;
--- a/tests/simulation/regions_test.cpp
+++ b/tests/simulation/regions_test.cpp
@@ -10,7 +10,7 @@
 
 namespace cairnhollow::simulation {
 
-using standins::unfenced::PlacedStatement;
+using standins::registered::PlacedStatement;
 using std::chrono::seconds;
 
 namespace {
@@ -46,7 +46,7 @@
       }));
 }
 
-registry::TenantRule tenant(const std::string& name, const std::vector<RegionName>& regions) {
+registered::registry::TenantRule tenant(const std::string& name, const std::vector<RegionName>& regions) {
   return {TenantName(name), {ApiKey("key-of-" + name)}, 500, 500, 1, regions};
 }
 
--- a/tests/simulation/registered_fleet_test.cpp
+++ b/tests/simulation/registered_fleet_test.cpp
@@ -305,7 +305,7 @@
       fleet.run_for(seconds(4));
       std::map<std::string, int> refused;
       for (const auto& attempt : fleet.history()) {
-        const bool is_refused = attempt.outcome == standins::unfenced::AttemptOutcome::kPromisedNotKept;
+        const bool is_refused = attempt.outcome == standins::registered::AttemptOutcome::kPromisedNotKept;
         if (is_refused && attempt.begun >= from) ++refused[attempt.session];
       }
       CPPUNIT_ASSERT_MESSAGE("some were refused", !refused.empty());
--- a/tests/simulation/tenants_test.cpp
+++ b/tests/simulation/tenants_test.cpp
@@ -11,20 +11,20 @@
 
 namespace cairnhollow::simulation {
 
-using standins::unfenced::TenantHistory;
+using standins::registered::TenantHistory;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 namespace {
 
-registry::TenantRule tenant(const std::string& name, std::uint64_t rate = 500) {
+registered::registry::TenantRule tenant(const std::string& name, std::uint64_t rate = 500) {
   return {TenantName(name), {ApiKey("key-of-" + name), ApiKey("other-key-of-" + name)}, rate, rate, 1, {}};
 }
 
-const std::vector<registry::TenantRule> kTenants{tenant("ako"), tenant("kea"), tenant("tui")};
+const std::vector<registered::registry::TenantRule> kTenants{tenant("ako"), tenant("kea"), tenant("tui")};
 
 /// The tenants when "kea" has lost its first key.
-std::vector<registry::TenantRule> without_a_key() {
+std::vector<registered::registry::TenantRule> without_a_key() {
   auto tenants = kTenants;
   tenants[1].keys.erase(tenants[1].keys.begin());
   return tenants;
--- a/tests/standins/callers/load_options_test.cpp
+++ b/tests/standins/callers/load_options_test.cpp
@@ -61,14 +61,14 @@
     CPPUNIT_ASSERT(options.command == LoadCommand::kLatency);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, options.backends.size());
     CPPUNIT_ASSERT_EQUAL(4U, options.connections);
-    CPPUNIT_ASSERT(options.statements == backend::StatementKind::kRead);
+    CPPUNIT_ASSERT(options.statements == declared::backend::StatementKind::kRead);
   }
 
   void measurements_may_be_of_writes() {
     const auto latency = accepted({"latency", "--proxy=127.0.0.1:1", "--backend=127.0.0.1:3", "--writes"});
-    CPPUNIT_ASSERT(latency.statements == backend::StatementKind::kWrite);
+    CPPUNIT_ASSERT(latency.statements == declared::backend::StatementKind::kWrite);
     const auto throughput = accepted({"throughput", "--proxy=127.0.0.1:1", "--writes"});
-    CPPUNIT_ASSERT(throughput.statements == backend::StatementKind::kWrite);
+    CPPUNIT_ASSERT(throughput.statements == declared::backend::StatementKind::kWrite);
     CPPUNIT_ASSERT(throughput.backends.empty());
   }
 
--- a/tests/standins/database/database_group.cpp
+++ b/tests/standins/database/database_group.cpp
@@ -54,9 +54,10 @@
     world_->start({name, settings.endpoint.address, settings.zone},
                   [settings](runtime::Runtime& runtime) { return make_database(runtime, settings); });
   }
-  statement_connector_ =
-      backend::make_http_backend_connector(caller(), backend::ConnectionPurpose::kStatements);
-  control_connector_ = backend::make_http_backend_connector(caller(), backend::ConnectionPurpose::kControl);
+  statement_connector_ = declared::backend::make_http_backend_connector(
+      caller(), declared::backend::ConnectionPurpose::kStatements);
+  control_connector_ = declared::backend::make_http_backend_connector(
+      caller(), declared::backend::ConnectionPurpose::kControl);
   world_->run_for(std::chrono::milliseconds(50));
 }
 
@@ -73,32 +74,33 @@
   throw std::invalid_argument("no member " + member);
 }
 
-std::shared_ptr<backend::BackendConnection> DatabaseGroup::connect(const std::string& member,
-                                                                   backend::ConnectionPurpose purpose) {
-  auto& connector =
-      purpose == backend::ConnectionPurpose::kStatements ? *statement_connector_ : *control_connector_;
+std::shared_ptr<declared::backend::BackendConnection> DatabaseGroup::connect(
+    const std::string& member, declared::backend::ConnectionPurpose purpose) {
+  auto& connector = purpose == declared::backend::ConnectionPurpose::kStatements ? *statement_connector_
+                                                                                 : *control_connector_;
   reason_ = Reason{};
   return run(connector.open(BackendName(member), endpoint(member), in(kCallTime), reason_));
 }
 
-backend::BackendConnection& DatabaseGroup::control(const std::string& member) {
+declared::backend::BackendConnection& DatabaseGroup::control(const std::string& member) {
   auto& connection = control_[member];
   if (!connection || !connection->is_open()) {
-    connection = connect(member, backend::ConnectionPurpose::kControl);
+    connection = connect(member, declared::backend::ConnectionPurpose::kControl);
   }
   if (!connection) throw std::runtime_error("no connection to " + member);
   return *connection;
 }
 
-backend::BackendConnection& DatabaseGroup::statements(const std::string& member) {
+declared::backend::BackendConnection& DatabaseGroup::statements(const std::string& member) {
   auto& connection = statements_[member];
   if (!connection || !connection->is_open()) connection = connect(member);
   if (!connection) throw std::runtime_error("no connection to " + member);
   return *connection;
 }
 
-std::optional<backend::FenceAnswer> DatabaseGroup::fence(const std::string& member, std::uint64_t term,
-                                                         const std::string& owner) {
+std::optional<declared::backend::FenceAnswer> DatabaseGroup::fence(const std::string& member,
+                                                                   std::uint64_t term,
+                                                                   const std::string& owner) {
   auto& connection = control(member);
   reason_ = Reason{};
   return run(connection.fence(term, owner, in(kCallTime), reason_));
@@ -135,38 +137,40 @@
   return best;
 }
 
-std::optional<backend::BackendStatus> DatabaseGroup::status(const std::string& member) {
+std::optional<declared::backend::BackendStatus> DatabaseGroup::status(const std::string& member) {
   auto& connection = control(member);
   reason_ = Reason{};
   return run(connection.status(in(kCallTime), reason_));
 }
 
-backend::Statement DatabaseGroup::append_statement(const std::string& value) {
-  backend::Statement statement;
-  statement.kind = backend::StatementKind::kWrite;
+declared::backend::Statement DatabaseGroup::append_statement(const std::string& value) {
+  declared::backend::Statement statement;
+  statement.kind = declared::backend::StatementKind::kWrite;
   statement.database = DatabaseName("learners");
   statement.text = R"({"op":"append","record":"r","value":")" + value + "\"}";
   return statement;
 }
 
-backend::Statement DatabaseGroup::read_statement() {
-  backend::Statement statement;
+declared::backend::Statement DatabaseGroup::read_statement() {
+  declared::backend::Statement statement;
   statement.database = DatabaseName("learners");
   statement.text = R"({"op":"get","record":"r"})";
   return statement;
 }
 
-backend::Requirements DatabaseGroup::requirements(std::uint64_t term, std::optional<RequestId> request) {
-  backend::Requirements requirements;
+declared::backend::Requirements DatabaseGroup::requirements(std::uint64_t term,
+                                                            std::optional<RequestId> request) {
+  declared::backend::Requirements requirements;
   requirements.term = term;
   requirements.deadline = in(kCallTime);
   requirements.request_id = std::move(request);
   return requirements;
 }
 
-backend::ExecuteAnswer DatabaseGroup::append(const std::string& member, std::uint64_t term,
-                                             const std::string& value, std::optional<RequestId> request,
-                                             std::uint64_t answered_up_to) {
+declared::backend::ExecuteAnswer DatabaseGroup::append(const std::string& member, std::uint64_t term,
+                                                       const std::string& value,
+                                                       std::optional<RequestId> request,
+                                                       std::uint64_t answered_up_to) {
   auto& connection = statements(member);
   auto wanted = requirements(term, std::move(request));
   wanted.answered_up_to = answered_up_to;
@@ -174,7 +178,8 @@
   return run(connection.execute(append_statement(value), std::move(wanted), reason_));
 }
 
-backend::ExecuteAnswer DatabaseGroup::read(const std::string& member, Position minimum, Duration wait) {
+declared::backend::ExecuteAnswer DatabaseGroup::read(const std::string& member, Position minimum,
+                                                     Duration wait) {
   auto& connection = statements(member);
   auto wanted = requirements(0);
   wanted.minimum_position = minimum;
@@ -185,7 +190,7 @@
 
 std::string DatabaseGroup::content(const std::string& member) {
   const auto answer = read(member, Position{}, Duration(0));
-  const auto* rows = std::get_if<backend::Rows>(&answer);
+  const auto* rows = std::get_if<declared::backend::Rows>(&answer);
   return rows != nullptr ? rows->body : reason_.to_string();
 }
 
@@ -198,8 +203,9 @@
   }
 }
 
-std::optional<backend::ResolveAnswer> DatabaseGroup::resolve(const std::string& member, std::uint64_t term,
-                                                             const RequestId& request) {
+std::optional<declared::backend::ResolveAnswer> DatabaseGroup::resolve(const std::string& member,
+                                                                       std::uint64_t term,
+                                                                       const RequestId& request) {
   auto& connection = control(member);
   reason_ = Reason{};
   return run(connection.resolve(request, term, in(kCallTime), reason_));
--- a/tests/standins/database/database_group.h
+++ b/tests/standins/database/database_group.h
@@ -45,34 +45,35 @@
   }
 
   /// A new connection; null with a reason.
-  std::shared_ptr<backend::BackendConnection> connect(
+  std::shared_ptr<declared::backend::BackendConnection> connect(
       const std::string& member,
-      backend::ConnectionPurpose purpose = backend::ConnectionPurpose::kStatements);
+      declared::backend::ConnectionPurpose purpose = declared::backend::ConnectionPurpose::kStatements);
   /// The connection kept for calls to this member; opened anew when it is closed.
-  backend::BackendConnection& control(const std::string& member);
-  backend::BackendConnection& statements(const std::string& member);
+  declared::backend::BackendConnection& control(const std::string& member);
+  declared::backend::BackendConnection& statements(const std::string& member);
 
   /// Fences `members` at `term`, promotes the one with the longest log and has the others follow it.
   /// Returns its name; empty when a step was refused.
   std::string fail_over(std::uint64_t term, const std::string& owner,
                         const std::vector<std::string>& members);
-  std::optional<backend::FenceAnswer> fence(const std::string& member, std::uint64_t term,
-                                            const std::string& owner);
+  std::optional<declared::backend::FenceAnswer> fence(const std::string& member, std::uint64_t term,
+                                                      const std::string& owner);
   bool promote(const std::string& member, std::uint64_t term, const std::string& owner);
   bool follow(const std::string& member, std::uint64_t term, const std::string& primary);
-  std::optional<backend::BackendStatus> status(const std::string& member);
-  backend::ExecuteAnswer append(const std::string& member, std::uint64_t term, const std::string& value,
-                                std::optional<RequestId> request = std::nullopt,
-                                std::uint64_t answered_up_to = 0);
-  backend::ExecuteAnswer read(const std::string& member, Position minimum, Duration wait);
-  std::optional<backend::ResolveAnswer> resolve(const std::string& member, std::uint64_t term,
-                                                const RequestId& request);
+  std::optional<declared::backend::BackendStatus> status(const std::string& member);
+  declared::backend::ExecuteAnswer append(const std::string& member, std::uint64_t term,
+                                          const std::string& value,
+                                          std::optional<RequestId> request = std::nullopt,
+                                          std::uint64_t answered_up_to = 0);
+  declared::backend::ExecuteAnswer read(const std::string& member, Position minimum, Duration wait);
+  std::optional<declared::backend::ResolveAnswer> resolve(const std::string& member, std::uint64_t term,
+                                                          const RequestId& request);
   /// Statements on the record "r" of the database "learners".
-  [[nodiscard]] static backend::Statement append_statement(const std::string& value);
-  [[nodiscard]] static backend::Statement read_statement();
+  [[nodiscard]] static declared::backend::Statement append_statement(const std::string& value);
+  [[nodiscard]] static declared::backend::Statement read_statement();
   /// The requirements of a write in `term`, with the usual deadline.
-  [[nodiscard]] backend::Requirements requirements(std::uint64_t term,
-                                                   std::optional<RequestId> request = std::nullopt);
+  [[nodiscard]] declared::backend::Requirements requirements(std::uint64_t term,
+                                                             std::optional<RequestId> request = std::nullopt);
   /// The body of a read of the record, from what the member has applied; the refusal when there is none.
   std::string content(const std::string& member);
   /// Cuts a member off from the other two, both ways; callers still reach it.
@@ -93,10 +94,10 @@
   }
 
   std::unique_ptr<simulation::World> world_;
-  std::unique_ptr<backend::BackendConnector> statement_connector_;
-  std::unique_ptr<backend::BackendConnector> control_connector_;
-  std::map<std::string, std::shared_ptr<backend::BackendConnection>> control_;
-  std::map<std::string, std::shared_ptr<backend::BackendConnection>> statements_;
+  std::unique_ptr<declared::backend::BackendConnector> statement_connector_;
+  std::unique_ptr<declared::backend::BackendConnector> control_connector_;
+  std::map<std::string, std::shared_ptr<declared::backend::BackendConnection>> control_;
+  std::map<std::string, std::shared_ptr<declared::backend::BackendConnection>> statements_;
   Reason reason_;
 };
 
--- a/tests/standins/database/failover_test.cpp
+++ b/tests/standins/database/failover_test.cpp
@@ -6,10 +6,10 @@
 namespace cairnhollow::standins::database {
 namespace {
 
-using backend::Failed;
-using backend::NotPrimary;
-using backend::Rows;
-using backend::Written;
+using declared::backend::Failed;
+using declared::backend::NotPrimary;
+using declared::backend::Rows;
+using declared::backend::Written;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(outcome->position == position);
 
     const auto repeated = group.append(promoted, 2, "one", first);
-    CPPUNIT_ASSERT(std::holds_alternative<backend::AlreadyDecided>(repeated));
+    CPPUNIT_ASSERT(std::holds_alternative<declared::backend::AlreadyDecided>(repeated));
     const auto second = group.append(promoted, 2, "two", RequestId{SessionName("s"), 2});
     CPPUNIT_ASSERT_MESSAGE(group.reason().to_string(), std::holds_alternative<Written>(second));
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"entries":["one","two"]})"), group.content(promoted));
@@ -189,8 +189,8 @@
     const auto written = group.append("a", 1, "two", RequestId{SessionName("s"), 2});
     const auto position = std::get<Written>(written).position;
     const auto stale = group.read("b", position, milliseconds(20));
-    CPPUNIT_ASSERT(std::holds_alternative<backend::TooStale>(stale));
-    CPPUNIT_ASSERT(std::get<backend::TooStale>(stale).applied < position);
+    CPPUNIT_ASSERT(std::holds_alternative<declared::backend::TooStale>(stale));
+    CPPUNIT_ASSERT(std::get<declared::backend::TooStale>(stale).applied < position);
     const auto rows = group.read("b", position, seconds(1));
     CPPUNIT_ASSERT(std::holds_alternative<Rows>(rows));
     CPPUNIT_ASSERT(std::get<Rows>(rows).position >= position);
@@ -203,7 +203,7 @@
     const auto written = group.append("a", 1, "one", RequestId{SessionName("s"), 1});
     CPPUNIT_ASSERT_MESSAGE(group.reason().to_string(), std::holds_alternative<Written>(written));
   }
-  static backend::ExecuteAnswer confirmed_read(DatabaseGroup& group) {
+  static declared::backend::ExecuteAnswer confirmed_read(DatabaseGroup& group) {
     auto wanted = group.requirements(1);
     wanted.confirmed_read = true;
     Reason reason;
--- a/tests/standins/database/ledger_test.cpp
+++ b/tests/standins/database/ledger_test.cpp
@@ -7,9 +7,9 @@
 namespace cairnhollow::standins::database {
 namespace {
 
-using backend::AlreadyDecided;
-using backend::Failed;
-using backend::Written;
+using declared::backend::AlreadyDecided;
+using declared::backend::Failed;
+using declared::backend::Written;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -68,10 +68,10 @@
   void test_copies_sent_side_by_side_run_once() {
     DatabaseGroup group(23);
     promote(group);
-    std::vector<std::shared_ptr<backend::BackendConnection>> connections;
+    std::vector<std::shared_ptr<declared::backend::BackendConnection>> connections;
     connections.reserve(4);
     for (int copy = 0; copy < 4; ++copy) connections.push_back(group.connect("a"));
-    std::vector<std::shared_ptr<std::optional<backend::ExecuteAnswer>>> answers;
+    std::vector<std::shared_ptr<std::optional<declared::backend::ExecuteAnswer>>> answers;
     std::vector<Reason> reasons(connections.size());
     for (std::size_t copy = 0; copy < connections.size(); ++copy) {
       answers.push_back(group.start(connections[copy]->execute(
--- a/tests/standins/database/recovery_test.cpp
+++ b/tests/standins/database/recovery_test.cpp
@@ -6,7 +6,7 @@
 namespace cairnhollow::standins::database {
 namespace {
 
-using backend::Written;
+using declared::backend::Written;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -90,7 +90,7 @@
     group.world().run_for(seconds(1));
     CPPUNIT_ASSERT_EQUAL(before, group.content("c"));
     const auto repeated = group.append("a", 1, "24", RequestId{SessionName("s"), 25});
-    CPPUNIT_ASSERT(std::holds_alternative<backend::AlreadyDecided>(repeated));
+    CPPUNIT_ASSERT(std::holds_alternative<declared::backend::AlreadyDecided>(repeated));
   }
 
   void test_restarted_primary_is_none_any_more() {
@@ -101,7 +101,7 @@
     group.world().restart("a");
     group.world().run_for(milliseconds(100));
     const auto answer = group.append("a", 1, "2");
-    CPPUNIT_ASSERT(std::holds_alternative<backend::NotPrimary>(answer));
+    CPPUNIT_ASSERT(std::holds_alternative<declared::backend::NotPrimary>(answer));
     CPPUNIT_ASSERT(!group.promote("a", 1, "o1"));
     CPPUNIT_ASSERT(group.reason().code == ReasonCode::kConflict);
     CPPUNIT_ASSERT(!group.fail_over(2, "o2", {"a", "b", "c"}).empty());
--- a/tests/standins/database/transaction_test.cpp
+++ b/tests/standins/database/transaction_test.cpp
@@ -6,14 +6,14 @@
 namespace cairnhollow::standins::database {
 namespace {
 
-using backend::Rows;
-using backend::StatementRefused;
-using backend::Written;
+using declared::backend::Rows;
+using declared::backend::StatementRefused;
+using declared::backend::Written;
 using std::chrono::milliseconds;
 
 /// A connection with a transaction open on it.
 struct Session {
-  std::shared_ptr<backend::BackendConnection> connection;
+  std::shared_ptr<declared::backend::BackendConnection> connection;
   TransactionId transaction;
 };
 
@@ -83,7 +83,7 @@
     append(first, first.transaction, "old");
     CPPUNIT_ASSERT_EQUAL(std::string("a"), group_->fail_over(2, "o2", {"a", "b", "c"}));
     const auto answer = commit(first, 1);
-    CPPUNIT_ASSERT(std::holds_alternative<backend::NotPrimary>(answer));
+    CPPUNIT_ASSERT(std::holds_alternative<declared::backend::NotPrimary>(answer));
     CPPUNIT_ASSERT(std::holds_alternative<Written>(group_->append("a", 2, "new")));
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"entries":["new"]})"), group_->content("a"));
   }
@@ -95,7 +95,7 @@
     auto second = begin();
     append(second, second.transaction, "one");
     const auto repeated = commit(second, 1);
-    CPPUNIT_ASSERT(std::holds_alternative<backend::AlreadyDecided>(repeated));
+    CPPUNIT_ASSERT(std::holds_alternative<declared::backend::AlreadyDecided>(repeated));
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"entries":["one"]})"), group_->content("a"));
   }
 
@@ -109,8 +109,8 @@
     session.transaction = *begun;
     return session;
   }
-  backend::ExecuteAnswer append(Session& session, const TransactionId& transaction,
-                                const std::string& value) {
+  declared::backend::ExecuteAnswer append(Session& session, const TransactionId& transaction,
+                                          const std::string& value) {
     return group_->run(session.connection->execute_in(transaction, DatabaseGroup::append_statement(value),
                                                       group_->requirements(1), reason_));
   }
@@ -120,7 +120,7 @@
     const auto* rows = std::get_if<Rows>(&answer);
     return rows != nullptr ? rows->body : reason_.to_string();
   }
-  backend::ExecuteAnswer commit(Session& session, std::uint64_t number) {
+  declared::backend::ExecuteAnswer commit(Session& session, std::uint64_t number) {
     const RequestId request{SessionName("s"), number};
     return group_->run(
         session.connection->commit(session.transaction, group_->requirements(1, request), reason_));
--- a/tests/standins/registered/foreign_writer_test.cpp
+++ b/tests/standins/registered/foreign_writer_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <boost/json/parse.hpp>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 class ForeignWriterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForeignWriterTest);
@@ -60,4 +60,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ForeignWriterTest);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/tests/standins/registered/region_history_test.cpp
+++ b/tests/standins/registered/region_history_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -98,4 +98,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(RegionHistoryTest);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/tests/standins/registered/session_history_test.cpp
+++ b/tests/standins/registered/session_history_test.cpp
@@ -3,11 +3,11 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
-using registry::ReadPolicy;
+using cairnhollow::registered::registry::ReadPolicy;
 using std::chrono::milliseconds;
 
 TimePoint at(int ms) { return TimePoint(milliseconds(ms)); }
@@ -93,4 +93,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(SessionHistoryTest);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/tests/standins/tenant_history_test.cpp
+++ b/tests/standins/tenant_history_test.cpp
@@ -5,7 +5,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 namespace {
 
@@ -17,7 +17,7 @@
 TimePoint at(int ms) { return TimePoint(seconds(100) + milliseconds(ms)); }
 
 TenantEra era(const std::string& name, const std::vector<std::string>& keys, std::uint64_t rate, int ms) {
-  registry::TenantRule rule;
+  registered::registry::TenantRule rule;
   rule.name = TenantName(name);
   for (const auto& key : keys) rule.keys.emplace_back(key);
   rule.rate_per_s = rate;
@@ -121,4 +121,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TenantHistoryTest);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/tests/standins/zone_history_test.cpp
+++ b/tests/standins/zone_history_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-namespace cairnhollow::standins::unfenced {
+namespace cairnhollow::standins::registered {
 
 using std::chrono::seconds;
 
@@ -59,4 +59,4 @@
 
 CPPUNIT_TEST_SUITE_REGISTRATION(ZoneHistoryTest);
 
-}  // namespace cairnhollow::standins::unfenced
+}  // namespace cairnhollow::standins::registered
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <set>
 
-namespace cairnhollow::routing {
+namespace cairnhollow::subset {
 namespace {
 
 constexpr std::uint32_t kProxies = 300;
@@ -178,4 +178,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(SubsetTest);
 
 }  // namespace
-}  // namespace cairnhollow::routing
+}  // namespace cairnhollow::subset
--- a/tests/support/loopback.cpp
+++ b/tests/support/loopback.cpp
@@ -7,8 +7,8 @@
 
 namespace cairnhollow::tests {
 
-Loopback::Loopback(const runtime::AsioRuntimeSettings& settings)
-    : runtime_(runtime::make_asio_runtime(context_, settings)) {}
+Loopback::Loopback(const host::AsioRuntimeSettings& settings)
+    : runtime_(host::make_asio_runtime(context_, settings)) {}
 
 void Loopback::run(Awaitable<void> task) {
   bool ended = false;
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -13,7 +13,7 @@
 
 class Loopback {
  public:
-  explicit Loopback(const runtime::AsioRuntimeSettings& settings = {});
+  explicit Loopback(const host::AsioRuntimeSettings& settings = {});
 
   runtime::Runtime& runtime() { return *runtime_; }
   boost::asio::io_context& context() { return context_; }
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -166,13 +166,14 @@
   void least_sizes_are_those_of_empty_values() {
     const std::size_t mark = start_of_message().size();
     CPPUNIT_ASSERT_EQUAL(encode(consensus::LogEntry{}).size() - mark, least_size<consensus::LogEntry>());
-    CPPUNIT_ASSERT_EQUAL(encode(config::StoredObject{}).size() - mark, least_size<config::StoredObject>());
+    CPPUNIT_ASSERT_EQUAL(encode(declared::config::StoredObject{}).size() - mark,
+                         least_size<declared::config::StoredObject>());
     consensus::PeerRequest request;
     request.body = consensus::TimeoutNowRequest{};
     CPPUNIT_ASSERT_EQUAL(encode(request).size() - mark, least_size<consensus::PeerRequest>());
     // The field that an earlier format lacks is not counted.
-    CPPUNIT_ASSERT_EQUAL(encode(config::RouteSpec{}, kEarliestFormat).size() - mark,
-                         least_size<config::RouteSpec>());
+    CPPUNIT_ASSERT_EQUAL(encode(declared::config::RouteSpec{}, kEarliestFormat).size() - mark,
+                         least_size<declared::config::RouteSpec>());
   }
 
   void flag_that_is_neither_true_nor_false_is_refused() {
@@ -187,10 +188,11 @@
     CPPUNIT_ASSERT(rc::check("any bytes give a message or a fault", [](const std::string& noise) {
       const std::string bytes = start_of_message() + noise;
       Reason reason;
-      const bool good =
-          decode<follow::FollowAnswer>(bytes, reason) || decode<follow::FollowRequest>(bytes, reason) ||
-          decode<consensus::PeerRequest>(bytes, reason) || decode<consensus::PeerAnswer>(bytes, reason) ||
-          decode<control::NewsMessage>(bytes, reason);
+      const bool good = decode<declared::follow::FollowAnswer>(bytes, reason) ||
+                        decode<declared::follow::FollowRequest>(bytes, reason) ||
+                        decode<consensus::PeerRequest>(bytes, reason) ||
+                        decode<consensus::PeerAnswer>(bytes, reason) ||
+                        decode<declared::control::NewsMessage>(bytes, reason);
       RC_ASSERT(good || reason.code == ReasonCode::kCorrupt);
     }));
   }
@@ -201,14 +203,14 @@
     append.entries.front().payload = "entry";
     consensus::PeerRequest request;
     request.body = append;
-    control::NewsMessage news;
+    declared::control::NewsMessage news;
     news.groups.resize(2);
     news.known_nodes.resize(2);
     const std::string request_bytes = encode(request);
     const std::string news_bytes = encode(news);
     CPPUNIT_ASSERT(rc::check("damaged messages give a message or a fault", [&] {
       assert_survives_damage<consensus::PeerRequest>(request_bytes);
-      assert_survives_damage<control::NewsMessage>(news_bytes);
+      assert_survives_damage<declared::control::NewsMessage>(news_bytes);
     }));
   }
 };
--- a/tests/wire/format_fuzz_test.cpp
+++ b/tests/wire/format_fuzz_test.cpp
@@ -121,14 +121,15 @@
   /// Both formats without a mark are told apart by what fits.
   void requests_of_the_earliest_format_read_back() {
     CPPUNIT_ASSERT(rc::check("requests of the earliest format read back", [] {
-      config::ChangeRequest request{"id", *rc::gen::arbitrary<std::uint64_t>(), "alice",
-                                    *config::any_changes()};
+      declared::config::ChangeRequest request{"id", *rc::gen::arbitrary<std::uint64_t>(), "alice",
+                                              *declared::config::any_changes()};
       for (auto& change : request.changes) {
-        auto* route = std::get_if<config::RouteSpec>(&change.object.spec);
-        if (route != nullptr) route->replica_wait_milliseconds = config::kDefaultReplicaWaitMilliseconds;
+        auto* route = std::get_if<declared::config::RouteSpec>(&change.object.spec);
+        if (route != nullptr)
+          route->replica_wait_milliseconds = declared::config::kDefaultReplicaWaitMilliseconds;
       }
       Reason reason;
-      const auto read = decode<config::ChangeRequest>(encode(request, kEarliestFormat), reason);
+      const auto read = decode<declared::config::ChangeRequest>(encode(request, kEarliestFormat), reason);
       RC_ASSERT(read.has_value());
       RC_ASSERT(encode(*read) == encode(request));
     }));
--- a/tests/wire/format_samples.cpp
+++ b/tests/wire/format_samples.cpp
@@ -35,33 +35,33 @@
   samples.push_back({name, wire::encode(message), read_again<Message>});
 }
 
-config::Selector any_selector() {
-  using config::SelectorOperator;
-  config::Selector selector;
+declared::config::Selector any_selector() {
+  using declared::config::SelectorOperator;
+  declared::config::Selector selector;
   selector.match_labels.entries["tier"] = "gold";
   selector.match_expressions = {{"zone", SelectorOperator::kIn, {"kelburn", "petone"}},
                                 {"old", SelectorOperator::kDoesNotExist, {}}};
   return selector;
 }
 
-config::Object object(const std::string& name, config::ObjectSpec spec) {
-  return config::Object{name, LabelSet{{{"team", "decks"}}}, std::move(spec)};
+declared::config::Object object(const std::string& name, declared::config::ObjectSpec spec) {
+  return declared::config::Object{name, LabelSet{{{"team", "decks"}}}, std::move(spec)};
 }
 
-std::vector<config::Object> objects() {
-  const config::ProxySpec proxy{ZoneName("kelburn"), {"10.0.0.1", 4000}, true};
-  const config::BackendSpec backend{ZoneName("petone"), {"10.0.0.2", 4001}, false};
-  const config::DatabaseGroupSpec group{any_selector(), {7, 4096}, 35, 5};
-  const config::RouteSpec route{9, any_selector(), {}, any_selector(), true, 4000, 150};
+std::vector<declared::config::Object> objects() {
+  const declared::config::ProxySpec proxy{ZoneName("kelburn"), {"10.0.0.1", 4000}, true};
+  const declared::config::BackendSpec backend{ZoneName("petone"), {"10.0.0.2", 4001}, false};
+  const declared::config::DatabaseGroupSpec group{any_selector(), {7, 4096}, 35, 5};
+  const declared::config::RouteSpec route{9, any_selector(), {}, any_selector(), true, 4000, 150};
   return {object("proxy-1", proxy), object("backend-1", backend), object("group-1", group),
           object("route-1", route)};
 }
 
-config::ChangeRequest change_request() {
-  config::ChangeRequest request{"change-7", 3, "alice", {}};
+declared::config::ChangeRequest change_request() {
+  declared::config::ChangeRequest request{"change-7", 3, "alice", {}};
   for (const auto& each : objects()) request.changes.push_back({each, false, std::nullopt});
   request.changes.front().based_on = 2;
-  request.changes.push_back({object("gone", config::ProxySpec{}), true, 3});
+  request.changes.push_back({object("gone", declared::config::ProxySpec{}), true, 3});
   return request;
 }
 
@@ -75,8 +75,8 @@
 
 consensus::Configuration configuration() { return {true, {member("control-1")}, {member("control-2")}}; }
 
-follow::SuspectPrimary suspect() { return {GroupName("group-1"), BackendName("backend-1"), 6}; }
-follow::GroupState group_state() { return {GroupName("group-1"), 6, BackendName("backend-1")}; }
+declared::follow::SuspectPrimary suspect() { return {GroupName("group-1"), BackendName("backend-1"), 6}; }
+declared::follow::GroupState group_state() { return {GroupName("group-1"), 6, BackendName("backend-1")}; }
 Reason refusal() { return {ReasonCode::kDraining, "follow", "control-1", "the node is stopping"}; }
 
 std::optional<std::string> marked_hello_again(const std::string& bytes, Reason& reason) {
@@ -100,16 +100,17 @@
   const auto refused = wire::answer_hello({3, 4}, "10.0.0.1:4000");
   samples.push_back({"hello_answer", wire::encode_hello_answer(refused), hello_answer_again});
   add(samples, "follow_request",
-      follow::FollowRequest{1, 2, 3, std::chrono::milliseconds(4), {suspect()}, 5, true});
-  follow::FollowUpdate update{config::ConfigChanges{}, true, {group_state()}, {"machine-1"}};
+      declared::follow::FollowRequest{1, 2, 3, std::chrono::milliseconds(4), {suspect()}, 5, true});
+  declared::follow::FollowUpdate update{
+      declared::config::ConfigChanges{}, true, {group_state()}, {"machine-1"}};
   add(samples, "follow_answer",
-      follow::FollowAnswer{1, 2, std::chrono::seconds(2), 3, wire::encode(update), std::nullopt});
-  add(samples, "follow_answer_refusal", follow::FollowAnswer{1, 0, Duration{0}, 0, "", refusal()});
-  config::ConfigChanges changes;
-  config::ConfigSnapshot snapshot;
+      declared::follow::FollowAnswer{1, 2, std::chrono::seconds(2), 3, wire::encode(update), std::nullopt});
+  add(samples, "follow_answer_refusal", declared::follow::FollowAnswer{1, 0, Duration{0}, 0, "", refusal()});
+  declared::config::ConfigChanges changes;
+  declared::config::ConfigSnapshot snapshot;
   for (const auto& each : objects()) changes.upserts.push_back({each, 8});
   for (const auto& each : objects()) snapshot.objects.push_back({each, 9});
-  changes.deletions = {{config::ObjectKind::kRoute, "gone"}};
+  changes.deletions = {{declared::config::ObjectKind::kRoute, "gone"}};
   update.configuration = changes;
   add(samples, "follow_update_changes", update);
   update.configuration = snapshot;
@@ -117,7 +118,7 @@
 }
 
 void add_news(Samples& samples) {
-  control::NewsMessage news;
+  declared::control::NewsMessage news;
   news.sender = member("control-1");
   news.operator_endpoint = {"10.0.0.4", 4003};
   news.standby = true;
@@ -161,7 +162,7 @@
 }
 
 std::optional<std::string> restore_again(const std::string& bytes, Reason& reason) {
-  config::StateMachine machine;
+  declared::config::StateMachine machine;
   if (!machine.restore_snapshot(bytes, reason)) return std::nullopt;
   return machine.take_snapshot();
 }
@@ -179,7 +180,7 @@
   add(samples, "log_base", consensus::LogBase{4, 2});
   add(samples, "configuration_entry", configuration());
   add(samples, "metadata", consensus::Metadata{"identity", 5, NodeName("control-2")});
-  config::StateMachine machine;
+  declared::config::StateMachine machine;
   machine.apply({"change-1", 0, "alice", {{objects()[1], false, 0}, {objects()[3], false, 0}}});
   machine.apply({"change-2", 1, "bob", {{objects()[0], false, 7}}});
   samples.push_back({"state_machine_snapshot", machine.take_snapshot(), restore_again});
@@ -201,7 +202,7 @@
   add(samples, "database_pull_request", database::PullRequest{BackendName("backend-2"), 5, {{2, 5}}, 4, 9});
   add(samples, "database_pull_answer",
       database::PullAnswer{database::PullAnswerKind::kEntries, 5, 0, {write_entry}, std::nullopt, 5, 9});
-  add(samples, "session_token", routing::SessionToken{{{GroupName("group-1"), {2, 5}}}, false});
+  add(samples, "session_token", declared::routing::SessionToken{{{GroupName("group-1"), {2, 5}}}, false});
 }
 
 std::string text_of(const runtime::HttpRequest& request) {
@@ -214,10 +215,11 @@
 /// The hop is HTTP; it has no decoder of its own.
 void add_forward_hop(Samples& samples) {
   const auto unread = [](const std::string& bytes, Reason&) { return std::optional<std::string>(bytes); };
-  proxy::LedgerQuestion question{{SessionName("session"), 8}, DatabaseName("decks"), "key", {}, {}};
+  declared::proxy::LedgerQuestion question{{SessionName("session"), 8}, DatabaseName("decks"), "key", {}, {}};
   question.labels.entries["tier"] = "gold";
-  const auto resolve = proxy::resolve_request(question);
-  const auto hop = proxy::forwarded_request(resolve, NodeName("proxy-1"), std::chrono::milliseconds(250));
+  const auto resolve = declared::proxy::resolve_request(question);
+  const auto hop =
+      declared::proxy::forwarded_request(resolve, NodeName("proxy-1"), std::chrono::milliseconds(250));
   samples.push_back({"forwarded_resolve", text_of(hop), unread});
 }
 
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -52,9 +52,9 @@
   }
 };
 
-config::RouteSpec route_of(const config::ChangeRequest& request) {
+declared::config::RouteSpec route_of(const declared::config::ChangeRequest& request) {
   for (const auto& change : request.changes) {
-    if (const auto* route = std::get_if<config::RouteSpec>(&change.object.spec)) return *route;
+    if (const auto* route = std::get_if<declared::config::RouteSpec>(&change.object.spec)) return *route;
   }
   return {};
 }
@@ -99,19 +99,20 @@
       CPPUNIT_ASSERT_MESSAGE(sample.name + ": " + reason.to_string(), again);
     }
     Reason reason;
-    auto request = decode<config::ChangeRequest>(from_hex_file(folder + "change_request.hex"), reason);
+    auto request =
+        decode<declared::config::ChangeRequest>(from_hex_file(folder + "change_request.hex"), reason);
     CPPUNIT_ASSERT_MESSAGE(reason.to_string(), request);
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, request->changes.size());
     const auto route = route_of(*request);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4000}, route.max_staleness_milliseconds);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{200}, route.replica_wait_milliseconds);
     // At feature level 1 this build writes what an earlier one reads, and refuses what that would drop.
-    const auto command = control::encode_change(*request, kEarliestFormat, reason);
+    const auto command = declared::control::encode_change(*request, kEarliestFormat, reason);
     CPPUNIT_ASSERT(command == from_hex_file(folder + "change_request.hex"));
-    std::get<config::RouteSpec>(request->changes[3].object.spec).replica_wait_milliseconds = 7;
-    CPPUNIT_ASSERT(!control::encode_change(*request, kEarliestFormat, reason));
+    std::get<declared::config::RouteSpec>(request->changes[3].object.spec).replica_wait_milliseconds = 7;
+    CPPUNIT_ASSERT(!declared::control::encode_change(*request, kEarliestFormat, reason));
     CPPUNIT_ASSERT(reason.code == ReasonCode::kUnsupported);
-    CPPUNIT_ASSERT(control::encode_change(*request, kReplicaWaitFormat, reason));
+    CPPUNIT_ASSERT(declared::control::encode_change(*request, kReplicaWaitFormat, reason));
   }
 
   /// To proxies of a build before, at feature level 1.
@@ -119,28 +120,29 @@
     for (const char* name : {"follow_update_changes", "follow_update_snapshot"}) {
       const auto earlier = from_hex_file(kFixtures + "before_replica_wait/" + name + ".hex");
       Reason reason;
-      auto update = decode<follow::FollowUpdate>(earlier, reason);
+      auto update = decode<declared::follow::FollowUpdate>(earlier, reason);
       CPPUNIT_ASSERT_MESSAGE(reason.to_string(), update);
       CPPUNIT_ASSERT(encode_from(*update, kEarliestFormat) == earlier);
     }
   }
 
   void a_resend_is_known_from_an_earlier_builds_snapshot() {
-    config::StateMachine machine;
+    declared::config::StateMachine machine;
     Reason reason;
     const std::string snapshot = from_hex_file(kFixtures + "before_replica_wait/state_machine_snapshot.hex");
     CPPUNIT_ASSERT_MESSAGE(reason.to_string(), machine.restore_snapshot(snapshot, reason));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, machine.revision());
     CPPUNIT_ASSERT(machine.take_snapshot(kEarliestFormat) == snapshot);
-    config::ChangeRequest request{"change-1", 0, "alice", {}};
+    declared::config::ChangeRequest request{"change-1", 0, "alice", {}};
     for (const char* name : {"backend-1", "route-1"}) {
-      const auto kind = name[0] == 'b' ? config::ObjectKind::kBackend : config::ObjectKind::kRoute;
+      const auto kind =
+          name[0] == 'b' ? declared::config::ObjectKind::kBackend : declared::config::ObjectKind::kRoute;
       request.changes.push_back({machine.find({kind, name})->object, false, 0});
     }
     CPPUNIT_ASSERT(machine.apply(request).accepted);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, machine.revision());
     // Another wait than the default is another change: the earlier build could not have been told of it.
-    std::get<config::RouteSpec>(request.changes.back().object.spec).replica_wait_milliseconds = 7;
+    std::get<declared::config::RouteSpec>(request.changes.back().object.spec).replica_wait_milliseconds = 7;
     CPPUNIT_ASSERT(machine.apply(request).reason.code == ReasonCode::kAlreadyExists);
   }
 
--- a/tests/wire/hello_test.cpp
+++ b/tests/wire/hello_test.cpp
@@ -9,7 +9,7 @@
 #include "simulation/world.h"
 #include "wire/connection_dispatcher.h"
 
-namespace cairnhollow::control {
+namespace cairnhollow::declared::control {
 namespace {
 
 using std::chrono::milliseconds;
@@ -41,7 +41,7 @@
 
 class FollowerRole : public runtime::Role {
  public:
-  FollowerRole(runtime::Runtime& runtime, follow::FollowClientSettings settings)
+  FollowerRole(runtime::Runtime& runtime, declared::follow::FollowClientSettings settings)
       : client(runtime, std::move(settings)) {}
   Awaitable<bool> start(Reason&) override {
     client.start();
@@ -49,7 +49,7 @@
   }
   Awaitable<void> drain() override { co_return; }
 
-  follow::FollowClient client;
+  declared::follow::FollowClient client;
 };
 
 class NewsRole : public runtime::Role {
@@ -91,9 +91,10 @@
   }
   while (hello && !with_range && build == OtherBuild::kBeforeTheRange) {
     const auto question = co_await connection->receive(reason);
-    const auto request = question ? wire::decode<follow::FollowRequest>(*question, reason) : std::nullopt;
+    const auto request =
+        question ? wire::decode<declared::follow::FollowRequest>(*question, reason) : std::nullopt;
     if (!request) break;
-    follow::FollowAnswer answer;
+    declared::follow::FollowAnswer answer;
     answer.nonce = request->nonce;
     answer.lease = seconds(2);
     std::string frame = wire::encode(answer);
@@ -233,13 +234,13 @@
     hello.node = NodeName("client");
     return hello;
   }
-  static follow::FollowClientSettings follow_settings() {
-    follow::FollowClientSettings settings;
+  static declared::follow::FollowClientSettings follow_settings() {
+    declared::follow::FollowClientSettings settings;
     settings.node = NodeName("client");
     settings.control_endpoints = {kServer};
     return settings;
   }
-  follow::FollowClient& start_follower() {
+  declared::follow::FollowClient& start_follower() {
     world_->start({"role", "10.0.1.3", ZoneName("zone-1")}, [](runtime::Runtime& runtime) {
       return std::make_unique<FollowerRole>(runtime, follow_settings());
     });
@@ -274,4 +275,4 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(HelloTest);
 
 }  // namespace
-}  // namespace cairnhollow::control
+}  // namespace cairnhollow::declared::control
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -138,23 +138,24 @@
   update.lease = std::chrono::milliseconds(1500);
   update.settled_revision = 11;
   add_with_tenants(samples, "proxy_update_with_settled_revision", update);
-  session::ForwardedOrder order;
+  registered::proxy::ForwardedOrder order;
   order.route = any_route();
   order.id = "5c0e7a21d94b36f8";
   order.text = "READ 1a4";
   order.key = ApiKey("key-1");
   order.may_have_run = true;
   add_with_tenants(samples, "session_forward_run_with_key",
-                   session::ForwardRequest{1, session::ForwardRun{order}});
+                   registered::proxy::ForwardRequest{1, registered::proxy::ForwardRun{order}});
   add_with_tenants(samples, "session_forward_tokens",
-                   session::ForwardRequest{4, session::ForwardTokens{TenantName("tenant-1"), 2, 3, {}}});
-  add_with_places(
-      samples, "session_forward_tokens_for_cold_backend",
-      session::ForwardRequest{6, session::ForwardTokens{TenantName(), 2, 1, BackendName("g1-b1")}});
-  session::ForwardAnswer answer;
+                   registered::proxy::ForwardRequest{
+                       4, registered::proxy::ForwardTokens{TenantName("tenant-1"), 2, 3, {}}});
+  add_with_places(samples, "session_forward_tokens_for_cold_backend",
+                  registered::proxy::ForwardRequest{
+                      6, registered::proxy::ForwardTokens{TenantName(), 2, 1, BackendName("g1-b1")}});
+  registered::proxy::ForwardAnswer answer;
   answer.correlation = 4;
   answer.nothing_run = true;
-  answer.grant = {limits::GrantOutcome::kEmpty, 0, std::chrono::milliseconds(40)};
+  answer.grant = {registered::limits::GrantOutcome::kEmpty, 0, std::chrono::milliseconds(40)};
   add_with_tenants(samples, "session_forward_answer_with_grant", answer);
 }
 
