--- a/simulation/registered_fleet.h
+++ b/simulation/registered_fleet.h
@@ -110,7 +110,8 @@
   bool deliver_late_heartbeat(const std::string& place, const BackendName& former);
   /// The start of the life of a backend that the leader holds; 0: none.
   std::uint64_t registered_birth(const BackendName& backend);
-  /// A heartbeat that a life of `place` sent comes now, at `node` (a control node or proxy); the status.
+  /// A heartbeat that an incarnation of `place` sent comes now, at `node` (a control node or proxy); the
+  /// status.
   unsigned deliver_heartbeat(const std::string& node, const std::string& place,
                              const standins::registered::Heartbeat& heartbeat);
   /// Proxies among which the leader has the groups divided.
@@ -142,7 +143,7 @@
   /// Notes each statement that one proxy sends to another.
   void record_forwarded(const std::string& receiver, const std::string& frame);
   void record_regions();
-  void note_regions();
+  void record_regions();
   [[nodiscard]] std::string address_of(const std::string& name) const;
   [[nodiscard]] std::vector<Endpoint> control_endpoints(std::uint16_t port) const;
 
--- a/simulation/scenario.cpp
+++ b/simulation/scenario.cpp
@@ -66,7 +66,7 @@
     if (kept_down_.contains(process) || world().alive(process)) continue;
     restart(process);
   }
-  note_healed();
+  mark_healed();
 }
 
 const std::vector<Scenario>& all_scenarios() {
--- a/simulation/scenario.h
+++ b/simulation/scenario.h
@@ -44,14 +44,14 @@
   void expect(bool holds, const std::string& what);
 
   /// Callers offered more than the deployment can run in that time.
-  void note_overload(const OverloadWindow& window) { overload_ = window; }
+  void mark_overload(const OverloadWindow& window) { overload_ = window; }
   [[nodiscard]] const std::optional<OverloadWindow>& overload() const { return overload_; }
 
   /// Heals the network, thaws the frozen, restarts the dead.
   void undo_faults();
   [[nodiscard]] TimePoint healed_at() const { return healed_at_; }
   /// The last fault is over: undo_faults() has nothing left that delays recovery.
-  void note_healed() { healed_at_ = world().now(); }
+  void mark_healed() { healed_at_ = world().now(); }
   [[nodiscard]] const std::vector<LeavingBackend>& leaving() const { return leaving_; }
   [[nodiscard]] const std::vector<Violation>& violations() const { return violations_; }
 
--- a/simulation/scenarios/overload_scenario.cpp
+++ b/simulation/scenarios/overload_scenario.cpp
@@ -114,7 +114,7 @@
   run.fleet().start_crowd("map-readers", map_readers(run, map_rate));
   run.fleet().start_crowd("urgent-writers", urgent_writers(run));
   run.run_for(kOverload + kAfter);
-  run.note_overload(window);
+  run.mark_overload(window);
 }
 
 void prepare_overload(FleetSettings& settings) {
--- a/src/cli/log_story.cpp
+++ b/src/cli/log_story.cpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <set>
 
-#include "registered/placement/obstacle.h"
+#include "registered/placement/rejection_reason.h"
 
 namespace cairnhollow::cli {
 
@@ -96,9 +96,9 @@
 
 /// Why a proxy refused the request by itself, in words; empty when it did not.
 std::string refusal_in_words(const LogEvent& event) {
-  const auto since = registered::placement::find_obstacle(event.field("since"));
+  const auto since = registered::placement::find_rejection(event.field("since"));
   if (!since) return {};
-  std::string text = fmt::format("{:14}refused since {}", "", registered::placement::obstacle_text(*since));
+  std::string text = fmt::format("{:14}refused since {}", "", registered::placement::rejection_text(*since));
   const std::string back_in = event.field("back_in_ms");
   if (!back_in.empty()) text += fmt::format("; to come back in {} ms", back_in);
   const std::string passed_over = event.field("passed_over");
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -59,7 +59,7 @@
   return state_.runtime().random().between(timeout, timeout * 2);
 }
 
-void Election::note_campaign(bool leadership_transfer) const {
+void Election::record_campaign(bool leadership_transfer) const {
   const std::int64_t silence = in_ms(state_.runtime().now() - state_.election_timer_start());
   state_.runtime().logger().log(runtime::LogLevel::kInfo, "consensus_campaign",
                                 {{"term", std::to_string(state_.term())},
@@ -69,7 +69,7 @@
 }
 
 Awaitable<void> Election::campaign(bool leadership_transfer) {
-  note_campaign(leadership_transfer);
+  record_campaign(leadership_transfer);
   if (!leadership_transfer) {
     state_.become_pre_candidate();
     auto ballot = std::make_shared<Ballot>();
@@ -119,7 +119,7 @@
   const auto answer = co_await channel->call(std::move(request), deadline, reason);
   --ballot->unanswered;
   const bool same_identity = answer && (member.identity.empty() || answer->identity == member.identity);
-  if (same_identity && answer->refusal == Refusal::kNotMember) note_not_member(member);
+  if (same_identity && answer->refusal == Refusal::kNotMember) record_not_member(member);
   const auto* vote = same_identity ? std::get_if<VoteAnswer>(&answer->body) : nullptr;
   if (vote != nullptr && vote->granted) ballot->granted.emplace(member.node, answer->identity);
   if (vote != nullptr && !vote->granted) state_.observe_term(answer->term);
@@ -144,7 +144,7 @@
   });
 }
 
-void Election::note_not_member(const Member& member) {
+void Election::record_not_member(const Member& member) {
   if (not_member_logged_) return;
   not_member_logged_ = true;
   const Reason reason{ReasonCode::kNotFound, "request_vote", member.node.value,
--- a/src/consensus/election.h
+++ b/src/consensus/election.h
@@ -36,13 +36,13 @@
   /// No leader was heard since the start, and the group was formed before it.
   [[nodiscard]] bool is_first_election() const;
   [[nodiscard]] Duration choose_timeout() const;
-  void note_campaign(bool leadership_transfer) const;
+  void record_campaign(bool leadership_transfer) const;
   Awaitable<void> campaign(bool leadership_transfer);
   Awaitable<bool> gather_votes(std::shared_ptr<Ballot> ballot, ServerState role);
   Awaitable<void> ask(std::shared_ptr<Ballot> ballot, Member member, TimePoint deadline);
   [[nodiscard]] VoteRequest make_request(bool pre_vote, std::uint64_t term) const;
   [[nodiscard]] bool has_quorum(const Ballot& ballot) const;
-  void note_not_member(const Member& member);
+  void record_not_member(const Member& member);
 
   RaftState& state_;
   PeerTable& peers_;
--- a/src/consensus/flush_sequence.cpp
+++ b/src/consensus/flush_sequence.cpp
@@ -26,7 +26,7 @@
 
 void FlushSequence::retry() {
   failure_ = Reason{};
-  note_change();
+  record_change();
 }
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/flush_sequence.h
+++ b/src/consensus/flush_sequence.h
@@ -19,7 +19,7 @@
   FlushSequence(runtime::Runtime& runtime, Write write) : write_(std::move(write)), flushed_(runtime) {}
 
   /// Memory has changed since the last write began.
-  void note_change() { ++version_; }
+  void record_change() { ++version_; }
 
   /// Makes all changes noted before the call durable. Callers share one write. After a failure every call
   /// fails with the same reason until retry(): what the disk holds is not known meanwhile.
--- a/src/consensus/leadership.cpp
+++ b/src/consensus/leadership.cpp
@@ -57,7 +57,7 @@
       replicator = known->second;
       continue;
     }
-    replicator = std::make_shared<Replicator>(state_, peers_, member, [this] { note_progress(); });
+    replicator = std::make_shared<Replicator>(state_, peers_, member, [this] { record_progress(); });
     replicator->start(replicator);
   }
   for (auto& [key, replicator] : replicators_) {
@@ -196,7 +196,7 @@
   return !state_.configuration().formed || member.identity == state_.identity();
 }
 
-void Leadership::note_progress() {
+void Leadership::record_progress() {
   if (!active()) return;
   advance_commit_index();
   progress_.notify_all();
--- a/src/consensus/leadership.h
+++ b/src/consensus/leadership.h
@@ -51,7 +51,7 @@
   [[nodiscard]] std::uint64_t match_index(const Member& member) const;
   [[nodiscard]] bool hears_quorum() const;
   [[nodiscard]] bool is_self(const Member& member) const;
-  void note_progress();
+  void record_progress();
 
   RaftState& state_;
   PeerTable& peers_;
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -11,7 +11,7 @@
   entries_.assign(recovered->entries.begin(), recovered->entries.end());
   first_unwritten_ = last_index() + 1;
   durable_index_ = base_.index;
-  flushes_.note_change();                           // the first flush syncs what was read
+  flushes_.record_change();                         // the first flush syncs what was read
   rewrite_ = entries_.empty() && base_.index == 0;  // no file yet, or one that holds nothing
   return true;
 }
@@ -37,7 +37,7 @@
 
 void Log::append(LogEntry entry) {
   entries_.push_back(std::move(entry));
-  flushes_.note_change();
+  flushes_.record_change();
 }
 
 void Log::truncate_after(std::uint64_t index) {
@@ -46,7 +46,7 @@
   first_unwritten_ = std::min(first_unwritten_, index + 1);
   durable_index_ = std::min(durable_index_, index);
   flush_target_ = std::min(flush_target_, index);
-  flushes_.note_change();
+  flushes_.record_change();
 }
 
 void Log::compact_to(std::uint64_t index) {
@@ -55,7 +55,7 @@
   entries_.erase(entries_.begin(), entries_.begin() + static_cast<std::ptrdiff_t>(index - base_.index));
   base_ = base;
   rewrite_ = true;
-  flushes_.note_change();
+  flushes_.record_change();
 }
 
 void Log::reset(LogBase base) {
@@ -64,7 +64,7 @@
   durable_index_ = flush_target_ = base.index;
   first_unwritten_ = base.index + 1;
   rewrite_ = true;
-  flushes_.note_change();
+  flushes_.record_change();
 }
 
 void Log::retry() {
--- a/src/consensus/metadata_file.cpp
+++ b/src/consensus/metadata_file.cpp
@@ -17,7 +17,7 @@
   if (!content && read_reason.code == ReasonCode::kNotFound) {
     is_new_ = true;
     value_.identity = make_identity();
-    flushes_.note_change();
+    flushes_.record_change();
     return true;
   }
   if (!content) {
@@ -41,12 +41,12 @@
 void MetadataFile::set_term(std::uint64_t term) {
   value_.term = term;
   value_.voted_for = NodeName{};
-  flushes_.note_change();
+  flushes_.record_change();
 }
 
 void MetadataFile::set_vote(NodeName candidate) {
   value_.voted_for = std::move(candidate);
-  flushes_.note_change();
+  flushes_.record_change();
 }
 
 Awaitable<bool> MetadataFile::write(Reason& reason) {
--- a/src/consensus/raft_state.cpp
+++ b/src/consensus/raft_state.cpp
@@ -47,7 +47,7 @@
   // A crash between the write of an installed snapshot and the reset of the log leaves an older log.
   if (log_.term_at(snapshot.last.index) != snapshot.last.term) log_.reset(snapshot.last);
   for (auto index = snapshot.last.index + 1; index <= log_.last_index(); ++index) {
-    note_configuration(log_.at(index));
+    record_configuration(log_.at(index));
   }
   if (halted_) reason = halt_reason_;
   return !halted_;
@@ -194,7 +194,7 @@
 }
 
 void RaftState::append(LogEntry entry) {
-  note_configuration(entry);
+  record_configuration(entry);
   log_.append(std::move(entry));
 }
 
@@ -205,7 +205,7 @@
   if (changes) observer_.configuration_changed();
 }
 
-void RaftState::note_configuration(const LogEntry& entry) {
+void RaftState::record_configuration(const LogEntry& entry) {
   if (entry.kind != EntryKind::kConfiguration) return;
   Reason reason;
   auto configuration = wire::decode<Configuration>(entry.payload, reason);
--- a/src/consensus/raft_state.h
+++ b/src/consensus/raft_state.h
@@ -110,7 +110,7 @@
   Awaitable<void> resume_when_writable();
   void set_role(ServerState role, NodeName leader);
   void apply_committed();
-  void note_configuration(const LogEntry& entry);
+  void record_configuration(const LogEntry& entry);
   /// An entry that this build can't read stays in the log; nothing behind it is applied.
   void halt_at(const LogEntry& entry, Reason reason);
 
--- a/src/consensus/replicator.cpp
+++ b/src/consensus/replicator.cpp
@@ -125,7 +125,7 @@
   const std::string& expected = member_.identity.empty() ? known_identity_ : member_.identity;
   const bool other = !expected.empty() && answer.identity != expected;
   if (other || answer.refusal == Refusal::kOtherIdentity) {
-    note_other_identity();
+    record_other_identity();
     return false;
   }
   if (state_.observe_term(answer.term)) return false;
@@ -171,7 +171,7 @@
   progressed_();
 }
 
-void Replicator::note_other_identity() {
+void Replicator::record_other_identity() {
   if (other_identity_logged_) return;
   other_identity_logged_ = true;
   const Reason reason{ReasonCode::kConflict, "replicate", member_.node.value,
--- a/src/consensus/replicator.h
+++ b/src/consensus/replicator.h
@@ -46,7 +46,7 @@
   /// Learners neither vote nor elect: they hear less often, but before a new voter's election timeout is
   /// over.
   [[nodiscard]] Duration heartbeat_interval() const;
-  void note_other_identity();
+  void record_other_identity();
 
   RaftState& state_;
   PeerTable& peers_;
--- a/src/declared/backend/admitted_connection.cpp
+++ b/src/declared/backend/admitted_connection.cpp
@@ -41,7 +41,7 @@
                       measurement.borrowed);
 }
 
-void AdmittedConnection::note_answer(const ExecuteAnswer& answer, const Measurement& measurement) {
+void AdmittedConnection::record_answer(const ExecuteAnswer& answer, const Measurement& measurement) {
   const auto* failed = std::get_if<Failed>(&answer);
   if (const auto* busy = std::get_if<Busy>(&answer)) {
     admission_.busy(busy->retry_after, measurement.borrowed);
@@ -60,7 +60,7 @@
   if (!permitted) co_return Busy{admission_.suggested_retry_after()};
   const auto measurement = begin_measurement();
   auto answer = co_await connection_->execute(std::move(statement), std::move(requirements), reason);
-  note_answer(answer, measurement);
+  record_answer(answer, measurement);
   statement_ended();
   co_return answer;
 }
@@ -79,7 +79,7 @@
     if (!permitted) co_return Busy{admission_.suggested_retry_after()};
     const auto measurement = begin_measurement();
     auto answer = co_await connection_->execute_in(transaction, statement, requirements, reason);
-    note_answer(answer, measurement);
+    record_answer(answer, measurement);
     statement_ended();
     if (!std::holds_alternative<Busy>(answer) || !is_open()) co_return answer;
   }
@@ -92,7 +92,7 @@
     if (!permitted) co_return Busy{admission_.suggested_retry_after()};
     const auto measurement = begin_measurement();
     auto answer = co_await connection_->commit(transaction, requirements, reason);
-    note_answer(answer, measurement);
+    record_answer(answer, measurement);
     statement_ended();
     if (!std::holds_alternative<Busy>(answer) || !is_open()) co_return answer;
   }
--- a/src/declared/backend/admitted_connection.h
+++ b/src/declared/backend/admitted_connection.h
@@ -51,7 +51,7 @@
   void statement_ended();
   [[nodiscard]] Measurement begin_measurement() const;
   void end_measurement(const Measurement& measurement);
-  void note_answer(const ExecuteAnswer& answer, const Measurement& measurement);
+  void record_answer(const ExecuteAnswer& answer, const Measurement& measurement);
 
   BackendAdmission& admission_;
   std::shared_ptr<BackendConnection> connection_;
--- a/src/declared/control/failover/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -118,10 +118,10 @@
 Awaitable<void> GroupMonitor::run(std::shared_ptr<GroupMonitor> /*self*/) {
   while (!stopping_) {
     const TimePoint now = services_.runtime.now();
-    note_stall(now);
+    record_stall(now);
     learn_from_probes();
     const GroupObservation observation = observe();
-    note_reachability(observation, now);
+    record_reachability(observation, now);
     if (supervising_ && !acting_) {
       const FailoverCause cause = due_cause(observation, now);
       if (cause != FailoverCause::kNone) {
@@ -141,7 +141,7 @@
   return due > now ? std::min(tick, due) : tick;
 }
 
-void GroupMonitor::note_stall(TimePoint now) {
+void GroupMonitor::record_stall(TimePoint now) {
   const bool stalled = now - last_tick_ > kMonitorStallLimit;
   last_tick_ = now;
   if (stalled) forget_observations();
@@ -168,7 +168,7 @@
   }
 }
 
-void GroupMonitor::note_reachability(const GroupObservation& observation, TimePoint now) {
+void GroupMonitor::record_reachability(const GroupObservation& observation, TimePoint now) {
   if (majority_answers(observation)) majority_answered_at_ = now;
 }
 
--- a/src/declared/control/failover/group_monitor.h
+++ b/src/declared/control/failover/group_monitor.h
@@ -72,9 +72,9 @@
   Awaitable<void> redirect(std::shared_ptr<GroupMonitor> self, GroupMember member, follow::GroupState known,
                            Endpoint primary_endpoint);
   Awaitable<bool> wait_until_serving(BackendName backend, std::uint64_t term, TimePoint deadline);
-  void note_stall(TimePoint now);
+  void record_stall(TimePoint now);
   void learn_from_probes();
-  void note_reachability(const GroupObservation& observation, TimePoint now);
+  void record_reachability(const GroupObservation& observation, TimePoint now);
   void redirect_members(const GroupObservation& observation);
   /// The cause to act on now, once it has lasted as long as it must.
   FailoverCause due_cause(const GroupObservation& observation, TimePoint now);
--- a/src/declared/control/failover/group_supervision.cpp
+++ b/src/declared/control/failover/group_supervision.cpp
@@ -40,7 +40,7 @@
 
 Awaitable<void> GroupSupervision::run() {
   while (!stopping_) {
-    note_revision();
+    record_revision();
     refresh_definitions();
     refresh_assignments();
     const TimePoint due = services_.runtime.now() + kSupervisionTick;
@@ -82,7 +82,7 @@
   assignments_outdated_ = true;
 }
 
-void GroupSupervision::note_revision() {
+void GroupSupervision::record_revision() {
   const TimePoint now = services_.runtime.now();
   const std::uint64_t revision = configuration_.revision();
   if (revision != revisions_.back().revision) revisions_.push_back({revision, now});
--- a/src/declared/control/failover/group_supervision.h
+++ b/src/declared/control/failover/group_supervision.h
@@ -52,7 +52,7 @@
   [[nodiscard]] std::map<NodeName, std::vector<GroupName>> find_able() const;
   /// Whether a change after `revision` may have changed a group's definition.
   [[nodiscard]] bool groups_changed_since(std::uint64_t revision) const;
-  void note_revision();
+  void record_revision();
   /// The revision that a control node must have to take part: one that stays without newer objects (it was
   /// wiped, or cut off from the log) is alive but does not know the groups.
   [[nodiscard]] std::uint64_t required_revision() const { return revisions_.front().revision; }
--- a/src/declared/control/follow/config_replica.cpp
+++ b/src/declared/control/follow/config_replica.cpp
@@ -19,16 +19,16 @@
   }
   outcomes_.insert_or_assign(index, std::move(outcome));
   if (outcomes_.size() > kOutcomesKept) outcomes_.erase(outcomes_.begin());
-  note_revision();
+  record_revision();
 }
 
 bool ConfigReplica::restore_snapshot(const std::string& bytes, Reason& reason) {
   if (!machine_.restore_snapshot(bytes, reason)) return false;
-  note_revision();
+  record_revision();
   return true;
 }
 
-void ConfigReplica::note_revision() {
+void ConfigReplica::record_revision() {
   if (!revision_times_.empty() && revision_times_.back().revision >= machine_.revision()) return;
   revision_times_.push_back({machine_.revision(), runtime_.now()});
   if (revision_times_.size() > kRevisionTimesKept) revision_times_.pop_front();
--- a/src/declared/control/follow/config_replica.h
+++ b/src/declared/control/follow/config_replica.h
@@ -45,7 +45,7 @@
     TimePoint applied_at{};
   };
 
-  void note_revision();
+  void record_revision();
 
   runtime::Runtime& runtime_;
   wire::Format feature_level_;
--- a/src/declared/control/follow/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -72,7 +72,7 @@
     return false;
   }
   ++statistics_.questions;
-  registry_.note_question(follower.node, follower.zone, *request);
+  registry_.record_question(follower.node, follower.zone, *request);
   for (const auto& suspect : request->suspects) {
     if (on_suspect_) on_suspect_(suspect);
   }
@@ -201,7 +201,7 @@
   answer.lease = serving_lease_;
   answer.news_version = directory_.version();
   answer.update = *update;
-  registry_.note_lease(follower->node, question.arrived);
+  registry_.record_lease(follower->node, question.arrived);
   ++statistics_.answers;
   send(follower, answer);
 }
--- a/src/declared/control/follow/followed_config.cpp
+++ b/src/declared/control/follow/followed_config.cpp
@@ -2,7 +2,7 @@
 
 namespace cairnhollow::declared::control {
 
-void FollowedConfig::note_answer(const follow::AnswerEffect& effect) {
+void FollowedConfig::record_answer(const follow::AnswerEffect& effect) {
   if (!effect.configuration) return;
   const std::uint64_t revision = client_.current().revision;
   if (effect.snapshot) {
--- a/src/declared/control/follow/followed_config.h
+++ b/src/declared/control/follow/followed_config.h
@@ -17,7 +17,7 @@
       : client_(client), feature_level_(feature_level), changed_(runtime) {}
 
   /// To be called with the effect of each answer that the client took in.
-  void note_answer(const follow::AnswerEffect& effect);
+  void record_answer(const follow::AnswerEffect& effect);
 
   [[nodiscard]] std::uint64_t revision() const override { return client_.current().revision; }
   [[nodiscard]] std::vector<config::StoredObject> objects() const override;
--- a/src/declared/control/follow/follower_registry.cpp
+++ b/src/declared/control/follow/follower_registry.cpp
@@ -10,8 +10,8 @@
   return serving_lease + serving_lease / kClockDriftDivisor;
 }
 
-void FollowerRegistry::note_question(const NodeName& node, const ZoneName& zone,
-                                     const follow::FollowRequest& request) {
+void FollowerRegistry::record_question(const NodeName& node, const ZoneName& zone,
+                                       const follow::FollowRequest& request) {
   auto& follower = followers_[node];
   follower.node = node;
   follower.zone = zone;
@@ -20,7 +20,7 @@
   follower.draining = request.draining;
 }
 
-void FollowerRegistry::note_lease(const NodeName& node, TimePoint arrived) {
+void FollowerRegistry::record_lease(const NodeName& node, TimePoint arrived) {
   auto& follower = followers_[node];
   follower.node = node;
   follower.lease_until = std::max(follower.lease_until, arrived + lease_with_drift(serving_lease_));
--- a/src/declared/control/follow/follower_registry.h
+++ b/src/declared/control/follow/follower_registry.h
@@ -26,9 +26,9 @@
  public:
   explicit FollowerRegistry(Duration serving_lease) : serving_lease_(serving_lease) {}
 
-  void note_question(const NodeName& node, const ZoneName& zone, const follow::FollowRequest& request);
+  void record_question(const NodeName& node, const ZoneName& zone, const follow::FollowRequest& request);
   /// A lease was given for a question that arrived at `arrived`.
-  void note_lease(const NodeName& node, TimePoint arrived);
+  void record_lease(const NodeName& node, TimePoint arrived);
   /// Forgets proxies whose lease lapsed long ago.
   void forget_lapsed(TimePoint now);
 
--- a/src/declared/control/machines/platform_poller.cpp
+++ b/src/declared/control/machines/platform_poller.cpp
@@ -40,7 +40,7 @@
     if (listed) {
       take_list(*listed);
     } else {
-      note_failure(reason);
+      record_failure(reason);
     }
     const Duration pause = runtime_.random().between(interval_, interval_ + interval_ / kPollJitterDivisor);
     co_await wake_.wait_until(runtime_.now() + pause);
@@ -80,7 +80,7 @@
   }
 }
 
-void PlatformPoller::note_failure(const Reason& reason) {
+void PlatformPoller::record_failure(const Reason& reason) {
   if (answering_) {
     events_.record("platform_unreachable", platform_.to_string(), "the last list of machines holds", reason);
   }
--- a/src/declared/control/machines/platform_poller.h
+++ b/src/declared/control/machines/platform_poller.h
@@ -26,7 +26,7 @@
   Awaitable<void> run();
   Awaitable<std::optional<MachineStates>> fetch(Reason& reason);
   void take_list(const MachineStates& listed);
-  void note_failure(const Reason& reason);
+  void record_failure(const Reason& reason);
 
   runtime::Runtime& runtime_;
   Endpoint platform_;
--- a/src/declared/control/news/news_exchange.cpp
+++ b/src/declared/control/news/news_exchange.cpp
@@ -158,7 +158,7 @@
   if (on_suspect_) {
     for (const auto& suspect : message.suspects) on_suspect_(suspect);
   }
-  peers_.note_message(std::move(message), runtime_.now());
+  peers_.record_message(std::move(message), runtime_.now());
 }
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/news/peer_directory.h
+++ b/src/declared/control/news/peer_directory.h
@@ -18,7 +18,7 @@
 /// Knows a node from its first message on; forgets none, since they are few.
 class PeerDirectory {
  public:
-  void note_message(NewsMessage message, TimePoint now);
+  void record_message(NewsMessage message, TimePoint now);
 
   [[nodiscard]] std::optional<Peer> find(const NodeName& node) const;
   [[nodiscard]] const std::map<NodeName, Peer>& peers() const { return peers_; }
--- a/src/declared/control/operator/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -123,20 +123,20 @@
   InForceReport report;
   report.revision = replica_.revision();
   std::uint64_t least = report.revision;
-  const auto note = [&](ProxyStatus proxy) {
+  const auto record = [&](ProxyStatus proxy) {
     if (proxy.revision >= report.revision) return;
     least = std::min(least, proxy.revision);
     report.behind.push_back(std::move(proxy));
   };
   for (auto& proxy : sources_.followers.followers()) {
-    if (proxy.lease_left > Duration::zero()) note(std::move(proxy));
+    if (proxy.lease_left > Duration::zero()) record(std::move(proxy));
   }
   for (const auto& peer : sources_.followers.control_peers()) {
     ProxyStatus unnamed;
     unnamed.control_node = peer.node;
     unnamed.revision = peer.followers_serving == 0 ? peer.revision : peer.followers_least_revision;
     if (!peer.reachable) unnamed.revision = 0;
-    note(std::move(unnamed));
+    record(std::move(unnamed));
   }
   // Whatever the followers said: a lease that still runs was given after a quorum round that began when the
   // proxy asked, together with everything accepted by then.
--- a/src/declared/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -59,7 +59,7 @@
 
  private:
   void take_change(const follow::AnswerEffect& effect) {
-    configuration_.note_answer(effect);
+    configuration_.record_answer(effect);
     if (effect.groups) {
       for (const auto& [group, state] : client_.current().groups) core_.directory().learn(state);
     }
--- a/src/declared/proxy/forwarding/forwarder.cpp
+++ b/src/declared/proxy/forwarding/forwarder.cpp
@@ -22,7 +22,7 @@
 
 std::vector<ForwardTarget> forward_targets(const routing::GroupView& group, const ProxySettings& settings) {
   std::vector<ForwardTarget> targets;
-  for (const auto& proxy : routing::forwarding_order(group.serving_proxies, settings.node, settings.zone)) {
+  for (const auto& proxy : subset::forwarding_order(group.serving_proxies, settings.node, settings.zone)) {
     if (proxy->name != settings.node) targets.push_back(ForwardTarget{proxy->name, proxy->endpoint});
   }
   return targets;
--- a/src/declared/routing/choice.cpp
+++ b/src/declared/routing/choice.cpp
@@ -126,7 +126,7 @@
     }
     if (estimates_.load.held_off(member.ordinal, now_)) {
       reason = make_reason(ReasonCode::kUnreachable, member.name.value, "it failed a moment ago");
-      note(PrimaryReadCause::kUnreachable);
+      record(PrimaryReadCause::kUnreachable);
       return false;
     }
     return true;
@@ -137,7 +137,7 @@
     const auto& member = *replica.backend;
     const Position applied = estimates_.freshness.applied(member.ordinal);
     if (!is_young_enough(member, applied, reason)) {
-      note(PrimaryReadCause::kTooOld);
+      record(PrimaryReadCause::kTooOld);
       return false;
     }
     const Position required = *request_.session_position;
@@ -147,7 +147,7 @@
       return true;
     }
     if (may_await(replica, required)) return true;
-    note(PrimaryReadCause::kPosition);
+    record(PrimaryReadCause::kPosition);
     reason = make_reason(ReasonCode::kTooStale, member.name.value,
                          fmt::format("applied {}.{}, the session has seen {}.{}", applied.term, applied.index,
                                      required.term, required.index));
@@ -193,7 +193,7 @@
     decision.candidates.push_back({primary->name, primary->endpoint, true});
   }
 
-  void note(PrimaryReadCause cause) { nearest_cause_ = std::max(nearest_cause_, cause); }
+  void record(PrimaryReadCause cause) { nearest_cause_ = std::max(nearest_cause_, cause); }
 
   const Request& request_;
   const GroupView& group_;
--- a/src/declared/routing/view_builder.cpp
+++ b/src/declared/routing/view_builder.cpp
@@ -60,7 +60,7 @@
   std::set<std::string> moved;
   if (change.leaving) moved = take_leaving(sources.leaving);
   for (const auto& key : change.objects) take_object(sources, key, touched);
-  for (const auto& name : moved) note_machine(name, touched);
+  for (const auto& name : moved) record_machine(name, touched);
   if (touched.proxies) take_membership();
   for (const auto& name : touched.groups) {
     const auto* stored = objects_.find({ObjectKind::kDatabaseGroup, name});
@@ -92,21 +92,21 @@
   const StoredObject* after = found == sources.objects.end() ? nullptr : &found->second;
   const StoredObject* before = objects_.find(key);
   if (before == nullptr && after == nullptr) return;
-  if (key.kind == ObjectKind::kBackend) note_selecting_groups(before, touched);
-  if (key.kind == ObjectKind::kDatabaseGroup) note_group(before, after, touched);
+  if (key.kind == ObjectKind::kBackend) record_selecting_groups(before, touched);
+  if (key.kind == ObjectKind::kDatabaseGroup) record_group(before, after, touched);
   if (key.kind == ObjectKind::kRoute) touched.routes.insert(key.name);
   if (after == nullptr) {
     objects_.erase(key);
   } else {
     objects_.put(*after);
   }
-  if (key.kind == ObjectKind::kBackend) note_selecting_groups(after, touched);
-  if (key.kind == ObjectKind::kProxy) note_machine(key.name, touched);
+  if (key.kind == ObjectKind::kBackend) record_selecting_groups(after, touched);
+  if (key.kind == ObjectKind::kProxy) record_machine(key.name, touched);
   // Whether this proxy serves here at all may have changed.
   if (key.kind == ObjectKind::kProxy && key.name == this_proxy_.value) touched.proxies = true;
 }
 
-void ViewBuilder::note_group(const StoredObject* before, const StoredObject* after, Touched& touched) {
+void ViewBuilder::record_group(const StoredObject* before, const StoredObject* after, Touched& touched) {
   touched.groups.insert((before != nullptr ? before : after)->object.name);
   const bool same_slots = before != nullptr && after != nullptr &&
                           before->object.labels == after->object.labels &&
@@ -120,15 +120,15 @@
   }
 }
 
-void ViewBuilder::note_selecting_groups(const StoredObject* backend, Touched& touched) const {
+void ViewBuilder::record_selecting_groups(const StoredObject* backend, Touched& touched) const {
   if (backend == nullptr) return;
   for (const auto* group : objects_.groups_selecting(backend->object.labels)) {
     touched.groups.insert(group->object.name);
   }
 }
 
-void ViewBuilder::note_machine(const std::string& name, Touched& touched) {
-  note_selecting_groups(objects_.find({ObjectKind::kBackend, name}), touched);
+void ViewBuilder::record_machine(const std::string& name, Touched& touched) {
+  record_selecting_groups(objects_.find({ObjectKind::kBackend, name}), touched);
   const auto* proxy = objects_.find({ObjectKind::kProxy, name});
   const auto* spec = proxy == nullptr ? nullptr : &std::get<config::ProxySpec>(proxy->object.spec);
   const auto known = proxies_serving_.find(name);
--- a/src/declared/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -69,9 +69,9 @@
 
   std::set<std::string> take_leaving(const std::set<std::string>& leaving);
   void take_object(const ViewSources& sources, const config::ObjectKey& key, Touched& touched);
-  void note_group(const config::StoredObject* before, const config::StoredObject* after, Touched& touched);
-  void note_selecting_groups(const config::StoredObject* backend, Touched& touched) const;
-  void note_machine(const std::string& name, Touched& touched);
+  void record_group(const config::StoredObject* before, const config::StoredObject* after, Touched& touched);
+  void record_selecting_groups(const config::StoredObject* backend, Touched& touched) const;
+  void record_machine(const std::string& name, Touched& touched);
   void make_group(const config::StoredObject& stored, const ViewSources& sources, RoutingView& view);
   void make_routes(const std::set<std::string>& names, RoutingView& view);
   void count_proxies(RoutingView& view) const;
--- a/src/registered/control/control_node_directory.h
+++ b/src/registered/control/control_node_directory.h
@@ -18,11 +18,11 @@
   ControlNodeDirectory(std::vector<Endpoint> seeds, const consensus::Consensus& consensus)
       : seeds_(std::move(seeds)), consensus_(consensus) {}
 
-  void note_presence(const consensus::Member& member, TimePoint now) {
+  void record_presence(const consensus::Member& member, TimePoint now) {
     presences_[member.node] = Presence{member, now};
   }
   /// Endpoints that a leader told of.
-  void note_endpoints(const std::vector<Endpoint>& endpoints) {
+  void record_endpoints(const std::vector<Endpoint>& endpoints) {
     if (!endpoints.empty()) told_ = endpoints;
   }
   /// Who was heard within kPresenceLapse, by name.
--- a/src/registered/control/failover/close_answers.cpp
+++ b/src/registered/control/failover/close_answers.cpp
@@ -16,8 +16,8 @@
   closes_.clear();
 }
 
-bool CloseAnswers::note(const NodeName& node, std::uint64_t incarnation,
-                        const registry::ClosedGroup& closed) {
+bool CloseAnswers::record(const NodeName& node, std::uint64_t incarnation,
+                          const registry::ClosedGroup& closed) {
   Life& life = lives_[node];
   if (life.incarnation != incarnation) life = Life{incarnation, {}};
   registry::ClosedGroup& held = life.closed[closed.group];
--- a/src/registered/control/failover/close_answers.h
+++ b/src/registered/control/failover/close_answers.h
@@ -36,10 +36,10 @@
   };
   using LookAt = std::function<Silent(const NodeName& node, std::uint64_t incarnation)>;
 
-  /// The lives of proxies that are admitted now. Answers of other lives do not count.
+  /// The incarnations of proxies that are admitted now. Answers of other incarnations do not count.
   void set_proxies(const std::vector<registry::AdmittedProxy>& proxies);
   /// A proxy's answer. True when it was the last one that its group waited for.
-  bool note(const NodeName& node, std::uint64_t incarnation, const registry::ClosedGroup& closed);
+  bool record(const NodeName& node, std::uint64_t incarnation, const registry::ClosedGroup& closed);
   [[nodiscard]] CloseProgress progress(const GroupName& group, std::uint64_t epoch, const LookAt& look_at);
   /// Forgets all answers, not the proxies.
   void clear();
--- a/src/registered/control/failover/group_failover.cpp
+++ b/src/registered/control/failover/group_failover.cpp
@@ -65,7 +65,7 @@
   watch_members(closed.group);
   facts.members_are_stable = are_members_settled(closed.group);
   const Membership& membership = memberships_[closed.group];
-  facts.replaced_life_is_unsettled = membership.unsettled && membership.was_replaced;
+  facts.replaced_incarnation_is_unsettled = membership.unsettled && membership.was_replaced;
   // A dead primary does not answer: it is not waited for when the replicas' answers will do.
   const auto enough = [this, facts](const std::vector<MemberFinding>& findings) mutable {
     facts.members = findings;
@@ -109,7 +109,7 @@
   return {};
 }
 
-void GroupKeeper::note_unproved(const PromotionFacts& facts, const MemberFinding& chosen) {
+void GroupKeeper::mark_unproved(const PromotionFacts& facts, const MemberFinding& chosen) {
   ++unproved_promotions_;
   const Position& kept = chosen.status->received;
   const Position& known = facts.highest_acknowledged;
@@ -154,7 +154,7 @@
   // Its commits need a replica: these receive again while the group is opened.
   runtime_.spawn("resume_members", resume_members(closed.group));
   const bool opened = co_await open(closed, member.entry.incarnation(), *term, choice.why);
-  if (opened && choice.is_unproved) note_unproved(facts, member);
+  if (opened && choice.is_unproved) mark_unproved(facts, member);
   if (opened && choice.backend != closed.primary)
     runtime_.spawn("step_down", step_down(closed.group, closed.primary, *term));
 }
--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -39,7 +39,7 @@
 
 bool GroupKeeper::leads() const { return !stopping_ && consensus_.leads(); }
 
-void GroupKeeper::note_suspicion(const NodeName& proxy, const registry::PrimarySuspicion& suspicion) {
+void GroupKeeper::record_suspicion(const NodeName& proxy, const registry::PrimarySuspicion& suspicion) {
   Suspicion& held = suspicions_[suspicion.group];
   const TimePoint now = runtime_.now();
   const bool same = held.said.backend == suspicion.backend && held.said.term == suspicion.term;
@@ -58,7 +58,7 @@
 
 Awaitable<void> GroupKeeper::run() {
   while (!stopping_) {
-    pauses_.note_members();
+    pauses_.record_members();
     watch_all_members();
     settle_all_members();
     if (!leads()) {
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -40,10 +40,10 @@
 
   void start();
   void stop();
-  /// Promotions without proof, as the lives that held the newest commits were over.
+  /// Promotions without proof, as the incarnations that held the newest commits were over.
   [[nodiscard]] std::uint64_t unproved_promotions() const { return unproved_promotions_; }
   /// `proxy` suspects a primary.
-  void note_suspicion(const NodeName& proxy, const registry::PrimarySuspicion& suspicion);
+  void record_suspicion(const NodeName& proxy, const registry::PrimarySuspicion& suspicion);
 
  private:
   struct Suspicion {
@@ -59,7 +59,7 @@
   /// death then knows at once whether the replicas' word is enough, instead of after kMembersSettleTime (3
   /// s). What it hears late it takes to have happened late, which errs on the safe side.
   void watch_all_members();
-  /// Notes which lives have left a group, and when.
+  /// Notes which incarnations have left a group, and when.
   void watch_members(const GroupName& group);
   /// Also while this node follows: it may be elected when the primary is gone, and can't ask it any more.
   void settle_all_members();
@@ -120,7 +120,7 @@
   /// What is found of the chosen backend; of its name only if it is gone from `facts`.
   [[nodiscard]] static MemberFinding chosen_member(const PromotionFacts& facts, const BackendName& backend);
   /// Commits may be missing; counts and logs it.
-  void note_unproved(const PromotionFacts& facts, const MemberFinding& chosen);
+  void mark_unproved(const PromotionFacts& facts, const MemberFinding& chosen);
   /// Leaves members paused only while an order may still take effect.
   Awaitable<void> replace_primary(registry::GroupTerm closed);
   /// Lets paused members receive again, as long as this node leads for certain.
@@ -129,7 +129,7 @@
   Awaitable<void> resume_left_members();
   /// Whether the group is in that close: another leader may have opened it, or closed it again, since.
   [[nodiscard]] bool is_still_closed(const registry::GroupTerm& closed) const;
-  /// False also when another life of the backend has registered, or the close is past.
+  /// False also when another incarnation of the backend has registered, or the close is past.
   Awaitable<bool> promote(registry::GroupTerm closed, registry::BackendIncarnation chosen);
   /// The term that `chosen` leads, with no less than it was chosen for: else it has started again meanwhile.
   Awaitable<std::optional<std::uint64_t>> wait_promoted(registry::GroupTerm closed, MemberFinding chosen);
@@ -157,10 +157,11 @@
     /// A member left that may have been the only one to hold acknowledged commits beside the primary, and no
     /// other was seen to hold as much as the primary since.
     bool unsettled = false;
-    bool was_replaced = false;  ///< while unsettled: such a member came back under its name, as another life
+    bool was_replaced =
+        false;  ///< while unsettled: such a member came back under its name, as another incarnation
   };
   /// Members come, and leave, as lives: one that started again has left with all that it held.
-  void note_members(Membership& membership, std::set<registry::BackendIncarnation> members);
+  void record_members(Membership& membership, std::set<registry::BackendIncarnation> members);
   std::map<GroupName, Membership> memberships_;
   std::optional<std::uint64_t> watched_revision_;  ///< of the fleet, up to which they are noted
   std::map<GroupName, Suspicion> suspicions_;
--- a/src/registered/control/failover/group_members.cpp
+++ b/src/registered/control/failover/group_members.cpp
@@ -27,10 +27,10 @@
   std::set<registry::BackendIncarnation> members = fleet_.incarnations_of(group);
   const auto [membership, is_new] = memberships_.try_emplace(group);
   if (is_new) membership->second.left_at = runtime_.now();
-  note_members(membership->second, std::move(members));
+  record_members(membership->second, std::move(members));
 }
 
-void GroupKeeper::note_members(Membership& membership, std::set<registry::BackendIncarnation> members) {
+void GroupKeeper::record_members(Membership& membership, std::set<registry::BackendIncarnation> members) {
   if (membership.members == members) return;
   // Lives that ended before the first look are not known of.
   if (membership.members.empty() && any_tells_birth(members)) {
@@ -44,7 +44,7 @@
     membership.unsettled = true;
     const auto next = members.lower_bound({former.name, 0});
     const bool replaced = next != members.end() && next->name == former.name;
-    // Its next life may come a look later.
+    // Its next incarnation may come a look later.
     membership.was_replaced = membership.was_replaced || replaced || former.born_ms != 0;
   }
   membership.members = std::move(members);
--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -53,7 +53,8 @@
     registry::BackendIncarnation to;
     std::shared_ptr<BackendLink> link;
   };
-  /// An idle link to this life of the backend; null: there is none. One to another life is closed.
+  /// An idle link to this incarnation of the backend; null: there is none. One to another incarnation is
+  /// closed.
   std::shared_ptr<BackendLink> take_idle(const registry::BackendEntry& entry);
   std::map<BackendName, IdleLink> idle_;
 };
--- a/src/registered/control/failover/member_pauses.cpp
+++ b/src/registered/control/failover/member_pauses.cpp
@@ -25,9 +25,9 @@
   runtime::Signal changed;
 };
 
-void MemberPauses::note_members() {
-  if (noted_revision_ == fleet_.revision()) return;
-  noted_revision_ = fleet_.revision();
+void MemberPauses::record_members() {
+  if (recorded_revision_ == fleet_.revision()) return;
+  recorded_revision_ = fleet_.revision();
   std::map<BackendIncarnation, Known> known;
   for (const auto& group : fleet_.groups()) {
     for (const BackendIncarnation& member : fleet_.incarnations_of(group.name)) {
--- a/src/registered/control/failover/member_pauses.h
+++ b/src/registered/control/failover/member_pauses.h
@@ -20,10 +20,10 @@
   MemberPauses(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, GroupProber& prober)
       : runtime_(runtime), fleet_(fleet), prober_(prober) {}
 
-  /// Notes since when, and at which revision of the fleet, each life of a backend is known here. Called on
-  /// every control node, so that a new leader knows it of the backends that it applied as a follower:
-  /// committed by then, they were told with every later lease.
-  void note_members();
+  /// Notes since when, and at which revision of the fleet, each incarnation of a backend is known here.
+  /// Called on every control node, so that a new leader knows it of the backends that it applied as a
+  /// follower: committed by then, they were told with every later lease.
+  void record_members();
   /// Pauses the members that may follow the closed group's primary and are not paused for it yet, all at
   /// once.
   Awaitable<void> pause(registry::GroupTerm closed);
@@ -51,7 +51,7 @@
  private:
   struct GroupPauses {
     std::uint64_t epoch = 0;
-    /// When the member had answered the pause. Its next life is not paused.
+    /// When the member had answered the pause. Its next incarnation is not paused.
     std::map<registry::BackendIncarnation, TimePoint> since;
   };
   struct Answers;
@@ -74,7 +74,7 @@
     std::uint64_t revision = 0;
   };
   std::map<registry::BackendIncarnation, Known> known_;
-  std::uint64_t noted_revision_ = 0;
+  std::uint64_t recorded_revision_ = 0;
   std::map<GroupName, GroupPauses> paused_;
 };
 
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -22,7 +22,7 @@
 }
 
 /// Whether its status is that of the life which led the closed term. One that tells its start may answer in
-/// its next life before that one has registered.
+/// its next incarnation before that one has registered.
 bool shows_old_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || !is_old_primary(member, facts)) return false;
   if (!member.entry.tells_birth()) return true;
@@ -40,7 +40,8 @@
   return newest;
 }
 
-/// Whether it may follow: a replica, or the primary's next life where that leads the closed term again.
+/// Whether it may follow: a replica, or the primary's next incarnation where that leads the closed term
+/// again.
 bool may_follow(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || is_old_primary(member, facts)) return false;
   if (!member.status->is_primary) return true;
@@ -76,7 +77,7 @@
   if (!facts.all_acknowledgers_answered) return false;
   const Position& position = candidate.status->received;
   // Proxies that started since the term opened know of no commits of earlier ones. Entries of this term say
-  // that a log has those; that of a life which joined since may lack them.
+  // that a log has those; that of an incarnation which joined since may lack them.
   const bool has_earlier = !candidate.joined_in_term || position.term >= facts.closed.term;
   return has_earlier && position >= facts.highest_acknowledged;
 }
@@ -89,7 +90,7 @@
          facts.highest_acknowledged.index == 0;
 }
 
-/// Whether an empty log says nothing, as a life that tells its start may have lost what it held.
+/// Whether an empty log says nothing, as an incarnation that tells its start may have lost what it held.
 bool is_empty_of_unknown(const MemberFinding& candidate, const PromotionFacts& facts) {
   return candidate.entry.tells_birth() && candidate.status->received.index == 0 && !is_unwritten(facts);
 }
@@ -102,7 +103,7 @@
 
 bool all_replicas_compared(const PromotionFacts& facts) {
   return std::all_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
-    // The primary's next life was no replica of it.
+    // The primary's next incarnation was no replica of it.
     return member.entry.name == facts.closed.primary || was_compared(member, facts);
   });
 }
@@ -148,7 +149,8 @@
   Proof alone = prove_alone(candidate, facts);
   if (alone.holds_all || is_empty_of_unknown(candidate, facts)) return alone;
   const Position& position = candidate.status->received;
-  const bool reaches_known = !facts.replaced_life_is_unsettled && position >= facts.highest_acknowledged;
+  const bool reaches_known =
+      !facts.replaced_incarnation_is_unsettled && position >= facts.highest_acknowledged;
   const bool nobody_left = facts.members_are_stable || reaches_known;
   const bool is_furthest = is_furthest_of_all(candidate, facts);
   if (is_furthest && all_replicas_compared(facts) && facts.synchronous_replicas > 0 && nobody_left)
@@ -156,8 +158,8 @@
   return alone;
 }
 
-/// Whether nobody can be found any more who holds more: the primary's life is over, and all answer. Its next
-/// life is waited for, too: it may have come back with the whole log.
+/// Whether nobody can be found any more who holds more: the primary's incarnation is over, and all answer.
+/// Its next life is waited for, too: it may have come back with the whole log.
 bool is_nothing_left(const PromotionFacts& facts) {
   bool primary_is_over = false;
   for (const MemberFinding& member : facts.members) {
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -16,7 +16,7 @@
 struct MemberFinding {
   registry::BackendEntry entry;
   std::optional<BackendStatus> status;  ///< empty: it did not answer
-  /// It was registered, or changed, since the closed term opened: it may be a life that began since.
+  /// It was registered, or changed, since the closed term opened: it may be an incarnation that began since.
   bool joined_in_term = false;
   bool evacuated = false;  ///< its zone is: as primary it would serve nobody
 };
@@ -27,9 +27,9 @@
   std::vector<MemberFinding> members;
   /// No life of a backend has left the group for so long that whoever stayed has received all that it held.
   bool members_are_stable = false;
-  /// A life that was replaced under its name may have been the only one beside the primary to hold
+  /// An incarnation that was replaced under its name may have been the only one beside the primary to hold
   /// acknowledged commits, and no other was seen to hold as much as the primary since.
-  bool replaced_life_is_unsettled = false;
+  bool replaced_incarnation_is_unsettled = false;
   /// Every proxy that may have acknowledged anything in that term has said its highest position.
   bool all_acknowledgers_answered = false;
   /// Every admitted proxy has answered the close, so that none uses the closed term's primary.
@@ -54,23 +54,23 @@
   BackendName backend;
   std::uint64_t term = 0;  ///< of kReopen and kAdopt
   std::string why;         ///< for the log
-  /// Acknowledged commits may be gone with the lives that held them: nobody is left who could have more.
+  /// Acknowledged commits may be gone with the incarnations that held them: nobody is left who could have
+  /// more.
   bool is_unproved = false;
 };
 
-/// Whether the member tells its start and shows an empty log while others, or proxies, know of more: a life
-/// that has lost what its name held, registered already or not. It proves nothing.
+/// Whether the member tells its start and shows an empty log while others, or proxies, know of more: an
+/// incarnation that has lost what its name held, registered already or not. It proves nothing.
 bool is_blank(const MemberFinding& member, const PromotionFacts& facts);
 
 /// Invariant: with one synchronous replica an acknowledged commit is on the primary and on a replica, each in
-/// one life. So the furthest log holds it when all replicas were compared, or the old primary was, or when it
-/// reaches the highest position that any proxy acknowledged. `reopen_allowed`: the old primary was not given
-/// up for good.
-/// One outside evacuated zones that can be shown to hold all of it comes first, also when it is not the
-/// furthest. One inside follows only a primary that does not answer: then no commit is lost, and the others
-/// catch up from it. While an old primary in an evacuated zone runs, one outside is waited for.
-/// One that is not the furthest is chosen, for a region that more of the group's routes allow, only where it
-/// is proved without being the furthest.
+/// one incarnation. So the furthest log holds it when all replicas were compared, or the old primary was, or
+/// when it reaches the highest position that any proxy acknowledged. `reopen_allowed`: the old primary was
+/// not given up for good. One outside evacuated zones that can be shown to hold all of it comes first, also
+/// when it is not the furthest. One inside follows only a primary that does not answer: then no commit is
+/// lost, and the others catch up from it. While an old primary in an evacuated zone runs, one outside is
+/// waited for. One that is not the furthest is chosen, for a region that more of the group's routes allow,
+/// only where it is proved without being the furthest.
 PromotionChoice choose_promotion(const PromotionFacts& facts, bool reopen_allowed);
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/leader_calls.cpp
+++ b/src/registered/control/leader_calls.cpp
@@ -153,7 +153,7 @@
     co_return response;
   }
   if (const auto* presence = std::get_if<registry::Presence>(&call.body)) {
-    directory_.note_presence(presence->sender, runtime_.now());
+    directory_.record_presence(presence->sender, runtime_.now());
     response.control_endpoints = directory_.serving_endpoints(runtime_.now());
     co_return response;
   }
@@ -171,7 +171,7 @@
 Awaitable<void> LeaderCalls::run_announcements(consensus::Member self) {
   while (!stopping_) {
     if (leads()) {
-      directory_.note_presence(self, runtime_.now());
+      directory_.record_presence(self, runtime_.now());
     } else {
       co_await announce_once(self);
     }
@@ -195,7 +195,7 @@
   const TimePoint deadline = runtime_.now() + kLeaderCallTimeout;
   const auto answer = co_await call(*target, std::move(request), deadline, reason);
   if (!answer) co_return;
-  directory_.note_endpoints(answer->control_endpoints);
+  directory_.record_endpoints(answer->control_endpoints);
   if (!answer->refusal) {
     hinted_leader_ = target;
   } else if (!answer->refusal->peer.empty()) {
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -71,7 +71,7 @@
   follower->peer_endpoint = report.peer_endpoint;
   follower->draining = report.draining;
   if (!follower->admitted) follower->revision_sent = report.revision;
-  note_closed(*follower, report.closed);
+  record_closed(*follower, report.closed);
   for (const auto& suspicion : report.suspicions) {
     if (on_suspicion_) on_suspicion_(follower->node, suspicion);
   }
@@ -125,14 +125,14 @@
   co_return co_await calls_.submit_gathered(std::move(command), reason);
 }
 
-void LeaseKeeper::note_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed) {
+void LeaseKeeper::record_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed) {
   if (closed.empty()) return;
   Life& life = lives_[follower.node];
   if (life.incarnation != follower.incarnation) life = Life{follower.incarnation, {}, 0};
   refresh_answering();
   bool any_is_over = false;
   for (const auto& group : closed) {
-    const bool is_last = close_answers_.note(follower.node, follower.incarnation, group);
+    const bool is_last = close_answers_.record(follower.node, follower.incarnation, group);
     any_is_over = any_is_over || is_last;
   }
   // One by one they would each wake the changes of primary of all closed groups.
@@ -158,8 +158,9 @@
   const TimePoint now = runtime_.now();
   const auto look_at = [this, now](const NodeName& node, std::uint64_t incarnation) {
     const auto life = lives_.find(node);
-    const bool same_life = life != lives_.end() && life->second.incarnation == incarnation;
-    return CloseAnswers::Silent{now <= lease_bound(node, incarnation), same_life ? life->second.revision : 0};
+    const bool same_incarnation = life != lives_.end() && life->second.incarnation == incarnation;
+    return CloseAnswers::Silent{now <= lease_bound(node, incarnation),
+                                same_incarnation ? life->second.revision : 0};
   };
   return close_answers_.progress(group, epoch, look_at);
 }
@@ -205,8 +206,8 @@
       runtime_.spawn("proxy_lapsed", take_out(registry::ForgetProxy{proxy.node, proxy.incarnation},
                                               proxy.node, "proxy_forgotten"));
     } else if (now > bound + kAbsentProxyAfter && !proxy.leaving) {
-      // It may come back in the same life: what it acknowledged still counts, but nobody waits for it to
-      // serve.
+      // It may come back in the same incarnation: what it acknowledged still counts, but nobody waits for it
+      // to serve.
       registry::AdmittedProxy absent = proxy;
       absent.leaving = true;
       runtime_.spawn("proxy_lapsed", take_out(registry::AdmitProxy{absent}, proxy.node, "proxy_absent"));
@@ -260,10 +261,10 @@
   std::vector<registry::ProxyKnowledge> known;
   for (const registry::AdmittedProxy& proxy : fleet_.proxies()) {
     const auto life = lives_.find(proxy.node);
-    const bool same_life = life != lives_.end() && life->second.incarnation == proxy.incarnation;
+    const bool same_incarnation = life != lives_.end() && life->second.incarnation == proxy.incarnation;
     const TimePoint confirmed_before = lease_bound(proxy.node, proxy.incarnation) - serving_lease_;
     known.push_back(
-        {same_life ? life->second.revision : 0, confirmed_before + registry::kBudgetAuthorityWait});
+        {same_incarnation ? life->second.revision : 0, confirmed_before + registry::kBudgetAuthorityWait});
   }
   settled_revision_ = registry::settled_revision(known, fleet_.revision(), now);
   return settled_revision_;
--- a/src/registered/control/leases/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -69,7 +69,7 @@
   /// Until this node leads, or knows who does, at most for kLeaderPatience.
   Awaitable<void> wait_for_leader();
   Awaitable<void> look_for_leader();
-  void note_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed);
+  void record_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed);
   /// Lets the answers be judged by the proxies that are admitted now.
   void refresh_answering();
   Awaitable<void> push_changes();
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -80,7 +80,7 @@
         metrics_(*raft_, fleet_, leases_, groups_, registrations_),
         dispatcher_(runtime) {
     leases_.on_suspicion([this](const NodeName& proxy, const registry::PrimarySuspicion& said) {
-      groups_.note_suspicion(proxy, said);
+      groups_.record_suspicion(proxy, said);
     });
   }
 
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -81,7 +81,7 @@
   return {takers->second[std::hash<BackendName>{}(name) % takers->second.size()]};
 }
 
-void RegistrationService::note_refused(const registry::RefusedRegistration& refused) {
+void RegistrationService::record_refused(const registry::RefusedRegistration& refused) {
   refused_.count(refused.fault);
   registry::log_refused_registration(runtime_.logger(), refused);
 }
@@ -100,7 +100,7 @@
   reason = Reason{ReasonCode::kNotFound, "register_backend", "",
                   fmt::format("group: {} is not named by the document of version {}",
                               registry::printable_name(entry.group.value), fleet_.document_version())};
-  note_refused({registry::RegistrationFault::kUnknownGroup, entry.name.value, reason});
+  record_refused({registry::RegistrationFault::kUnknownGroup, entry.name.value, reason});
   co_return false;
 }
 
@@ -110,15 +110,16 @@
   co_return co_await prober_.is_another(std::move(entry), runtime_.now() + kStatusTimeout);
 }
 
-bool RegistrationService::is_of_former_life(const registry::BackendEntry& entry) const {
+bool RegistrationService::is_of_former_incarnation(const registry::BackendEntry& entry) const {
   if (fleet_.is_deregistered(entry.name, entry.born_ms)) return true;
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
-  if (held != nullptr && entry.is_before_life_of(*held)) return true;
+  if (held != nullptr && entry.is_of_earlier_incarnation_than(*held)) return true;
   const registry::BackendEntry* neighbour = fleet_.find_backend_at(entry.endpoint);
-  return neighbour != nullptr && neighbour->name != entry.name && entry.is_before_life_of(*neighbour);
+  return neighbour != nullptr && neighbour->name != entry.name &&
+         entry.is_of_earlier_incarnation_than(*neighbour);
 }
 
-void RegistrationService::note_outdated(const registry::BackendEntry& entry) {
+void RegistrationService::mark_outdated(const registry::BackendEntry& entry) {
   ++counts_.outdated;
   if (told_outdated_.size() >= kMostToldOutdated) told_outdated_.clear();
   if (!told_outdated_.insert(entry.incarnation()).second) return;
@@ -140,8 +141,8 @@
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
   const registry::Registration registration = place(entry.name, entry.zone);
   // The old news is in the log already, so that it binds whoever serves.
-  if (is_of_former_life(entry)) {
-    note_outdated(entry);
+  if (is_of_former_incarnation(entry)) {
+    mark_outdated(entry);
     co_return registration;
   }
   if (held != nullptr && !entry.supersedes(*held)) co_return registration;
--- a/src/registered/control/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -16,8 +16,8 @@
 
 /// Registrations that were acknowledged here and changed more, or less, than others do.
 struct RegistrationCounts {
-  std::uint64_t outdated = 0;  ///< of a life before the one that holds: without effect
-  std::uint64_t replaced = 0;  ///< of a life that takes the place of another of its name
+  std::uint64_t outdated = 0;  ///< of an incarnation before the one that holds: without effect
+  std::uint64_t replaced = 0;  ///< of an incarnation that takes the place of another of its name
 };
 
 /// What it refers to outlives it.
@@ -40,7 +40,7 @@
   Awaitable<std::optional<registry::Registration>> register_backend(registry::BackendEntry entry,
                                                                     Reason& reason) override;
   Awaitable<bool> deregister_backend(BackendName name, Reason& reason) override;
-  void note_refused(const registry::RefusedRegistration& refused) override;
+  void record_refused(const registry::RefusedRegistration& refused) override;
   [[nodiscard]] const registry::RegistrationFaultCounts& refused() const { return refused_; }
   [[nodiscard]] const RegistrationCounts& counts() const { return counts_; }
   Awaitable<bool> begin_evacuation(ZoneName zone, Reason& reason) override;
@@ -61,10 +61,10 @@
   /// The same, by the newest document where this node's does not say so: it may be behind, and what is valid
   /// must not get lost. kNotFound: it is named nowhere. Other codes: not to be known now.
   Awaitable<bool> is_named(registry::BackendEntry entry, Reason& reason);
-  /// Whether the entry is of a life that is over, by what the log holds of its name and its address.
-  [[nodiscard]] bool is_of_former_life(const registry::BackendEntry& entry) const;
-  /// Counts one that is, and logs the first of each life.
-  void note_outdated(const registry::BackendEntry& entry);
+  /// Whether the entry is of an incarnation that is over, by what the log holds of its name and its address.
+  [[nodiscard]] bool is_of_former_incarnation(const registry::BackendEntry& entry) const;
+  /// Counts one that is, and logs the first of each incarnation.
+  void mark_outdated(const registry::BackendEntry& entry);
   /// Whether another backend, registered at the same address, answers there: then the registration is a late
   /// one of an incarnation that is gone. Taken in, it would displace the other for good, since who was
   /// displaced does not come back.
--- a/src/registered/limits/budget_home.cpp
+++ b/src/registered/limits/budget_home.cpp
@@ -17,7 +17,7 @@
   }
 }
 
-void BudgetHome::note_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now) {
+void BudgetHome::record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now) {
   if (!confirmed_at_ || *confirmed_at_ < confirmed_at) confirmed_at_ = confirmed_at;
   settled_revision_ = std::max(settled_revision_, settled_revision);
   if (settled_revision_ >= revision_ && !settled_since_) settled_since_ = now;
@@ -28,7 +28,7 @@
   return confirmed && settled_revision_ >= count.home_since;
 }
 
-void BudgetHome::note_limit(const Limit& former, const Limit& limit, TimePoint now) {
+void BudgetHome::record_limit(const Limit& former, const Limit& limit, TimePoint now) {
   const bool is_lower = limit.rate_per_s < former.rate_per_s || limit.burst < former.burst;
   if (!is_lower || !limit.bounds() || !former.bounds()) return;
   // A second lowering does not prolong the first.
--- a/src/registered/limits/budget_home.h
+++ b/src/registered/limits/budget_home.h
@@ -55,12 +55,12 @@
   void set_homes(BudgetHomes homes, std::uint64_t revision);
   /// `confirmed_at`: when control was asked the question that it answered last. `settled_revision`: nobody
   /// acts on an older membership any more.
-  void note_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now);
+  void record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now);
   [[nodiscard]] const BudgetHomes& homes() const { return homes_; }
 
   /// A limit was `former` until now. One that was lowered is counted with as it was for a while
   /// (LimitWindow::lowered_after).
-  void note_limit(const Limit& former, const Limit& limit, TimePoint now);
+  void record_limit(const Limit& former, const Limit& limit, TimePoint now);
   Grant grant(const Limit& limit, const TokenWish& wish, TimePoint now);
 
  private:
--- a/src/registered/limits/token_stock.h
+++ b/src/registered/limits/token_stock.h
@@ -12,7 +12,8 @@
 
 namespace cairnhollow::registered::limits {
 
-/// Demand is averaged over this time: several lives of a token, so that a pause does not end asking ahead.
+/// Demand is averaged over this time: several lifetimes of a token, so that a pause does not end asking
+/// ahead.
 inline constexpr Duration kDemandMemory = std::chrono::seconds(1);
 
 class TokenStock {
@@ -32,9 +33,9 @@
   /// One that was taken and not used, since nothing was run. Expires when it would have.
   void give_back(TimePoint expiry) { tokens_.push_front(expiry); }
   /// One more operation wants to begin.
-  void note_demand(TimePoint now) {
+  void record_demand(TimePoint now) {
     rate_ = demand(now) + 1 / std::chrono::duration<double>(kDemandMemory).count();
-    noted_at_ = now;
+    recorded_at_ = now;
   }
   /// Operations to be expected while a token lives.
   [[nodiscard]] std::uint64_t expected(TimePoint now) const {
@@ -46,13 +47,13 @@
  private:
   /// Operations a second.
   [[nodiscard]] double demand(TimePoint now) const {
-    const double age = std::chrono::duration<double>(now - noted_at_) / kDemandMemory;
+    const double age = std::chrono::duration<double>(now - recorded_at_) / kDemandMemory;
     return rate_ * std::exp(-age);
   }
 
   std::deque<TimePoint> tokens_;  ///< when each expires
   double rate_ = 0;
-  TimePoint noted_at_{};
+  TimePoint recorded_at_{};
 };
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -9,43 +9,43 @@
 using Backends = std::span<const BackendFacts>;
 
 bool leads(const BackendFacts& backend) {
-  return may_lead(backend) && obstacle_to_new_work(backend) == Obstacle::kNone;
+  return may_lead(backend) && rejection_of_new_work(backend) == RejectionReason::kNone;
 }
 
-/// Whether it might run the statement in a moment, as far as its own obstacles tell.
+/// Whether it might run the statement in a moment, as far as its own rejection reasons tell.
 bool may_come_round(const BackendFacts& backend) {
-  return obstacle_to_new_work(backend) == Obstacle::kNone && (!backend.leaving || may_lead(backend));
+  return rejection_of_new_work(backend) == RejectionReason::kNone && (!backend.leaving || may_lead(backend));
 }
 
 /// What is over the soonest is what a caller is best told of.
-int nearness(Obstacle obstacle) {
-  if (obstacle == Obstacle::kColdLimit) return 3;
-  if (obstacle == Obstacle::kZoneEvacuated) return 2;
-  return obstacle == Obstacle::kOutsideRegions ? 1 : 0;
+int nearness(RejectionReason rejection) {
+  if (rejection == RejectionReason::kColdLimit) return 3;
+  if (rejection == RejectionReason::kZoneEvacuated) return 2;
+  return rejection == RejectionReason::kOutsideRegions ? 1 : 0;
 }
 
 /// `choice` without a backend, by what keeps new work away from all that are left.
 void explain_closed(BackendChoice& choice, Backends backends) {
   for (const BackendFacts& backend : backends) {
-    const Obstacle obstacle = obstacle_to_new_work(backend);
-    const bool is_first = nearness(choice.obstacle) < nearness(obstacle);
-    const bool is_sooner = choice.obstacle == obstacle && backend.back_in < choice.back_in;
-    if (obstacle == Obstacle::kNone || (!is_first && !is_sooner)) continue;
-    choice.obstacle = obstacle;
+    const RejectionReason rejection = rejection_of_new_work(backend);
+    const bool is_first = nearness(choice.rejection) < nearness(rejection);
+    const bool is_sooner = choice.rejection == rejection && backend.back_in < choice.back_in;
+    if (rejection == RejectionReason::kNone || (!is_first && !is_sooner)) continue;
+    choice.rejection = rejection;
     choice.back_in = backend.back_in;
   }
-  choice.is_final = nearness(choice.obstacle) > 0;
+  choice.is_final = nearness(choice.rejection) > 0;
 }
 
 BackendChoice choose_primary(Backends backends) {
   BackendChoice choice;
-  choice.obstacle = Obstacle::kNoBackend;
+  choice.rejection = RejectionReason::kNoBackend;
   for (std::size_t place = 0; place < backends.size(); ++place) {
     const BackendFacts& backend = backends[place];
     if (!backend.is_primary) continue;
-    choice.obstacle = obstacle_as_primary(backend);
-    if (choice.obstacle == Obstacle::kNone) choice.backend = place;
-    choice.is_final = nearness(choice.obstacle) > 0;
+    choice.rejection = rejection_as_primary(backend);
+    if (choice.rejection == RejectionReason::kNone) choice.backend = place;
+    choice.is_final = nearness(choice.rejection) > 0;
     if (choice.is_final) choice.back_in = backend.back_in;
   }
   return choice;
@@ -55,10 +55,10 @@
   BackendChoice choice;
   if (std::none_of(backends.begin(), backends.end(), may_come_round)) explain_closed(choice, backends);
   if (choice.is_final) return choice;
-  choice.obstacle = Obstacle::kNoBackend;
+  choice.rejection = RejectionReason::kNoBackend;
   for (const BackendFacts& backend : backends) {
-    const bool nearer = choice.obstacle == Obstacle::kNoBackend || may_come_round(backend);
-    if (nearer) choice.obstacle = obstacle_to_read(backend, has_leader);
+    const bool nearer = choice.rejection == RejectionReason::kNoBackend || may_come_round(backend);
+    if (nearer) choice.rejection = rejection_of_read(backend, has_leader);
   }
   return choice;
 }
@@ -70,7 +70,7 @@
   std::optional<std::size_t> last_choice;
   for (std::size_t place = 0; place < backends.size(); ++place) {
     const BackendFacts& backend = backends[place];
-    if (obstacle_to_read(backend, has_leader) != Obstacle::kNone) continue;
+    if (rejection_of_read(backend, has_leader) != RejectionReason::kNone) continue;
     auto& slot = backend.avoided || backend.refused ? last_choice : best;
     if (!slot || backend.cost < backends[*slot].cost) slot = place;
   }
@@ -84,10 +84,10 @@
 
 }  // namespace
 
-Obstacle obstacle_to_new_work(const BackendFacts& backend) {
-  if (!backend.region_allowed) return Obstacle::kOutsideRegions;
-  if (backend.zone_evacuated) return Obstacle::kZoneEvacuated;
-  return backend.cold_limit_reached ? Obstacle::kColdLimit : Obstacle::kNone;
+RejectionReason rejection_of_new_work(const BackendFacts& backend) {
+  if (!backend.region_allowed) return RejectionReason::kOutsideRegions;
+  if (backend.zone_evacuated) return RejectionReason::kZoneEvacuated;
+  return backend.cold_limit_reached ? RejectionReason::kColdLimit : RejectionReason::kNone;
 }
 
 bool may_lead(const BackendFacts& backend) {
@@ -95,29 +95,29 @@
 }
 
 bool may_be_warmed(const BackendFacts& backend) {
-  return !backend.leaving && !backend.avoided && obstacle_to_new_work(backend) == Obstacle::kNone;
+  return !backend.leaving && !backend.avoided && rejection_of_new_work(backend) == RejectionReason::kNone;
 }
 
-Obstacle obstacle_to_read(const BackendFacts& backend, bool has_leader) {
-  if (backend.of_closed_term) return Obstacle::kGroupClosed;
-  const Obstacle closed = obstacle_to_new_work(backend);
-  if (closed != Obstacle::kNone) return closed;
-  if (backend.leaving) return Obstacle::kLeaving;
-  if (backend.tried) return Obstacle::kTried;
-  return backend.lags && has_leader ? Obstacle::kLags : Obstacle::kNone;
+RejectionReason rejection_of_read(const BackendFacts& backend, bool has_leader) {
+  if (backend.of_closed_term) return RejectionReason::kGroupClosed;
+  const RejectionReason closed = rejection_of_new_work(backend);
+  if (closed != RejectionReason::kNone) return closed;
+  if (backend.leaving) return RejectionReason::kLeaving;
+  if (backend.tried) return RejectionReason::kTried;
+  return backend.lags && has_leader ? RejectionReason::kLags : RejectionReason::kNone;
 }
 
-Obstacle obstacle_as_primary(const BackendFacts& backend) {
-  if (backend.of_closed_term) return Obstacle::kGroupClosed;
-  const Obstacle closed = obstacle_to_new_work(backend);
-  if (closed != Obstacle::kNone) return closed;
-  if (backend.leaving_grace_over) return Obstacle::kLeaving;
-  return backend.tried ? Obstacle::kTried : Obstacle::kNone;
+RejectionReason rejection_as_primary(const BackendFacts& backend) {
+  if (backend.of_closed_term) return RejectionReason::kGroupClosed;
+  const RejectionReason closed = rejection_of_new_work(backend);
+  if (closed != RejectionReason::kNone) return closed;
+  if (backend.leaving_grace_over) return RejectionReason::kLeaving;
+  return backend.tried ? RejectionReason::kTried : RejectionReason::kNone;
 }
 
-Obstacle obstacle_at(const BackendFacts& backend, bool primary_only, Backends all) {
-  if (primary_only) return backend.is_primary ? obstacle_as_primary(backend) : Obstacle::kNone;
-  return obstacle_to_read(backend, std::any_of(all.begin(), all.end(), leads));
+RejectionReason rejection_at(const BackendFacts& backend, bool primary_only, Backends all) {
+  if (primary_only) return backend.is_primary ? rejection_as_primary(backend) : RejectionReason::kNone;
+  return rejection_of_read(backend, std::any_of(all.begin(), all.end(), leads));
 }
 
 BackendChoice choose_backend(bool primary_only, Backends backends) {
--- a/src/registered/placement/backend_choice.h
+++ b/src/registered/placement/backend_choice.h
@@ -6,26 +6,28 @@
 #include <span>
 
 #include "registered/placement/facts.h"
-#include "registered/placement/obstacle.h"
+#include "registered/placement/rejection_reason.h"
 
 namespace cairnhollow::registered::placement {
 
 /// What keeps all new work away from the backend, whatever the work is; kNone when nothing does.
-Obstacle obstacle_to_new_work(const BackendFacts& backend);
+RejectionReason rejection_of_new_work(const BackendFacts& backend);
 /// Whether it leads, as far as this proxy knows, and may still be believed.
 bool may_lead(const BackendFacts& backend);
 /// Whether links to the backend are opened ahead of need.
 bool may_be_warmed(const BackendFacts& backend);
 /// Why a read passes over the backend; `has_leader`: a primary could run it instead.
-Obstacle obstacle_to_read(const BackendFacts& backend, bool has_leader);
+RejectionReason rejection_of_read(const BackendFacts& backend, bool has_leader);
 /// Why what needs the primary does not run at this one.
-Obstacle obstacle_as_primary(const BackendFacts& backend);
+RejectionReason rejection_as_primary(const BackendFacts& backend);
 /// Why the statement does not go to the backend, for the log.
-Obstacle obstacle_at(const BackendFacts& backend, bool primary_only, std::span<const BackendFacts> all);
+RejectionReason rejection_at(const BackendFacts& backend, bool primary_only,
+                             std::span<const BackendFacts> all);
 
 struct BackendChoice {
-  std::optional<std::size_t> backend;   ///< place in the list of facts
-  Obstacle obstacle = Obstacle::kNone;  ///< of the backend nearest to running it, when none is chosen
+  std::optional<std::size_t> backend;  ///< place in the list of facts
+  RejectionReason rejection =
+      RejectionReason::kNone;  ///< of the backend nearest to running it, when none is chosen
   /// Nothing but what keeps new work away stands in the way: waiting a moment would not help.
   bool is_final = false;
   Duration back_in{0};  ///< with `is_final`: when to come back; 0: not known
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -10,7 +10,7 @@
 
 #include "registered/placement/backend_choice.h"
 #include "registered/placement/facts.h"
-#include "registered/placement/obstacle.h"
+#include "registered/placement/rejection_reason.h"
 
 namespace cairnhollow::registered::placement {
 
@@ -25,14 +25,14 @@
 enum class Action : std::uint8_t {
   kRun,     ///< at `backend`
   kWait,    ///< until something of the group or the lease has changed, or a moment; then ask again
-  kRefuse,  ///< since `obstacle`; come back in `back_in`
+  kRefuse,  ///< since `rejection`; come back in `back_in`
 };
 
 struct Placement {
   Action action = Action::kRefuse;
-  std::size_t backend = 0;              ///< of kRun: place in the list of facts
-  Obstacle obstacle = Obstacle::kNone;  ///< what is waited for to go, or why it is refused
-  Duration back_in{0};                  ///< of kRefuse
+  std::size_t backend = 0;                             ///< of kRun: place in the list of facts
+  RejectionReason rejection = RejectionReason::kNone;  ///< what is waited for to go, or why it is refused
+  Duration back_in{0};                                 ///< of kRefuse
 };
 /// What becomes of a statement that this proxy is to run.
 Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
@@ -57,19 +57,19 @@
 bool may_another_serve(const ProxyFacts& proxy);
 
 /// Whether a caller's key lets its statements be sent.
-Obstacle key_obstacle(const KeyFacts& key);
+RejectionReason key_rejection(const KeyFacts& key);
 /// Whether a write may begin; `commits_stall`: commits sent before have no answer.
-Obstacle commit_obstacle(bool writes, bool commits_stall);
+RejectionReason commit_rejection(bool writes, bool commits_stall);
 
 enum class SendAction : std::uint8_t { kSend, kChooseAgain, kRefuse };
 struct SendDecision {
   SendAction action = SendAction::kSend;
-  Obstacle obstacle = Obstacle::kNone;
+  RejectionReason rejection = RejectionReason::kNone;
 };
 /// The last look at a statement that has waited for a place and a link at `backend`.
 SendDecision before_sending(const SendFacts& facts, const BackendFacts& backend);
 
 /// Why a transaction may not go on at the backend where it is open: it is ended and nothing of it is kept.
-Obstacle obstacle_in_transaction(const TransactionFacts& facts, const BackendFacts& backend);
+RejectionReason rejection_in_transaction(const TransactionFacts& facts, const BackendFacts& backend);
 
 }  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/obstacle.cpp
+++ b/src/registered/placement/rejection_reason.cpp
@@ -1,4 +1,4 @@
-#include "registered/placement/obstacle.h"
+#include "registered/placement/rejection_reason.h"
 
 #include <array>
 
@@ -12,7 +12,7 @@
 };
 
 /// In the order of Obstacle.
-constexpr std::array<Words, kObstacleCount> kObstacles{{
+constexpr std::array<Words, kRejectionReasonCount> kRejectionReasons{{
     {"none", ""},
     {"outside_regions", "it may run in no region that has a backend of the group"},
     {"zone_evacuated", "the zone of the backend that could run it is evacuated"},
@@ -39,17 +39,17 @@
 
 }  // namespace
 
-const char* obstacle_name(Obstacle obstacle) {
-  return kObstacles.at(static_cast<std::size_t>(obstacle)).name;
+const char* rejection_name(RejectionReason rejection) {
+  return kRejectionReasons.at(static_cast<std::size_t>(rejection)).name;
 }
 
-const char* obstacle_text(Obstacle obstacle) {
-  return kObstacles.at(static_cast<std::size_t>(obstacle)).text;
+const char* rejection_text(RejectionReason rejection) {
+  return kRejectionReasons.at(static_cast<std::size_t>(rejection)).text;
 }
 
-std::optional<Obstacle> find_obstacle(std::string_view name) {
-  for (std::size_t place = 0; place < kObstacles.size(); ++place) {
-    if (kObstacles[place].name == name) return static_cast<Obstacle>(place);
+std::optional<RejectionReason> find_rejection(std::string_view name) {
+  for (std::size_t place = 0; place < kRejectionReasons.size(); ++place) {
+    if (kRejectionReasons[place].name == name) return static_cast<RejectionReason>(place);
   }
   return std::nullopt;
 }
--- a/src/registered/placement/obstacle.h
+++ b/src/registered/placement/rejection_reason.h
@@ -10,7 +10,7 @@
 namespace cairnhollow::registered::placement {
 
 /// The places are part of nothing that is stored or sent: names are what others see.
-enum class Obstacle : std::uint8_t {
+enum class RejectionReason : std::uint8_t {
   kNone,
   // Of one backend.
   kOutsideRegions,  ///< neither its route nor its tenant lets the statement run in the backend's region
@@ -35,15 +35,16 @@
   kKeyUnconfirmed,   ///< control did not confirm the key lately enough
   kOverLimit,        ///< the tenant has no token for one more operation
 };
-inline constexpr std::size_t kObstacleCount = static_cast<std::size_t>(Obstacle::kOverLimit) + 1;
+inline constexpr std::size_t kRejectionReasonCount =
+    static_cast<std::size_t>(RejectionReason::kOverLimit) + 1;
 
 /// Stable lower-case name for logs and metrics, e.g. "zone_evacuated".
-const char* obstacle_name(Obstacle obstacle);
+const char* rejection_name(RejectionReason rejection);
 /// For people, as a part of a sentence: "the group has no primary now".
-const char* obstacle_text(Obstacle obstacle);
+const char* rejection_text(RejectionReason rejection);
 
-/// The obstacle of that name; empty when there is none.
-std::optional<Obstacle> find_obstacle(std::string_view name);
+/// The rejection reason of that name; empty when there is none.
+std::optional<RejectionReason> find_rejection(std::string_view name);
 
 /// Why a statement is passed on to another proxy.
 enum class ForwardCause : std::uint8_t { kServedElsewhere, kNoLease, kPrimaryUnreachable, kPrimaryFull };
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -93,17 +93,17 @@
   const registry::TenantRule* tenant = view.tenants().find_by_key(key_);
   const placement::KeyFacts key{true, tenant != nullptr,
                                 view.keys_confirmed().allows(services_.runtime.now())};
-  const auto obstacle = placement::key_obstacle(key);
-  if (obstacle == placement::Obstacle::kNone) {
+  const auto rejection = placement::key_rejection(key);
+  if (rejection == placement::RejectionReason::kNone) {
     order.key = key_;
     order.tenant = tenant->name;
     return true;
   }
-  const bool unknown = obstacle == placement::Obstacle::kKeyUnauthorized;
-  refusal = refuse(refusal_of(obstacle),
+  const bool unknown = rejection == placement::RejectionReason::kKeyUnauthorized;
+  refusal = refuse(refusal_of(rejection),
                    unknown ? "the key proves no tenant any more"
                            : "keys can't be confirmed without control; come back through another proxy");
-  services_.metrics.count_unplaced(obstacle);
+  services_.metrics.count_unplaced(rejection);
   services_.runtime.logger().log(
       LogLevel::kWarning, "key_refused",
       {{"id", order.id},
@@ -268,7 +268,7 @@
   return done();
 }
 
-void CallerSession::note_committed(const RunOrder& order, const Answer& answer) {
+void CallerSession::record_committed(const RunOrder& order, const Answer& answer) {
   if (!answer.succeeded() || !answer.position) return;
   committed_ = SessionCommit{answer.position, services_.runtime.now()};
   committed_in_ = order.group->group();
@@ -281,7 +281,7 @@
   token = admission.expires_at;
   if (admission.outcome == AdmissionOutcome::kAdmitted) co_return true;
   const bool is_over = admission.outcome == AdmissionOutcome::kOverLimit;
-  if (is_over) services_.metrics.count_unplaced(placement::Obstacle::kOverLimit);
+  if (is_over) services_.metrics.count_unplaced(placement::RejectionReason::kOverLimit);
   refusal = refuse(is_over ? Refusal::kOverLimit : Refusal::kBusy,
                    fmt::format("{}; come back in {} ms",
                                is_over ? "the tenant is over its limit" : "the tenant can't be counted now",
@@ -312,7 +312,7 @@
   const bool writes = order->writes;
   const RunOrder kept = *order;
   RunResult result = co_await run_admitted(std::move(*order));
-  if (writes) note_committed(kept, result.answer);
+  if (writes) record_committed(kept, result.answer);
   served_by_ = result.served_by;
   co_return std::move(result.answer);
 }
@@ -377,7 +377,7 @@
   const RunOrder kept = *order;
   Answer answer = co_await runner_.run_pinned(pinned, std::move(*order), true, wrote);
   served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
-  if (wrote) note_committed(kept, answer);
+  if (wrote) record_committed(kept, answer);
   if (answer.state == TransactionState::kIdle) {
     runner_.give_back(pinned);
   } else {
--- a/src/registered/proxy/callers/caller_session.h
+++ b/src/registered/proxy/callers/caller_session.h
@@ -83,7 +83,7 @@
   [[nodiscard]] Answer done() const;
   [[nodiscard]] TransactionState state() const;
   Awaitable<void> end_transaction();
-  void note_committed(const RunOrder& order, const Answer& answer);
+  void record_committed(const RunOrder& order, const Answer& answer);
 
   SessionServices services_;
   StatementRunner runner_;
--- a/src/registered/proxy/fleet/fleet_link.cpp
+++ b/src/registered/proxy/fleet/fleet_link.cpp
@@ -60,7 +60,7 @@
   return endpoints;
 }
 
-void FleetLink::note_lost(const Reason& reason, const std::string& peer) {
+void FleetLink::mark_lost(const Reason& reason, const std::string& peer) {
   if (!std::exchange(connected_, false)) return;
   runtime_.logger().log(LogLevel::kWarning, "control_lost", reason, {{"control", peer}});
 }
@@ -104,7 +104,7 @@
     if (stopping_ || conversation->broken) co_return;
     const std::string peer = conversation->connection->peer();
     if (conversation->is_stalled(runtime_.now())) {
-      note_lost(Reason{ReasonCode::kDeadlineExceeded, "renew_lease", peer, "no answer in time"}, peer);
+      mark_lost(Reason{ReasonCode::kDeadlineExceeded, "renew_lease", peer, "no answer in time"}, peer);
       co_return;
     }
     const registry::ProxyReport report = make_report();
@@ -114,7 +114,7 @@
     conversation->asked[report.nonce] = conversation->last_asked_at;
     Reason reason;
     const bool sent = co_await conversation->connection->send(wire::encode(report), reason);
-    if (!sent) note_lost(reason, peer);
+    if (!sent) mark_lost(reason, peer);
     if (!sent) co_return;
   }
 }
@@ -127,7 +127,7 @@
     if (frame) update = wire::decode<registry::ProxyUpdate>(*frame, reason);
     if (conversation->broken) co_return;
     if (!update) {
-      note_lost(reason, conversation->connection->peer());
+      mark_lost(reason, conversation->connection->peer());
       conversation->broken = true;
     } else {
       take_update(*conversation, *update);
@@ -137,7 +137,7 @@
 }
 
 void FleetLink::take_refusal(ControlConversation& conversation, const Reason& refusal) {
-  note_lost(refusal, conversation.connection->peer());
+  mark_lost(refusal, conversation.connection->peer());
   conversation.broken = true;
   if (refusal.code == ReasonCode::kNotLeader && !refusal.peer.empty())
     hinted_leader_ = Endpoint{refusal.peer, settings_.control_port};
--- a/src/registered/proxy/fleet/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -56,7 +56,7 @@
   void take_refusal(ControlConversation& conversation, const Reason& refusal);
   /// `bytes`: of the delta on its way.
   void take_delta(const registry::FleetDelta& delta, std::size_t bytes);
-  void note_lost(const Reason& reason, const std::string& peer);
+  void mark_lost(const Reason& reason, const std::string& peer);
 
   runtime::Runtime& runtime_;
   SessionProxySettings settings_;
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -105,7 +105,7 @@
     log_evacuation("evacuation_in_force", zone, delta.revision);
   }
   if (!changed) return ended;
-  for (const auto& [name, group] : groups_) group->note_evacuations();
+  for (const auto& [name, group] : groups_) group->record_evacuations();
   return ended;
 }
 
@@ -131,7 +131,7 @@
   for (const registry::TenantRule& tenant : delta.tenants) {
     const auto former = tenant_limit(tenant.name);
     tenants_.put(tenant);
-    if (former) budgets_.note_limit(*former, *tenant_limit(tenant.name), runtime_.now());
+    if (former) budgets_.record_limit(*former, *tenant_limit(tenant.name), runtime_.now());
   }
   if (!delta.tenants.empty() || !delta.removed_tenants.empty()) forward_for_.clear();
 }
@@ -171,7 +171,7 @@
 }
 
 void FleetView::divide_groups(const std::vector<subset::ProxyPointer>& takers) {
-  others_ = routing::forwarding_order(takers, node_, zone_);
+  others_ = subset::forwarding_order(takers, node_, zone_);
   std::erase_if(others_, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
   const subset::SubsetTable table(takers);
   forward_to_.clear();
@@ -184,7 +184,7 @@
       if (requires_keys_) share_connections(*group, takers);
       if (!requires_keys_) group->share_connections(proxies_.size());
       also_serving_[name] = others_;
-      serving_[name] = routing::forwarding_order(takers, node_, zone_);
+      serving_[name] = subset::forwarding_order(takers, node_, zone_);
       continue;
     }
     const auto serving = table.serving(name, static_cast<std::uint32_t>(size));
@@ -192,7 +192,7 @@
     const bool serves =
         std::any_of(serving.begin(), serving.end(),
                     [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
-    auto order = routing::forwarding_order(serving, node_, zone_);
+    auto order = subset::forwarding_order(serving, node_, zone_);
     serving_[name] = order;
     std::erase_if(order, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
     (serves ? also_serving_ : forward_to_)[name] = std::move(order);
@@ -272,22 +272,22 @@
 
 bool FleetView::names_regions() const { return routes_name_regions_ || tenants_.any_names_regions(); }
 
-void FleetView::note_zone(const ZoneName& zone) {
+void FleetView::record_zone(const ZoneName& zone) {
   if (regions_.find(zone) != nullptr || !told_unknown_.insert(zone).second) return;
   runtime_.logger().log(runtime::LogLevel::kWarning, "region_unknown",
                         {{"zone", zone.value}, {"version", std::to_string(document_version_)}});
 }
 
-void FleetView::note_unknown_regions(const registry::FleetDelta& delta) {
+void FleetView::record_unknown_regions(const registry::FleetDelta& delta) {
   if (!names_regions()) return;
-  for (const registry::BackendEntry& backend : delta.backends) note_zone(backend.zone);
-  for (const registry::AdmittedProxy& proxy : delta.proxies) note_zone(proxy.zone);
+  for (const registry::BackendEntry& backend : delta.backends) record_zone(backend.zone);
+  for (const registry::AdmittedProxy& proxy : delta.proxies) record_zone(proxy.zone);
   if (delta.routes.empty() && delta.tenants.empty()) return;
   // These lists may be the first ones.
   for (const auto& [name, group] : groups_) {
-    for (const auto& [backend, use] : group->backends()) note_zone(use->entry.zone);
+    for (const auto& [backend, use] : group->backends()) record_zone(use->entry.zone);
   }
-  for (const auto& [node, proxy] : proxies_) note_zone(proxy.zone);
+  for (const auto& [node, proxy] : proxies_) record_zone(proxy.zone);
 }
 
 void FleetView::apply(const registry::FleetDelta& delta) {
@@ -301,12 +301,12 @@
   const bool divides = keys_changed_ || changes_division(delta);
   apply_backends(delta);
   for (const ZoneName& zone : given_back) {
-    for (const auto& [name, group] : groups_) group->note_evacuation_ended(zone);
+    for (const auto& [name, group] : groups_) group->record_evacuation_ended(zone);
   }
   for (const registry::GroupTerm& term : delta.terms) access(term.group)->set_term(term);
   const auto changed = changed_proxies(delta);
   apply_proxies(delta);
-  note_unknown_regions(delta);
+  record_unknown_regions(delta);
   if (!divides) return;
   const auto takers = this->takers();
   if (!changed.empty()) budgets_.set_homes(limits::BudgetHomes(takers, changed), revision_);
@@ -325,8 +325,8 @@
 }
 
 void FleetView::extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t settled_revision) {
-  keys_confirmed_.note(asked_at);
-  budgets_.note_confirmed(asked_at, settled_revision, runtime_.now());
+  keys_confirmed_.record(asked_at);
+  budgets_.record_confirmed(asked_at, settled_revision, runtime_.now());
   lease_until_ = std::max(lease_until_, until);
   renewed_.notify_all();
 }
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -117,7 +117,7 @@
   [[nodiscard]] std::vector<registry::ClosedGroup> closed_groups() const;
 
   /// Whether the primary of `epoch` may be sent to, and its answers be passed on, at this moment: not once
-  /// another life has its name.
+  /// another incarnation has its name.
   [[nodiscard]] bool may_use_primary(const GroupAccess& group, std::uint64_t epoch) const {
     const bool is_same = group.term().open && group.term().epoch == epoch && !group.is_primary_restarted();
     return is_same && holds_lease_for(group);
@@ -161,8 +161,8 @@
   /// Some route or tenant names the regions in which its statements run.
   [[nodiscard]] bool names_regions() const;
   /// Logs zones that lists of regions shut out, since no setting tells where they are.
-  void note_unknown_regions(const registry::FleetDelta& delta);
-  void note_zone(const ZoneName& zone);
+  void record_unknown_regions(const registry::FleetDelta& delta);
+  void record_zone(const ZoneName& zone);
   /// Proxies that the delta names, as they are or were.
   [[nodiscard]] std::vector<subset::ProxyPointer> changed_proxies(const registry::FleetDelta& delta) const;
   /// Those that take new work.
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -9,8 +9,8 @@
 namespace cairnhollow::registered::proxy {
 
 /// What it refers to outlives it. What the view holds is committed: it may be old, but then it is not newer
-/// than what the backend says, and a difference sends the backend to control. A heartbeat of a life before
-/// the one that is held says nothing new either.
+/// than what the backend says, and a difference sends the backend to control. A heartbeat of an incarnation
+/// before the one that is held says nothing new either.
 class KnownRegistrations : public registry::RegistrationRelay {
  public:
   KnownRegistrations(runtime::Runtime& runtime, const FleetView& view, const FleetLink& link,
@@ -20,13 +20,13 @@
   [[nodiscard]] bool knows(const registry::BackendEntry& entry) const override {
     const registry::BackendEntry* held = view_.find_backend(entry.name);
     if (held == nullptr) return false;
-    const bool is_late = entry.tells_birth() && entry.is_before_life_of(*held);
+    const bool is_late = entry.tells_birth() && entry.is_of_earlier_incarnation_than(*held);
     return is_late || held->same_facts(entry);
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override {
     return link_.registration_endpoint();
   }
-  void note_refused(const registry::RefusedRegistration& refused) const override {
+  void record_refused(const registry::RefusedRegistration& refused) const override {
     metrics_.count_registration_refused(refused.fault);
     registry::log_refused_registration(runtime_.logger(), refused);
   }
--- a/src/registered/proxy/fleet/leader_search.cpp
+++ b/src/registered/proxy/fleet/leader_search.cpp
@@ -75,8 +75,8 @@
   if (conversation) conversation->close();
   if (round->over) co_return;
   if (answer) reason = *answer->refusal;
-  if (conversation && !answer) note_closed_unanswered();
-  note_failure(reason, endpoint);
+  if (conversation && !answer) record_closed_unanswered();
+  record_failure(reason, endpoint);
   if (answer) take_hint(round, reason);
 }
 
@@ -114,7 +114,7 @@
   }
 }
 
-void LeaderSearch::note_closed_unanswered() {
+void LeaderSearch::record_closed_unanswered() {
   const bool was_compressed = hello_.conversation == wire::Conversation::kServingCompressed;
   hello_.conversation =
       was_compressed ? wire::Conversation::kServing : wire::Conversation::kServingCompressed;
@@ -127,7 +127,7 @@
   runtime_.spawn("leader_search_hint", ask(round, leader, kControlDial));
 }
 
-void LeaderSearch::note_failure(const Reason& reason, const Endpoint& endpoint) {
+void LeaderSearch::record_failure(const Reason& reason, const Endpoint& endpoint) {
   const TimePoint now = runtime_.now();
   if (now - logged_at_ < kSearchLogInterval) return;
   logged_at_ = now;
--- a/src/registered/proxy/fleet/leader_search.h
+++ b/src/registered/proxy/fleet/leader_search.h
@@ -57,11 +57,11 @@
   Awaitable<void> close_when_stalled(std::shared_ptr<ControlConversation> conversation);
   /// A control node of a build before compressed deltas closes without a word: the next one is asked for
   /// plain deltas, and after another such end for compressed ones again.
-  void note_closed_unanswered();
+  void record_closed_unanswered();
   void take_hint(const RoundPointer& round, const Reason& refusal);
   void end(Round& round);
   /// Told at most every kSearchLogInterval.
-  void note_failure(const Reason& reason, const Endpoint& endpoint);
+  void record_failure(const Reason& reason, const Endpoint& endpoint);
 
   runtime::Runtime& runtime_;
   wire::Hello hello_;
--- a/src/registered/proxy/forwarding/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -137,12 +137,12 @@
   while (!peer->is_open() && peer->is_dialling && !peer->is_unreachable && runtime_.now() < patience)
     co_await peer->dialled.wait_until(patience);
   if (peer->is_open()) co_return peer->connection;
-  note_unreachable(*peer);
+  mark_unreachable(*peer);
   reason = peer->last_reason;
   co_return nullptr;
 }
 
-void Forwarder::note_unreachable(ForwardPeer& peer) {
+void Forwarder::mark_unreachable(ForwardPeer& peer) {
   if (!peer.last_reason.failed())
     peer.last_reason = Reason{ReasonCode::kDeadlineExceeded, "open_connection", peer.endpoint.to_string(),
                               "not opened soon"};
@@ -152,7 +152,7 @@
                         {{"proxy", peer.name.value}});
 }
 
-void Forwarder::note_reached(ForwardPeer& peer) {
+void Forwarder::record_reached(ForwardPeer& peer) {
   if (!std::exchange(peer.is_unreachable, false)) return;
   const std::int64_t away = in_ms(runtime_.now() - peer.unreachable_since);
   runtime_.logger().log(runtime::LogLevel::kInfo, "proxy_reached",
@@ -176,8 +176,8 @@
     if (is_reached && peer->is_unreachable) is_reached = co_await shows_life(connection, peer->last_reason);
     if (connection && !is_reached) connection->close();
     if (is_reached) peer->connection = connection;
-    if (is_reached) note_reached(*peer);
-    if (!is_reached) note_unreachable(*peer);
+    if (is_reached) record_reached(*peer);
+    if (!is_reached) mark_unreachable(*peer);
     peer->dialled.notify_all();
     if (!is_reached) co_await runtime_.sleep_for(runtime_.random().between(pause / 2, pause));
     pause = std::min<Duration>(pause * 2, kForwardRedialLimit);
@@ -216,14 +216,14 @@
   co_return answer.has_value();
 }
 
-void Forwarder::note_no_answer(const NodeName& proxy, const GroupName& group) {
+void Forwarder::record_no_answer(const NodeName& proxy, const GroupName& group) {
   avoid_for(proxy, group);
   const auto found = peers_.find(proxy);
   if (found == peers_.end() || found->second->is_open()) return;
   ForwardPeer& peer = *found->second;
   peer.last_reason = Reason{ReasonCode::kConnectionLost, "forward", peer.endpoint.to_string(),
                             "no answer and no sign of life"};
-  note_unreachable(peer);
+  mark_unreachable(peer);
   start_dialling(found->second);
 }
 
--- a/src/registered/proxy/forwarding/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -88,7 +88,7 @@
   Awaitable<std::shared_ptr<ForwardConnection>> connect(subset::ProxyPointer proxy, TimePoint deadline,
                                                         Reason& reason);
   /// A statement of the group had no answer: others are tried first until the proxy shows life.
-  void note_no_answer(const NodeName& proxy, const GroupName& group);
+  void record_no_answer(const NodeName& proxy, const GroupName& group);
   /// The proxy can't serve the group now: others are tried first for a while.
   void avoid_for(const NodeName& proxy, const GroupName& group);
   /// It was not reached when it was wanted last, and has shown no life since.
@@ -98,8 +98,8 @@
  private:
   using PeerPointer = std::shared_ptr<ForwardPeer>;
 
-  void note_unreachable(ForwardPeer& peer);
-  void note_reached(ForwardPeer& peer);
+  void mark_unreachable(ForwardPeer& peer);
+  void record_reached(ForwardPeer& peer);
   void start_dialling(const PeerPointer& peer);
   /// Until the peer is reached, or nobody has wanted it for a while: then nothing is known of it any more,
   /// and the next statement finds out.
--- a/src/registered/proxy/group/backend_use.cpp
+++ b/src/registered/proxy/group/backend_use.cpp
@@ -14,7 +14,7 @@
   return usual_ms + (latency_ms_ - usual_ms) * std::exp(-age);
 }
 
-void BackendUse::note_latency(double took_ms, double usual_ms, TimePoint now) {
+void BackendUse::record_latency(double took_ms, double usual_ms, TimePoint now) {
   const double before = latency_ms(now, usual_ms);
   latency_ms_ = before + kLatencyWeight * (took_ms - before);
   latency_noted_at_ = now;
@@ -26,7 +26,7 @@
   return half_lives >= kNothingLeft ? Duration(0) : lag_ / (std::int64_t{1} << half_lives);
 }
 
-void BackendUse::note_applied(Duration age, bool was_there, TimePoint now) {
+void BackendUse::record_applied(Duration age, bool was_there, TimePoint now) {
   const Duration before = lag(now);
   lag_noted_at_ = now;
   if (was_there) {
@@ -36,7 +36,7 @@
   }
 }
 
-bool BackendUse::note_shown(std::uint64_t term, Position position) {
+bool BackendUse::record_shown(std::uint64_t term, Position position) {
   if (term != shown_term_) shown_ = Position{};
   shown_term_ = term;
   // Entries of earlier terms may still be rolled back.
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -12,18 +12,18 @@
 
 using std::chrono::duration;
 
-void GroupAccess::note_latency(BackendUse& backend, Duration took) {
+void GroupAccess::record_latency(BackendUse& backend, Duration took) {
   const double took_ms = duration<double, std::milli>(took).count();
   usual_latency_ms_ += kUsualLatencyWeight * (took_ms - usual_latency_ms_);
-  backend.note_latency(took_ms, usual_latency_ms_, runtime_.now());
+  backend.record_latency(took_ms, usual_latency_ms_, runtime_.now());
 }
 
-void GroupAccess::note_replica(BackendUse& backend, const ReadNeed& need, std::optional<Position> shown) {
+void GroupAccess::record_replica(BackendUse& backend, const ReadNeed& need, std::optional<Position> shown) {
   const TimePoint now = runtime_.now();
-  if (!shown) return backend.note_applied(now - need.required_since, false, now);
+  if (!shown) return backend.record_applied(now - need.required_since, false, now);
   const auto first_seen = positions_.first_seen(*shown);
   // What it shows is newer than all that the primary was seen to have.
-  backend.note_applied(first_seen ? now - *first_seen : Duration(0), true, now);
+  backend.record_applied(first_seen ? now - *first_seen : Duration(0), true, now);
 }
 
 void GroupAccess::set_term(const registry::GroupTerm& term) {
@@ -52,9 +52,9 @@
 
 void GroupAccess::put_backend(const registry::BackendEntry& entry) {
   auto& use = backends_[entry.name];
-  const bool is_other_life = use && use->entry.incarnation() != entry.incarnation();
-  if (!use || is_other_life || use->entry.endpoint != entry.endpoint) {
-    if (is_other_life) retire(*use);
+  const bool is_other_incarnation = use && use->entry.incarnation() != entry.incarnation();
+  if (!use || is_other_incarnation || use->entry.endpoint != entry.endpoint) {
+    if (is_other_incarnation) retire(*use);
     if (use) use->pool.close_idle();
     use = std::make_shared<BackendUse>(runtime_, dialer_, entry, evacuated_);
     ++membership_;
@@ -70,7 +70,7 @@
 void GroupAccess::retire(BackendUse& use) {
   use.pool.retire();
   if (use.entry.name != term_.primary) return;
-  // What the former life was sent is in doubt, and what it showed says nothing of the next one.
+  // What the former incarnation was sent is in doubt, and what it showed says nothing of the next one.
   for (const auto& [key, work] : work_) work.link->close();
   forget_positions();
 }
@@ -113,8 +113,8 @@
   const TimePoint deadline = runtime_.now() + kDialTimeout;
   const LinkDeadlines deadlines{deadline, deadline};
   auto link = co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
-  if (link) backend->rebirth.note_reached(runtime_.now());
-  if (!link && !refusal) backend->rebirth.note_unreachable();
+  if (link) backend->rebirth.record_reached(runtime_.now());
+  if (!link && !refusal) backend->rebirth.mark_unreachable();
   if (link) backend->pool.release(std::move(link));
   if (!link) backend->avoid_until = runtime_.now() + kAvoidBackend;
 }
@@ -176,7 +176,7 @@
   return runtime_.now() < backend.cold_limit_reached_until && is_cold(backend);
 }
 
-void GroupAccess::note_evacuation_ended(const ZoneName& zone) {
+void GroupAccess::record_evacuation_ended(const ZoneName& zone) {
   for (const auto& [name, use] : backends_) {
     if (use->entry.zone == zone) use->cold_until = runtime_.now() + kColdAfterEvacuation;
   }
@@ -203,14 +203,14 @@
   // A primary goes on for a while, so that it is followed while it runs.
   facts.transaction_grace_over = backend.is_off_limits(now);
   facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
-  if (facts.zone_evacuated) facts.back_in = kEvacuatedComeBack;
+  if (facts.zone_evacuated) facts.back_in = kRetryAfterEvacuation;
   facts.tried = question.tried != nullptr && question.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
   facts.refused = backend.pool.is_refused();
   facts.cold_limit_reached = is_cold_limit_reached(backend);
   if (facts.cold_limit_reached) facts.back_in = backend.cold_limit_reached_until - now;
   if (question.allowed != nullptr) facts.region_allowed = question.allowed->allows(backend.entry.zone);
-  if (!facts.region_allowed) facts.back_in = kOutsideRegionsComeBack;
+  if (!facts.region_allowed) facts.back_in = kRetryAfterOutsideRegions;
   if (question.need == nullptr || question.need->primary_only) return facts;
   facts.lags = !facts.is_primary && backend.lag(now) > now - question.need->required_since;
   facts.cost = cost_of(backend);
@@ -347,7 +347,7 @@
   return commits_stall_ && any;
 }
 
-void GroupAccess::note_commit_answered(TimePoint sent_at) {
+void GroupAccess::record_commit_answered(TimePoint sent_at) {
   answered_commit_sent_ = std::max(answered_commit_sent_, sent_at);
   if (!std::exchange(commits_stall_, false)) return;
   runtime_.logger().log(
@@ -355,7 +355,7 @@
       {{"group", group_.value}, {"primary", term_.primary.value}, {"epoch", std::to_string(term_.epoch)}});
 }
 
-bool GroupAccess::note_broken_off() {
+bool GroupAccess::mark_broken_off() {
   const TimePoint now = runtime_.now();
   if (broken_off_++ == 0) broken_off_since_ = now;
   return broken_off_ >= kBrokenOffStatements && now - broken_off_since_ >= kBrokenOffFor;
--- a/src/registered/proxy/group/group_access.h
+++ b/src/registered/proxy/group/group_access.h
@@ -46,18 +46,18 @@
   TimePoint cold_until{};                ///< whatever it says, since its zone was evacuated
   TimePoint cold_limit_reached_until{};  ///< no token for it before
 
-  void note_latency(double took_ms, double usual_ms, TimePoint now);
+  void record_latency(double took_ms, double usual_ms, TimePoint now);
   /// Of statements, smoothed. Goes back to `usual_ms` without news, since a backend that is passed over for
   /// its latency tells no better one.
   [[nodiscard]] double latency_ms(TimePoint now, double usual_ms) const;
   /// A position that the primary had `age` ago was there, or was not.
-  void note_applied(Duration age, bool was_there, TimePoint now);
+  void record_applied(Duration age, bool was_there, TimePoint now);
   /// How far a replica is thought to be behind its primary. Halves with each kLagHalfLife without news, since
   /// one that is passed over tells nothing.
   [[nodiscard]] Duration lag(TimePoint now) const;
   /// It showed a position of `term`, the open one. False: a lower one than before, so that it has started
   /// again and holds less, as what tells its start may. Entries of an open term are never taken back.
-  bool note_shown(std::uint64_t term, Position position);
+  bool record_shown(std::uint64_t term, Position position);
 
  private:
   double latency_ms_ = kFirstLatencyMs;
@@ -143,7 +143,7 @@
   runtime::Signal& changed() { return changed_; }
 
   /// Zones were evacuated, or given back: whoever waits looks again.
-  void note_evacuations() { changed_.notify_all(); }
+  void record_evacuations() { changed_.notify_all(); }
   /// The open term's primary is in a zone that is left, and nobody outside leads yet.
   [[nodiscard]] bool is_primary_off_limits() const;
   /// Closes what is not in use of links to evacuated zones.
@@ -165,9 +165,10 @@
   /// The same of the open term's primary.
   [[nodiscard]] bool is_primary_at_cold_limit() const;
   /// Its backends may have turned cold meanwhile.
-  void note_evacuation_ended(const ZoneName& zone);
+  void record_evacuation_ended(const ZoneName& zone);
 
-  /// The open term's primary; null while there is none that may be used, as when another life has its name.
+  /// The open term's primary; null while there is none that may be used, as when another incarnation has its
+  /// name.
   std::shared_ptr<BackendUse> primary();
   /// Another life has registered under the name of the open term's primary.
   [[nodiscard]] bool is_primary_restarted() const {
@@ -199,7 +200,7 @@
   [[nodiscard]] bool is_position_due() const;
 
   /// This proxy does not reach the primary of the open term, which may lead all the same.
-  void note_primary_unreachable() {
+  void mark_primary_unreachable() {
     unreachable_epoch_ = term_.epoch;
     unreachable_until_ = runtime_.now() + kRelayPeriod;
   }
@@ -225,29 +226,29 @@
   [[nodiscard]] bool is_primary_silent(TimePoint now, bool& commits) const;
 
   /// The open term's primary broke off a statement. True when it has done so with all of them for a while.
-  bool note_broken_off();
+  bool mark_broken_off();
   /// It answered one.
-  void note_primary_answered() { broken_off_ = 0; }
+  void record_primary_answered() { broken_off_ = 0; }
 
   /// Commits reach no replica: some sent to the primary are not answered, and none sent later either. What
   /// would commit then is refused and not sent, so that it does not hold a link and end in doubt; one at a
   /// time still goes, to see when that is over.
   [[nodiscard]] bool refuses_commits();
   /// A write or commit that was sent then was answered.
-  void note_commit_answered(TimePoint sent_at);
+  void record_commit_answered(TimePoint sent_at);
 
-  void note_acknowledged(Position position) {
+  void record_acknowledged(Position position) {
     highest_acknowledged_ = std::max(highest_acknowledged_, position);
   }
   [[nodiscard]] Position highest_acknowledged() const { return highest_acknowledged_; }
   /// A statement of this group took so long at a backend.
-  void note_latency(BackendUse& backend, Duration took);
+  void record_latency(BackendUse& backend, Duration took);
   /// A replica answered a read that needed a position, and showed where its log is; or it lacked the
   /// position.
-  void note_replica(BackendUse& backend, const ReadNeed& need, std::optional<Position> shown);
+  void record_replica(BackendUse& backend, const ReadNeed& need, std::optional<Position> shown);
   /// A primary of the open term showed `position` to a question sent at `asked_at`.
-  void note_primary_position(TimePoint asked_at, Position position) {
-    positions_.note(asked_at, position);
+  void record_primary_position(TimePoint asked_at, Position position) {
+    positions_.record(asked_at, position);
     primary_shown_ = std::max(primary_shown_.value_or(Position{}), position);
   }
   /// The furthest that it showed; empty: nothing since the last change of primary.
@@ -259,7 +260,7 @@
  private:
   Awaitable<void> warm(std::shared_ptr<BackendUse> backend);
   [[nodiscard]] double cost_of(const BackendUse& backend) const;
-  /// `use` is of a life that is over, or at another address.
+  /// `use` is of an incarnation that is over, or at another address.
   void retire(BackendUse& use);
   void share_links(BackendUse& backend) const;
   /// Whether a read that may be stale came within the interest.
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -29,7 +29,7 @@
   while (!stopping_) {
     co_await runtime_.sleep_for(kMemberLeaseTick);
     if (is_needed()) begin_rounds();
-    note_changes();
+    record_changes();
   }
 }
 
@@ -67,7 +67,7 @@
   if (round->failure.empty())
     view_.extend_member_lease(*group, round->term.epoch, membership, asked_at + registry::kMemberLease);
   failed_[group->group()] = round->failure;
-  if (!round->failure.empty() && !view_.holds_lease_for(*group)) note_refused(*group, round->failure);
+  if (!round->failure.empty() && !view_.holds_lease_for(*group)) record_refused(*group, round->failure);
   asking_.erase(group->group());
 }
 
@@ -105,10 +105,10 @@
 
 bool MemberLeaseKeeper::has_lost_log(const Round& round, BackendUse& member, Position received) {
   const bool is_blank = received.index == 0 && round.primary_shows.index > 0;
-  return !member.note_shown(round.term.term, received) || is_blank;
+  return !member.record_shown(round.term.term, received) || is_blank;
 }
 
-void MemberLeaseKeeper::note_refused(const GroupAccess& group, const std::string& why) {
+void MemberLeaseKeeper::record_refused(const GroupAccess& group, const std::string& why) {
   std::string& told = told_[group.group()];
   if (told == why) return;
   told = why;
@@ -119,7 +119,7 @@
                          {"why", why}});
 }
 
-void MemberLeaseKeeper::note_changes() {
+void MemberLeaseKeeper::record_changes() {
   if (view_.lease_valid()) told_.clear();
   std::size_t serving = 0;
   for (const auto& [name, group] : view_.groups()) {
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -37,9 +37,9 @@
   /// Whether a member that tells its start shows an empty log, or less of this term than it showed before.
   static bool has_lost_log(const Round& round, BackendUse& member, Position received);
   /// Logs why a group is not served, when that is another reason than before.
-  void note_refused(const GroupAccess& group, const std::string& why);
+  void record_refused(const GroupAccess& group, const std::string& why);
   /// Logs which groups began or ceased to be served by such a lease alone.
-  void note_changes();
+  void record_changes();
 
   runtime::Runtime& runtime_;
   FleetView& view_;
--- a/src/registered/proxy/group/position_history.h
+++ b/src/registered/proxy/group/position_history.h
@@ -13,7 +13,7 @@
 /// it, since the primary showed that position to a question sent at that time.
 class PositionHistory {
  public:
-  void note(TimePoint asked_at, Position position) {
+  void record(TimePoint asked_at, Position position) {
     if (!seen_.empty() && asked_at - seen_.back().asked_at < kPositionSpacing) return;
     seen_.push_back({asked_at, position});
     while (seen_.front().asked_at + kPositionMemory < asked_at) seen_.pop_front();
--- a/src/registered/proxy/group/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -29,7 +29,7 @@
   const auto position = co_await position_of(primary, term.term, asked_at);
   // Only while the term is open does the answer cover all that was acknowledged before the question.
   if (position && view_.may_use_primary(*group, term.epoch))
-    group->note_primary_position(asked_at, *position);
+    group->record_primary_position(asked_at, *position);
   asking_.erase(group->group());
 }
 
--- a/src/registered/proxy/group/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -31,7 +31,7 @@
   std::optional<BackendStatus> status;
   if (leader) status = co_await ask_status(leader, asked_at + kLinkSetupTimeout);
   const bool leads = status && status->is_primary && view->may_use_primary(*group, epoch);
-  if (leads) group->note_primary_position(asked_at, status->received);
+  if (leads) group->record_primary_position(asked_at, status->received);
   group->end_position_question();
 }
 
--- a/src/registered/proxy/knobs.h
+++ b/src/registered/proxy/knobs.h
@@ -98,11 +98,11 @@
 /// Pause before a busy backend is tried again.
 inline constexpr Duration kBusyPause = milliseconds(8);
 /// What a refused caller is told to wait while a group has no primary.
-inline constexpr Duration kComeBackAfter = milliseconds(300);
+inline constexpr Duration kRetryAfterWithoutPrimary = milliseconds(300);
 
 /// The same where all backends that could run it are outside the regions that it may be run in. Only a change
 /// of primary, of backends or of the document helps, and those come a few times an hour at most; chosen.
-inline constexpr Duration kOutsideRegionsComeBack = seconds(5);
+inline constexpr Duration kRetryAfterOutsideRegions = seconds(5);
 /// A read that may not go to the primary waits this long for the primary's position, where none is known: a
 /// new connection and an exchange across regions.
 inline constexpr Duration kPositionPatience = milliseconds(200);
@@ -186,7 +186,7 @@
 /// Where the settings name no bound: that of the one deployment that has such orders.
 inline constexpr Duration kUsualEvacuationBound = seconds(5);
 /// What a caller is told to wait where only backends of evacuated zones could serve it.
-inline constexpr Duration kEvacuatedComeBack = seconds(1);
+inline constexpr Duration kRetryAfterEvacuation = seconds(1);
 
 /// What a backend is thought to take before anything is known.
 inline constexpr double kFirstLatencyMs = 15.0;
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -48,7 +48,7 @@
   if (!held) held = std::make_shared<Account>(runtime_);
   const AccountPointer account = held;
   const TimePoint begun = runtime_.now();
-  account->stock.note_demand(begun);
+  account->stock.record_demand(begun);
   auto token = account->stock.take(begun);
   if (token) co_return AdmissionAnswer{AdmissionOutcome::kAdmitted, Duration(0), token};
   if (begun < account->refused_until) co_return account->last;
@@ -63,7 +63,7 @@
   } while (!token && answered && account->last.outcome == AdmissionOutcome::kAdmitted);
   --account->waiting;
   if (token) co_return AdmissionAnswer{AdmissionOutcome::kAdmitted, Duration(0), token};
-  if (!answered) co_return AdmissionAnswer{AdmissionOutcome::kNotCounted, kComeBackAfter, {}};
+  if (!answered) co_return AdmissionAnswer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
   co_return account->last;
 }
 
@@ -71,7 +71,7 @@
   const TimePoint asked_at = runtime_.now();
   const limits::TokenWish wish{std::max<std::uint64_t>(account->waiting, 1),
                                account->stock.expected(asked_at)};
-  AdmissionAnswer answer{AdmissionOutcome::kNotCounted, kComeBackAfter, {}};
+  AdmissionAnswer answer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
   for (const subset::ProxyPointer& home : order_of(limit.of)) {
     const Grant grant = co_await ask(limit, wish, home);
     if (grant.outcome == GrantOutcome::kNotCounting) continue;
@@ -85,7 +85,8 @@
   }
   account->last = answer;
   if (answer.outcome != AdmissionOutcome::kAdmitted) {
-    account->last.retry_after = std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, kComeBackAfter);
+    account->last.retry_after =
+        std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, kRetryAfterWithoutPrimary);
     account->refused_until = runtime_.now() + kLeastRefusalPause;
   }
   account->asking = false;
--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -36,14 +36,14 @@
   return {limited(backend), rate_per_s, 0, window};
 }
 
-/// What this proxy saw of a backend that may make it another life than the one it knows.
+/// What this proxy saw of a backend that may make it another incarnation than the one it knows.
 class RebirthWatch {
  public:
-  void note_unreachable() {
+  void mark_unreachable() {
     was_gone_ = true;
     reached_at_.reset();
   }
-  void note_reached(TimePoint now) {
+  void record_reached(TimePoint now) {
     if (was_gone_ && !reached_at_) reached_at_ = now;
   }
   /// Whether it was gone, and control has not confirmed this proxy's copy to a question asked kRebornNews
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -138,12 +138,12 @@
     co_return opened;
   }
   --in_use_;
-  if (refusal == Refusal::kConnectionLimit) note_full();
+  if (refusal == Refusal::kConnectionLimit) mark_full();
   returned_.notify_one();
   co_return nullptr;
 }
 
-void StatefulPool::note_full() {
+void StatefulPool::mark_full() {
   full_until_ = runtime_.now() + kFullPause;
   runtime_.logger().log(runtime::LogLevel::kWarning, "backend_full",
                         {{"group", address_.group.value},
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -50,7 +50,7 @@
   [[nodiscard]] const TenantName& tenant() const { return tenant_; }
   /// Whether a transaction is open on it, as far as its answers told.
   [[nodiscard]] bool has_open_transaction() const { return transaction_open_; }
-  void note_state(TransactionState state) { transaction_open_ = state != TransactionState::kIdle; }
+  void record_state(TransactionState state) { transaction_open_ = state != TransactionState::kIdle; }
   void set_idle_since(TimePoint now) { idle_since_ = now; }
   void set_taken_at(TimePoint now) { taken_at_ = now; }
   [[nodiscard]] TimePoint taken_at() const { return taken_at_; }
@@ -102,7 +102,8 @@
   /// Gives a link back that has no transaction open and owes no answer; a closed one is dropped.
   void release(std::shared_ptr<StatefulLink> link);
   void close_idle();
-  /// The backend's life is over: no link is given any more, and those in use close when they are given back.
+  /// The backend's incarnation is over: no link is given any more, and those in use close when they are given
+  /// back.
   void retire();
   /// Whether an idle link ended by itself since this was asked last.
   bool take_lost_idle() { return std::exchange(lost_idle_, false); }
@@ -119,7 +120,7 @@
   std::shared_ptr<StatefulLink> take_idle(const LinkWish& wish);
   void drop_closed();
   /// The backend refused one more connection.
-  void note_full();
+  void mark_full();
   /// Tells, for tools/least-links, that a link is given back and whether it was new when it was taken.
   void log_use(const StatefulLink& link) const;
   /// Closes the idle link that was unused for longest when there are as many links as there may be, or as
--- a/src/registered/proxy/session_metrics.cpp
+++ b/src/registered/proxy/session_metrics.cpp
@@ -40,10 +40,10 @@
         "cairnhollow_session_forwarded_total", "Statements passed on to another proxy.",
         {{"cause", placement::forward_cause_name(static_cast<placement::ForwardCause>(cause))}});
   }
-  for (std::size_t obstacle = 0; obstacle < placement::kObstacleCount; ++obstacle) {
-    unplaced_[obstacle] = &metrics_.counter(
+  for (std::size_t rejection = 0; rejection < placement::kRejectionReasonCount; ++rejection) {
+    unplaced_[rejection] = &metrics_.counter(
         "cairnhollow_session_unplaced_total", "Statements that this proxy refused by itself.",
-        {{"since", placement::obstacle_name(static_cast<placement::Obstacle>(obstacle))}});
+        {{"since", placement::rejection_name(static_cast<placement::RejectionReason>(rejection))}});
   }
   for (std::size_t fault = 0; fault < registry::kRegistrationFaults; ++fault) {
     const auto cause = registry::registration_fault_name(static_cast<registry::RegistrationFault>(fault));
--- a/src/registered/proxy/session_metrics.h
+++ b/src/registered/proxy/session_metrics.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <string>
 
-#include "registered/placement/obstacle.h"
+#include "registered/placement/rejection_reason.h"
 #include "registered/protocol/statement.h"
 #include "registered/registry/registration_fault.h"
 #include "runtime/metrics.h"
@@ -32,8 +32,8 @@
     forwarded_[static_cast<std::size_t>(cause)]->Increment();
   }
   /// This proxy itself refused a statement, or ended a transaction.
-  void count_unplaced(placement::Obstacle obstacle) {
-    unplaced_[static_cast<std::size_t>(obstacle)]->Increment();
+  void count_unplaced(placement::RejectionReason rejection) {
+    unplaced_[static_cast<std::size_t>(rejection)]->Increment();
   }
   void count_token_question() { token_questions_.Increment(); }
   /// An operation of a tenant wanted to begin. `label`: the tenant's name, or that of all that are not named.
@@ -61,7 +61,7 @@
   std::array<prometheus::Counter*, kRefusalCount> refused_{};
   std::array<prometheus::Counter*, kRefusalCount> retries_{};
   std::array<prometheus::Counter*, placement::kForwardCauseCount> forwarded_{};
-  std::array<prometheus::Counter*, placement::kObstacleCount> unplaced_{};
+  std::array<prometheus::Counter*, placement::kRejectionReasonCount> unplaced_{};
   std::array<prometheus::Counter*, registry::kRegistrationFaults> registrations_refused_{};
   std::map<std::pair<std::string, AdmissionOutcome>, prometheus::Counter*>
       admissions_;  ///< by tenant's label
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -190,7 +190,7 @@
     if (link) link->close();
   }
   if (!reached) {
-    group->note_primary_unreachable();
+    group->mark_primary_unreachable();
     link_.report_suspicion(*group, SuspicionKind::kUnreachable);
   }
   checked_.erase(group->group());
--- a/src/registered/proxy/statement/placement_facts.cpp
+++ b/src/registered/proxy/statement/placement_facts.cpp
@@ -24,9 +24,9 @@
   return facts;
 }
 
-Refusal refusal_of(placement::Obstacle obstacle) {
-  if (obstacle == placement::Obstacle::kKeyUnauthorized) return Refusal::kUnauthorized;
-  return obstacle == placement::Obstacle::kOverLimit ? Refusal::kOverLimit : Refusal::kBusy;
+Refusal refusal_of(placement::RejectionReason rejection) {
+  if (rejection == placement::RejectionReason::kKeyUnauthorized) return Refusal::kUnauthorized;
+  return rejection == placement::RejectionReason::kOverLimit ? Refusal::kOverLimit : Refusal::kBusy;
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/placement_facts.h
+++ b/src/registered/proxy/statement/placement_facts.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "registered/placement/facts.h"
-#include "registered/placement/obstacle.h"
+#include "registered/placement/rejection_reason.h"
 #include "registered/protocol/statement.h"
 #include "registered/proxy/fleet/fleet_view.h"
 
@@ -14,7 +14,7 @@
 /// for.
 placement::KeyFacts key_facts(const FleetView& view, const registry::RouteRule& route, const ApiKey& key,
                               const TenantName& tenant, TimePoint now);
-/// What the caller is told of the obstacle.
-Refusal refusal_of(placement::Obstacle obstacle);
+/// What the caller is told of the rejection reason.
+Refusal refusal_of(placement::RejectionReason rejection);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_cold.cpp
+++ b/src/registered/proxy/statement/statement_cold.cpp
@@ -20,14 +20,14 @@
       co_await services_.limits.admit_to_cold(BackendName(attempt->backend->entry.name));
   attempt->cold_token = admission.expires_at;
   if (admission.outcome == AdmissionOutcome::kAdmitted) co_return true;
-  note_cold_limit(*attempt->order.group, *attempt->backend, admission);
+  record_cold_limit(*attempt->order.group, *attempt->backend, admission);
   attempt->reason = Reason{ReasonCode::kOverloaded, "pass_cold", attempt->backend->entry.name.value,
                            "there is no token for the cold backend"};
   co_return false;
 }
 
-void StatementRunner::note_cold_limit(const GroupAccess& group, BackendUse& backend,
-                                      const AdmissionAnswer& admission) {
+void StatementRunner::record_cold_limit(const GroupAccess& group, BackendUse& backend,
+                                        const AdmissionAnswer& admission) {
   const TimePoint now = services_.runtime.now();
   const bool is_news = !group.is_cold_limit_reached(backend);
   backend.cold_limit_reached_until = now + admission.retry_after;
@@ -45,28 +45,28 @@
   if (token) services_.limits.give_back(limited(attempt.backend->entry.name), *token);
 }
 
-void StatementRunner::note_dial(BackendUse& backend, bool has_link, bool was_refused) {
+void StatementRunner::record_dial(BackendUse& backend, bool has_link, bool was_refused) {
   // Idle links that ended by themselves may have ended with their backend's process.
-  if (backend.pool.take_lost_idle() || (!has_link && !was_refused)) backend.rebirth.note_unreachable();
-  if (has_link) backend.rebirth.note_reached(services_.runtime.now());
+  if (backend.pool.take_lost_idle() || (!has_link && !was_refused)) backend.rebirth.mark_unreachable();
+  if (has_link) backend.rebirth.record_reached(services_.runtime.now());
 }
 
-void StatementRunner::note_loss(const GroupAccess& group, BackendUse& backend, std::uint64_t epoch,
-                                const Reason& reason) {
+void StatementRunner::record_loss(const GroupAccess& group, BackendUse& backend, std::uint64_t epoch,
+                                  const Reason& reason) {
   const bool is_own = group.term().epoch != epoch;
-  if (!is_own && reason.code == ReasonCode::kConnectionLost) backend.rebirth.note_unreachable();
+  if (!is_own && reason.code == ReasonCode::kConnectionLost) backend.rebirth.mark_unreachable();
 }
 
 Awaitable<bool> StatementRunner::enter_pinned(std::shared_ptr<GroupAccess> group,
                                               std::shared_ptr<BackendUse> backend, TimePoint deadline,
-                                              placement::Obstacle& obstacle) {
+                                              placement::RejectionReason& rejection) {
   const auto holds = [&](const std::optional<TimePoint>& token) {
     return !group->is_cold(*backend) || (token && services_.runtime.now() < *token);
   };
   while (true) {
     std::optional<TimePoint> token;
     const bool passed = co_await wait_for_cold_token(group, backend, deadline, token);
-    if (!passed) obstacle = placement::Obstacle::kColdLimit;
+    if (!passed) rejection = placement::RejectionReason::kColdLimit;
     if (!passed) co_return false;
     const bool entered = co_await backend->gate.enter(admission::kUrgentClass, deadline);
     if (entered && holds(token)) co_return true;
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -64,9 +64,9 @@
   }
   const auto placed = co_await await_lease(order.group, refuse_limit(order), may_try_another);
   if (placed.action == placement::Action::kRun) co_return co_await run(std::move(order));
-  const Unplaced unplaced{placed.obstacle, placed.back_in, {}};
-  if (placed.obstacle == placement::Obstacle::kNoLease || !is_answered) {
-    result.answer.detail = fmt::format("{}; come back in {} ms", placement::obstacle_text(placed.obstacle),
+  const Unplaced unplaced{placed.rejection, placed.back_in, {}};
+  if (placed.rejection == placement::RejectionReason::kNoLease || !is_answered) {
+    result.answer.detail = fmt::format("{}; come back in {} ms", placement::rejection_text(placed.rejection),
                                        in_ms(placed.back_in));
   }
   if (result.answer.refusal) log_refusal(order, result.answer, reason, 1, unplaced);
@@ -81,7 +81,7 @@
                                                              TimePoint refuse_at, bool may_try_another) {
   placement::ForwardingEnd end{may_try_another, false};
   placement::Patience patience;
-  patience.back_after = kComeBackAfter;
+  patience.back_after = kRetryAfterWithoutPrimary;
   while (true) {
     patience.may_wait = services_.runtime.now() < refuse_at;
     const auto placed = placement::place_unforwarded(end, proxy_facts(services_.view, *group), patience);
@@ -103,7 +103,7 @@
   RunResult result;
   if (!answer) {
     services_.metrics.count_lost_answer();
-    services_.forwarder.note_no_answer(proxy->name, order.group->group());
+    services_.forwarder.record_no_answer(proxy->name, order.group->group());
     // A transaction's first statement leaves nothing: whoever served it rolls back when it finds nobody
     // there.
     may_try_another = (!order.writes || order.opens_transaction) && services_.runtime.now() < order.deadline;
--- a/src/registered/proxy/statement/statement_in_transaction.cpp
+++ b/src/registered/proxy/statement/statement_in_transaction.cpp
@@ -9,23 +9,24 @@
 
 namespace cairnhollow::registered::proxy {
 
-using placement::Obstacle;
+using placement::RejectionReason;
 using runtime::SendState;
 
 namespace {
 
 /// Why a transaction was ended, for its caller.
-std::string ending(Obstacle obstacle) {
+std::string ending(RejectionReason rejection) {
   const char* why = "the transaction's backend was given up";
-  if (obstacle == Obstacle::kCommitsStall) why = placement::obstacle_text(obstacle);
-  if (obstacle == Obstacle::kZoneEvacuated) why = "the zone of the transaction's backend is evacuated";
+  if (rejection == RejectionReason::kCommitsStall) why = placement::rejection_text(rejection);
+  if (rejection == RejectionReason::kZoneEvacuated)
+    why = "the zone of the transaction's backend is evacuated";
   return fmt::format("{}; nothing of it is kept", why);
 }
 
 }  // namespace
 
-Obstacle StatementRunner::obstacle_in_transaction(const PinnedLink& pinned, const RunOrder& order,
-                                                  bool commits_stall) const {
+RejectionReason StatementRunner::rejection_in_transaction(const PinnedLink& pinned, const RunOrder& order,
+                                                          bool commits_stall) const {
   const GroupAccess& group = *order.group;
   placement::TransactionFacts facts;
   facts.at_primary = pinned.at_primary;
@@ -33,7 +34,7 @@
   facts.may_use_primary = services_.view.may_use_primary(group, pinned.epoch);
   facts.commits_stall = commits_stall;
   facts.key = key_facts(services_.view, order.route, order.key, order.tenant, services_.runtime.now());
-  return placement::obstacle_in_transaction(facts, group.facts_of(*pinned.backend, {}));
+  return placement::rejection_in_transaction(facts, group.facts_of(*pinned.backend, {}));
 }
 
 Awaitable<Answer> StatementRunner::run_pinned(PinnedLink pinned, RunOrder order, bool commits, bool wrote) {
@@ -43,22 +44,22 @@
   Answer aborted;
   aborted.refusal = Refusal::kAborted;
   aborted.state = TransactionState::kFailed;
-  aborted.detail = ending(Obstacle::kNone);
+  aborted.detail = ending(RejectionReason::kNone);
   Reason reason;
   const bool stalls = commits && wrote && pinned.at_primary && group.refuses_commits();
-  Obstacle obstacle = obstacle_in_transaction(pinned, order, stalls);
+  RejectionReason rejection = rejection_in_transaction(pinned, order, stalls);
   const TimePoint setup_deadline = std::min(order.deadline, runtime.now() + kLinkSetupTimeout);
-  bool ready = obstacle == Obstacle::kNone && pinned.link->link().is_open();
+  bool ready = rejection == RejectionReason::kNone && pinned.link->link().is_open();
   if (ready)
     ready = co_await pinned.link->bring_in_order(order.values, order.prepared, setup_deadline, reason);
   bool entered = false;
-  if (ready) entered = co_await enter_pinned(order.group, pinned.backend, order.deadline, obstacle);
-  if (entered) obstacle = obstacle_in_transaction(pinned, order, false);
-  if (!entered || obstacle != Obstacle::kNone) {
+  if (ready) entered = co_await enter_pinned(order.group, pinned.backend, order.deadline, rejection);
+  if (entered) rejection = rejection_in_transaction(pinned, order, false);
+  if (!entered || rejection != RejectionReason::kNone) {
     if (entered) pinned.backend->gate.leave_unanswered();
     pinned.link->link().close();
-    aborted.detail = ending(obstacle);
-    log_refusal(order, aborted, reason, 0, Unplaced{obstacle, Duration(0), {}});
+    aborted.detail = ending(rejection);
+    log_refusal(order, aborted, reason, 0, Unplaced{rejection, Duration(0), {}});
     co_return aborted;
   }
   const TimePoint sent_at = runtime.now();
@@ -71,11 +72,11 @@
   leave_gate(pinned.backend->gate, answer, runtime.now() - sent_at);
   work.reset();
   const bool current = services_.view.may_use_primary(group, pinned.epoch);
-  if (answer) pinned.link->note_state(answer->state);
-  if (answer && pinned.at_primary) group.note_primary_answered();
+  if (answer) pinned.link->record_state(answer->state);
+  if (answer && pinned.at_primary) group.record_primary_answered();
   if (!answer) {
     services_.metrics.count_lost_answer();
-    note_loss(group, *pinned.backend, pinned.epoch, reason);
+    record_loss(group, *pinned.backend, pinned.epoch, reason);
     if (pinned.at_primary && current) services_.link.report_suspicion(group, SuspicionKind::kSilent);
     const bool in_doubt = commits && wrote && sent == SendState::kMaybeSent;
     if (in_doubt) aborted.refusal = Refusal::kInDoubt;
@@ -103,7 +104,7 @@
     BackendRequest request = Rollback{};
     const auto answer = co_await pinned.link->link().run(std::move(request), deadline, sent, reason);
     if (!answer || answer->state != TransactionState::kIdle) pinned.link->link().close();
-    pinned.link->note_state(TransactionState::kIdle);
+    pinned.link->record_state(TransactionState::kIdle);
   }
   give_back(pinned);
 }
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -26,7 +26,7 @@
 
 void StatementRunner::log_refusal(const RunOrder& order, const Answer& answer, const Reason& reason,
                                   int attempts, const Unplaced& unplaced) {
-  const bool is_own = unplaced.since != placement::Obstacle::kNone;
+  const bool is_own = unplaced.since != placement::RejectionReason::kNone;
   if (is_own) services_.metrics.count_unplaced(unplaced.since);
   const registry::GroupTerm& term = order.group->term();
   const Duration lease_left = services_.view.lease_until() - services_.runtime.now();
@@ -35,7 +35,7 @@
       {{"id", order.id},
        {"refusal", refusal_name(*answer.refusal)},
        {"why", answer.detail},
-       {"since", is_own ? placement::obstacle_name(unplaced.since) : ""},
+       {"since", is_own ? placement::rejection_name(unplaced.since) : ""},
        {"passed_over", unplaced.passed_over},
        {"back_in_ms", unplaced.back_in > Duration(0) ? std::to_string(in_ms(unplaced.back_in)) : ""},
        {"database", order.route.database.value},
--- a/src/registered/proxy/statement/statement_placement.cpp
+++ b/src/registered/proxy/statement/statement_placement.cpp
@@ -10,7 +10,7 @@
 namespace cairnhollow::registered::proxy {
 
 using placement::Action;
-using placement::Obstacle;
+using placement::RejectionReason;
 using placement::SendAction;
 
 std::optional<placement::Forwarding> StatementRunner::find_elsewhere(const RunOrder& order,
@@ -37,7 +37,7 @@
   patience.may_try = attempt.count < kMaxAttempts && now < attempt.order.deadline;
   patience.may_wait = now < attempt.refuse_at;
   patience.offered = attempt.offered;
-  patience.back_after = kComeBackAfter;
+  patience.back_after = kRetryAfterWithoutPrimary;
   return patience;
 }
 
@@ -89,26 +89,26 @@
     placed = look(*attempt);
     has_waited = true;
   }
-  if (placed.action == Action::kRefuse) refuse(*attempt, placed.obstacle, placed.back_in);
+  if (placed.action == Action::kRefuse) refuse(*attempt, placed.rejection, placed.back_in);
   if (placed.action != Action::kRun) co_return false;
   co_return !has_waited || !is_moved(*attempt);
 }
 
-void StatementRunner::refuse(Attempt& attempt, Obstacle since, Duration back_in) {
+void StatementRunner::refuse(Attempt& attempt, RejectionReason since, Duration back_in) {
   Answer& answer = attempt.result.answer;
   answer.refusal = refusal_of(since);
   answer.state = TransactionState::kIdle;
-  answer.detail = placement::obstacle_text(since);
+  answer.detail = placement::rejection_text(since);
   attempt.unplaced = Unplaced{since, back_in, {}};
   if (back_in == Duration(0)) return;
   answer.detail += fmt::format("; come back in {} ms", in_ms(back_in));
   const GroupFacts backends = attempt.order.group->facts(question_of(attempt));
   for (const placement::BackendFacts& backend : backends) {
-    const Obstacle obstacle = placement::obstacle_at(backend, attempt.need.primary_only, backends);
-    if (obstacle == Obstacle::kNone) continue;
+    const RejectionReason rejection = placement::rejection_at(backend, attempt.need.primary_only, backends);
+    if (rejection == RejectionReason::kNone) continue;
     std::string& passed_over = attempt.unplaced.passed_over;
     if (!passed_over.empty()) passed_over += ' ';
-    passed_over += fmt::format("{}:{}", backend.name, placement::obstacle_name(obstacle));
+    passed_over += fmt::format("{}:{}", backend.name, placement::rejection_name(rejection));
   }
 }
 
@@ -119,13 +119,13 @@
 
 StatementRunner::Step StatementRunner::stop_before_sending(Attempt& attempt, bool begun) {
   const placement::SendDecision& decision = attempt.last_look;
-  const bool is_given_up = decision.obstacle == Obstacle::kPrimaryGivenUp;
+  const bool is_given_up = decision.rejection == RejectionReason::kPrimaryGivenUp;
   if (begun) {
     if (attempt.order.opens_transaction || is_given_up) attempt.link->link().close();
     attempt.backend->pool.release(attempt.link);
   }
   if (decision.action == SendAction::kChooseAgain) return Step::kNext;
-  refuse(attempt, decision.obstacle, Duration(0));
+  refuse(attempt, decision.rejection, Duration(0));
   return Step::kDone;
 }
 
--- a/src/registered/proxy/statement/statement_regions.cpp
+++ b/src/registered/proxy/statement/statement_regions.cpp
@@ -33,13 +33,13 @@
   need.primary_only = !may_use_replicas(order);
   const auto choice =
       placement::choose_backend(need.primary_only, order.group->facts({&need, nullptr, &order.allowed}));
-  return choice.is_final && choice.obstacle == placement::Obstacle::kOutsideRegions;
+  return choice.is_final && choice.rejection == placement::RejectionReason::kOutsideRegions;
 }
 
 RunResult StatementRunner::refuse_outside(RunOrder order) {
   Attempt attempt(std::move(order));
   attempt.need.primary_only = !may_use_replicas(attempt.order);
-  refuse(attempt, placement::Obstacle::kOutsideRegions, kOutsideRegionsComeBack);
+  refuse(attempt, placement::RejectionReason::kOutsideRegions, kRetryAfterOutsideRegions);
   attempt.reason = Reason{ReasonCode::kNoBackend, "check_regions", attempt.order.group->term().primary.value,
                           "allowed regions: " + attempt.order.allowed.to_string()};
   log_refusal(attempt.order, attempt.result.answer, attempt.reason, 0, attempt.unplaced);
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -8,7 +8,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-using placement::Obstacle;
+using placement::RejectionReason;
 using placement::SendAction;
 using runtime::LogLevel;
 using runtime::SendState;
@@ -46,7 +46,8 @@
   attempt->refuse_at = refuse_limit(attempt->order);
   const bool writes = attempt->order.writes;
   const bool stalls = writes && attempt->order.group->refuses_commits();
-  if (placement::commit_obstacle(writes, stalls) != Obstacle::kNone) co_return refuse_stalled(*attempt);
+  if (placement::commit_rejection(writes, stalls) != RejectionReason::kNone)
+    co_return refuse_stalled(*attempt);
   if (!attempt->order.allowed.is_anywhere()) co_await bring_position(attempt);
   Step step = Step::kNext;
   while (step != Step::kDone) {
@@ -67,7 +68,7 @@
 }
 
 RunResult StatementRunner::refuse_stalled(Attempt& attempt) {
-  refuse(attempt, Obstacle::kCommitsStall, kComeBackAfter);
+  refuse(attempt, RejectionReason::kCommitsStall, kRetryAfterWithoutPrimary);
   attempt.reason = Reason{ReasonCode::kOverloaded, "check_commits", attempt.order.group->term().primary.value,
                           "commits sent before have no answer"};
   log_refusal(attempt.order, attempt.result.answer, attempt.reason, 0, attempt.unplaced);
@@ -94,12 +95,12 @@
   LinkWish wish{order.tenant, order.values};
   attempt->link = co_await backend.pool.acquire(std::move(wish), deadlines, refusal, attempt->reason);
   const bool full = !attempt->link && attempt->reason.code == ReasonCode::kOverloaded;
-  note_dial(backend, attempt->link != nullptr, full || refusal);
+  record_dial(backend, attempt->link != nullptr, full || refusal);
   if (attempt->link) co_return true;
   if (!full) backend.avoid_until = services_.runtime.now() + kAvoidBackend;
   if (!full && attempt->at_primary && !refusal) {
     services_.link.report_suspicion(*order.group, SuspicionKind::kUnreachable);
-    order.group->note_primary_unreachable();
+    order.group->mark_primary_unreachable();
   }
   co_return false;
 }
@@ -119,9 +120,9 @@
   co_return ready;
 }
 
-void StatementRunner::note_too_stale(Attempt& attempt) {
+void StatementRunner::mark_too_stale(Attempt& attempt) {
   GroupAccess& group = *attempt.order.group;
-  if (!attempt.need.primary_only) return group.note_replica(*attempt.backend, attempt.need, std::nullopt);
+  if (!attempt.need.primary_only) return group.record_replica(*attempt.backend, attempt.need, std::nullopt);
   // A primary without what it showed before has started again.
   attempt.link->link().close();
   services_.link.report_suspicion(group, SuspicionKind::kSilent);
@@ -136,7 +137,7 @@
   const auto answer = co_await attempt->link->link().run(std::move(request), deadline, sent, attempt->reason);
   if (answer && answer->succeeded()) co_return true;
   if (answer) services_.metrics.count_retry(*answer->refusal);
-  if (answer && *answer->refusal == Refusal::kTooStale) note_too_stale(*attempt);
+  if (answer && *answer->refusal == Refusal::kTooStale) mark_too_stale(*attempt);
   if (answer && *answer->refusal == Refusal::kNotPrimary)
     services_.link.report_suspicion(*attempt->order.group, SuspicionKind::kSilent);
   attempt->backend->pool.release(attempt->link);
@@ -208,10 +209,10 @@
   services_.metrics.count_lost_answer();
   GroupAccess& group = *attempt.order.group;
   attempt.backend->avoid_until = services_.runtime.now() + kAvoidBackend;
-  note_loss(group, *attempt.backend, attempt.epoch, reason);
+  record_loss(group, *attempt.backend, attempt.epoch, reason);
   if (attempt.at_primary && group.term().epoch == attempt.epoch) {
     const bool broke_off = reason.code == ReasonCode::kConnectionLost && attempt.sent != SendState::kNotSent;
-    const bool is_of_no_use = broke_off && group.note_broken_off();
+    const bool is_of_no_use = broke_off && group.mark_broken_off();
     services_.link.report_suspicion(group,
                                     is_of_no_use ? SuspicionKind::kUnreachable : SuspicionKind::kSilent);
   }
@@ -236,11 +237,11 @@
 }
 
 void StatementRunner::take_primary_answer(GroupAccess& group, PrimaryAnswer primary, Answer& answer) {
-  if (primary.commits) group.note_commit_answered(primary.asked_at);
+  if (primary.commits) group.record_commit_answered(primary.asked_at);
   const bool current = services_.view.may_use_primary(group, primary.epoch);
   if (current && answer.position) {
-    group.note_primary_position(primary.asked_at, *answer.position);
-    if (primary.commits) group.note_acknowledged(*answer.position);
+    group.record_primary_position(primary.asked_at, *answer.position);
+    if (primary.commits) group.record_acknowledged(*answer.position);
     return;
   }
   if (!primary.commits) return;
@@ -256,9 +257,9 @@
   BackendUse& backend = *attempt.backend;
   const RunOrder& order = attempt.order;
   const PinnedLink pinned{attempt.backend, attempt.link, std::nullopt, attempt.epoch, attempt.at_primary};
-  attempt.link->note_state(answer.state);
+  attempt.link->record_state(answer.state);
   const bool current = services_.view.may_use_primary(group, attempt.epoch);
-  if (attempt.at_primary) group.note_primary_answered();
+  if (attempt.at_primary) group.record_primary_answered();
   const auto drop = [&] {
     if (order.opens_transaction) {
       services_.runtime.spawn("roll_back", roll_back(pinned));
@@ -266,14 +267,14 @@
       backend.pool.release(attempt.link);
     }
   };
-  if (answer.succeeded()) group.note_latency(backend, services_.runtime.now() - attempt.sent_at);
+  if (answer.succeeded()) group.record_latency(backend, services_.runtime.now() - attempt.sent_at);
   if (answer.refusal && is_not_run(*answer.refusal)) {
     services_.metrics.count_retry(*answer.refusal);
     if (*answer.refusal == Refusal::kUnknownStatement) attempt.link->forget_prepared();
     if (*answer.refusal == Refusal::kNotPrimary && attempt.at_primary && current)
       services_.link.report_suspicion(group, SuspicionKind::kSilent);
     if (*answer.refusal == Refusal::kWrongBackend) attempt.link->link().close();
-    if (*answer.refusal == Refusal::kTooStale) note_too_stale(attempt);
+    if (*answer.refusal == Refusal::kTooStale) mark_too_stale(attempt);
     attempt.reason = Reason{ReasonCode::kOverloaded, "run_statement", backend.entry.name.value,
                             refusal_name(*answer.refusal)};
     drop();
@@ -289,7 +290,7 @@
   if (answer.succeeded() && attempt.at_primary)
     take_primary_answer(group, PrimaryAnswer{attempt.epoch, attempt.sent_at, commits}, answer);
   if (answer.succeeded() && !attempt.at_primary && answer.position)
-    group.note_replica(backend, attempt.need, answer.position);
+    group.record_replica(backend, attempt.need, answer.position);
   attempt.result.served_by = attempt.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   if (order.opens_transaction) {
     attempt.result.pinned = pinned;
--- a/src/registered/proxy/statement/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -67,7 +67,7 @@
 
 /// Why this proxy itself refused a statement, for the log.
 struct Unplaced {
-  placement::Obstacle since = placement::Obstacle::kNone;
+  placement::RejectionReason since = placement::RejectionReason::kNone;
   Duration back_in{0};
   std::string passed_over;  ///< the group's backends, each with what stood in the way there
 };
@@ -145,7 +145,7 @@
   Awaitable<bool> prepare_link(std::shared_ptr<Attempt> attempt);
   Awaitable<bool> acquire_link(std::shared_ptr<Attempt> attempt);
   /// The chosen backend lacks the position that it was asked for.
-  void note_too_stale(Attempt& attempt);
+  void mark_too_stale(Attempt& attempt);
   Awaitable<bool> begin_transaction(std::shared_ptr<Attempt> attempt);
   /// What may have changed while it waited for the backend, but the key.
   [[nodiscard]] placement::SendFacts send_facts(const Attempt& attempt) const;
@@ -163,18 +163,18 @@
   [[nodiscard]] bool holds_cold_token(const Attempt& attempt) const;
   /// Takes a token where the attempt's backend is cold. False: there is none, and the backend's facts say so.
   Awaitable<bool> pass_cold(std::shared_ptr<Attempt> attempt);
-  void note_cold_limit(const GroupAccess& group, BackendUse& backend, const AdmissionAnswer& admission);
+  void record_cold_limit(const GroupAccess& group, BackendUse& backend, const AdmissionAnswer& admission);
   void give_cold_token_back(Attempt& attempt);
   /// A link to the backend was asked for. `was_refused`: an answer came, if not the one wanted.
-  void note_dial(BackendUse& backend, bool has_link, bool was_refused);
+  void record_dial(BackendUse& backend, bool has_link, bool was_refused);
   /// A backend broke off what it was sent in `epoch`; later on this proxy itself closes its links.
-  static void note_loss(const GroupAccess& group, BackendUse& backend, std::uint64_t epoch,
-                        const Reason& reason);
+  static void record_loss(const GroupAccess& group, BackendUse& backend, std::uint64_t epoch,
+                          const Reason& reason);
   /// For a statement that can go nowhere else: it waits for a token where the backend is cold, then at the
   /// gate. True: it holds a place there, and a token that is good now. False: its time ended first,
-  /// `obstacle` is set where the token was missing.
+  /// `rejection` is set where the token was missing.
   Awaitable<bool> enter_pinned(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
-                               TimePoint deadline, placement::Obstacle& obstacle);
+                               TimePoint deadline, placement::RejectionReason& rejection);
   /// `token`: until when it is good; empty where the backend is not cold. False: its time ended first.
   Awaitable<bool> wait_for_cold_token(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
                                       TimePoint deadline, std::optional<TimePoint>& token);
@@ -191,11 +191,12 @@
   void take_primary_answer(GroupAccess& group, PrimaryAnswer primary, Answer& answer);
   Step take_loss(Attempt& attempt, const Reason& reason);
   /// The attempt's answer: not run, since this stands in the way.
-  void refuse(Attempt& attempt, placement::Obstacle since, Duration back_in);
+  void refuse(Attempt& attempt, placement::RejectionReason since, Duration back_in);
   /// A write, while writes sent before have no answer.
   RunResult refuse_stalled(Attempt& attempt);
-  [[nodiscard]] placement::Obstacle obstacle_in_transaction(const PinnedLink& pinned, const RunOrder& order,
-                                                            bool commits_stall) const;
+  [[nodiscard]] placement::RejectionReason rejection_in_transaction(const PinnedLink& pinned,
+                                                                    const RunOrder& order,
+                                                                    bool commits_stall) const;
   [[nodiscard]] BackendRequest make_request(const RunOrder& order, const StatefulLink& link,
                                             std::optional<Position> required) const;
   void log_slow(const Attempt& attempt);
--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -73,7 +73,7 @@
   std::uint64_t epoch = 0;  ///< that the sender saw; another one: no effect
   std::uint64_t term = 0;
   BackendName primary;
-  std::uint64_t primary_born_ms = 0;  ///< which life of it; 0: not known
+  std::uint64_t primary_born_ms = 0;  ///< which incarnation of it; 0: not known
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, epoch, term, primary);
--- a/src/registered/registry/control_service.h
+++ b/src/registered/registry/control_service.h
@@ -33,7 +33,7 @@
   virtual Awaitable<std::optional<Registration>> register_backend(BackendEntry entry, Reason& reason) = 0;
   virtual Awaitable<bool> deregister_backend(BackendName name, Reason& reason) = 0;
   /// A registration could not be read: to be counted and logged.
-  virtual void note_refused(const RefusedRegistration& /*refused*/) {}
+  virtual void record_refused(const RefusedRegistration& /*refused*/) {}
   /// True once it is durable that nothing more is to be sent to the zone's backends, as far as no later order
   /// ends it. kNotFound: no such zone. Other codes: no clear outcome, ask again. An order that holds already
   /// is confirmed by a quorum round that began after the call.
@@ -52,7 +52,7 @@
   /// Where control takes registrations; empty while no control node is followed.
   [[nodiscard]] virtual std::optional<Endpoint> control_endpoint() const = 0;
   /// A registration could not be read: to be counted and logged.
-  virtual void note_refused(const RefusedRegistration& /*refused*/) const {}
+  virtual void record_refused(const RefusedRegistration& /*refused*/) const {}
 };
 
 /// Orders that only the leader gives, one at a time in the whole fleet.
--- a/src/registered/registry/messages.h
+++ b/src/registered/registry/messages.h
@@ -19,7 +19,7 @@
 struct ClosedGroup {
   GroupName group;
   std::uint64_t epoch = 0;        ///< of the close
-  Position highest_acknowledged;  ///< in any term, by this life of the proxy
+  Position highest_acknowledged;  ///< in any term, by this incarnation of the proxy
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/registered/registry/model.h
+++ b/src/registered/registry/model.h
@@ -119,11 +119,12 @@
   ZoneName zone;
   std::uint64_t slots = 0;
   bool leaving = false;
-  std::uint64_t sequence = 0;  ///< of the registration in this life; a lower one that comes later is old
-  std::uint64_t born_ms = 0;   ///< Unix time of its start, by its own clock; 0: it tells none
-  std::uint64_t cold_ms = 0;   ///< for how much longer it was cold when it registered this; 0: it is warm
+  std::uint64_t sequence =
+      0;  ///< of the registration in this incarnation; a lower one that comes later is old
+  std::uint64_t born_ms = 0;  ///< Unix time of its start, by its own clock; 0: it tells none
+  std::uint64_t cold_ms = 0;  ///< for how much longer it was cold when it registered this; 0: it is warm
   [[nodiscard]] BackendIncarnation incarnation() const { return {name, born_ms}; }
-  /// Whether it tells which life it is of.
+  /// Whether it tells which incarnation it is of.
   [[nodiscard]] bool tells_birth() const { return born_ms != 0; }
   /// Whether a newer registration says nothing new. Turning cold or warm is news; what is left of the cold
   /// time is none.
@@ -132,11 +133,13 @@
            zone == other.zone && slots == other.slots && leaving == other.leaving &&
            (cold_ms > 0) == (other.cold_ms > 0);
   }
-  /// Whether this one, of the same name or address, belongs to the past of `held`: of an earlier life, or of
-  /// none where `held` tells one.
-  [[nodiscard]] bool is_before_life_of(const BackendEntry& held) const { return born_ms < held.born_ms; }
-  /// Whether it changes what `held`, of the same name, says: it is of a later life, or of the same one with
-  /// news.
+  /// Whether this one, of the same name or address, belongs to the past of `held`: of an earlier incarnation,
+  /// or of none where `held` tells one.
+  [[nodiscard]] bool is_of_earlier_incarnation_than(const BackendEntry& held) const {
+    return born_ms < held.born_ms;
+  }
+  /// Whether it changes what `held`, of the same name, says: it is of a later incarnation, or of the same one
+  /// with news.
   [[nodiscard]] bool supersedes(const BackendEntry& held) const {
     if (born_ms != held.born_ms) return born_ms > held.born_ms;
     return sequence > held.sequence && !same_facts(held);
@@ -159,8 +162,8 @@
   bool open = false;
   std::uint64_t epoch = 0;            ///< grows with each change of this entry
   std::uint64_t opened_at = 0;        ///< revision at which the primary was last known to lead
-  std::uint64_t primary_born_ms = 0;  ///< which life of `primary` leads; 0: not known
-  /// Whether a backend of the primary's name is known to be another life of it, which does not lead.
+  std::uint64_t primary_born_ms = 0;  ///< which incarnation of `primary` leads; 0: not known
+  /// Whether a backend of the primary's name is known to be another incarnation of it, which does not lead.
   [[nodiscard]] bool is_restarted_primary(const BackendEntry& entry) const {
     return entry.name == primary && entry.born_ms != 0 && primary_born_ms != 0 &&
            entry.born_ms != primary_born_ms;
--- a/src/registered/registry/settled_revision.h
+++ b/src/registered/registry/settled_revision.h
@@ -9,7 +9,7 @@
 
 namespace cairnhollow::registered::registry {
 
-/// What the leader knows of one life of a proxy that may count operations for tenants.
+/// What the leader knows of one incarnation of a proxy that may count operations for tenants.
 struct ProxyKnowledge {
   std::uint64_t revision = 0;   ///< that it said it holds, to this leader; 0: it said nothing yet
   TimePoint may_count_until{};  ///< at the latest, by what was confirmed to it (registry/budget_authority.h)
--- a/src/registered/registry/state_machine.cpp
+++ b/src/registered/registry/state_machine.cpp
@@ -47,7 +47,7 @@
   state_.transaction_idle_ms = document.transaction_idle_ms;
   replace_rows(state_.routes, document.routes);
   replace_rows(state_.groups, document.groups);
-  note_groups();
+  record_groups();
   state_.requires_keys = document.requires_keys;
   replace_rows(state_.tenants, document.tenants);
   return true;
@@ -68,14 +68,14 @@
   if (found == at_endpoint_.end() || found->second == entry.name) return true;
   const BackendEntry* other = state_.backends.find(found->second);
   // An address belongs to who started there last, or registered there last where both tell no start.
-  if (entry.is_before_life_of(*other)) return false;
+  if (entry.is_of_earlier_incarnation_than(*other)) return false;
   remove_backend(BackendName(found->second));
   return true;
 }
 
 bool FleetStateMachine::take(DeregisterBackend& command) {
   const BackendEntry* held = state_.backends.find(command.name);
-  // Of a former life: the one that is held goes on.
+  // Of a former incarnation: the one that is held goes on.
   if (held != nullptr && command.born_ms != 0 && command.born_ms < held->born_ms) return false;
   return remove_backend(command.name);
 }
@@ -99,7 +99,7 @@
   return effective;
 }
 
-void FleetStateMachine::note_groups() {
+void FleetStateMachine::record_groups() {
   const std::vector<GroupRule> groups = state_.groups.all();
   limits_cold_backends_ = std::any_of(groups.begin(), groups.end(),
                                       [](const GroupRule& group) { return group.cold_rate_per_s > 0; });
@@ -116,7 +116,7 @@
     members_[held->group].erase(entry.name);
     at_endpoint_.erase(held->endpoint);
   }
-  note_backend(entry);
+  record_backend(entry);
   const BackendName name = entry.name;
   state_.ended_births.erase(name);
   state_.backends.put(name, std::move(entry), next_revision());
@@ -131,7 +131,7 @@
   return state_.backends.remove(name, next_revision());
 }
 
-void FleetStateMachine::note_backend(const BackendEntry& entry) {
+void FleetStateMachine::record_backend(const BackendEntry& entry) {
   members_[entry.group].insert(entry.name);
   at_endpoint_[entry.endpoint] = entry.name;
 }
@@ -208,8 +208,8 @@
   proxies_revision_ = state_.revision;
   members_.clear();
   at_endpoint_.clear();
-  for (const BackendEntry& entry : state_.backends.all()) note_backend(entry);
-  note_groups();
+  for (const BackendEntry& entry : state_.backends.all()) record_backend(entry);
+  record_groups();
   changed_.notify_all();
   return true;
 }
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -109,7 +109,8 @@
     RevisedTable<NodeName, AdmittedProxy> proxies;
     bool requires_keys = false;
     RevisedTable<TenantName, TenantRule> tenants;
-    std::uint64_t proxy_lost_at = 0;  ///< revision at which a life of a proxy was last replaced or forgotten
+    std::uint64_t proxy_lost_at =
+        0;  ///< revision at which an incarnation of a proxy was last replaced or forgotten
     /// Of removed backends, the start of the last life: what an earlier one says comes late.
     std::map<BackendName, std::uint64_t> ended_births;
     RevisedTable<ZoneName, Evacuation> evacuations;
@@ -141,13 +142,13 @@
   /// Takes out who registered at the entry's address before. False: the entry comes late, another started
   /// there after it.
   bool take_address(const BackendEntry& entry);
-  /// Ended lives are remembered as long as their names are.
+  /// Ended incarnations are remembered as long as their names are.
   void bound_ended_births();
-  void note_backend(const BackendEntry& entry);
+  void record_backend(const BackendEntry& entry);
   /// Makes a table hold these rows, by their names. Rows that stay as they are keep their revision.
   template <class Key, class Row>
   void replace_rows(RevisedTable<Key, Row>& table, const std::vector<Row>& rows);
-  void note_groups();
+  void record_groups();
   void bound_removed();
   [[nodiscard]] std::uint64_t next_revision() const { return state_.revision + 1; }
 
--- a/src/registered/tenancy/key_confirmation.h
+++ b/src/registered/tenancy/key_confirmation.h
@@ -26,7 +26,7 @@
   explicit KeyConfirmation(std::optional<Duration> bound) : bound_(bound) {}
 
   /// Control proved the document newest, to a question asked at `asked_at`.
-  void note(TimePoint asked_at) {
+  void record(TimePoint asked_at) {
     if (!confirmed_at_ || *confirmed_at_ < asked_at) confirmed_at_ = asked_at;
   }
   /// Whether a statement with a key of the document may be sent to a backend at `now`.
--- a/src/registered/tenancy/tenant_division.cpp
+++ b/src/registered/tenancy/tenant_division.cpp
@@ -16,7 +16,7 @@
                                                    const TenantName& tenant, double part,
                                                    const ZoneName& zone) {
   // The weights of the tenant stand in for those of a forwarder.
-  auto order = routing::forwarding_order(serving, NodeName(tenant.value), zone);
+  auto order = subset::forwarding_order(serving, NodeName(tenant.value), zone);
   const auto near = static_cast<std::size_t>(std::count_if(
       order.begin(), order.end(), [&](const subset::ProxyPointer& proxy) { return proxy->zone == zone; }));
   const std::size_t own = std::min(proxies_of_tenant(near, part), near);
--- a/standins/registered/database.cpp
+++ b/standins/registered/database.cpp
@@ -132,7 +132,7 @@
       const auto response = co_await connection->exchange(std::move(request), deadline, sent, reason);
       connection->close();
       if (response && response->status / 100 == 2) {
-        note_heartbeat_endpoint(response->body);
+        record_heartbeat_endpoint(response->body);
         if (endpoint == heartbeat_endpoint_) ++heartbeats_elsewhere_;
         co_return;
       }
@@ -141,7 +141,7 @@
     }
   }
 
-  void note_heartbeat_endpoint(const std::string& body) {
+  void record_heartbeat_endpoint(const std::string& body) {
     boost::system::error_code error;
     const auto answer = boost::json::parse(body, error);
     if (error || !answer.is_object() || !answer.as_object().contains("HeartbeatAddr")) return;
--- a/standins/registered/environment.cpp
+++ b/standins/registered/environment.cpp
@@ -143,7 +143,7 @@
       taken = status == kOk;
       if (!taken) co_await runtime_.sleep_for(kDocumentRetry);
     }
-    if (taken) note_acknowledged();
+    if (taken) record_acknowledged();
     co_await runtime_.sleep_for(kDocumentPause);
   }
 }
@@ -158,7 +158,7 @@
   return tenants;
 }
 
-void Environment::note_acknowledged() {
+void Environment::record_acknowledged() {
   acknowledged_ = version_;
   ++documents_;
   for (TenantEra& era : tenant_history_.eras)
--- a/standins/registered/environment.h
+++ b/standins/registered/environment.h
@@ -78,7 +78,7 @@
   /// The tenants of the document of `version_`; noted before it is sent, since it may be in force before its
   /// acknowledgement comes.
   std::vector<cairnhollow::registered::registry::TenantRule> begin_era();
-  void note_acknowledged();
+  void record_acknowledged();
   Awaitable<void> send_documents();
   /// Status of the answer; 0: none.
   Awaitable<unsigned> call_control(runtime::HttpRequest request, std::string& body);
--- a/standins/registered/group_model.h
+++ b/standins/registered/group_model.h
@@ -61,7 +61,7 @@
   void pause(const BackendName& name, std::uint64_t term);
   void resume(const BackendName& name) { members_.at(name).pause_term = 0; }
 
-  /// Starts again with nothing; its next life is what it is told to be.
+  /// Starts again with nothing; its next incarnation is what it is told to be.
   void forget(const BackendName& name);
 
   /// Entries applied at `now`.
--- a/tests/consensus/cluster.cpp
+++ b/tests/consensus/cluster.cpp
@@ -62,17 +62,17 @@
 
 ClusterRole::ClusterRole(runtime::Runtime& runtime, RaftSettings settings, AppliedRecord& record,
                          RunChecks& checks)
-    : runtime_(runtime, [this](std::string_view event) { note_event(event); }),
+    : runtime_(runtime, [this](std::string_view event) { record_event(event); }),
       name_(settings.node.value),
       endpoint_(settings.endpoint),
       checks_(checks),
       machine_(record),
       node_(make_raft_node(runtime_, machine_, std::move(settings))) {}
 
-void ClusterRole::note_event(std::string_view event) {
+void ClusterRole::record_event(std::string_view event) {
   if (event != "consensus_leader_elected") return;
   const ConsensusStatus status = node_->status();
-  checks_.note_leader(status.term, name_, status.last_index);
+  checks_.record_leader(status.term, name_, status.last_index);
 }
 
 Awaitable<bool> ClusterRole::start(Reason& reason) {
@@ -310,7 +310,7 @@
       [&](const std::string& leader) { return begin_replace(leader, lost, replacement, limit); }, limit);
 }
 
-void Cluster::note_logs() {
+void Cluster::record_logs() {
   for (const std::string& name : names_) {
     const auto file = world_.disk(name).files.find("raft.log");
     if (file == world_.disk(name).files.end()) continue;
@@ -325,12 +325,12 @@
       auto entry = wire::decode<LogEntry>(record->payload, reason);
       if (entry) entries.push_back(std::move(*entry));
     }
-    checks_.note_log(base->term, entries);
+    checks_.record_log(base->term, entries);
   }
 }
 
 void assert_sound(Cluster& cluster) {
-  cluster.note_logs();
+  cluster.record_logs();
   for (const auto& violations : {cluster.record().violations(), cluster.checks().violations()}) {
     CPPUNIT_ASSERT_MESSAGE(violations.empty() ? "" : violations.front(), violations.empty());
   }
--- a/tests/consensus/cluster.h
+++ b/tests/consensus/cluster.h
@@ -31,7 +31,7 @@
   Awaitable<void> accept_connections();
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection);
 
-  void note_event(std::string_view event);
+  void record_event(std::string_view event);
 
   ObservedRuntime runtime_;
   const std::string name_;
@@ -79,7 +79,7 @@
   AppliedRecord& record() { return record_; }
   RunChecks& checks() { return checks_; }
   /// Notes what every server's log holds on its disk, running or not.
-  void note_logs();
+  void record_logs();
   /// One line a server, for failure messages.
   std::string describe();
   /// Every server ever started.
--- a/tests/consensus/random_faults.cpp
+++ b/tests/consensus/random_faults.cpp
@@ -37,7 +37,7 @@
   const TimePoint end = world().now() + settings_.duration;
   while (world().now() < end) step();
   check_liveness();
-  cluster_.note_logs();
+  cluster_.record_logs();
   for (const auto& list :
        {cluster_.record().violations(), cluster_.checks().violations(), world().faults()}) {
     failures_.insert(failures_.end(), list.begin(), list.end());
@@ -56,19 +56,19 @@
 void RandomFaultRun::observe() {
   for (const std::string& name : cluster_.running_names()) {
     const ConsensusStatus status = cluster_.status(name);
-    cluster_.checks().note_committed(status.term, status.commit_index);
+    cluster_.checks().record_committed(status.term, status.commit_index);
   }
   std::erase_if(proposals_, [&](const Proposal& proposal) {
     if (proposal.result->succeeded()) {
-      cluster_.checks().note_acknowledged(*proposal.result->index, proposal.command);
+      cluster_.checks().record_acknowledged(*proposal.result->index, proposal.command);
     } else if (proposal.result->done && proposal.result->reason.code != ReasonCode::kOutcomeUnknown) {
-      cluster_.checks().note_refused(proposal.command);
+      cluster_.checks().record_refused(proposal.command);
     }
     return proposal.result->done;
   });
   std::erase_if(barriers_, [&](const Barrier& barrier) {
     if (barrier.result->succeeded()) {
-      cluster_.checks().note_barrier(barrier.minimum, *barrier.result->index, barrier.name);
+      cluster_.checks().record_barrier(barrier.minimum, *barrier.result->index, barrier.name);
     }
     return barrier.result->done;
   });
--- a/tests/consensus/recording_state_machine.cpp
+++ b/tests/consensus/recording_state_machine.cpp
@@ -8,19 +8,19 @@
 
 namespace cairnhollow::consensus {
 
-void AppliedRecord::note(std::uint64_t index, const std::string& command) {
+void AppliedRecord::record(std::uint64_t index, const std::string& command) {
   const auto [known, inserted] = commands_.emplace(index, command);
   if (!inserted && known->second != command) {
     violations_.push_back(fmt::format("index {}: {} applied, {} before", index, command, known->second));
   }
 }
 
-void AppliedRecord::note_restored(const std::map<std::uint64_t, std::string>& commands) {
-  for (const auto& [index, command] : commands) note(index, command);
+void AppliedRecord::record_restored(const std::map<std::uint64_t, std::string>& commands) {
+  for (const auto& [index, command] : commands) record(index, command);
 }
 
 void RecordingStateMachine::apply(std::uint64_t index, const std::string& command) {
-  record_.note(index, command);
+  record_.record(index, command);
   commands_.emplace(index, command);
 }
 
@@ -30,7 +30,7 @@
   auto commands = wire::decode<std::map<std::uint64_t, std::string>>(bytes, reason);
   if (!commands) return false;
   commands_ = std::move(*commands);
-  record_.note_restored(commands_);
+  record_.record_restored(commands_);
   ++restores_;
   return true;
 }
--- a/tests/consensus/recording_state_machine.h
+++ b/tests/consensus/recording_state_machine.h
@@ -14,9 +14,9 @@
 class AppliedRecord {
  public:
   /// Notes a violation when another command was applied at this index before.
-  void note(std::uint64_t index, const std::string& command);
+  void record(std::uint64_t index, const std::string& command);
   /// A restored snapshot says what was applied up to its index.
-  void note_restored(const std::map<std::uint64_t, std::string>& commands);
+  void record_restored(const std::map<std::uint64_t, std::string>& commands);
 
   [[nodiscard]] const std::map<std::uint64_t, std::string>& commands() const { return commands_; }
   [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
--- a/tests/consensus/run_checks.cpp
+++ b/tests/consensus/run_checks.cpp
@@ -6,7 +6,7 @@
 
 namespace cairnhollow::consensus {
 
-void RunChecks::note_leader(std::uint64_t term, const std::string& name, std::uint64_t last_index) {
+void RunChecks::record_leader(std::uint64_t term, const std::string& name, std::uint64_t last_index) {
   const auto [known, inserted] = leaders_.emplace(term, name);
   if (!inserted) {
     violations_.push_back(
@@ -21,12 +21,12 @@
   }
 }
 
-void RunChecks::note_committed(std::uint64_t term, std::uint64_t index) {
+void RunChecks::record_committed(std::uint64_t term, std::uint64_t index) {
   std::uint64_t& last = last_committed_[term];
   last = std::max(last, index);
 }
 
-void RunChecks::note_log(std::uint64_t previous_term, const std::vector<LogEntry>& entries) {
+void RunChecks::record_log(std::uint64_t previous_term, const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
     KnownEntry seen{previous_term, entry.kind, entry.payload};
     previous_term = entry.term;
@@ -37,12 +37,12 @@
   }
 }
 
-void RunChecks::note_acknowledged(std::uint64_t index, const std::string& command) {
+void RunChecks::record_acknowledged(std::uint64_t index, const std::string& command) {
   acknowledged_.emplace(index, command);
   last_acknowledged_ = std::max(last_acknowledged_, index);
 }
 
-void RunChecks::note_barrier(std::uint64_t minimum, std::uint64_t index, const std::string& name) {
+void RunChecks::record_barrier(std::uint64_t minimum, std::uint64_t index, const std::string& name) {
   ++barriers_;
   if (index >= minimum) return;
   violations_.push_back(
--- a/tests/consensus/run_checks.h
+++ b/tests/consensus/run_checks.h
@@ -17,20 +17,20 @@
   /// Election safety: one leader a term. Leader completeness: its log reaches what was committed in lower
   /// terms. (One that was frozen between its last vote and its first act may lead an old term for a moment,
   /// without what higher terms have committed.)
-  void note_leader(std::uint64_t term, const std::string& name, std::uint64_t last_index);
+  void record_leader(std::uint64_t term, const std::string& name, std::uint64_t last_index);
   /// A server in this term says that this entry is committed: so it was in this term or a lower one.
-  void note_committed(std::uint64_t term, std::uint64_t index);
+  void record_committed(std::uint64_t term, std::uint64_t index);
   /// Log matching: entries of the same index and term are the same and follow the same entry. `previous_term`
   /// is that of the entry before the first of `entries`.
-  void note_log(std::uint64_t previous_term, const std::vector<LogEntry>& entries);
+  void record_log(std::uint64_t previous_term, const std::vector<LogEntry>& entries);
 
   /// A caller has its answer.
-  void note_acknowledged(std::uint64_t index, const std::string& command);
+  void record_acknowledged(std::uint64_t index, const std::string& command);
   /// A caller was told that its command was not taken and never will be.
-  void note_refused(const std::string& command) { refused_.insert(command); }
+  void record_refused(const std::string& command) { refused_.insert(command); }
   /// The index that a read barrier begun now must reach.
   [[nodiscard]] std::uint64_t barrier_minimum() const { return last_acknowledged_; }
-  void note_barrier(std::uint64_t minimum, std::uint64_t index, const std::string& name);
+  void record_barrier(std::uint64_t minimum, std::uint64_t index, const std::string& name);
   /// Nothing acknowledged is lost, nothing refused is applied. `applied` is the group's final state.
   void check_outcomes(const std::map<std::uint64_t, std::string>& applied);
 
--- a/tests/consensus/run_checks_test.cpp
+++ b/tests/consensus/run_checks_test.cpp
@@ -26,54 +26,54 @@
 
  public:
   void two_leaders_of_a_term() {
-    checks_.note_leader(1, "a", 0);
-    checks_.note_leader(2, "b", 0);
+    checks_.record_leader(1, "a", 0);
+    checks_.record_leader(2, "b", 0);
     expect(0);
-    checks_.note_leader(2, "a", 0);
+    checks_.record_leader(2, "a", 0);
     expect(1);
   }
 
   void a_leader_without_a_committed_entry() {
-    checks_.note_committed(2, 5);
-    checks_.note_leader(1, "a", 3);  // an old term's
-    checks_.note_leader(3, "b", 5);
+    checks_.record_committed(2, 5);
+    checks_.record_leader(1, "a", 3);  // an old term's
+    checks_.record_leader(3, "b", 5);
     expect(0);
-    checks_.note_leader(4, "c", 4);
+    checks_.record_leader(4, "c", 4);
     expect(1);
-    checks_.note_committed(3, 9);
-    checks_.note_committed(5, 20);
-    checks_.note_leader(6, "d", 20);
+    checks_.record_committed(3, 9);
+    checks_.record_committed(5, 20);
+    checks_.record_leader(6, "d", 20);
     expect(1);
-    checks_.note_leader(7, "e", 19);
+    checks_.record_leader(7, "e", 19);
     expect(2);
   }
 
   void two_entries_at_one_place() {
-    checks_.note_log(0, {make_entry(1, 1, "x"), make_entry(2, 1, "y")});
-    checks_.note_log(1, {make_entry(2, 1, "y")});
-    checks_.note_log(1, {make_entry(2, 2, "z")});
+    checks_.record_log(0, {make_entry(1, 1, "x"), make_entry(2, 1, "y")});
+    checks_.record_log(1, {make_entry(2, 1, "y")});
+    checks_.record_log(1, {make_entry(2, 2, "z")});
     expect(0);
-    checks_.note_log(1, {make_entry(2, 1, "z")});
+    checks_.record_log(1, {make_entry(2, 1, "z")});
     expect(1);
   }
 
   void one_entry_behind_two_others() {
-    checks_.note_log(0, {make_entry(1, 1, "x"), make_entry(2, 3, "y")});
+    checks_.record_log(0, {make_entry(1, 1, "x"), make_entry(2, 3, "y")});
     expect(0);
-    checks_.note_log(0, {make_entry(1, 2, "w"), make_entry(2, 3, "y")});
+    checks_.record_log(0, {make_entry(1, 2, "w"), make_entry(2, 3, "y")});
     expect(1);
   }
 
   void a_barrier_before_an_acknowledged_entry() {
-    checks_.note_acknowledged(7, "x");
-    checks_.note_barrier(checks_.barrier_minimum(), 7, "a");
+    checks_.record_acknowledged(7, "x");
+    checks_.record_barrier(checks_.barrier_minimum(), 7, "a");
     expect(0);
-    checks_.note_barrier(checks_.barrier_minimum(), 6, "a");
+    checks_.record_barrier(checks_.barrier_minimum(), 6, "a");
     expect(1);
   }
 
   void a_lost_acknowledged_command() {
-    checks_.note_acknowledged(7, "x");
+    checks_.record_acknowledged(7, "x");
     checks_.check_outcomes({{7, "x"}});
     expect(0);
     checks_.check_outcomes({{7, "y"}});
@@ -83,7 +83,7 @@
   }
 
   void a_refused_command_that_is_applied() {
-    checks_.note_refused("x");
+    checks_.record_refused("x");
     checks_.check_outcomes({{1, "y"}});
     expect(0);
     checks_.check_outcomes({{1, "x"}});
@@ -92,10 +92,10 @@
 
   void two_commands_applied_at_one_index() {
     AppliedRecord record;
-    record.note(1, "x");
-    record.note(1, "x");
+    record.record(1, "x");
+    record.record(1, "x");
     CPPUNIT_ASSERT(record.violations().empty());
-    record.note_restored({{1, "y"}});
+    record.record_restored({{1, "y"}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, record.violations().size());
   }
 
--- a/tests/platform/registration_calls_test.cpp
+++ b/tests/platform/registration_calls_test.cpp
@@ -19,7 +19,7 @@
     return entry.name.value == "i-7f3a91c2" && !entry.leaving;
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override { return control; }
-  void note_refused(const registered::registry::RefusedRegistration& said) const override {
+  void record_refused(const registered::registry::RefusedRegistration& said) const override {
     refused.push_back(said);
   }
 
@@ -46,7 +46,7 @@
     ++taken;
     co_return true;
   }
-  void note_refused(const registered::registry::RefusedRegistration& said) override {
+  void record_refused(const registered::registry::RefusedRegistration& said) override {
     refused.push_back(said);
   }
 
--- a/tests/registered/control/failover/close_answers_test.cpp
+++ b/tests/registered/control/failover/close_answers_test.cpp
@@ -30,7 +30,7 @@
   CPPUNIT_TEST(an_answer_to_an_earlier_close_does_not_count);
   CPPUNIT_TEST(an_answer_that_came_before_anybody_asked_counts);
   CPPUNIT_TEST(an_older_answer_that_comes_late_takes_nothing_back);
-  CPPUNIT_TEST(another_life_of_a_proxy_has_to_answer_itself);
+  CPPUNIT_TEST(another_incarnation_of_a_proxy_has_to_answer_itself);
   CPPUNIT_TEST(a_proxy_that_joins_has_to_answer);
   CPPUNIT_TEST(a_proxy_that_is_forgotten_is_not_waited_for);
   CPPUNIT_TEST(leases_that_ran_out_end_the_wait_and_no_more);
@@ -43,61 +43,61 @@
 
   void a_close_is_over_with_the_last_answer() {
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ask(4).waiting_for);
-    CPPUNIT_ASSERT(!answers_.note(node(1), 1, answer(1, 4, 7)));
+    CPPUNIT_ASSERT(!answers_.record(node(1), 1, answer(1, 4, 7)));
     CPPUNIT_ASSERT(!ask(4).complete);
-    CPPUNIT_ASSERT(answers_.note(node(2), 1, answer(1, 4, 9)));
+    CPPUNIT_ASSERT(answers_.record(node(2), 1, answer(1, 4, 9)));
     CPPUNIT_ASSERT(ask(4).complete && ask(4).all_answered);
     CPPUNIT_ASSERT(ask(4).highest_acknowledged == (Position{1, 9}));
-    CPPUNIT_ASSERT_MESSAGE("the same again ends nothing", !answers_.note(node(2), 1, answer(1, 4, 9)));
+    CPPUNIT_ASSERT_MESSAGE("the same again ends nothing", !answers_.record(node(2), 1, answer(1, 4, 9)));
   }
 
   void an_answer_to_an_earlier_close_does_not_count() {
     ask(4);
-    answers_.note(node(1), 1, answer(1, 2, 7));
+    answers_.record(node(1), 1, answer(1, 2, 7));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ask(4).waiting_for);
-    answers_.note(node(1), 1, answer(1, 4, 7));
-    answers_.note(node(2), 1, answer(1, 4, 7));
+    answers_.record(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(2), 1, answer(1, 4, 7));
     CPPUNIT_ASSERT(ask(4).complete);
     CPPUNIT_ASSERT_MESSAGE("of the next close nothing is known", !ask(6).complete);
   }
 
   void an_answer_that_came_before_anybody_asked_counts() {
-    answers_.note(node(1), 1, answer(1, 4, 7));
-    answers_.note(node(2), 1, answer(1, 4, 8));
+    answers_.record(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(2), 1, answer(1, 4, 8));
     CPPUNIT_ASSERT(ask(4).all_answered);
     CPPUNIT_ASSERT(ask(4).highest_acknowledged == (Position{1, 8}));
   }
 
   void an_older_answer_that_comes_late_takes_nothing_back() {
-    answers_.note(node(1), 1, answer(1, 4, 7));
-    answers_.note(node(1), 1, answer(1, 2, 5));
-    answers_.note(node(2), 1, answer(1, 4, 6));
+    answers_.record(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(1), 1, answer(1, 2, 5));
+    answers_.record(node(2), 1, answer(1, 4, 6));
     CPPUNIT_ASSERT(ask(4).all_answered);
     CPPUNIT_ASSERT(ask(4).highest_acknowledged == (Position{1, 7}));
   }
 
-  void another_life_of_a_proxy_has_to_answer_itself() {
+  void another_incarnation_of_a_proxy_has_to_answer_itself() {
     ask(4);
-    answers_.note(node(1), 1, answer(1, 4, 7));
-    answers_.note(node(2), 1, answer(1, 4, 7));
+    answers_.record(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(2), 1, answer(1, 4, 7));
     answers_.set_proxies({proxy(1), proxy(2, 2)});
     CPPUNIT_ASSERT(!ask(4).all_answered);
-    answers_.note(node(2), 1, answer(1, 4, 7));
+    answers_.record(node(2), 1, answer(1, 4, 7));
     CPPUNIT_ASSERT_MESSAGE("an answer of the life before", !ask(4).all_answered);
-    answers_.note(node(2), 2, answer(1, 4, 0));
+    answers_.record(node(2), 2, answer(1, 4, 0));
     CPPUNIT_ASSERT(ask(4).all_answered);
   }
 
   void a_proxy_that_joins_has_to_answer() {
-    answers_.note(node(1), 1, answer(1, 4, 7));
-    answers_.note(node(2), 1, answer(1, 4, 7));
+    answers_.record(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(2), 1, answer(1, 4, 7));
     CPPUNIT_ASSERT(ask(4).all_answered);
     answers_.set_proxies({proxy(1), proxy(2), proxy(3)});
     CPPUNIT_ASSERT(!ask(4).all_answered);
   }
 
   void a_proxy_that_is_forgotten_is_not_waited_for() {
-    answers_.note(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(1), 1, answer(1, 4, 7));
     CPPUNIT_ASSERT(!ask(4).all_answered);
     answers_.set_proxies({proxy(1)});
     CPPUNIT_ASSERT(ask(4).all_answered);
@@ -112,8 +112,8 @@
   }
 
   void answers_from_before_a_change_of_leader_are_forgotten() {
-    answers_.note(node(1), 1, answer(1, 4, 7));
-    answers_.note(node(2), 1, answer(1, 4, 7));
+    answers_.record(node(1), 1, answer(1, 4, 7));
+    answers_.record(node(2), 1, answer(1, 4, 7));
     answers_.clear();
     CPPUNIT_ASSERT(!ask(4).all_answered);
   }
@@ -137,7 +137,7 @@
     for (int number = 1; number <= kProxies; ++number) {
       for (int closed = 1; closed <= kGroups; ++closed) {
         if (number % kBetweenLooks == 1) CPPUNIT_ASSERT(!answers_.progress(group(closed), 2, count).complete);
-        ends += answers_.note(node(number), 1, answer(closed, 2, 1)) ? 1 : 0;
+        ends += answers_.record(node(number), 1, answer(closed, 2, 1)) ? 1 : 0;
       }
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kGroups}, ends);
--- a/tests/registered/control/failover/group_keeper_lives_test.cpp
+++ b/tests/registered/control/failover/group_keeper_lives_test.cpp
@@ -114,16 +114,16 @@
 
 class GroupKeeperLivesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupKeeperLivesTest);
-  CPPUNIT_TEST(another_life_of_the_primary_is_given_up_at_once);
+  CPPUNIT_TEST(another_incarnation_of_the_primary_is_given_up_at_once);
   CPPUNIT_TEST(who_leads_with_less_than_it_had_is_not_opened);
   CPPUNIT_TEST(who_started_again_after_the_look_is_not_ordered);
   CPPUNIT_TEST(who_lost_its_log_while_its_turn_was_awaited_is_not_ordered);
   CPPUNIT_TEST(who_joined_in_the_term_may_lack_earlier_commits);
   CPPUNIT_TEST(nobody_follows_without_proof_before_all_have_answered);
-  CPPUNIT_TEST(a_replaced_life_may_have_held_the_newest_commits);
+  CPPUNIT_TEST(a_replaced_incarnation_may_have_held_the_newest_commits);
   CPPUNIT_TEST(a_promotion_without_proof_is_counted);
-  CPPUNIT_TEST(who_starts_to_look_may_have_missed_a_replaced_life);
-  CPPUNIT_TEST(a_life_that_left_may_come_back_a_look_later);
+  CPPUNIT_TEST(who_starts_to_look_may_have_missed_a_replaced_incarnation);
+  CPPUNIT_TEST(a_incarnation_that_left_may_come_back_a_look_later);
   CPPUNIT_TEST(who_joined_in_the_revision_that_opened_the_term_joined_in_it);
   CPPUNIT_TEST_SUITE_END();
 
@@ -152,7 +152,7 @@
     world_->run_for(seconds(4));
   }
 
-  void another_life_of_the_primary_is_given_up_at_once() {
+  void another_incarnation_of_the_primary_is_given_up_at_once() {
     put("p", 1, 2000, BackendStatus{false, 1, {1, 0}});
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT(term().open);
@@ -212,7 +212,7 @@
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
   }
 
-  /// The primary's next life came back with the log, as primary: it answers last.
+  /// The primary's next incarnation came back with the log, as primary: it answers last.
   void nobody_follows_without_proof_before_all_have_answered() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
@@ -226,7 +226,7 @@
   }
 
   /// A proxy that may have acknowledged something is gone, too, and the primary does not answer.
-  void a_replaced_life_may_have_held_the_newest_commits() {
+  void a_replaced_incarnation_may_have_held_the_newest_commits() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
     leader_->statuses.erase(BackendName("p"));
@@ -254,8 +254,9 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leader_->keeper.unproved_promotions());
   }
 
-  /// A control node starts after "a" did: the former life may have been the only one with the newest commits.
-  void who_starts_to_look_may_have_missed_a_replaced_life() {
+  /// A control node starts after "a" did: the former incarnation may have been the only one with the newest
+  /// commits.
+  void who_starts_to_look_may_have_missed_a_replaced_incarnation() {
     lose_a_proxy();
     leader_->statuses[BackendName("a")] = BackendStatus{false, kTerm, {kTerm, 4}};
     start_another_keeper();
@@ -271,7 +272,7 @@
   }
 
   /// Between the two the group was looked at without it.
-  void a_life_that_left_may_come_back_a_look_later() {
+  void a_incarnation_that_left_may_come_back_a_look_later() {
     lose_a_proxy();
     leader_->statuses.erase(BackendName("p"));
     apply(registry::DeregisterBackend{BackendName("a")});
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -198,7 +198,7 @@
     suspicion.group = kGroup;
     suspicion.backend = BackendName("primary");
     suspicion.term = 1;
-    for (const char* proxy : {"one", "two"}) keeper_->note_suspicion(NodeName(proxy), suspicion);
+    for (const char* proxy : {"one", "two"}) keeper_->record_suspicion(NodeName(proxy), suspicion);
   }
 
   void close_group() {
--- a/tests/registered/control/failover/member_pauses_test.cpp
+++ b/tests/registered/control/failover/member_pauses_test.cpp
@@ -1,4 +1,5 @@
-// A pause is of one life of a member: the next one under its name is not paused, and not known as long.
+// A pause is of one incarnation of a member: the next one under its name is not paused, and not known as
+// long.
 #include "registered/control/failover/member_pauses.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -49,9 +50,9 @@
 
 class MemberPausesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MemberPausesTest);
-  CPPUNIT_TEST(a_pause_ends_with_the_life_that_was_paused);
-  CPPUNIT_TEST(a_next_life_is_new_to_silent_proxies);
-  CPPUNIT_TEST(the_next_life_of_the_primary_is_paused_as_well);
+  CPPUNIT_TEST(a_pause_ends_with_the_incarnation_that_was_paused);
+  CPPUNIT_TEST(a_next_incarnation_is_new_to_silent_proxies);
+  CPPUNIT_TEST(the_next_incarnation_of_the_primary_is_paused_as_well);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -81,7 +82,7 @@
     world_.reset();
   }
 
-  void a_pause_ends_with_the_life_that_was_paused() {
+  void a_pause_ends_with_the_incarnation_that_was_paused() {
     pause();
     world_->run_for(registry::kMemberLeaseWait);
     CPPUNIT_ASSERT(hold("a", kKnowsAll));
@@ -96,7 +97,7 @@
     CPPUNIT_ASSERT(hold("a", kKnowsAll));
   }
 
-  void a_next_life_is_new_to_silent_proxies() {
+  void a_next_incarnation_is_new_to_silent_proxies() {
     world_->run_for(registry::kServeWithoutControl + registry::kMemberLease);
     pause();
     world_->run_for(registry::kMemberLeaseWait);
@@ -109,7 +110,7 @@
     CPPUNIT_ASSERT(hold("a", 0));
   }
 
-  void the_next_life_of_the_primary_is_paused_as_well() {
+  void the_next_incarnation_of_the_primary_is_paused_as_well() {
     pause();
     world_->run_for(registry::kMemberLeaseWait);
     CPPUNIT_ASSERT(!hold("old", kKnowsAll));
@@ -132,7 +133,7 @@
     entry.born_ms = born_ms;
     entry.sequence = 1;
     apply(registry::RegisterBackend{entry});
-    pauses_->note_members();
+    pauses_->record_members();
   }
   void pause() {
     runtime_->spawn("pause", pauses_->pause(closed_));
