--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -57,9 +57,9 @@
   CPPUNIT_TEST(not_by_a_primary_that_answers_with_nothing);
   CPPUNIT_TEST(a_restarted_primary_is_not_the_old_one);
   CPPUNIT_TEST(a_replica_without_its_log_was_not_compared);
-  CPPUNIT_TEST(a_replaced_life_may_have_been_the_only_one_to_hold_a_commit);
+  CPPUNIT_TEST(a_replaced_incarnation_may_have_been_the_only_one_to_hold_a_commit);
   CPPUNIT_TEST(nothing_left_keeps_to_the_furthest);
-  CPPUNIT_TEST(the_primarys_next_life_may_have_its_log);
+  CPPUNIT_TEST(the_primarys_next_incarnation_may_have_its_log);
   CPPUNIT_TEST(who_joined_in_the_term_needs_entries_of_it);
   CPPUNIT_TEST(a_newer_primary_without_a_log_is_not_adopted);
   CPPUNIT_TEST(a_primary_without_what_proxies_acknowledged_is_not_the_old_one);
@@ -209,7 +209,7 @@
   }
 
   void not_by_a_primary_that_answers_with_nothing() {
-    // It started again and has not registered yet: its former life's position is not known.
+    // It started again and has not registered yet: its former incarnation's position is not known.
     auto known =
         facts({life("old", 1000, replica(0)), life("a", 1000, replica(7)), life("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
@@ -248,12 +248,12 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
-  void a_replaced_life_may_have_been_the_only_one_to_hold_a_commit() {
+  void a_replaced_incarnation_may_have_been_the_only_one_to_hold_a_commit() {
     auto known =
         facts({life("old", 1000, std::nullopt), life("a", 1000, replica(7)), life("b", 2000, replica(5))});
     known.highest_acknowledged = {3, 6};  // a proxy did not answer
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
-    known.replaced_life_is_unsettled = true;
+    known.replaced_incarnation_is_unsettled = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.all_acknowledgers_answered = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
@@ -264,7 +264,7 @@
     auto known =
         facts({life("old", 2000, replica(0)), life("a", 1000, replica(7)), life("b", 2000, replica(0))});
     known.closed.primary_born_ms = 1000;
-    known.replaced_life_is_unsettled = true;
+    known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
     const auto choice = choose_promotion(known, true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kPromote && choice.is_unproved);
@@ -278,11 +278,11 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  void the_primarys_next_life_may_have_its_log() {
+  void the_primarys_next_incarnation_may_have_its_log() {
     auto known =
         facts({life("old", 2000, std::nullopt), life("a", 1000, replica(7)), life("b", 2000, replica(5))});
     known.closed.primary_born_ms = 1000;
-    known.replaced_life_is_unsettled = true;
+    known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
     CPPUNIT_ASSERT_MESSAGE("it has not said what it holds",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
@@ -322,7 +322,7 @@
   }
 
   void a_primary_without_what_proxies_acknowledged_is_not_the_old_one() {
-    // Both answer in a next life that has not registered; the other replica does not answer.
+    // Both answer in a next incarnation that has not registered; the other replica does not answer.
     auto known =
         facts({life("old", 1000, leading(0)), life("a", 1000, replica(0)), life("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -5,8 +5,8 @@
 // acknowledged commit, unless nobody's log has it any more, and somebody is opened once nothing better can
 // come.
 //
-// Assumed, as the design does: until it has registered, a life that starts again gets the primary's log whole
-// or not at all.
+// Assumed, as the design does: until it has registered, an incarnation that starts again gets the primary's
+// log whole or not at all.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -32,11 +32,11 @@
 
 /// One guard left out each; all true is the design.
 struct Guards {
-  bool backends_tell_lives = true;       ///< and who shows an empty log has lost it
-  bool term_tells_primarys_life = true;  ///< another life of the primary is not the old one
-  bool replaced_life_unsettles = true;   ///< a reborn member left with all it held
-  bool left_life_unsettles = true;       ///< and is not stable until compared
-  bool joined_life_needs_entries = true;
+  bool backends_tell_incarnations = true;       ///< and who shows an empty log has lost it
+  bool term_tells_primarys_incarnation = true;  ///< another incarnation of the primary is not the old one
+  bool replaced_incarnation_unsettles = true;   ///< a reborn member left with all it held
+  bool left_incarnation_unsettles = true;       ///< and is not stable until compared
+  bool joined_incarnation_needs_entries = true;
   bool opened_with_what_was_chosen = true;
 };
 
@@ -120,7 +120,7 @@
       replicate(state, place);
       fall_silent(state, place);
       restart(state, place);
-      register_life(state, place);
+      register_incarnation(state, place);
     }
     commit(state);
     acknowledge(state);
@@ -174,7 +174,7 @@
     next.members[place].length = 0;
     visit(next);
   }
-  void register_life(const State& state, std::size_t place) {
+  void register_incarnation(const State& state, std::size_t place) {
     State next = state;
     if (next.members[place].registered == next.members[place].life) return;
     next.members[place].registered = next.members[place].life;
@@ -211,18 +211,21 @@
     facts.closed.term = kClosedTerm;
     facts.closed.epoch = state.earlier == 0 ? 2 : 4;
     facts.closed.primary = BackendName(kNames[kPrimary]);
-    facts.closed.primary_born_ms = guards_.term_tells_primarys_life && guards_.backends_tell_lives ? 1 : 0;
+    facts.closed.primary_born_ms =
+        guards_.term_tells_primarys_incarnation && guards_.backends_tell_incarnations ? 1 : 0;
     facts.synchronous_replicas = 1;
     facts.all_acknowledgers_answered = !state.proxy_started_again;
     facts.highest_acknowledged = state.told == 0 ? Position{} : position_of(state, state.told);
-    facts.members_are_stable = !(state.unsettled && guards_.left_life_unsettles);
-    facts.replaced_life_is_unsettled = state.unsettled && state.replaced && guards_.replaced_life_unsettles;
+    facts.members_are_stable = !(state.unsettled && guards_.left_incarnation_unsettles);
+    facts.replaced_incarnation_is_unsettled =
+        state.unsettled && state.replaced && guards_.replaced_incarnation_unsettles;
     for (std::size_t place = 0; place < kMembers; ++place) {
       const Member& member = state.members[place];
       MemberFinding finding;
       finding.entry.name = BackendName(kNames[place]);
-      if (guards_.backends_tell_lives) finding.entry.born_ms = static_cast<std::uint64_t>(member.registered);
-      finding.joined_in_term = member.joined && guards_.joined_life_needs_entries;
+      if (guards_.backends_tell_incarnations)
+        finding.entry.born_ms = static_cast<std::uint64_t>(member.registered);
+      finding.joined_in_term = member.joined && guards_.joined_incarnation_needs_entries;
       const bool is_primary = place == kPrimary && leads(state);
       if (member.answers)
         finding.status = BackendStatus{is_primary, kClosedTerm, position_of(state, member.length)};
@@ -295,11 +298,12 @@
   }
 
   void each_guard_is_needed() {
-    expect_violation("lives", [](Guards& guards) { guards.backends_tell_lives = false; });
-    expect_violation("primary's life", [](Guards& guards) { guards.term_tells_primarys_life = false; });
-    expect_violation("replaced", [](Guards& guards) { guards.replaced_life_unsettles = false; });
-    expect_violation("left", [](Guards& guards) { guards.left_life_unsettles = false; });
-    expect_violation("joined", [](Guards& guards) { guards.joined_life_needs_entries = false; });
+    expect_violation("lives", [](Guards& guards) { guards.backends_tell_incarnations = false; });
+    expect_violation("primary's life",
+                     [](Guards& guards) { guards.term_tells_primarys_incarnation = false; });
+    expect_violation("replaced", [](Guards& guards) { guards.replaced_incarnation_unsettles = false; });
+    expect_violation("left", [](Guards& guards) { guards.left_incarnation_unsettles = false; });
+    expect_violation("joined", [](Guards& guards) { guards.joined_incarnation_needs_entries = false; });
     expect_violation("chosen", [](Guards& guards) { guards.opened_with_what_was_chosen = false; });
   }
 
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -25,7 +25,7 @@
   CPPUNIT_TEST(no_lease_without_what_is_in_force);
   CPPUNIT_TEST(a_lease_of_this_leader_is_waited_out);
   CPPUNIT_TEST(a_lease_of_the_leader_before_is_waited_out);
-  CPPUNIT_TEST(an_answer_to_this_close_of_this_life_counts);
+  CPPUNIT_TEST(an_answer_to_this_close_of_this_incarnation_counts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
   }
 
-  void an_answer_to_this_close_of_this_life_counts() {
+  void an_answer_to_this_close_of_this_incarnation_counts() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy, 2);
     CPPUNIT_ASSERT(progress(2).all_answered);
--- a/tests/registered/control/leases/member_lease_model_test.cpp
+++ b/tests/registered/control/leases/member_lease_model_test.cpp
@@ -3,9 +3,9 @@
 // The promise: from the moment a promotion takes effect the proxy holds no lease for the old primary.
 //
 // A member may start again under its name between any two steps: it has no pause and no log then, until it
-// has caught up with the old primary, and nobody has heard of its new life. Assumed, as the design does:
-// clocks run alike within the margin of the leader's wait, and no member restarts *and catches up* between
-// the leader's last look at it and the effect of the promotion (0.3 s).
+// has caught up with the old primary, and nobody has heard of its new incarnation. Assumed, as the design
+// does: clocks run alike within the margin of the leader's wait, and no member restarts *and catches up*
+// between the leader's last look at it and the effect of the promotion (0.3 s).
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
--- a/tests/registered/control/registration_refusal_test.cpp
+++ b/tests/registered/control/registration_refusal_test.cpp
@@ -185,7 +185,7 @@
 
   void refusals_are_shown_by_cause() {
     const Reason reason{ReasonCode::kInvalidArgument, "read_body", "", "Slots: is missing"};
-    parts_->service.note_refused({registry::RegistrationFault::kMissingField, "b-1", reason});
+    parts_->service.record_refused({registry::RegistrationFault::kMissingField, "b-1", reason});
     std::string text;
     const auto run = [&]() -> Awaitable<void> {
       runtime::HttpRequest request;
--- a/tests/registered/control/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -1,4 +1,5 @@
-// What a control node does with registrations of lives of backends that are over, or that replace others.
+// What a control node does with registrations of incarnations of backends that are over, or that replace
+// others.
 #include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -59,10 +60,10 @@
 
 class RegistrationServiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistrationServiceTest);
-  CPPUNIT_TEST(a_next_life_is_taken_and_a_late_word_of_the_former_one_is_not);
-  CPPUNIT_TEST(a_removed_backend_comes_back_in_its_next_life);
-  CPPUNIT_TEST(a_late_removal_does_not_end_the_next_life);
-  CPPUNIT_TEST(a_removal_at_a_node_that_is_behind_ends_the_present_life);
+  CPPUNIT_TEST(a_next_incarnation_is_taken_and_a_late_word_of_the_former_one_is_not);
+  CPPUNIT_TEST(a_removed_backend_comes_back_in_its_next_incarnation);
+  CPPUNIT_TEST(a_late_removal_does_not_end_the_next_incarnation);
+  CPPUNIT_TEST(a_removal_at_a_node_that_is_behind_ends_the_present_incarnation);
   CPPUNIT_TEST(a_former_backend_of_the_address_displaces_nobody);
   CPPUNIT_TEST_SUITE_END();
 
@@ -77,7 +78,7 @@
     world_.reset();
   }
 
-  void a_next_life_is_taken_and_a_late_word_of_the_former_one_is_not() {
+  void a_next_incarnation_is_taken_and_a_late_word_of_the_former_one_is_not() {
     CPPUNIT_ASSERT(say(life("b1", 70, 1000)));
     CPPUNIT_ASSERT(say(life("b1", 1, 2000)));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
@@ -89,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().outdated);
   }
 
-  void a_removed_backend_comes_back_in_its_next_life() {
+  void a_removed_backend_comes_back_in_its_next_incarnation() {
     CPPUNIT_ASSERT(say(life("b1", 5, 1000)));
     CPPUNIT_ASSERT(remove("b1"));
     CPPUNIT_ASSERT(say(life("b1", 6, 1000)));
@@ -100,8 +101,8 @@
     CPPUNIT_ASSERT(held("b1") == nullptr);
   }
 
-  /// The next life registers while the removal of the former one is on its way into the log.
-  void a_late_removal_does_not_end_the_next_life() {
+  /// The next incarnation registers while the removal of the former one is on its way into the log.
+  void a_late_removal_does_not_end_the_next_incarnation() {
     CPPUNIT_ASSERT(say(life("b1", 5, 1000)));
     const auto removal = [this]() -> Awaitable<void> {
       Reason reason;
@@ -115,8 +116,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
   }
 
-  /// It hears of the next life only in the quorum round.
-  void a_removal_at_a_node_that_is_behind_ends_the_present_life() {
+  /// It hears of the next incarnation only in the quorum round.
+  void a_removal_at_a_node_that_is_behind_ends_the_present_incarnation() {
     CPPUNIT_ASSERT(say(life("b1", 5, 1000)));
     node_->log.during_barrier = [this] { put(life("b1", 1, 2000)); };
     CPPUNIT_ASSERT(remove("b1"));
--- a/tests/registered/limits/budget_home_test.cpp
+++ b/tests/registered/limits/budget_home_test.cpp
@@ -39,7 +39,7 @@
   CPPUNIT_TEST(each_guard_is_needed);
   CPPUNIT_TEST(a_home_that_returns_waits_like_a_new_one);
   CPPUNIT_TEST(a_home_stops_when_control_was_not_heard_for_long);
-  CPPUNIT_TEST(a_life_that_said_nothing_is_waited_for);
+  CPPUNIT_TEST(a_incarnation_that_said_nothing_is_waited_for);
   CPPUNIT_TEST(a_token_expires_also_when_it_was_given_back);
   CPPUNIT_TEST(a_calm_fleet_gives_the_whole_rate);
   CPPUNIT_TEST(two_homes_of_three_give_two_thirds);
@@ -85,7 +85,7 @@
     TimePoint now{seconds(10)};
     const auto outcome = [&] { return home.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
     home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
-    home.note_confirmed(now, 1, now);
+    home.record_confirmed(now, 1, now);
     now += seconds(1);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
     // Others came, and it stayed a home all the time.
@@ -94,9 +94,9 @@
     // It was none for a while, and others may count in its place.
     home.set_homes(BudgetHomes({proxy}, {proxy}), 4);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
-    home.note_confirmed(now, 3, now);
+    home.record_confirmed(now, 3, now);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
-    home.note_confirmed(now, 4, now);
+    home.record_confirmed(now, 4, now);
     now += seconds(1);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
   }
@@ -108,15 +108,15 @@
     const TimePoint asked{seconds(10)};
     const auto outcome = [&](TimePoint now) { return home.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
     home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
-    home.note_confirmed(asked, 1, asked + milliseconds(200));
+    home.record_confirmed(asked, 1, asked + milliseconds(200));
     const TimePoint end = asked + registry::kBudgetAuthority;
     CPPUNIT_ASSERT(outcome(end - milliseconds(1)) == GrantOutcome::kGranted);
     CPPUNIT_ASSERT_MESSAGE("counted from the question", outcome(end) == GrantOutcome::kNotCounting);
-    home.note_confirmed(end, 1, end);
+    home.record_confirmed(end, 1, end);
     CPPUNIT_ASSERT(outcome(end) == GrantOutcome::kGranted);
   }
 
-  void a_life_that_said_nothing_is_waited_for() {
+  void a_incarnation_that_said_nothing_is_waited_for() {
     const TimePoint now{seconds(10)};
     const registry::ProxyKnowledge knows{12, now + seconds(2)};
     const registry::ProxyKnowledge silent{0, now + seconds(1)};
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -97,7 +97,7 @@
         std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p"), ZoneName("a"), {"10.0.0.1", 1}});
     BudgetHome home(NodeName("p"));
     home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
-    home.note_confirmed(TimePoint(play::seconds(10)), 1, TimePoint(play::seconds(10)));
+    home.record_confirmed(TimePoint(play::seconds(10)), 1, TimePoint(play::seconds(10)));
     const TimePoint later(play::seconds(12));
     const Limit tenant_limit{tenant, 3, 0, kUsual};
     const Limit backend_limit{backend, 3, 0, kUsual};
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -255,13 +255,13 @@
       node.view = update.rows;
       node.revision = update.revision;
     }
-    node.home->note_confirmed(update.asked_at, update.settled, now_);
+    node.home->record_confirmed(update.asked_at, update.settled, now_);
   }
 
   void call(int number) {
     Node& node = nodes_[number];
     if (!runs(node) || !asks_) return;
-    if (!guards_.authority_ends) node.home->note_confirmed(now_, 0, now_);
+    if (!guards_.authority_ends) node.home->record_confirmed(now_, 0, now_);
     for (int operation = 0; operation < 3; ++operation) {
       const TimePoint taken_at = guards_.tokens_expire ? now_ : TimePoint{};
       if (!node.stock.take(taken_at)) {
--- a/tests/registered/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -39,7 +39,7 @@
 
   void a_lowered_limit_is_counted_with_for_a_while() {
     granted_in(tenant_of(300), seconds(10));
-    home_->note_limit(tenant_of(300), tenant_of(30), now_);
+    home_->record_limit(tenant_of(300), tenant_of(30), now_);
     const int before = granted_in(tenant_of(30), seconds(2));
     CPPUNIT_ASSERT_MESSAGE("a third of 300 a second", before >= 190);
     const int after = granted_in(tenant_of(30), seconds(2));
@@ -48,16 +48,16 @@
 
   void a_second_lowering_does_not_prolong_the_first() {
     granted_in(tenant_of(300), seconds(10));
-    home_->note_limit(tenant_of(300), tenant_of(240), now_);
+    home_->record_limit(tenant_of(300), tenant_of(240), now_);
     granted_in(tenant_of(240), milliseconds(1900));
-    home_->note_limit(tenant_of(240), tenant_of(30), now_);
+    home_->record_limit(tenant_of(240), tenant_of(30), now_);
     granted_in(tenant_of(30), milliseconds(100));
     CPPUNIT_ASSERT(granted_in(tenant_of(30), seconds(2)) <= 20 + 20);
   }
 
   void a_raised_limit_holds_at_once() {
     granted_in(tenant_of(30), seconds(10));
-    home_->note_limit(tenant_of(30), tenant_of(300), now_);
+    home_->record_limit(tenant_of(30), tenant_of(300), now_);
     CPPUNIT_ASSERT(granted_in(tenant_of(300), seconds(2)) >= 190);
     CPPUNIT_ASSERT(granted_in(tenant_of(300), seconds(2)) >= 190);
   }
@@ -65,12 +65,12 @@
   void a_first_limit_holds_at_once() {
     Limit none = tenant_of(0);
     none.burst = 0;
-    home_->note_limit(none, tenant_of(30), now_);
+    home_->record_limit(none, tenant_of(30), now_);
     CPPUNIT_ASSERT(granted_in(tenant_of(30), seconds(2)) <= 20 + 20);
   }
 
  private:
-  void confirm() { home_->note_confirmed(now_, 1, now_); }
+  void confirm() { home_->record_confirmed(now_, 1, now_); }
   /// By a caller who asks for a token each 2 ms.
   int granted_in(const Limit& tenant, Duration length) {
     int granted = 0;
--- a/tests/registered/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -69,7 +69,7 @@
   std::string what;
   Backends backends;
   std::string chosen;  ///< empty: none
-  Obstacle obstacle = Obstacle::kNone;
+  RejectionReason rejection = RejectionReason::kNone;
   bool is_final = false;
 };
 
@@ -78,8 +78,8 @@
     const BackendChoice choice = choose_backend(primary_only, row.backends);
     const std::string chosen(choice.backend ? row.backends.at(*choice.backend).name : "");
     CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.chosen, chosen);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, std::string(obstacle_name(row.obstacle)),
-                                 std::string(obstacle_name(choice.obstacle)));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, std::string(rejection_name(row.rejection)),
+                                 std::string(rejection_name(choice.rejection)));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.is_final, choice.is_final);
   }
 }
@@ -98,7 +98,7 @@
   CPPUNIT_TEST(the_soonest_time_to_come_back_is_told);
   CPPUNIT_TEST(another_reader);
   CPPUNIT_TEST(warming);
-  CPPUNIT_TEST(each_backend_tells_its_obstacle);
+  CPPUNIT_TEST(each_backend_tells_its_rejection_reason);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -106,21 +106,21 @@
     const BackendFacts other = replica("r1");
     check(true, {
                     {"it leads", {primary(), other}, "primary"},
-                    {"unknown", {other}, "", Obstacle::kNoBackend},
-                    {"no backends", {}, "", Obstacle::kNoBackend},
-                    {"group closed", {of_closed_term(primary()), other}, "", Obstacle::kGroupClosed},
+                    {"unknown", {other}, "", RejectionReason::kNoBackend},
+                    {"no backends", {}, "", RejectionReason::kNoBackend},
+                    {"group closed", {of_closed_term(primary()), other}, "", RejectionReason::kGroupClosed},
                     {"leaves and still leads", {leaving(primary()), other}, "primary"},
-                    {"left", {leaving_too_long(primary()), other}, "", Obstacle::kLeaving},
-                    {"tried", {tried(primary()), other}, "", Obstacle::kTried},
+                    {"left", {leaving_too_long(primary()), other}, "", RejectionReason::kLeaving},
+                    {"tried", {tried(primary()), other}, "", RejectionReason::kTried},
                     {"avoided: there is no other", {avoided(primary()), other}, "primary"},
                     {"refused: there is no other", {refused(primary()), other}, "primary"},
-                    {"evacuated", {evacuated(primary()), other}, "", Obstacle::kZoneEvacuated, true},
-                    {"outside", {outside(primary()), other}, "", Obstacle::kOutsideRegions, true},
-                    {"cold", {cold(primary()), other}, "", Obstacle::kColdLimit, true},
+                    {"evacuated", {evacuated(primary()), other}, "", RejectionReason::kZoneEvacuated, true},
+                    {"outside", {outside(primary()), other}, "", RejectionReason::kOutsideRegions, true},
+                    {"cold", {cold(primary()), other}, "", RejectionReason::kColdLimit, true},
                     {"another one may lead soon",
                      {of_closed_term(evacuated(primary())), other},
                      "",
-                     Obstacle::kGroupClosed},
+                     RejectionReason::kGroupClosed},
                     {"other backends don't matter", {primary(), evacuated(other)}, "primary"},
                 });
   }
@@ -144,7 +144,7 @@
                      {"lag, and the primary was tried",
                       {tried(primary()), lagging(replica("r1"))},
                       "",
-                      Obstacle::kLags},
+                      RejectionReason::kLags},
                      {"lag counts for nothing where nobody leads", {lagging(replica("r1"))}, "r1"},
                      {"a leaving primary, for any other", {leaving(primary()), replica("r1", 90)}, "r1"},
                      {"but not for none", {leaving(primary()), leaving(replica("r1"))}, "primary"},
@@ -170,54 +170,60 @@
     const BackendFacts closed = with(of_closed_term(primary()), [](auto& backend) { backend.cost = 1; });
     check(false, {
                      {"group closed", {closed, replica("r1")}, "r1"},
-                     {"and nobody else", {closed}, "", Obstacle::kGroupClosed},
+                     {"and nobody else", {closed}, "", RejectionReason::kGroupClosed},
                      {"a replica that lags all the same", {closed, lagging(replica("r1"))}, "r1"},
                      {"left too long", {leaving_too_long(primary()), lagging(replica("r1"))}, "r1"},
                  });
   }
 
   void nobody_is_left_to_read_at() {
-    check(false, {
-                     {"no backends", {}, "", Obstacle::kNoBackend},
-                     {"all tried", {tried(primary()), tried(replica("r1"))}, "", Obstacle::kTried},
-                     {"all leave", {leaving(replica("r1")), leaving(replica("r2"))}, "", Obstacle::kLeaving},
-                 });
+    check(false,
+          {
+              {"no backends", {}, "", RejectionReason::kNoBackend},
+              {"all tried", {tried(primary()), tried(replica("r1"))}, "", RejectionReason::kTried},
+              {"all leave", {leaving(replica("r1")), leaving(replica("r2"))}, "", RejectionReason::kLeaving},
+          });
   }
 
   void new_work_is_kept_away() {
     const BackendFacts other = replica("r2", 50);
-    check(false,
-          {
-              {"evacuated", {evacuated(replica("r1")), other}, "r2"},
-              {"outside", {outside(replica("r1")), other}, "r2"},
-              {"cold", {cold(replica("r1")), other}, "r2"},
-              {"a primary, too", {evacuated(primary()), other}, "r2"},
-              {"whoever lags is better than that", {evacuated(primary()), lagging(other)}, "r2"},
-              {"whoever failed is", {cold(primary()), avoided(other)}, "r2"},
-              {"all evacuated", {evacuated(primary()), evacuated(other)}, "", Obstacle::kZoneEvacuated, true},
-              {"all outside", {outside(primary()), outside(other)}, "", Obstacle::kOutsideRegions, true},
-              {"all cold", {cold(primary()), cold(other)}, "", Obstacle::kColdLimit, true},
-              {"a leaving one won't come back",
-               {evacuated(primary()), leaving(other)},
-               "",
-               Obstacle::kZoneEvacuated,
-               true},
-              {"one tried may", {evacuated(replica("r1")), tried(primary())}, "", Obstacle::kTried},
-              {"one of a closed group may",
-               {of_closed_term(primary()), evacuated(other)},
-               "",
-               Obstacle::kGroupClosed},
-              {"evacuation ends sooner than a rule",
-               {outside(primary()), evacuated(other)},
-               "",
-               Obstacle::kZoneEvacuated,
-               true},
-              {"cold ends sooner still",
-               {cold(replica("r1")), outside(primary()), evacuated(other)},
-               "",
-               Obstacle::kColdLimit,
-               true},
-          });
+    check(
+        false,
+        {
+            {"evacuated", {evacuated(replica("r1")), other}, "r2"},
+            {"outside", {outside(replica("r1")), other}, "r2"},
+            {"cold", {cold(replica("r1")), other}, "r2"},
+            {"a primary, too", {evacuated(primary()), other}, "r2"},
+            {"whoever lags is better than that", {evacuated(primary()), lagging(other)}, "r2"},
+            {"whoever failed is", {cold(primary()), avoided(other)}, "r2"},
+            {"all evacuated",
+             {evacuated(primary()), evacuated(other)},
+             "",
+             RejectionReason::kZoneEvacuated,
+             true},
+            {"all outside", {outside(primary()), outside(other)}, "", RejectionReason::kOutsideRegions, true},
+            {"all cold", {cold(primary()), cold(other)}, "", RejectionReason::kColdLimit, true},
+            {"a leaving one won't come back",
+             {evacuated(primary()), leaving(other)},
+             "",
+             RejectionReason::kZoneEvacuated,
+             true},
+            {"one tried may", {evacuated(replica("r1")), tried(primary())}, "", RejectionReason::kTried},
+            {"one of a closed group may",
+             {of_closed_term(primary()), evacuated(other)},
+             "",
+             RejectionReason::kGroupClosed},
+            {"evacuation ends sooner than a rule",
+             {outside(primary()), evacuated(other)},
+             "",
+             RejectionReason::kZoneEvacuated,
+             true},
+            {"cold ends sooner still",
+             {cold(replica("r1")), outside(primary()), evacuated(other)},
+             "",
+             RejectionReason::kColdLimit,
+             true},
+        });
   }
 
   void the_soonest_time_to_come_back_is_told() {
@@ -247,16 +253,16 @@
       CPPUNIT_ASSERT(!may_be_warmed(backend));
   }
 
-  void each_backend_tells_its_obstacle() {
+  void each_backend_tells_its_rejection_reason() {
     const Backends group{primary(), lagging(replica("r1"))};
-    CPPUNIT_ASSERT(obstacle_at(group[1], false, group) == Obstacle::kLags);
-    CPPUNIT_ASSERT(obstacle_at(group[1], true, group) == Obstacle::kNone);
+    CPPUNIT_ASSERT(rejection_at(group[1], false, group) == RejectionReason::kLags);
+    CPPUNIT_ASSERT(rejection_at(group[1], true, group) == RejectionReason::kNone);
     const Backends closed{evacuated(primary()), lagging(replica("r1"))};
-    CPPUNIT_ASSERT(obstacle_at(closed[0], true, closed) == Obstacle::kZoneEvacuated);
-    CPPUNIT_ASSERT(obstacle_at(closed[0], false, closed) == Obstacle::kZoneEvacuated);
-    CPPUNIT_ASSERT(obstacle_at(closed[1], false, closed) == Obstacle::kNone);
+    CPPUNIT_ASSERT(rejection_at(closed[0], true, closed) == RejectionReason::kZoneEvacuated);
+    CPPUNIT_ASSERT(rejection_at(closed[0], false, closed) == RejectionReason::kZoneEvacuated);
+    CPPUNIT_ASSERT(rejection_at(closed[1], false, closed) == RejectionReason::kNone);
     const BackendFacts all_at_once = outside(evacuated(cold(primary())));
-    CPPUNIT_ASSERT(obstacle_to_new_work(all_at_once) == Obstacle::kOutsideRegions);
+    CPPUNIT_ASSERT(rejection_of_new_work(all_at_once) == RejectionReason::kOutsideRegions);
   }
 };
 
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -79,7 +79,7 @@
 /// "run", or what is done and since when.
 std::string text_of(const Placement& placed) {
   if (placed.action == Action::kRun) return "run " + std::to_string(placed.backend);
-  return std::string(action_name(placed.action)) + " " + obstacle_name(placed.obstacle);
+  return std::string(action_name(placed.action)) + " " + rejection_name(placed.rejection);
 }
 
 }  // namespace
@@ -280,17 +280,17 @@
 
   void names_are_told_apart() {
     std::set<std::string> names;
-    for (std::size_t place = 0; place < kObstacleCount; ++place) {
-      const auto obstacle = static_cast<Obstacle>(place);
-      names.insert(obstacle_name(obstacle));
-      CPPUNIT_ASSERT(find_obstacle(obstacle_name(obstacle)) == obstacle);
-      const bool says_something = !std::string(obstacle_text(obstacle)).empty();
-      CPPUNIT_ASSERT_EQUAL(obstacle != Obstacle::kNone, says_something);
+    for (std::size_t place = 0; place < kRejectionReasonCount; ++place) {
+      const auto rejection = static_cast<RejectionReason>(place);
+      names.insert(rejection_name(rejection));
+      CPPUNIT_ASSERT(find_rejection(rejection_name(rejection)) == rejection);
+      const bool says_something = !std::string(rejection_text(rejection)).empty();
+      CPPUNIT_ASSERT_EQUAL(rejection != RejectionReason::kNone, says_something);
     }
-    CPPUNIT_ASSERT_EQUAL(kObstacleCount, names.size());
-    CPPUNIT_ASSERT(!find_obstacle("busy"));
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), std::string(obstacle_name(Obstacle::kNone)));
-    CPPUNIT_ASSERT_EQUAL(std::string("over_limit"), std::string(obstacle_name(Obstacle::kOverLimit)));
+    CPPUNIT_ASSERT_EQUAL(kRejectionReasonCount, names.size());
+    CPPUNIT_ASSERT(!find_rejection("busy"));
+    CPPUNIT_ASSERT_EQUAL(std::string("none"), std::string(rejection_name(RejectionReason::kNone)));
+    CPPUNIT_ASSERT_EQUAL(std::string("over_limit"), std::string(rejection_name(RejectionReason::kOverLimit)));
     CPPUNIT_ASSERT_EQUAL(std::string("primary_full"),
                          std::string(forward_cause_name(ForwardCause::kPrimaryFull)));
   }
--- a/tests/registered/placement/sending_test.cpp
+++ b/tests/registered/placement/sending_test.cpp
@@ -24,17 +24,17 @@
 
  public:
   void keys() {
-    CPPUNIT_ASSERT(key_obstacle({false, false, false}) == Obstacle::kNone);
-    CPPUNIT_ASSERT(key_obstacle({true, true, true}) == Obstacle::kNone);
-    CPPUNIT_ASSERT(key_obstacle({true, false, true}) == Obstacle::kKeyUnauthorized);
-    CPPUNIT_ASSERT(key_obstacle({true, true, false}) == Obstacle::kKeyUnconfirmed);
-    CPPUNIT_ASSERT(key_obstacle({true, false, false}) == Obstacle::kKeyUnauthorized);
+    CPPUNIT_ASSERT(key_rejection({false, false, false}) == RejectionReason::kNone);
+    CPPUNIT_ASSERT(key_rejection({true, true, true}) == RejectionReason::kNone);
+    CPPUNIT_ASSERT(key_rejection({true, false, true}) == RejectionReason::kKeyUnauthorized);
+    CPPUNIT_ASSERT(key_rejection({true, true, false}) == RejectionReason::kKeyUnconfirmed);
+    CPPUNIT_ASSERT(key_rejection({true, false, false}) == RejectionReason::kKeyUnauthorized);
   }
 
   void stalled_commits() {
-    CPPUNIT_ASSERT(commit_obstacle(true, true) == Obstacle::kCommitsStall);
-    CPPUNIT_ASSERT(commit_obstacle(true, false) == Obstacle::kNone);
-    CPPUNIT_ASSERT(commit_obstacle(false, true) == Obstacle::kNone);
+    CPPUNIT_ASSERT(commit_rejection(true, true) == RejectionReason::kCommitsStall);
+    CPPUNIT_ASSERT(commit_rejection(true, false) == RejectionReason::kNone);
+    CPPUNIT_ASSERT(commit_rejection(false, true) == RejectionReason::kNone);
   }
 
   void the_last_look() {
@@ -44,32 +44,34 @@
       change(facts);
       return before_sending(facts, there);
     };
-    const auto is = [](SendDecision decision, SendAction action, Obstacle obstacle) {
-      return decision.action == action && decision.obstacle == obstacle;
+    const auto is = [](SendDecision decision, SendAction action, RejectionReason rejection) {
+      return decision.action == action && decision.rejection == rejection;
     };
-    CPPUNIT_ASSERT(is(before_sending(good, there), SendAction::kSend, Obstacle::kNone));
+    CPPUNIT_ASSERT(is(before_sending(good, there), SendAction::kSend, RejectionReason::kNone));
     CPPUNIT_ASSERT(is(look(good, [](auto& facts) { facts.may_use_primary = false; }),
-                      SendAction::kChooseAgain, Obstacle::kPrimaryGivenUp));
+                      SendAction::kChooseAgain, RejectionReason::kPrimaryGivenUp));
     CPPUNIT_ASSERT(is(look(good,
                            [](auto& facts) {
                              facts.may_use_primary = false;
                              facts.needs_primary = false;
                            }),
-                      SendAction::kSend, Obstacle::kNone));
+                      SendAction::kSend, RejectionReason::kNone));
     CPPUNIT_ASSERT(is(look(good, [](auto& facts) { facts.lacks_token = true; }), SendAction::kRefuse,
-                      Obstacle::kOverLimit));
+                      RejectionReason::kOverLimit));
     CPPUNIT_ASSERT(is(look(good, [](auto& facts) { facts.key.proves_tenant = false; }), SendAction::kRefuse,
-                      Obstacle::kKeyUnauthorized));
+                      RejectionReason::kKeyUnauthorized));
     CPPUNIT_ASSERT(is(look(good, [](auto& facts) { facts.key.is_confirmed = false; }), SendAction::kRefuse,
-                      Obstacle::kKeyUnconfirmed));
+                      RejectionReason::kKeyUnconfirmed));
     const auto evacuated = with(there, [](auto& facts) { facts.zone_evacuated = true; });
     const auto outside = with(there, [](auto& facts) { facts.region_allowed = false; });
     const auto cold = with(there, [](auto& facts) { facts.cold_limit_reached = true; });
     const auto leaving = with(there, [](auto& facts) { facts.leaving = true; });
-    CPPUNIT_ASSERT(is(before_sending(good, evacuated), SendAction::kChooseAgain, Obstacle::kZoneEvacuated));
-    CPPUNIT_ASSERT(is(before_sending(good, outside), SendAction::kChooseAgain, Obstacle::kOutsideRegions));
-    CPPUNIT_ASSERT(is(before_sending(good, cold), SendAction::kChooseAgain, Obstacle::kColdLimit));
-    CPPUNIT_ASSERT(is(before_sending(good, leaving), SendAction::kSend, Obstacle::kNone));
+    CPPUNIT_ASSERT(
+        is(before_sending(good, evacuated), SendAction::kChooseAgain, RejectionReason::kZoneEvacuated));
+    CPPUNIT_ASSERT(
+        is(before_sending(good, outside), SendAction::kChooseAgain, RejectionReason::kOutsideRegions));
+    CPPUNIT_ASSERT(is(before_sending(good, cold), SendAction::kChooseAgain, RejectionReason::kColdLimit));
+    CPPUNIT_ASSERT(is(before_sending(good, leaving), SendAction::kSend, RejectionReason::kNone));
   }
 
   void open_transactions() {
@@ -77,35 +79,37 @@
     const BackendFacts there = BackendFacts();
     const auto ask = [&there](TransactionFacts facts, auto change) {
       change(facts);
-      return obstacle_in_transaction(facts, there);
+      return rejection_in_transaction(facts, there);
     };
-    CPPUNIT_ASSERT(obstacle_in_transaction(good, there) == Obstacle::kNone);
+    CPPUNIT_ASSERT(rejection_in_transaction(good, there) == RejectionReason::kNone);
     CPPUNIT_ASSERT(ask(good, [](auto& facts) { facts.may_use_primary = false; }) ==
-                   Obstacle::kPrimaryGivenUp);
+                   RejectionReason::kPrimaryGivenUp);
     CPPUNIT_ASSERT(ask(good, [](auto& facts) {
                      facts.may_use_primary = false;
                      facts.read_only = true;
-                   }) == Obstacle::kNone);
+                   }) == RejectionReason::kNone);
     CPPUNIT_ASSERT(ask(good, [](auto& facts) {
                      facts.may_use_primary = false;
                      facts.at_primary = false;
-                   }) == Obstacle::kNone);
-    CPPUNIT_ASSERT(ask(good, [](auto& facts) { facts.commits_stall = true; }) == Obstacle::kCommitsStall);
+                   }) == RejectionReason::kNone);
+    CPPUNIT_ASSERT(ask(good, [](auto& facts) { facts.commits_stall = true; }) ==
+                   RejectionReason::kCommitsStall);
     CPPUNIT_ASSERT(ask(good, [](auto& facts) { facts.key.proves_tenant = false; }) ==
-                   Obstacle::kKeyUnauthorized);
+                   RejectionReason::kKeyUnauthorized);
     CPPUNIT_ASSERT(ask(good, [](auto& facts) { facts.key.is_confirmed = false; }) ==
-                   Obstacle::kKeyUnconfirmed);
+                   RejectionReason::kKeyUnconfirmed);
     BackendFacts evacuated = with(there, [](auto& facts) { facts.zone_evacuated = true; });
-    CPPUNIT_ASSERT_MESSAGE("it has a while", obstacle_in_transaction(good, evacuated) == Obstacle::kNone);
+    CPPUNIT_ASSERT_MESSAGE("it has a while",
+                           rejection_in_transaction(good, evacuated) == RejectionReason::kNone);
     evacuated.transaction_grace_over = true;
-    CPPUNIT_ASSERT(obstacle_in_transaction(good, evacuated) == Obstacle::kZoneEvacuated);
+    CPPUNIT_ASSERT(rejection_in_transaction(good, evacuated) == RejectionReason::kZoneEvacuated);
     const auto others = with(there, [](auto& facts) {
       facts.leaving = true;
       facts.cold_limit_reached = true;
       facts.region_allowed = false;
     });
     CPPUNIT_ASSERT_MESSAGE("that is about new work",
-                           obstacle_in_transaction(good, others) == Obstacle::kNone);
+                           rejection_in_transaction(good, others) == RejectionReason::kNone);
   }
 };
 
--- a/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -13,7 +13,7 @@
   CPPUNIT_TEST_SUITE(FleetViewGuardsTest);
   CPPUNIT_TEST(nothing_is_forwarded_to_a_proxy_that_leaves);
   CPPUNIT_TEST(a_primary_is_used_under_a_lease_of_its_epoch);
-  CPPUNIT_TEST(the_next_life_of_a_primary_is_not_used);
+  CPPUNIT_TEST(the_next_incarnation_of_a_primary_is_not_used);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -39,7 +39,7 @@
     CPPUNIT_ASSERT_MESSAGE("of a closed group", !view.may_use_primary(group, epoch + 1));
   }
 
-  void the_next_life_of_a_primary_is_not_used() {
+  void the_next_incarnation_of_a_primary_is_not_used() {
     const GroupAccess& group = *stand_->group();
     registry::FleetDelta known = stand_->delta();
     known.terms = {group.term()};
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -39,7 +39,7 @@
 class KnownRegistrationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(KnownRegistrationsTest);
   CPPUNIT_TEST(refused_registrations_are_counted_by_cause);
-  CPPUNIT_TEST(a_next_life_is_news_and_a_former_one_is_not);
+  CPPUNIT_TEST(a_next_incarnation_is_news_and_a_former_one_is_not);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -47,15 +47,15 @@
     Proxy proxy;
     const registry::RegistrationRelay& relay = proxy.known;
     const Reason reason{ReasonCode::kInvalidArgument, "read_body", "", "Slots: is missing"};
-    relay.note_refused({registry::RegistrationFault::kMissingField, "i-1", reason});
-    relay.note_refused({registry::RegistrationFault::kMissingField, "i-2", reason});
+    relay.record_refused({registry::RegistrationFault::kMissingField, "i-1", reason});
+    relay.record_refused({registry::RegistrationFault::kMissingField, "i-2", reason});
     const std::string text = proxy.metrics.render();
     const std::string name = "cairnhollow_session_registrations_refused_total";
     CPPUNIT_ASSERT(text.find(name + "{cause=\"missing_field\"} 2") != std::string::npos);
     CPPUNIT_ASSERT(text.find(name + "{cause=\"unreadable\"} 0") != std::string::npos);
   }
 
-  void a_next_life_is_news_and_a_former_one_is_not() {
+  void a_next_incarnation_is_news_and_a_former_one_is_not() {
     Proxy proxy;
     registry::BackendEntry held;
     held.name = BackendName("b-1");
--- a/tests/registered/proxy/forwarding/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -179,7 +179,7 @@
     CPPUNIT_ASSERT(run_call().answered);
     world_->freeze("peer");
     CPPUNIT_ASSERT(!run_call().answered);
-    forwarder_->note_no_answer(proxy_->name, kGroup);
+    forwarder_->record_no_answer(proxy_->name, kGroup);
     world_->run_for(seconds(3));
     CPPUNIT_ASSERT(forwarder_->is_avoided(proxy_->name, kGroup));
     world_->thaw("peer");
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -70,9 +70,9 @@
   CPPUNIT_TEST(a_full_backend_is_the_last_choice);
   CPPUNIT_TEST(a_leaving_primary_is_used_for_a_while);
   CPPUNIT_TEST(a_primary_of_a_closed_group_is_not_used);
-  CPPUNIT_TEST(another_life_is_another_backend);
-  CPPUNIT_TEST(another_life_of_the_primary_is_not_used);
-  CPPUNIT_TEST(work_at_a_former_life_of_the_primary_is_given_up);
+  CPPUNIT_TEST(another_incarnation_is_another_backend);
+  CPPUNIT_TEST(another_incarnation_of_the_primary_is_not_used);
+  CPPUNIT_TEST(work_at_a_former_incarnation_of_the_primary_is_given_up);
   CPPUNIT_TEST(a_primary_that_tells_its_start_is_asked_for_what_it_showed);
   CPPUNIT_TEST(a_member_that_shows_less_of_the_term_has_started_again);
   CPPUNIT_TEST(no_link_is_opened_to_a_backend_that_was_removed);
@@ -182,9 +182,9 @@
     CPPUNIT_ASSERT_MESSAGE("nobody joined", group_->has_member_lease());
   }
 
-  void another_life_is_another_backend() {
+  void another_incarnation_is_another_backend() {
     group_->put_backend(life("replica-1", 2, 1000));
-    group_->note_replica(use("replica-1"), need_, std::nullopt);
+    group_->record_replica(use("replica-1"), need_, std::nullopt);
     const auto former = group_->backends().at(BackendName("replica-1"));
     CPPUNIT_ASSERT(former->lag(runtime_->now()) > Duration(0));
     const std::uint64_t asked = group_->membership();
@@ -203,7 +203,7 @@
     CPPUNIT_ASSERT(reason.code == ReasonCode::kUnreachable);
   }
 
-  void another_life_of_the_primary_is_not_used() {
+  void another_incarnation_of_the_primary_is_not_used() {
     group_->put_backend(life("primary", 1, 1000));
     registry::GroupTerm term{GroupName("group"), 1, BackendName("primary"), true, 3, 1, 1000};
     group_->set_term(term);
@@ -219,9 +219,9 @@
     CPPUNIT_ASSERT_MESSAGE("once it leads itself", group_->primary());
   }
 
-  void work_at_a_former_life_of_the_primary_is_given_up() {
+  void work_at_a_former_incarnation_of_the_primary_is_given_up() {
     group_->put_backend(life("primary", 1, 1000));
-    group_->note_primary_position(runtime_->now(), {1, 12});
+    group_->record_primary_position(runtime_->now(), {1, 12});
     const auto link = std::make_shared<ClosableLink>();
     group_->begin_work({link, runtime_->now(), true});
     group_->put_backend(life("replica-1", 2, 2000));
@@ -233,13 +233,13 @@
 
   void a_primary_that_tells_its_start_is_asked_for_what_it_showed() {
     const ReadNeed at_primary{true, std::nullopt, {}};
-    group_->note_primary_position(runtime_->now(), {1, 12});
+    group_->record_primary_position(runtime_->now(), {1, 12});
     CPPUNIT_ASSERT_MESSAGE("it tells none", !group_->required_of(use("primary"), at_primary));
     group_->put_backend(life("primary", 1, 1000));
     CPPUNIT_ASSERT_MESSAGE("nothing shown by this life", !group_->required_of(use("primary"), at_primary));
-    group_->note_primary_position(runtime_->now(), {1, 13});
+    group_->record_primary_position(runtime_->now(), {1, 13});
     CPPUNIT_ASSERT(group_->required_of(use("primary"), at_primary) == Position({1, 13}));
-    group_->note_primary_position(runtime_->now(), {1, 14});
+    group_->record_primary_position(runtime_->now(), {1, 14});
     CPPUNIT_ASSERT_MESSAGE("however soon after",
                            group_->required_of(use("primary"), at_primary) == Position({1, 14}));
     CPPUNIT_ASSERT(group_->required_of(use("replica-1"), need_) == need_.required);
@@ -247,18 +247,18 @@
 
   void a_member_that_shows_less_of_the_term_has_started_again() {
     BackendUse& member = use("replica-1");
-    CPPUNIT_ASSERT_MESSAGE("entries of an earlier term", member.note_shown(4, {3, 40}));
-    CPPUNIT_ASSERT_MESSAGE("rolled back", member.note_shown(4, {3, 38}));
-    CPPUNIT_ASSERT(member.note_shown(4, {4, 39}));
-    CPPUNIT_ASSERT(member.note_shown(4, {4, 39}));
-    CPPUNIT_ASSERT(!member.note_shown(4, {4, 38}));
-    CPPUNIT_ASSERT(!member.note_shown(4, {1, 0}));
-    CPPUNIT_ASSERT_MESSAGE("another term", member.note_shown(5, {4, 38}));
+    CPPUNIT_ASSERT_MESSAGE("entries of an earlier term", member.record_shown(4, {3, 40}));
+    CPPUNIT_ASSERT_MESSAGE("rolled back", member.record_shown(4, {3, 38}));
+    CPPUNIT_ASSERT(member.record_shown(4, {4, 39}));
+    CPPUNIT_ASSERT(member.record_shown(4, {4, 39}));
+    CPPUNIT_ASSERT(!member.record_shown(4, {4, 38}));
+    CPPUNIT_ASSERT(!member.record_shown(4, {1, 0}));
+    CPPUNIT_ASSERT_MESSAGE("another term", member.record_shown(5, {4, 38}));
   }
 
   void nobody_else_reads_while_the_replicas_lag() {
-    group_->note_replica(use("replica-1"), need_, std::nullopt);
-    group_->note_replica(use("replica-2"), need_, std::nullopt);
+    group_->record_replica(use("replica-1"), need_, std::nullopt);
+    group_->record_replica(use("replica-2"), need_, std::nullopt);
     CPPUNIT_ASSERT_EQUAL(std::string("primary"), group_->choose_reader(need_, {})->entry.name.value);
     CPPUNIT_ASSERT(!group_->has_other_reader(need_, use("primary")));
     CPPUNIT_ASSERT_MESSAGE("a replica's read may go to the primary",
@@ -281,7 +281,7 @@
     const GroupFacts facts = group_->facts({&need_});
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, facts.size());
     for (const placement::BackendFacts& backend : facts) {
-      CPPUNIT_ASSERT(placement::obstacle_to_read(backend, true) == placement::Obstacle::kNone);
+      CPPUNIT_ASSERT(placement::rejection_of_read(backend, true) == placement::RejectionReason::kNone);
       CPPUNIT_ASSERT(backend.region_allowed && !backend.transaction_grace_over);
       CPPUNIT_ASSERT(backend.cost > 0);
     }
@@ -293,7 +293,7 @@
     const std::set<BackendName> tried{BackendName("replica-1")};
     const PlacementQuestion question{&need_, &tried};
     use("replica-2").avoid_until = runtime_->now() + seconds(1);
-    group_->note_replica(use("replica-2"), need_, std::nullopt);
+    group_->record_replica(use("replica-2"), need_, std::nullopt);
     CPPUNIT_ASSERT(group_->facts_of(use("replica-1"), question).tried);
     const placement::BackendFacts facts = group_->facts_of(use("replica-2"), question);
     CPPUNIT_ASSERT(facts.avoided && facts.lags && !facts.tried && !facts.refused);
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -72,7 +72,7 @@
   }
 
   void a_primary_outside_does_not_stand_in_for_a_replica_that_lags() {
-    group_->note_replica(*group_->backends().at(BackendName("south")), need_, std::nullopt);
+    group_->record_replica(*group_->backends().at(BackendName("south")), need_, std::nullopt);
     CPPUNIT_ASSERT_EQUAL(std::string("south"), group_->choose_reader(need_, {})->entry.name.value);
   }
 
@@ -80,8 +80,8 @@
     need_.primary_only = true;
     auto choice = placement::choose_backend(true, group_->facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
-    CPPUNIT_ASSERT(choice.obstacle == placement::Obstacle::kOutsideRegions);
-    CPPUNIT_ASSERT(choice.back_in == kOutsideRegionsComeBack);
+    CPPUNIT_ASSERT(choice.rejection == placement::RejectionReason::kOutsideRegions);
+    CPPUNIT_ASSERT(choice.back_in == kRetryAfterOutsideRegions);
     group_->remove_backend(BackendName("south"));
     need_.primary_only = false;
     choice = placement::choose_backend(false, group_->facts({&need_, nullptr, &south_}));
@@ -98,7 +98,7 @@
     route.max_staleness_ms = 1500;
     CPPUNIT_ASSERT(group_->is_primary_outside(south_));
     CPPUNIT_ASSERT(group_->need_of(route, {}, &south_).primary_only);
-    group_->note_primary_position(runtime_->now(), {1, 7});
+    group_->record_primary_position(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(1000));
     CPPUNIT_ASSERT(group_->wants_position(milliseconds(1500)));
     CPPUNIT_ASSERT_MESSAGE("renews what is known", group_->need_of(route, {}).primary_only);
--- a/tests/registered/proxy/group/position_history_test.cpp
+++ b/tests/registered/proxy/group/position_history_test.cpp
@@ -20,9 +20,9 @@
  public:
   void setUp() override {
     history_ = PositionHistory();
-    history_.note(at(100), {1, 5});
-    history_.note(at(200), {1, 7});
-    history_.note(at(300), {1, 7});
+    history_.record(at(100), {1, 5});
+    history_.record(at(200), {1, 7});
+    history_.record(at(300), {1, 7});
   }
 
   void the_earliest_that_covers() {
@@ -43,7 +43,7 @@
   }
 
   void old_ones_are_forgotten() {
-    history_.note(at(5000), {1, 9});
+    history_.record(at(5000), {1, 9});
     CPPUNIT_ASSERT(history_.covering(at(0)) == (Position{1, 9}));
   }
 
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -175,9 +175,9 @@
     registry::RouteRule route;
     route.reads = registry::ReadPolicy::kBoundedStaleness;
     route.max_staleness_ms = 900;
-    group().note_primary_position(runtime_->now(), Position{1, 10});
+    group().record_primary_position(runtime_->now(), Position{1, 10});
     world_->run_for(milliseconds(600));
-    group().note_primary_position(runtime_->now() - milliseconds(500), Position{1, 11});
+    group().record_primary_position(runtime_->now() - milliseconds(500), Position{1, 11});
     CPPUNIT_ASSERT_MESSAGE("the primary is to show a newer one", is_for_primary(route));
     use("primary").cold_limit_reached_until = runtime_->now() + milliseconds(80);
     CPPUNIT_ASSERT_MESSAGE("a warm one has no limit", is_for_primary(route));
@@ -189,18 +189,18 @@
 
   void a_backend_that_was_gone_is_cold_until_control_confirms() {
     RebirthWatch& rebirth = use("warm").rebirth;
-    rebirth.note_reached(runtime_->now());
+    rebirth.record_reached(runtime_->now());
     CPPUNIT_ASSERT_MESSAGE("it was never gone", !is_cold("warm"));
-    rebirth.note_unreachable();
+    rebirth.mark_unreachable();
     confirm(runtime_->now() + seconds(60));
     CPPUNIT_ASSERT_MESSAGE("whatever is confirmed while it is gone", is_cold("warm"));
     start(1.5, 5, 10);
-    use("warm").rebirth.note_unreachable();
-    use("warm").rebirth.note_reached(runtime_->now());
+    use("warm").rebirth.mark_unreachable();
+    use("warm").rebirth.record_reached(runtime_->now());
     const TimePoint reached = runtime_->now();
     confirm(reached + kRebornNews - milliseconds(1));
     world_->run_for(seconds(30));
-    use("warm").rebirth.note_reached(runtime_->now());
+    use("warm").rebirth.record_reached(runtime_->now());
     CPPUNIT_ASSERT_MESSAGE("asked too early, and time alone proves nothing", is_cold("warm"));
     confirm(reached + kRebornNews);
     CPPUNIT_ASSERT(!is_cold("warm"));
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -108,7 +108,7 @@
   CPPUNIT_TEST(a_link_with_the_same_values_is_preferred);
   CPPUNIT_TEST(the_limit_holds_and_returned_links_are_passed_on);
   CPPUNIT_TEST(closed_links_are_not_given_out);
-  CPPUNIT_TEST(links_to_a_life_that_is_over_are_closed);
+  CPPUNIT_TEST(links_to_a_incarnation_that_is_over_are_closed);
   CPPUNIT_TEST(a_link_that_can_not_be_brought_in_order_is_closed);
   CPPUNIT_TEST(a_full_backend_is_told);
   CPPUNIT_TEST(a_full_backend_is_not_dialled_again_at_once);
@@ -255,7 +255,7 @@
     CPPUNIT_ASSERT(take_one({}).link != first.link);
   }
 
-  void links_to_a_life_that_is_over_are_closed() {
+  void links_to_a_incarnation_that_is_over_are_closed() {
     const Taken idle = take_one({});
     const Taken used = take_one({});
     pool_->release(idle.link);
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -186,9 +186,8 @@
       ++refused;
       CPPUNIT_ASSERT(result.answer.refusal == Refusal::kBusy);
       CPPUNIT_ASSERT(result.nothing_run);
-      CPPUNIT_ASSERT_MESSAGE(
-          result.answer.detail,
-          result.answer.detail.starts_with(placement::obstacle_text(placement::Obstacle::kColdLimit)));
+      CPPUNIT_ASSERT_MESSAGE(result.answer.detail, result.answer.detail.starts_with(placement::rejection_text(
+                                                       placement::RejectionReason::kColdLimit)));
       CPPUNIT_ASSERT_MESSAGE(result.answer.detail,
                              result.answer.detail.find("come back in") != std::string::npos);
     }
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -206,7 +206,7 @@
   }
 
   void what_is_shut_out_is_not_passed_on() {
-    group_->note_primary_unreachable();
+    group_->mark_primary_unreachable();
     check_refused(write_in({"south"}, {}));
     const std::string metrics = proxy_->metrics.render();
     CPPUNIT_ASSERT(metrics.find("forwarded_total{cause=\"primary_unreachable\"} 0") != std::string::npos);
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -380,8 +380,8 @@
   /// One that a replica may serve: the primary's position was seen just now, and long enough ago.
   RunOrder replica_read(const std::string& id) {
     GroupAccess& group = *stand_->group();
-    group.note_primary_position(stand_->now() - seconds(1), Position{1, 5});
-    group.note_primary_position(stand_->now(), Position{1, 6});
+    group.record_primary_position(stand_->now() - seconds(1), Position{1, 5});
+    group.record_primary_position(stand_->now(), Position{1, 6});
     RunOrder order = stand_->write(id);
     order.writes = false;
     order.route.reads = registry::ReadPolicy::kBoundedStaleness;
--- a/tests/registered/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -54,11 +54,11 @@
   CPPUNIT_TEST(a_snapshot_restores_everything);
   CPPUNIT_TEST(a_batch_is_one_change);
   CPPUNIT_TEST(members_follow_every_way_a_backend_comes_and_goes);
-  CPPUNIT_TEST(the_later_life_holds_in_whichever_order_both_arrive);
-  CPPUNIT_TEST(a_removal_ends_one_life);
+  CPPUNIT_TEST(the_later_incarnation_holds_in_whichever_order_both_arrive);
+  CPPUNIT_TEST(a_removal_ends_one_incarnation);
   CPPUNIT_TEST(what_tells_no_start_displaces_nothing_that_does);
   CPPUNIT_TEST(an_address_belongs_to_who_started_there_last);
-  CPPUNIT_TEST(ended_lives_are_forgotten_with_their_names);
+  CPPUNIT_TEST(ended_incarnations_are_forgotten_with_their_names);
   CPPUNIT_TEST(the_last_order_for_a_zone_holds);
   CPPUNIT_TEST(evacuations_reach_followers_and_survive_a_snapshot);
   CPPUNIT_TEST_SUITE_END();
@@ -230,7 +230,7 @@
     CPPUNIT_ASSERT(machine_->is_deregistered(BackendName("b1")));
   }
 
-  void the_later_life_holds_in_whichever_order_both_arrive() {
+  void the_later_incarnation_holds_in_whichever_order_both_arrive() {
     const BackendName b1("b1");
     apply(RegisterBackend{life("b1", 1, 70, 1000)});
     const std::uint64_t revision = machine_->revision();
@@ -250,7 +250,7 @@
     CPPUNIT_ASSERT_MESSAGE("of the same life: by its count", machine_->find_backend(b1)->leaving);
   }
 
-  void a_removal_ends_one_life() {
+  void a_removal_ends_one_incarnation() {
     const BackendName b1("b1");
     apply(RegisterBackend{life("b1", 1, 5, 2000)});
     apply(DeregisterBackend{b1, 1000});
@@ -297,7 +297,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(BackendName("next")));
   }
 
-  void ended_lives_are_forgotten_with_their_names() {
+  void ended_incarnations_are_forgotten_with_their_names() {
     constexpr std::uint64_t kMany = 4098;
     for (std::uint64_t number = 1; number <= kMany; ++number) {
       const std::string name = "b" + std::to_string(number);
--- a/tests/registered/tenancy/tenant_directory_test.cpp
+++ b/tests/registered/tenancy/tenant_directory_test.cpp
@@ -78,10 +78,10 @@
     KeyConfirmation keys(seconds(5));
     const TimePoint asked{seconds(100)};
     CPPUNIT_ASSERT_MESSAGE("never confirmed", !keys.allows(asked));
-    keys.note(asked);
+    keys.record(asked);
     CPPUNIT_ASSERT(keys.allows(asked + milliseconds(4899)));
     CPPUNIT_ASSERT(!keys.allows(asked + milliseconds(4900)));
-    keys.note(asked - seconds(1));
+    keys.record(asked - seconds(1));
     CPPUNIT_ASSERT_MESSAGE("an answer to an older question", keys.allows(asked + milliseconds(4899)));
     CPPUNIT_ASSERT(keys.is_confirmed_since(asked) && !keys.is_confirmed_since(asked + milliseconds(1)));
   }
--- a/tests/registered/tenancy/tenant_division_test.cpp
+++ b/tests/registered/tenancy/tenant_division_test.cpp
@@ -30,7 +30,7 @@
   const auto serving = proxies(16);
   for (int forwarder = 0; forwarder < 27; ++forwarder) {
     const auto order =
-        routing::forwarding_order(serving, NodeName(fmt::format("forwarder-{}", forwarder)), zone);
+        subset::forwarding_order(serving, NodeName(fmt::format("forwarder-{}", forwarder)), zone);
     used.insert(order_for_tenant(order, tenant, part, zone).front()->name);
   }
   return used;
@@ -88,7 +88,7 @@
     for (int forwarder = 0; forwarder < 27; ++forwarder) {
       const ZoneName from(fmt::format("zone-{}", forwarder % 3));
       const auto order =
-          routing::forwarding_order(serving, NodeName(fmt::format("forwarder-{}", forwarder)), from);
+          subset::forwarding_order(serving, NodeName(fmt::format("forwarder-{}", forwarder)), from);
       const auto front = order_for_tenant(order, TenantName("tenant"), 0.01, ZoneName("zone-1")).front();
       CPPUNIT_ASSERT_EQUAL(std::string("zone-1"), front->zone.value);
       used.insert(front->name);
--- a/tests/simulation/incarnations_test.cpp
+++ b/tests/simulation/incarnations_test.cpp
@@ -41,19 +41,19 @@
 
 class IncarnationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(IncarnationsTest);
-  CPPUNIT_TEST(a_removed_database_serves_again_in_its_next_life);
-  CPPUNIT_TEST(late_heartbeats_of_a_former_life_change_nothing_wherever_they_arrive);
+  CPPUNIT_TEST(a_removed_database_serves_again_in_its_next_incarnation);
+  CPPUNIT_TEST(late_heartbeats_of_a_former_incarnation_change_nothing_wherever_they_arrive);
   CPPUNIT_TEST(a_primary_that_starts_again_empty_is_replaced);
   CPPUNIT_TEST(a_primary_that_control_has_not_heard_again_of_shows_nothing_old);
   CPPUNIT_TEST(an_empty_replica_is_not_counted_for_a_primary_that_is_cut_off);
   CPPUNIT_TEST(a_member_without_its_log_gives_no_lease);
   CPPUNIT_TEST(a_member_that_was_never_asked_before_gives_none_either);
   CPPUNIT_TEST(databases_start_again_one_after_the_other);
-  CPPUNIT_TEST(what_is_about_to_be_sent_does_not_go_to_a_next_life);
+  CPPUNIT_TEST(what_is_about_to_be_sent_does_not_go_to_a_next_incarnation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_removed_database_serves_again_in_its_next_life() {
+  void a_removed_database_serves_again_in_its_next_incarnation() {
     check([](RegisteredFleet& fleet) {
       const std::string replica = replica_beside(fleet);
       fleet.database(replica).deregister();
@@ -66,7 +66,7 @@
     });
   }
 
-  void late_heartbeats_of_a_former_life_change_nothing_wherever_they_arrive() {
+  void late_heartbeats_of_a_former_incarnation_change_nothing_wherever_they_arrive() {
     check([](RegisteredFleet& fleet) {
       const std::string replica = replica_beside(fleet);
       const std::uint64_t former = fleet.registered_birth(BackendName(replica));
@@ -100,7 +100,7 @@
     });
   }
 
-  /// Its next life can't register, and proxies reach it under a good lease.
+  /// Its next incarnation can't register, and proxies reach it under a good lease.
   void a_primary_that_control_has_not_heard_again_of_shows_nothing_old() {
     check([](RegisteredFleet& fleet) {
       const std::string old_primary = fleet.primary();
@@ -139,7 +139,7 @@
     });
   }
 
-  /// Its pause, if there was one, is gone with its former life.
+  /// Its pause, if there was one, is gone with its former incarnation.
   void a_member_without_its_log_gives_no_lease() {
     check([](RegisteredFleet& fleet) {
       const std::string replica = replica_beside(fleet);
@@ -161,7 +161,7 @@
     });
   }
 
-  /// No round has seen what its former life held: an empty log is enough.
+  /// No round has seen what its former incarnation held: an empty log is enough.
   void a_member_that_was_never_asked_before_gives_none_either() {
     check([](RegisteredFleet& fleet) {
       const std::string replica = replica_beside(fleet);
@@ -181,9 +181,9 @@
 
   void databases_start_again_one_after_the_other() { check(restart_one_after_the_other); }
 
-  /// A read that had its link when the next life of the primary came to be known was sent to that one, with
-  /// the knowledge of what the former one showed just forgotten.
-  void what_is_about_to_be_sent_does_not_go_to_a_next_life() {
+  /// A read that had its link when the next incarnation of the primary came to be known was sent to that one,
+  /// with the knowledge of what the former one showed just forgotten.
+  void what_is_about_to_be_sent_does_not_go_to_a_next_incarnation() {
     // Of the first 15 seeds it is 7 in which this happened.
     constexpr std::uint64_t kFirstSeed = 7;
     const auto set = [](RegisteredFleetSettings& settings) {
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -159,9 +159,9 @@
   add_with_tenants(samples, "session_forward_answer_with_grant", answer);
 }
 
-/// Messages that tell lives of backends, which builds before can't read.
+/// Messages that tell incarnations of backends, which builds before can't read.
 template <class Message>
-void add_with_lives(Samples& samples, const std::string& name, const Message& message) {
+void add_with_incarnations(Samples& samples, const std::string& name, const Message& message) {
   const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     const auto read = wire::decode<Message>(bytes, reason);
     if (!read) return std::nullopt;
@@ -170,21 +170,21 @@
   samples.push_back({name, wire::encode(message, wire::kPlacesFormat), read_again});
 }
 
-BackendEntry any_life() {
+BackendEntry any_incarnation() {
   BackendEntry entry = any_backend();
   entry.born_ms = 1'795'000'000'123;
   entry.cold_ms = 400;
   return entry;
 }
 
-std::string snapshot_with_lives() {
+std::string snapshot_with_incarnations() {
   simulation::World world({});
   FleetStateMachine machine(world.start_bare({"node", "10.0.0.1", ZoneName("a")}));
-  BackendEntry removed = any_life();
+  BackendEntry removed = any_incarnation();
   removed.name = BackendName("b-0");
   removed.endpoint.port = 9001;
-  const OpenGroup open{GroupName("group-1"), 0, 4, BackendName("b-1"), any_life().born_ms};
-  const std::vector<Command> commands{RegisterBackend{any_life()}, RegisterBackend{removed},
+  const OpenGroup open{GroupName("group-1"), 0, 4, BackendName("b-1"), any_incarnation().born_ms};
+  const std::vector<Command> commands{RegisterBackend{any_incarnation()}, RegisterBackend{removed},
                                       DeregisterBackend{removed.name, removed.born_ms}, open};
   std::uint64_t index = 0;
   for (const Command& command : commands)
@@ -192,24 +192,25 @@
   return machine.take_snapshot();
 }
 
-void add_lives(Samples& samples) {
-  add_with_lives(samples, "registry_register_backend_with_life", LoggedCommand{RegisterBackend{any_life()}});
-  add_with_lives(samples, "registry_deregister_backend_with_life",
-                 LoggedCommand{DeregisterBackend{BackendName("b-1"), any_life().born_ms}});
-  add_with_lives(
+void add_incarnations(Samples& samples) {
+  add_with_incarnations(samples, "registry_register_backend_with_life",
+                        LoggedCommand{RegisterBackend{any_incarnation()}});
+  add_with_incarnations(samples, "registry_deregister_backend_with_life",
+                        LoggedCommand{DeregisterBackend{BackendName("b-1"), any_incarnation().born_ms}});
+  add_with_incarnations(
       samples, "registry_open_group_with_life",
-      LoggedCommand{OpenGroup{GroupName("group-1"), 0, 4, BackendName("b-1"), any_life().born_ms}});
+      LoggedCommand{OpenGroup{GroupName("group-1"), 0, 4, BackendName("b-1"), any_incarnation().born_ms}});
   FleetDelta delta = any_delta();
-  delta.backends = {any_life()};
-  delta.terms.front().primary_born_ms = any_life().born_ms;
-  add_with_lives(samples, "fleet_delta_with_lives", delta);
+  delta.backends = {any_incarnation()};
+  delta.terms.front().primary_born_ms = any_incarnation().born_ms;
+  add_with_incarnations(samples, "fleet_delta_with_lives", delta);
   const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     simulation::World world({});
     FleetStateMachine machine(world.start_bare({"node", "10.0.0.1", ZoneName("a")}));
     if (!machine.restore_snapshot(bytes, reason)) return std::nullopt;
     return machine.take_snapshot();
   };
-  samples.push_back({"registry_snapshot_with_lives", snapshot_with_lives(), read_again});
+  samples.push_back({"registry_snapshot_with_lives", snapshot_with_incarnations(), read_again});
 }
 
 void add_snapshot(Samples& samples) {
@@ -297,7 +298,7 @@
   add_control_messages(samples);
   add_forwarding(samples);
   add_tenants(samples);
-  add_lives(samples);
+  add_incarnations(samples);
   return samples;
 }
 
