--- a/bench/subset_bench.cpp
+++ b/bench/subset_bench.cpp
@@ -8,7 +8,7 @@
 #include "declared/backend/pool_share.h"
 #include "subset/subset.h"
 
-namespace cairnhollow::declared::routing {
+namespace cairnhollow::subset {
 namespace {
 
 constexpr std::uint32_t kGroups = 3300;
@@ -74,4 +74,4 @@
 BENCHMARK(order_of_forwarding);
 
 }  // namespace
-}  // namespace cairnhollow::declared::routing
+}  // namespace cairnhollow::subset
--- a/simulation/registered_fleet.cpp
+++ b/simulation/registered_fleet.cpp
@@ -218,7 +218,7 @@
     if (answered && (*result)->status == 200) {
       for (const registered::registry::TenantRule& tenant : settings_.tenants)
         tenant_history_.eras.push_back({tenant, world_.now()});
-      record_regions();
+      add_region_era();
       return true;
     }
     world_.run_for(milliseconds(50));
--- a/simulation/registered_fleet.h
+++ b/simulation/registered_fleet.h
@@ -143,7 +143,7 @@
   /// Notes each statement that one proxy sends to another.
   void record_forwarded(const std::string& receiver, const std::string& frame);
   void record_regions();
-  void record_regions();
+  void add_region_era();
   [[nodiscard]] std::string address_of(const std::string& name) const;
   [[nodiscard]] std::vector<Endpoint> control_endpoints(std::uint16_t port) const;
 
--- a/simulation/registered_fleet_regions.cpp
+++ b/simulation/registered_fleet_regions.cpp
@@ -16,7 +16,7 @@
       });
 }
 
-void RegisteredFleet::record_regions() {
+void RegisteredFleet::add_region_era() {
   RegionEra era{settings_.database_regions, {}, world_.now()};
   for (const registered::registry::TenantRule& tenant : settings_.tenants)
     era.by_tenant[tenant.name] = tenant.allowed_regions;
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -159,7 +159,7 @@
   RegistrationService registrations_;
   std::unique_ptr<runtime::HttpHandler> operator_calls_;
   ControlMetrics metrics_;
-  ConnectionDispatcher dispatcher_;
+  wire::ConnectionDispatcher dispatcher_;
   std::unique_ptr<runtime::HttpServer> operator_server_;
   std::unique_ptr<runtime::HttpServer> metrics_server_;
 };
--- a/standins/programs/cairnhollow_environment.cpp
+++ b/standins/programs/cairnhollow_environment.cpp
@@ -16,6 +16,7 @@
 #include "standins/registered/environment.h"
 
 namespace json = boost::json;
+namespace host = cairnhollow::host;
 namespace runtime = cairnhollow::runtime;
 namespace registered = cairnhollow::standins::registered;
 using cairnhollow::Awaitable;
--- a/tests/admission/concurrency_limit_test.cpp
+++ b/tests/admission/concurrency_limit_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "synthetic_backend.h"
+#include "tests/admission/synthetic_backend.h"
 
 namespace cairnhollow::admission {
 namespace {
--- a/tests/declared/backend/synthetic_backend.h
+++ b/tests/admission/synthetic_backend.h
@@ -1,4 +1,4 @@
-// A closed loop of callers before one backend, under a admission::ConcurrencyLimit and without any I/O: what
+// A closed loop of callers before one backend, under a ConcurrencyLimit and without any I/O: what
 // a limit makes of a disk with group commit, of a noisy one, and of a backend that has no more to give.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 #include "admission/concurrency_limit.h"
 
-namespace cairnhollow::declared::backend::testing {
+namespace cairnhollow::admission::testing {
 
 struct LoopFigures {
   double served_a_second = 0;
@@ -28,7 +28,7 @@
       : callers_(callers), takes_all_(takes_all), service_time_(std::move(service_time)) {}
 
   /// Runs for `warm_up`, then measures for `time`. Null: as many as there are callers run at once.
-  LoopFigures run(admission::ConcurrencyLimit* limit, Duration warm_up, Duration time) {
+  LoopFigures run(ConcurrencyLimit* limit, Duration warm_up, Duration time) {
     const TimePoint measured_from = now_ + warm_up;
     const TimePoint end = measured_from + time;
     std::uint64_t served = 0;
@@ -56,14 +56,14 @@
     std::uint32_t in_flight;
   };
 
-  void admit(const admission::ConcurrencyLimit* limit) {
+  void admit(const ConcurrencyLimit* limit) {
     const std::uint32_t most = limit == nullptr ? callers_ : std::min(callers_, limit->limit());
     while (waiting_.size() < most) {
       waiting_.push_back({now_, static_cast<std::uint32_t>(waiting_.size()) + 1});
     }
   }
 
-  void answer(admission::ConcurrencyLimit* limit, std::size_t taken) {
+  void answer(ConcurrencyLimit* limit, std::size_t taken) {
     for (; taken > 0; --taken) {
       const Statement statement = waiting_.front();
       waiting_.pop_front();
@@ -78,4 +78,4 @@
   TimePoint now_ = TimePoint(std::chrono::seconds(100));
 };
 
-}  // namespace cairnhollow::declared::backend::testing
+}  // namespace cairnhollow::admission::testing
--- a/tests/declared/control/follow/follow_roles.h
+++ b/tests/declared/control/follow/follow_roles.h
@@ -84,7 +84,7 @@
 
  private:
   Endpoint endpoint_;
-  ConnectionDispatcher dispatcher_;
+  wire::ConnectionDispatcher dispatcher_;
 };
 
 /// A follower: nothing but its client.
--- a/tests/wire/hello_test.cpp
+++ b/tests/declared/control/hello_test.cpp
@@ -36,7 +36,7 @@
   std::vector<std::string> served;
 
  private:
-  ConnectionDispatcher dispatcher_;
+  wire::ConnectionDispatcher dispatcher_;
 };
 
 class FollowerRole : public runtime::Role {
--- a/tests/declared/proxy/calls/call_assertions.h
+++ b/tests/declared/proxy/calls/call_assertions.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "http/problem.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 
--- a/tests/declared/proxy/calls/explain_test.cpp
+++ b/tests/declared/proxy/calls/explain_test.cpp
@@ -4,7 +4,7 @@
 #include <boost/json.hpp>
 
 #include "http/problem.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/control_stub.cpp
+++ b/tests/declared/proxy/control_stub.cpp
@@ -1,4 +1,4 @@
-#include "control_stub.h"
+#include "tests/declared/proxy/control_stub.h"
 
 #include "wire/codec.h"
 #include "wire/hello.h"
--- a/tests/declared/proxy/domain/group_activity_test.cpp
+++ b/tests/declared/proxy/domain/group_activity_test.cpp
@@ -4,7 +4,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "declared/proxy/knobs.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
@@ -1,9 +1,9 @@
 // Calls for a group that the proxy does not serve, when the proxies that serve it fail, stall or refuse.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "call_assertions.h"
-#include "forwarding_world.h"
 #include "http/problem.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/forwarding/forwarding_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/forwarding/forwarding_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_test.cpp
@@ -1,10 +1,10 @@
 // Calls for a group that the proxy does not serve.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "call_assertions.h"
 #include "declared/proxy/forwarding/forward_messages.h"
-#include "forwarding_world.h"
 #include "http/problem.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/forwarding/forwarding_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/forwarding/forwarding_transactions_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_transactions_test.cpp
@@ -1,8 +1,8 @@
 // Transactions of a group that the proxy does not serve.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "call_assertions.h"
-#include "forwarding_world.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/forwarding/forwarding_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/forwarding/forwarding_world.h
+++ b/tests/declared/proxy/forwarding/forwarding_world.h
@@ -3,7 +3,7 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "proxy_world.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 
--- a/tests/declared/proxy/proxy_domains_test.cpp
+++ b/tests/declared/proxy/proxy_domains_test.cpp
@@ -3,10 +3,10 @@
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "call_assertions.h"
 #include "declared/routing/session_token.h"
 #include "http/problem.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/proxy_failures_test.cpp
+++ b/tests/declared/proxy/proxy_failures_test.cpp
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
-#include "call_assertions.h"
 #include "declared/proxy/knobs.h"
 #include "http/problem.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/proxy_server_test.cpp
+++ b/tests/declared/proxy/proxy_server_test.cpp
@@ -1,8 +1,8 @@
 // A whole proxy on the virtual runtime, before real stand-in databases.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "call_assertions.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/proxy_transactions_test.cpp
+++ b/tests/declared/proxy/proxy_transactions_test.cpp
@@ -1,9 +1,9 @@
 // Transactions through a proxy: what ends them, and that a planned stop cuts nothing.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "call_assertions.h"
 #include "declared/proxy/knobs.h"
-#include "proxy_world.h"
+#include "tests/declared/proxy/calls/call_assertions.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/declared/proxy/proxy_world.cpp
+++ b/tests/declared/proxy/proxy_world.cpp
@@ -1,4 +1,4 @@
-#include "proxy_world.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 #include "declared/backend/http_backend.h"
 #include "declared/proxy/proxy_server.h"
--- a/tests/declared/proxy/proxy_world.h
+++ b/tests/declared/proxy/proxy_world.h
@@ -9,12 +9,12 @@
 #include <optional>
 #include <string>
 
-#include "control_stub.h"
 #include "declared/proxy/settings.h"
 #include "simulation/world.h"
 #include "standins/callers/proxy_client.h"
 #include "standins/callers/record_statement.h"
 #include "standins/database/settings.h"
+#include "tests/declared/proxy/control_stub.h"
 
 namespace cairnhollow::declared::proxy {
 
--- a/tests/declared/proxy/replica_reads_test.cpp
+++ b/tests/declared/proxy/replica_reads_test.cpp
@@ -1,7 +1,7 @@
 // Reads right after a session's own write, before replicas that lag.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "proxy_world.h"
+#include "tests/declared/proxy/proxy_world.h"
 
 namespace cairnhollow::declared::proxy {
 namespace {
--- a/tests/registered/control/failover/group_keeper_lives_test.cpp
+++ b/tests/registered/control/failover/group_keeper_incarnations_test.cpp
@@ -12,7 +12,6 @@
 
 namespace {
 
-using BackendStatus;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -112,8 +111,8 @@
 
 }  // namespace
 
-class GroupKeeperLivesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(GroupKeeperLivesTest);
+class GroupKeeperIncarnationsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(GroupKeeperIncarnationsTest);
   CPPUNIT_TEST(another_incarnation_of_the_primary_is_given_up_at_once);
   CPPUNIT_TEST(who_leads_with_less_than_it_had_is_not_opened);
   CPPUNIT_TEST(who_started_again_after_the_look_is_not_ordered);
@@ -343,6 +342,6 @@
   std::uint64_t index_ = 0;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(GroupKeeperLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(GroupKeeperIncarnationsTest);
 
 }  // namespace cairnhollow::registered::control
--- a/tests/runtime/posix_storage_test.cpp
+++ b/tests/runtime/posix_storage_test.cpp
@@ -157,7 +157,7 @@
   /// The folder as a restarted process finds it.
   void open_folder() {
     loopback_.reset();
-    AsioRuntimeSettings settings;
+    host::AsioRuntimeSettings settings;
     settings.data_folder = folder_;
     loopback_ = std::make_unique<Loopback>(settings);
   }
--- a/tests/standins/tenant_history_test.cpp
+++ b/tests/standins/tenant_history_test.cpp
@@ -17,7 +17,7 @@
 TimePoint at(int ms) { return TimePoint(seconds(100) + milliseconds(ms)); }
 
 TenantEra era(const std::string& name, const std::vector<std::string>& keys, std::uint64_t rate, int ms) {
-  registered::registry::TenantRule rule;
+  cairnhollow::registered::registry::TenantRule rule;
   rule.name = TenantName(name);
   for (const auto& key : keys) rule.keys.emplace_back(key);
   rule.rate_per_s = rate;
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using namespace registry;
+using namespace registered::registry;
 using Samples = std::vector<FormatSample>;
 
 template <class Message>
@@ -259,7 +259,8 @@
 }
 
 void add_forwarding(Samples& samples) {
-  using namespace session;
+  using namespace registered;
+  using namespace registered::proxy;
   ForwardedOrder order;
   order.route = any_route();
   order.id = "5c0e7a21d94b36f8";
