--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -130,8 +130,8 @@
     const ZoneName came_in(fmt::format("zone-{}", random() % 4));
     const ZoneName zone = at_primary ? ZoneName("zone-0") : tenancy::zone_of_reads(reading, tenant, came_in);
     const NodeName forwarder(fmt::format("{}-{}", came_in.value, random() % 20));
-    const auto order = tenancy::order_for_tenant(subset::forwarding_order(serving_, forwarder, came_in),
-                                                 tenant, part, zone);
+    const auto order =
+        tenancy::order_for_tenant(subset::forwarding_order(serving_, forwarder, came_in), tenant, part, zone);
     runtime_->spawn("use", use_link(*runtime_, pool_of(order.front(), zone), tenant));
   }
 
