--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -20,6 +20,12 @@
 inline const TenantName kTenant("tenant");
 inline const ApiKey kKey("key");
 
+/// How a backend meets what it is sent: with a refusal, or with no answer.
+struct Mishap {
+  std::optional<Refusal> refusal;  ///< empty: no answer
+  runtime::SendState sent = runtime::SendState::kMaybeSent;
+};
+
 /// What all links of the backends share.
 struct Backends {
   std::map<std::string, int> statements;  ///< by backend
@@ -27,6 +33,8 @@
   int begun = 0;
   int values = 0;  ///< set on links
   Duration statement_takes{0};
+  std::map<std::string, Mishap> at_statement;  ///< of the backend's next statement
+  std::map<std::string, Mishap> at_begin;      ///< of its next begin
   std::function<void()> while_dialling;
   /// Done while a link is brought in order, which takes that long.
   std::function<void()> meanwhile;
@@ -39,7 +47,7 @@
       : runtime_(runtime), backends_(backends), name_(std::move(name)) {}
 
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
-                                       runtime::SendState& sent, Reason& /*reason*/) override {
+                                       runtime::SendState& sent, Reason& reason) override {
     sent = runtime::SendState::kMaybeSent;
     Answer answer;
     answer.signature = name_;
@@ -53,9 +61,11 @@
       ++backends_.statements[name_];
       co_await runtime_.sleep_for(backends_.statement_takes);
       if (!open_) co_return std::nullopt;
+      if (const auto mishap = take(backends_.at_statement)) co_return meet(*mishap, sent, reason);
     }
     if (std::holds_alternative<Begin>(request)) {
       ++backends_.begun;
+      if (const auto mishap = take(backends_.at_begin)) co_return meet(*mishap, sent, reason);
       in_transaction_ = true;
     }
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
@@ -70,6 +80,26 @@
   [[nodiscard]] std::string peer() const override { return name_; }
 
  private:
+  std::optional<Mishap> take(std::map<std::string, Mishap>& mishaps) const {
+    const auto found = mishaps.find(name_);
+    if (found == mishaps.end()) return std::nullopt;
+    const Mishap mishap = found->second;
+    mishaps.erase(found);
+    return mishap;
+  }
+  std::optional<Answer> meet(const Mishap& mishap, runtime::SendState& sent, Reason& reason) {
+    if (mishap.refusal) {
+      Answer refused;
+      refused.refusal = mishap.refusal;
+      refused.state = in_transaction_ ? TransactionState::kOpen : TransactionState::kIdle;
+      return refused;
+    }
+    sent = mishap.sent;
+    reason = Reason{ReasonCode::kConnectionLost, "run", name_, "broken off"};
+    open_ = false;
+    return std::nullopt;
+  }
+
   runtime::Runtime& runtime_;
   Backends& backends_;
   std::string name_;
--- /dev/null
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -0,0 +1,183 @@
+// What becomes of a statement that its backend refuses, or does not answer, the first time: what its caller
+// is told, and how often each backend was sent it.
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <vector>
+
+#include "tests/registered/proxy/statement/runner_stand.h"
+
+namespace cairnhollow::registered::proxy {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+namespace {
+
+constexpr auto kNotSent = runtime::SendState::kNotSent;
+constexpr const char* kPrimary = "one";
+constexpr const char* kReplica = "two";
+
+/// "ok", or the refusal; then how often the primary and the replica were sent it.
+std::string text_of(const RunResult& result, int at_primary, int at_replica) {
+  const std::string told = result.answer.refusal ? refusal_name(*result.answer.refusal) : "ok";
+  return told + ' ' + std::to_string(at_primary) + ' ' + std::to_string(at_replica);
+}
+
+std::string name_of(const Mishap& mishap) {
+  if (mishap.refusal) return refusal_name(*mishap.refusal);
+  return mishap.sent == kNotSent ? "not sent" : "no answer";
+}
+
+}  // namespace
+
+class StatementOutcomesTest : public RunnerStand {
+  CPPUNIT_TEST_SUITE(StatementOutcomesTest);
+  CPPUNIT_TEST(single_statements);
+  CPPUNIT_TEST(first_statements_of_transactions);
+  CPPUNIT_TEST(refused_begins);
+  CPPUNIT_TEST(further_statements_and_commits);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void single_statements() {
+    struct Row {
+      Mishap mishap;
+      std::string write;
+      std::string primary_read;
+      std::string replica_read;
+    };
+    const std::vector<Row> rows{
+        {{Refusal::kBusy}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kAborted}, "aborted 1 0", "aborted 1 0", "aborted 0 1"},
+        {{Refusal::kTooStale}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kNotPrimary}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kWrongBackend}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kConnectionLimit}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kInDoubt}, "in_doubt 1 0", "in_doubt 1 0", "in_doubt 0 1"},
+        {{Refusal::kTimedOut}, "timed_out 1 0", "timed_out 1 0", "timed_out 0 1"},
+        {{Refusal::kFailed}, "failed 1 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kMalformed}, "malformed 1 0", "malformed 1 0", "malformed 0 1"},
+        {{Refusal::kUnknownStatement}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kUnknownDatabase}, "unknown_database 1 0", "unknown_database 1 0", "unknown_database 0 1"},
+        {{Refusal::kUnauthorized}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{Refusal::kOverLimit}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{std::nullopt, kNotSent}, "ok 2 0", "ok 2 0", "ok 1 1"},
+        {{std::nullopt}, "in_doubt 1 0", "ok 2 0", "ok 1 1"},
+    };
+    for (const Row& row : rows) {
+      const std::string what = name_of(row.mishap);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("write: " + what, row.write, after(row.mishap, kPrimary, write()));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("primary read: " + what, row.primary_read,
+                                   after(row.mishap, kPrimary, read()));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("replica read: " + what, row.replica_read,
+                                   after(row.mishap, kReplica, replica_read()));
+    }
+  }
+
+  void first_statements_of_transactions() {
+    struct Row {
+      Mishap mishap;
+      std::string outcome;
+    };
+    const std::vector<Row> rows{
+        {{Refusal::kBusy}, "ok 2 0"},         {{Refusal::kFailed}, "failed 1 0"},
+        {{Refusal::kNotPrimary}, "ok 2 0"},   {{Refusal::kAborted}, "aborted 1 0"},
+        {{std::nullopt, kNotSent}, "ok 2 0"}, {{std::nullopt}, "ok 2 0"},
+    };
+    for (const Row& row : rows)
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(row.mishap), row.outcome, after(row.mishap, kPrimary, opening()));
+  }
+
+  void refused_begins() {
+    for (const Mishap& mishap : std::vector<Mishap>{{Refusal::kBusy},
+                                                    {Refusal::kTooStale},
+                                                    {Refusal::kNotPrimary},
+                                                    {Refusal::kWrongBackend},
+                                                    {Refusal::kFailed},
+                                                    {std::nullopt}}) {
+      restart();
+      backends().at_begin[kPrimary] = mishap;
+      const RunResult result = run(opening());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(mishap), std::string("ok 1 0"),
+                                   text_of(result, sent(kPrimary), sent(kReplica)));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(mishap), 2, backends().begun);
+      CPPUNIT_ASSERT(result.pinned && result.pinned->at_primary);
+    }
+  }
+
+  void further_statements_and_commits() {
+    struct Row {
+      Mishap mishap;
+      std::string statement;
+      std::string commit;
+      std::string empty_commit;
+    };
+    const std::vector<Row> rows{
+        {{Refusal::kBusy}, "busy", "busy", "busy"},
+        {{Refusal::kFailed}, "failed", "failed", "failed"},
+        {{Refusal::kAborted}, "aborted", "aborted", "aborted"},
+        {{std::nullopt, kNotSent}, "aborted", "aborted", "aborted"},
+        {{std::nullopt}, "aborted", "in_doubt", "aborted"},
+    };
+    for (const Row& row : rows) {
+      const std::string what = name_of(row.mishap);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.statement, in_transaction(row.mishap, false, true));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.commit, in_transaction(row.mishap, true, true));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.empty_commit, in_transaction(row.mishap, true, false));
+    }
+  }
+
+ private:
+  void restart() {
+    tearDown();
+    setUp();
+  }
+  RunOrder write() { return order(); }
+  RunOrder read() {
+    RunOrder statement = order();
+    statement.writes = false;
+    return statement;
+  }
+  RunOrder opening() {
+    RunOrder statement = order();
+    statement.opens_transaction = true;
+    return statement;
+  }
+  RunOrder replica_read() {
+    RunOrder statement = read();
+    statement.route.reads = registry::ReadPolicy::kBoundedStaleness;
+    statement.route.max_staleness_ms = 900;
+    return statement;
+  }
+
+  /// Of a statement that meets this at the backend, on a proxy that was just started.
+  std::string after(const Mishap& mishap, const char* backend, RunOrder statement) {
+    restart();
+    statement.group = proxy_->view.find_group(kGroup);
+    // What the primary showed so long ago is what a replica must hold.
+    world_->run_for(seconds(2));
+    statement.group->record_primary_position(runtime_->now() - seconds(1), Position{1, 5});
+    statement.group->record_primary_position(runtime_->now(), Position{1, 6});
+    statement.arrived = runtime_->now();
+    statement.deadline = statement.arrived + milliseconds(statement.route.timeout_ms);
+    backends().at_statement[backend] = mishap;
+    const RunResult result = run(std::move(statement));
+    return text_of(result, sent(kPrimary), sent(kReplica));
+  }
+
+  /// What the caller is told of a statement, or commit, of an open transaction that meets this.
+  std::string in_transaction(const Mishap& mishap, bool commits, bool wrote) {
+    restart();
+    const RunResult opened = run(opening());
+    CPPUNIT_ASSERT(opened.pinned);
+    backends().at_statement[kPrimary] = mishap;
+    Answer answer;
+    runtime_->spawn("run", keep(proxy_->runner.run_pinned(*opened.pinned, order(), commits, wrote), answer));
+    world_->run_for(milliseconds(1200));
+    return answer.refusal ? refusal_name(*answer.refusal) : "ok";
+  }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(StatementOutcomesTest);
+
+}  // namespace cairnhollow::registered::proxy
