--- a/src/registered/control/failover/close_answers.cpp
+++ b/src/registered/control/failover/fence_acknowledgements.cpp
@@ -1,26 +1,26 @@
-#include "registered/control/failover/close_answers.h"
+#include "registered/control/failover/fence_acknowledgements.h"
 
 #include <algorithm>
 
 namespace cairnhollow::registered::control {
 
-void CloseAnswers::set_proxies(const std::vector<registry::AdmittedProxy>& proxies) {
+void FenceAcknowledgements::set_proxies(const std::vector<registry::AdmittedProxy>& proxies) {
   proxies_.clear();
   for (const registry::AdmittedProxy& proxy : proxies) proxies_[proxy.node] = proxy.incarnation;
   // Who has to answer may be others now: begun anew when they are asked for.
   closes_.clear();
 }
 
-void CloseAnswers::clear() {
-  lives_.clear();
+void FenceAcknowledgements::clear() {
+  reports_.clear();
   closes_.clear();
 }
 
-bool CloseAnswers::record(const NodeName& node, std::uint64_t incarnation,
-                          const registry::ClosedGroup& closed) {
-  Life& life = lives_[node];
-  if (life.incarnation != incarnation) life = Life{incarnation, {}};
-  registry::ClosedGroup& held = life.closed[closed.group];
+bool FenceAcknowledgements::record(const NodeName& node, std::uint64_t incarnation,
+                                   const registry::ClosedGroup& closed) {
+  Reports& reports = reports_[node];
+  if (reports.incarnation != incarnation) reports = Reports{incarnation, {}};
+  registry::ClosedGroup& held = reports.closed[closed.group];
   if (closed.epoch < held.epoch) return false;
   held = closed;
   const auto found = closes_.find(closed.group);
@@ -36,15 +36,15 @@
   return counts && close.silent.empty();
 }
 
-CloseAnswers::Close CloseAnswers::begin(const GroupName& group, std::uint64_t epoch) const {
+FenceAcknowledgements::Close FenceAcknowledgements::begin(const GroupName& group, std::uint64_t epoch) const {
   Close close;
   close.epoch = epoch;
   for (const auto& [node, incarnation] : proxies_) {
-    const auto life = lives_.find(node);
+    const auto reports = reports_.find(node);
     const registry::ClosedGroup* answer = nullptr;
-    if (life != lives_.end() && life->second.incarnation == incarnation) {
-      const auto closed = life->second.closed.find(group);
-      if (closed != life->second.closed.end() && closed->second.epoch >= epoch) answer = &closed->second;
+    if (reports != reports_.end() && reports->second.incarnation == incarnation) {
+      const auto closed = reports->second.closed.find(group);
+      if (closed != reports->second.closed.end() && closed->second.epoch >= epoch) answer = &closed->second;
     }
     if (answer == nullptr) {
       close.silent.emplace(node, incarnation);
@@ -55,16 +55,17 @@
   return close;
 }
 
-CloseProgress CloseAnswers::progress(const GroupName& group, std::uint64_t epoch, const LookAt& look_at) {
+FenceProgress FenceAcknowledgements::progress(const GroupName& group, std::uint64_t epoch,
+                                              const DescribeSilent& describe_silent) {
   auto found = closes_.find(group);
   if (found == closes_.end() || found->second.epoch != epoch)
     found = closes_.insert_or_assign(group, begin(group, epoch)).first;
   const Close& close = found->second;
-  CloseProgress progress;
+  FenceProgress progress;
   progress.highest_acknowledged = close.highest_acknowledged;
   progress.all_answered = close.silent.empty();
   for (const auto& [node, incarnation] : close.silent) {
-    const Silent silent = look_at(node, incarnation);
+    const Silent silent = describe_silent(node, incarnation);
     progress.silent_revision = std::min(progress.silent_revision, silent.revision);
     if (silent.may_hold_lease) ++progress.waiting_for;
   }
--- a/src/registered/control/failover/close_answers.h
+++ b/src/registered/control/failover/fence_acknowledgements.h
@@ -17,7 +17,7 @@
 namespace cairnhollow::registered::control {
 
 /// What the proxies said of a group that was closed.
-struct CloseProgress {
+struct FenceProgress {
   bool complete = false;      ///< each admitted proxy has answered, or its lease has surely run out
   bool all_answered = false;  ///< each admitted proxy has answered
   Position highest_acknowledged;
@@ -27,39 +27,40 @@
   std::uint64_t silent_revision = std::numeric_limits<std::uint64_t>::max();
 };
 
-class CloseAnswers {
+class FenceAcknowledgements {
  public:
   /// What is known of a proxy that has not answered.
   struct Silent {
     bool may_hold_lease = false;
     std::uint64_t revision = 0;  ///< of the fleet, that it said it holds; 0: it said none
   };
-  using LookAt = std::function<Silent(const NodeName& node, std::uint64_t incarnation)>;
+  using DescribeSilent = std::function<Silent(const NodeName& node, std::uint64_t incarnation)>;
 
   /// The incarnations of proxies that are admitted now. Answers of other incarnations do not count.
   void set_proxies(const std::vector<registry::AdmittedProxy>& proxies);
   /// A proxy's answer. True when it was the last one that its group waited for.
   bool record(const NodeName& node, std::uint64_t incarnation, const registry::ClosedGroup& closed);
-  [[nodiscard]] CloseProgress progress(const GroupName& group, std::uint64_t epoch, const LookAt& look_at);
+  [[nodiscard]] FenceProgress progress(const GroupName& group, std::uint64_t epoch,
+                                       const DescribeSilent& describe_silent);
   /// Forgets all answers, not the proxies.
   void clear();
 
  private:
-  struct Life {
+  struct Reports {
     std::uint64_t incarnation = 0;
     std::map<GroupName, registry::ClosedGroup> closed;  ///< its latest answers
   };
   /// One group's close, as far as somebody asked for it.
   struct Close {
     std::uint64_t epoch = 0;
-    std::map<NodeName, std::uint64_t> silent;  ///< lives without an answer
+    std::map<NodeName, std::uint64_t> silent;  ///< incarnations without an answer
     Position highest_acknowledged;
   };
 
   Close begin(const GroupName& group, std::uint64_t epoch) const;
 
   std::map<NodeName, std::uint64_t> proxies_;
-  std::map<NodeName, Life> lives_;
+  std::map<NodeName, Reports> reports_;
   std::map<GroupName, Close> closes_;
 };
 
--- a/src/registered/control/failover/group_failover.cpp
+++ b/src/registered/control/failover/group_failover.cpp
@@ -19,20 +19,20 @@
 Awaitable<bool> GroupKeeper::wait_leases(GroupTerm closed) {
   const TimePoint silent_at = runtime_.now() + kSilentProxyAfter;
   bool pausing = false;
-  CloseProgress progress = leases_.close_progress(closed.group, closed.epoch);
+  FenceProgress progress = leases_.fence_progress(closed.group, closed.epoch);
   while (leads() && !progress.complete) {
     if (!pausing && runtime_.now() >= silent_at) {
       pausing = true;
       runtime_.spawn("pause_members", pauses_.pause(closed));
     }
     co_await leases_.answered().wait_until(runtime_.now() + kDeadLookPause);
-    progress = leases_.close_progress(closed.group, closed.epoch);
+    progress = leases_.fence_progress(closed.group, closed.epoch);
   }
   co_return leads();
 }
 
 Awaitable<void> GroupKeeper::wait_member_leases(GroupTerm closed) {
-  CloseProgress progress = leases_.close_progress(closed.group, closed.epoch);
+  FenceProgress progress = leases_.fence_progress(closed.group, closed.epoch);
   if (progress.all_answered) co_return;
   co_await pauses_.pause(closed);
   // Without any paused member nobody is promoted, but the old primary may be used again.
@@ -40,7 +40,7 @@
   if (quiet == TimePoint::max()) co_return;
   while (leads() && !progress.all_answered && runtime_.now() < quiet) {
     co_await leases_.answered().wait_until(std::min(quiet, runtime_.now() + kDeadLookPause));
-    progress = leases_.close_progress(closed.group, closed.epoch);
+    progress = leases_.fence_progress(closed.group, closed.epoch);
   }
 }
 
@@ -56,7 +56,7 @@
   facts.closed = closed;
   const registry::GroupRule* rule = fleet_.find_group(closed.group);
   if (rule != nullptr) facts.synchronous_replicas = rule->synchronous_replicas;
-  const CloseProgress progress = leases_.close_progress(closed.group, closed.epoch);
+  const FenceProgress progress = leases_.fence_progress(closed.group, closed.epoch);
   facts.all_acknowledgers_answered = progress.all_answered && fleet_.knows_all_acknowledgers(closed);
   facts.all_proxies_answered = progress.all_answered;
   facts.silent_revision = progress.silent_revision;
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -2,8 +2,8 @@
 // dead and leaving ones. Acts on the leader of the control nodes only.
 //
 // Order of a change of primary: close the group in the log, wait until no proxy can acknowledge anything of
-// the old term (for silent ones by pausing members, see member_pauses.h), compare the logs, promote, see it
-// lead, open the group in the log, tell the old one to step down.
+// the old term (for silent ones by pausing members, see replication_pauses.h), compare the logs, promote, see
+// it lead, open the group in the log, tell the old one to step down.
 #pragma once
 
 #include <map>
@@ -13,9 +13,9 @@
 
 #include "consensus/consensus.h"
 #include "registered/control/failover/group_prober.h"
-#include "registered/control/failover/member_pauses.h"
 #include "registered/control/failover/promotion_turns.h"
 #include "registered/control/failover/region_preference.h"
+#include "registered/control/failover/replication_pauses.h"
 #include "registered/control/leader_calls.h"
 #include "registered/control/leases/lease_keeper.h"
 #include "registered/registry/control_service.h"
@@ -143,7 +143,7 @@
   LeaderCalls& calls_;
   LeaseKeeper& leases_;
   GroupProber& prober_;
-  MemberPauses pauses_;
+  ReplicationPauses pauses_;
   registry::PromotionCaller& promotions_;
   PromotionTurns turns_;
   NodeName node_;
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -34,7 +34,7 @@
   bool all_acknowledgers_answered = false;
   /// Every admitted proxy has answered the close, so that none uses the closed term's primary.
   bool all_proxies_answered = false;
-  std::uint64_t silent_revision = 0;  ///< see CloseProgress
+  std::uint64_t silent_revision = 0;  ///< see FenceProgress
   /// Of those that answered. May be beyond the last acknowledged commit: a backend shows where its log is,
   /// other commits under way included.
   Position highest_acknowledged;
--- a/src/registered/control/failover/member_pauses.cpp
+++ b/src/registered/control/failover/replication_pauses.cpp
@@ -1,4 +1,4 @@
-#include "registered/control/failover/member_pauses.h"
+#include "registered/control/failover/replication_pauses.h"
 
 #include <algorithm>
 
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-struct MemberPauses::Answers {
+struct ReplicationPauses::Answers {
   explicit Answers(runtime::Runtime& runtime) : changed(runtime) {}
   std::size_t missing = 0;
   runtime::Signal changed;
 };
 
-void MemberPauses::record_members() {
+void ReplicationPauses::record_members() {
   if (recorded_revision_ == fleet_.revision()) return;
   recorded_revision_ = fleet_.revision();
   std::map<BackendIncarnation, Known> known;
@@ -39,7 +39,7 @@
   known_ = std::move(known);
 }
 
-Awaitable<void> MemberPauses::pause(GroupTerm closed) {
+Awaitable<void> ReplicationPauses::pause(GroupTerm closed) {
   GroupPauses& pauses = paused_[closed.group];
   if (pauses.epoch != closed.epoch) pauses = GroupPauses{closed.epoch, {}};
   const auto answers = std::make_shared<Answers>(runtime_);
@@ -51,8 +51,8 @@
   while (answers->missing > 0) co_await answers->changed.wait();
 }
 
-Awaitable<void> MemberPauses::pause_one(std::shared_ptr<Answers> answers, BackendEntry member,
-                                        GroupTerm closed) {
+Awaitable<void> ReplicationPauses::pause_one(std::shared_ptr<Answers> answers, BackendEntry member,
+                                             GroupTerm closed) {
   Reason reason;
   const TimePoint deadline = runtime_.now() + kStatusTimeout;
   auto status = co_await prober_.pause(member, pause_term(closed), deadline, reason);
@@ -73,7 +73,7 @@
   answers->changed.notify_all();
 }
 
-TimePoint MemberPauses::known_at(const BackendIncarnation& member, std::uint64_t silent_revision) const {
+TimePoint ReplicationPauses::known_at(const BackendIncarnation& member, std::uint64_t silent_revision) const {
   const auto found = known_.find(member);
   const Known known = found == known_.end() ? Known{runtime_.now(), fleet_.revision()} : found->second;
   if (silent_revision >= known.revision) return known.since;
@@ -81,12 +81,12 @@
   return known.since + registry::kServeWithoutControl + registry::kMemberLease;
 }
 
-TimePoint MemberPauses::quiet_at(const BackendIncarnation& member, TimePoint paused_at,
-                                 std::uint64_t silent_revision) const {
+TimePoint ReplicationPauses::quiet_at(const BackendIncarnation& member, TimePoint paused_at,
+                                      std::uint64_t silent_revision) const {
   return std::max(paused_at + registry::kMemberLeaseWait, known_at(member, silent_revision));
 }
 
-TimePoint MemberPauses::quiet_at(const GroupTerm& closed, std::uint64_t silent_revision) const {
+TimePoint ReplicationPauses::quiet_at(const GroupTerm& closed, std::uint64_t silent_revision) const {
   TimePoint quiet = TimePoint::max();
   const auto found = paused_.find(closed.group);
   if (found == paused_.end() || found->second.epoch != closed.epoch) return quiet;
@@ -98,21 +98,21 @@
   return quiet;
 }
 
-bool MemberPauses::hold(const GroupTerm& closed, std::uint64_t silent_revision,
-                        const std::vector<MemberFinding>& findings, const BackendName& candidate) const {
+bool ReplicationPauses::hold(const GroupTerm& closed, std::uint64_t silent_revision,
+                             const std::vector<MemberFinding>& findings, const BackendName& candidate) const {
   const auto found = paused_.find(closed.group);
   if (found == paused_.end() || found->second.epoch != closed.epoch) return false;
   const auto still_paused = std::find_if(findings.begin(), findings.end(), [&](const MemberFinding& member) {
     return member.entry.name == candidate && member.status && member.status->pause_term >= pause_term(closed);
   });
   if (still_paused == findings.end()) return false;
-  const BackendIncarnation life = still_paused->entry.incarnation();
-  const auto since = found->second.since.find(life);
+  const BackendIncarnation paused_member = still_paused->entry.incarnation();
+  const auto since = found->second.since.find(paused_member);
   if (since == found->second.since.end()) return false;
-  return runtime_.now() >= quiet_at(life, since->second, silent_revision);
+  return runtime_.now() >= quiet_at(paused_member, since->second, silent_revision);
 }
 
-Awaitable<void> MemberPauses::resume(GroupName group) {
+Awaitable<void> ReplicationPauses::resume(GroupName group) {
   const auto found = paused_.find(group);
   if (found == paused_.end()) co_return;
   const std::map<BackendIncarnation, TimePoint> since = std::move(found->second.since);
@@ -126,7 +126,7 @@
   while (answers->missing > 0) co_await answers->changed.wait();
 }
 
-Awaitable<void> MemberPauses::resume_one(std::shared_ptr<Answers> answers, BackendEntry member) {
+Awaitable<void> ReplicationPauses::resume_one(std::shared_ptr<Answers> answers, BackendEntry member) {
   Reason reason;
   const TimePoint deadline = runtime_.now() + kStatusTimeout;
   const auto status = co_await prober_.resume(member, deadline, reason);
@@ -138,7 +138,7 @@
   answers->changed.notify_all();
 }
 
-Awaitable<void> MemberPauses::resume_left(GroupName group) {
+Awaitable<void> ReplicationPauses::resume_left(GroupName group) {
   const auto findings = co_await prober_.ask_all(fleet_.backends_of(group));
   const GroupTerm* term = fleet_.find_term(group);
   if (term == nullptr || !term->open || paused_.count(group) > 0) co_return;
--- a/src/registered/control/failover/member_pauses.h
+++ b/src/registered/control/failover/replication_pauses.h
@@ -15,9 +15,9 @@
 namespace cairnhollow::registered::control {
 
 /// What it refers to outlives it; it lives until the process ends.
-class MemberPauses {
+class ReplicationPauses {
  public:
-  MemberPauses(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, GroupProber& prober)
+  ReplicationPauses(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, GroupProber& prober)
       : runtime_(runtime), fleet_(fleet), prober_(prober) {}
 
   /// Notes since when, and at which revision of the fleet, each incarnation of a backend is known here.
@@ -27,9 +27,9 @@
   /// Pauses the members that may follow the closed group's primary and are not paused for it yet, all at
   /// once.
   Awaitable<void> pause(registry::GroupTerm closed);
-  /// When a paused member may be promoted at the earliest; `TimePoint::max()` while none is paused. Lives
-  /// that are over count for nothing.
-  /// `silent_revision`: what each proxy that may hold one knows of the fleet, at least.
+  /// When a paused member may be promoted at the earliest; `TimePoint::max()` while none is paused.
+  /// Incarnations that are over count for nothing. `silent_revision`: what each proxy that may hold one knows
+  /// of the fleet, at least.
   [[nodiscard]] TimePoint quiet_at(const registry::GroupTerm& closed, std::uint64_t silent_revision) const;
   /// Whether no silent proxy can use the closed term's primary once `candidate` is promoted: each of them
   /// knows the candidate, whose pause and then whose new term shows to every question, and the candidate has
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -40,7 +40,7 @@
   led_term_ = consensus_.term();
   leads_since_ = runtime_.now();
   lives_.clear();
-  close_answers_.clear();
+  fence_acknowledgements_.clear();
 }
 
 Awaitable<void> LeaseKeeper::serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello) {
@@ -132,7 +132,7 @@
   refresh_answering();
   bool any_is_over = false;
   for (const auto& group : closed) {
-    const bool is_last = close_answers_.record(follower.node, follower.incarnation, group);
+    const bool is_last = fence_acknowledgements_.record(follower.node, follower.incarnation, group);
     any_is_over = any_is_over || is_last;
   }
   // One by one they would each wake the changes of primary of all closed groups.
@@ -142,7 +142,7 @@
 void LeaseKeeper::refresh_answering() {
   if (answering_revision_ == fleet_.proxies_revision()) return;
   answering_revision_ = fleet_.proxies_revision();
-  close_answers_.set_proxies(fleet_.proxies());
+  fence_acknowledgements_.set_proxies(fleet_.proxies());
 }
 
 TimePoint LeaseKeeper::lease_bound(const NodeName& node, std::uint64_t incarnation) const {
@@ -153,16 +153,16 @@
   return bound;
 }
 
-CloseProgress LeaseKeeper::close_progress(const GroupName& group, std::uint64_t epoch) {
+FenceProgress LeaseKeeper::fence_progress(const GroupName& group, std::uint64_t epoch) {
   refresh_answering();
   const TimePoint now = runtime_.now();
-  const auto look_at = [this, now](const NodeName& node, std::uint64_t incarnation) {
+  const auto describe_silent = [this, now](const NodeName& node, std::uint64_t incarnation) {
     const auto life = lives_.find(node);
     const bool same_incarnation = life != lives_.end() && life->second.incarnation == incarnation;
-    return CloseAnswers::Silent{now <= lease_bound(node, incarnation),
-                                same_incarnation ? life->second.revision : 0};
+    return FenceAcknowledgements::Silent{now <= lease_bound(node, incarnation),
+                                         same_incarnation ? life->second.revision : 0};
   };
-  return close_answers_.progress(group, epoch, look_at);
+  return fence_acknowledgements_.progress(group, epoch, describe_silent);
 }
 
 Awaitable<void> LeaseKeeper::push_changes() {
--- a/src/registered/control/leases/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -8,7 +8,7 @@
 
 #include "consensus/consensus.h"
 #include "registered/control/control_node_directory.h"
-#include "registered/control/failover/close_answers.h"
+#include "registered/control/failover/fence_acknowledgements.h"
 #include "registered/control/leader_calls.h"
 #include "registered/registry/messages.h"
 #include "registered/registry/state_machine.h"
@@ -34,7 +34,7 @@
 
   /// Invariant behind it: a lease granted by an earlier leader runs out within one serving lease of this
   /// node's election, and one granted here when `lease_until` says.
-  [[nodiscard]] CloseProgress close_progress(const GroupName& group, std::uint64_t epoch);
+  [[nodiscard]] FenceProgress fence_progress(const GroupName& group, std::uint64_t epoch);
   /// Notified when the last proxy has answered the close of a group. Leases that run out meanwhile are not
   /// told.
   runtime::Signal& answered() { return answered_; }
@@ -109,8 +109,8 @@
   std::size_t bytes_on_their_way_ = 0;  ///< of deltas
   std::map<std::uint64_t, std::shared_ptr<Follower>> followers_;
   std::map<NodeName, Life> lives_;
-  CloseAnswers close_answers_;
-  std::optional<std::uint64_t> answering_revision_;  ///< of the proxies that `close_answers_` knows
+  FenceAcknowledgements fence_acknowledgements_;
+  std::optional<std::uint64_t> answering_revision_;  ///< of the proxies that `fence_acknowledgements_` knows
   std::uint64_t next_follower_ = 1;
   std::uint64_t deltas_to_ = 0;  ///< the revision that the encoded deltas lead to
   struct EncodedDelta {
--- a/tests/registered/control/failover/close_answers_test.cpp
+++ b/tests/registered/control/failover/fence_acknowledgements_test.cpp
@@ -1,5 +1,5 @@
 // Who still owes an answer to the close of a group, and what it costs to know.
-#include "registered/control/failover/close_answers.h"
+#include "registered/control/failover/fence_acknowledgements.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-class CloseAnswersTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(CloseAnswersTest);
+class FenceAcknowledgementsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(FenceAcknowledgementsTest);
   CPPUNIT_TEST(a_close_is_over_with_the_last_answer);
   CPPUNIT_TEST(an_answer_to_an_earlier_close_does_not_count);
   CPPUNIT_TEST(an_answer_that_came_before_anybody_asked_counts);
@@ -104,8 +104,10 @@
   }
 
   void leases_that_ran_out_end_the_wait_and_no_more() {
-    const auto ran_out = [](const NodeName&, std::uint64_t) { return CloseAnswers::Silent{false, 5}; };
-    const CloseProgress progress = answers_.progress(group(1), 4, ran_out);
+    const auto ran_out = [](const NodeName&, std::uint64_t) {
+      return FenceAcknowledgements::Silent{false, 5};
+    };
+    const FenceProgress progress = answers_.progress(group(1), 4, ran_out);
     CPPUNIT_ASSERT(progress.complete);
     CPPUNIT_ASSERT(!progress.all_answered);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, progress.silent_revision);
@@ -132,7 +134,7 @@
     std::size_t ends = 0;
     const auto count = [&looks](const NodeName&, std::uint64_t) {
       ++looks;
-      return CloseAnswers::Silent{true, 0};
+      return FenceAcknowledgements::Silent{true, 0};
     };
     for (int number = 1; number <= kProxies; ++number) {
       for (int closed = 1; closed <= kGroups; ++closed) {
@@ -146,14 +148,14 @@
   }
 
  private:
-  CloseProgress ask(std::uint64_t epoch) {
-    const auto leased = [](const NodeName&, std::uint64_t) { return CloseAnswers::Silent{true, 0}; };
+  FenceProgress ask(std::uint64_t epoch) {
+    const auto leased = [](const NodeName&, std::uint64_t) { return FenceAcknowledgements::Silent{true, 0}; };
     return answers_.progress(group(1), epoch, leased);
   }
 
-  CloseAnswers answers_;
+  FenceAcknowledgements answers_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(CloseAnswersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FenceAcknowledgementsTest);
 
 }  // namespace cairnhollow::registered::control
--- a/tests/registered/control/failover/member_pauses_test.cpp
+++ b/tests/registered/control/failover/replication_pauses_test.cpp
@@ -1,6 +1,6 @@
 // A pause is of one incarnation of a member: the next one under its name is not paused, and not known as
 // long.
-#include "registered/control/failover/member_pauses.h"
+#include "registered/control/failover/replication_pauses.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-class MemberPausesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MemberPausesTest);
+class ReplicationPausesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReplicationPausesTest);
   CPPUNIT_TEST(a_pause_ends_with_the_incarnation_that_was_paused);
   CPPUNIT_TEST(a_next_incarnation_is_new_to_silent_proxies);
   CPPUNIT_TEST(the_next_incarnation_of_the_primary_is_paused_as_well);
@@ -61,7 +61,7 @@
     runtime_ = &world_->start_bare({"node", "10.0.0.1", ZoneName("a")});
     fleet_ = std::make_unique<registry::FleetStateMachine>(*runtime_);
     prober_ = std::make_unique<GroupProber>(*runtime_, dialer_);
-    pauses_ = std::make_unique<MemberPauses>(*runtime_, *fleet_, *prober_);
+    pauses_ = std::make_unique<ReplicationPauses>(*runtime_, *fleet_, *prober_);
     registry::ConfigurationDocument document;
     document.version = 1;
     document.groups = {registry::GroupRule{GroupName("records"), 30, 1}};
@@ -151,11 +151,11 @@
   std::unique_ptr<registry::FleetStateMachine> fleet_;
   PausedDialer dialer_;
   std::unique_ptr<GroupProber> prober_;
-  std::unique_ptr<MemberPauses> pauses_;
+  std::unique_ptr<ReplicationPauses> pauses_;
   registry::GroupTerm closed_;
   std::uint64_t index_ = 0;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MemberPausesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReplicationPausesTest);
 
 }  // namespace cairnhollow::registered::control
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -145,8 +145,8 @@
     proxy.report(report);
     stand_->run_for(milliseconds(50));
   }
-  [[nodiscard]] CloseProgress progress(std::uint64_t epoch) {
-    return stand_->leases().close_progress(kGroup, epoch);
+  [[nodiscard]] FenceProgress progress(std::uint64_t epoch) {
+    return stand_->leases().fence_progress(kGroup, epoch);
   }
 
   std::unique_ptr<ControlStand> stand_;
