--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -34,7 +34,7 @@
   bool all_acknowledgers_answered = false;
   /// Every admitted proxy has answered the close, so that none uses the closed term's primary.
   bool all_proxies_answered = false;
-  std::uint64_t silent_revision = 0;  ///< see CloseProgress
+  std::uint64_t silent_revision = 0;  ///< see FenceProgress
   /// Of those that answered. May be beyond the last acknowledged commit: a backend shows where its log is,
   /// other commits under way included.
   Position highest_acknowledged;
@@ -59,6 +59,9 @@
   bool is_unproved = false;
 };
 
+/// What is found of the backend; of nobody if it is not among the members.
+MemberFinding find_member(const PromotionFacts& facts, const BackendName& backend);
+
 /// Whether the member tells its start and shows an empty log while others, or proxies, know of more: an
 /// incarnation that has lost what its name held, registered already or not. It proves nothing.
 bool is_blank(const MemberFinding& member, const PromotionFacts& facts);
--- a/src/registered/control/failover/member_pauses.h
+++ b/src/registered/control/failover/replication_pauses.h
@@ -14,22 +14,22 @@
 
 namespace cairnhollow::registered::control {
 
-/// What it refers to outlives it; it lives until the process ends.
-class MemberPauses {
+/// The objects that it is given outlive it; it lives until the process ends.
+class ReplicationPauses {
  public:
-  MemberPauses(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, GroupProber& prober)
+  ReplicationPauses(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, GroupProber& prober)
       : runtime_(runtime), fleet_(fleet), prober_(prober) {}
 
-  /// Notes since when, and at which revision of the fleet, each incarnation of a backend is known here.
+  /// Records since when, and at which revision of the fleet, each incarnation of a backend is known here.
   /// Called on every control node, so that a new leader knows it of the backends that it applied as a
   /// follower: committed by then, they were told with every later lease.
   void record_members();
   /// Pauses the members that may follow the closed group's primary and are not paused for it yet, all at
   /// once.
   Awaitable<void> pause(registry::GroupTerm closed);
-  /// When a paused member may be promoted at the earliest; `TimePoint::max()` while none is paused. Lives
-  /// that are over count for nothing.
-  /// `silent_revision`: what each proxy that may hold one knows of the fleet, at least.
+  /// When a paused member may be promoted at the earliest; `TimePoint::max()` while none is paused.
+  /// Incarnations that are over count for nothing. `silent_revision`: what each proxy that may hold one knows
+  /// of the fleet, at least.
   [[nodiscard]] TimePoint quiet_at(const registry::GroupTerm& closed, std::uint64_t silent_revision) const;
   /// Whether no silent proxy can use the closed term's primary once `candidate` is promoted: each of them
   /// knows the candidate, whose pause and then whose new term shows to every question, and the candidate has
@@ -59,9 +59,6 @@
   Awaitable<void> pause_one(std::shared_ptr<Answers> answers, registry::BackendEntry member,
                             registry::GroupTerm closed);
   Awaitable<void> resume_one(std::shared_ptr<Answers> answers, registry::BackendEntry member);
-  /// When each proxy that still serves knows `member`; a time that is past if it does already.
-  [[nodiscard]] TimePoint known_at(const registry::BackendIncarnation& member,
-                                   std::uint64_t silent_revision) const;
   /// When leases that `member` gave before its pause are over, at proxies that may not know it as well.
   [[nodiscard]] TimePoint quiet_at(const registry::BackendIncarnation& member, TimePoint paused_at,
                                    std::uint64_t silent_revision) const;
