--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -121,7 +121,7 @@
   void drop_closed();
   /// The backend refused one more connection.
   void mark_full();
-  /// Tells, for tools/least-links, that a link is given back and whether it was new when it was taken.
+  /// Logs at level debug that a link is given back and whether it was new when it was taken.
   void log_use(const StatefulLink& link) const;
   /// Closes the idle link that was unused for longest when there are as many links as there may be, or as
   /// the backend takes.
