--- a/standins/callers/load_options.cpp
+++ b/standins/callers/load_options.cpp
@@ -18,27 +18,16 @@
 Usage:
   cairnhollow-load run --proxy=ADDRESS... [options]
   cairnhollow-load check HISTORY [options]
-  cairnhollow-load latency --proxy=ADDRESS --backend=ADDRESS... [options]
-  cairnhollow-load throughput --proxy=ADDRESS... [--backend=ADDRESS...] [options]
-  cairnhollow-load idle --proxy=ADDRESS [options]
   cairnhollow-load (-h | --help)
   cairnhollow-load --version
 
 Commands:
-  run         Offers operations at a fixed mean rate, whether the system keeps up or not, and checks at the
-              end that nothing was lost, doubled or stale.
-  check       Checks the history that an earlier run wrote.
-  latency     Offers statements at a fixed mean rate through a proxy, and as many straight to the backends that
-              serve it, in the same run: the difference is what the proxy adds.
-  throughput  Sends statements through proxies on every connection without a pause; with backends, straight to
-              them, once the proxy has written the record.
-  idle        Opens connections to a proxy, makes one read on each, and holds them.
+  run    Offers operations at a fixed mean rate, whether the system keeps up or not, and checks at the
+         end that nothing was lost, doubled or stale.
+  check  Checks the history that an earlier run wrote.
 
 Options:
   --proxy=ADDRESS      A proxy's caller endpoint; give several and sessions move between them.
-  --backend=ADDRESS    With latency and throughput: the members of one database group; for writes only its primary.
-  --writes             With latency and throughput: writes instead of reads.
-  --connections=NUMBER  With latency and throughput: of each way; with idle: in all [default: 32].
   --profile=NAME       study-card or scooter-fleet [default: study-card].
   --rate=NUMBER        Operations a second, mean of a Poisson process [default: 100].
   --duration=DURATION  How long operations are offered, e.g. 30s [default: 10s].
@@ -129,7 +118,6 @@
 
 constexpr double kHighestRate = 1e6;
 constexpr std::uint32_t kMostSessions = 100'000;
-constexpr std::uint32_t kMostConnections = 100'000;
 
 void read_load_settings(OptionReader& reader, LoadSettings& load) {
   reader.endpoints("--proxy", load.caller.proxies);
@@ -141,23 +129,12 @@
   reader.duration("--patience", load.caller.operation_limit);
 }
 
-LoadCommand command_of(const DocoptValues& values) {
-  if (values.at("check").asBool()) return LoadCommand::kCheck;
-  if (values.at("latency").asBool()) return LoadCommand::kLatency;
-  if (values.at("throughput").asBool()) return LoadCommand::kThroughput;
-  if (values.at("idle").asBool()) return LoadCommand::kIdle;
-  return LoadCommand::kRun;
-}
-
 LoadOptionsOutcome to_options(const DocoptValues& values) {
   LoadOptions options;
   OptionReader reader(values);
-  options.command = command_of(values);
-  const bool is_check = options.command == LoadCommand::kCheck;
+  const bool is_check = values.at("check").asBool();
+  options.command = is_check ? LoadCommand::kCheck : LoadCommand::kRun;
   if (!is_check) read_load_settings(reader, options.load);
-  reader.endpoints("--backend", options.backends);
-  reader.number("--connections", 1U, kMostConnections, options.connections);
-  if (values.at("--writes").asBool()) options.statements = declared::backend::StatementKind::kWrite;
   options.seed = random_load_seed();
   reader.number("--seed", std::uint64_t{0}, std::numeric_limits<std::uint64_t>::max(), options.seed);
   options.load.run_name = reader.text("--run-name").value_or(fmt::format("run-{:x}", options.seed));
--- a/standins/callers/load_program.cpp
+++ b/standins/callers/load_program.cpp
@@ -14,7 +14,6 @@
 #include "standins/callers/load_generator.h"
 #include "standins/callers/load_options.h"
 #include "standins/callers/load_report.h"
-#include "standins/callers/path_measurements.h"
 
 namespace cairnhollow::standins::callers {
 
@@ -78,23 +77,8 @@
   co_return settled&& written ? exit_code : kLoadExitFailed;
 }
 
-Awaitable<int> run_command(runtime::Runtime& runtime, const LoadOptions& options) {
-  switch (options.command) {
-    case LoadCommand::kLatency:
-      co_return co_await measure_latency(runtime, options);
-    case LoadCommand::kThroughput:
-      co_return co_await measure_throughput(runtime, options);
-    case LoadCommand::kIdle:
-      co_return co_await hold_idle_connections(runtime, options);
-    case LoadCommand::kRun:
-    case LoadCommand::kCheck:
-      break;
-  }
-  co_return co_await run_workload(runtime, options);
-}
-
 Awaitable<void> run_to_the_end(runtime::Runtime& runtime, const LoadOptions& options) {
-  const int exit_code = co_await run_command(runtime, options);
+  const int exit_code = co_await run_workload(runtime, options);
   std::fflush(nullptr);
   // Without unwinding: coroutines in flight refer to the runtime.
   std::_Exit(exit_code);
--- a/tests/standins/callers/load_options_test.cpp
+++ b/tests/standins/callers/load_options_test.cpp
@@ -13,9 +13,6 @@
   CPPUNIT_TEST(run_reads_every_option);
   CPPUNIT_TEST(seed_names_the_run);
   CPPUNIT_TEST(check_reads_a_history);
-  CPPUNIT_TEST(latency_needs_backends);
-  CPPUNIT_TEST(throughput_may_be_of_backends);
-  CPPUNIT_TEST(measurements_may_be_of_writes);
   CPPUNIT_TEST(values_out_of_range_are_refused);
   CPPUNIT_TEST(all_faults_are_named_at_once);
   CPPUNIT_TEST(unknown_words_are_refused);
@@ -54,31 +51,6 @@
     CPPUNIT_ASSERT_EQUAL(std::string("history.jsonl"), options.history_file);
   }
 
-  void latency_needs_backends() {
-    refused({"latency", "--proxy=127.0.0.1:1"}, "Usage");
-    const auto options =
-        accepted({"latency", "--proxy=127.0.0.1:1", "--backend=127.0.0.1:3", "--connections=4"});
-    CPPUNIT_ASSERT(options.command == LoadCommand::kLatency);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, options.backends.size());
-    CPPUNIT_ASSERT_EQUAL(4U, options.connections);
-    CPPUNIT_ASSERT(options.statements == declared::backend::StatementKind::kRead);
-  }
-
-  void measurements_may_be_of_writes() {
-    const auto latency = accepted({"latency", "--proxy=127.0.0.1:1", "--backend=127.0.0.1:3", "--writes"});
-    CPPUNIT_ASSERT(latency.statements == declared::backend::StatementKind::kWrite);
-    const auto throughput = accepted({"throughput", "--proxy=127.0.0.1:1", "--writes"});
-    CPPUNIT_ASSERT(throughput.statements == declared::backend::StatementKind::kWrite);
-    CPPUNIT_ASSERT(throughput.backends.empty());
-  }
-
-  void throughput_may_be_of_backends() {
-    const auto direct =
-        accepted({"throughput", "--proxy=127.0.0.1:1", "--backend=127.0.0.1:3", "--backend=127.0.0.1:4"});
-    CPPUNIT_ASSERT(direct.command == LoadCommand::kThroughput);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, direct.backends.size());
-  }
-
   void values_out_of_range_are_refused() {
     refused({"run", "--proxy=somewhere"}, "--proxy somewhere");
     refused({"run", "--proxy=127.0.0.1:1", "--rate=fast"}, "--rate fast");
--- a/tools/fleetlib/deployment.py
+++ b/tools/fleetlib/deployment.py
@@ -1,7 +1,6 @@
 """A deployment of examples/, started with its manifests applied."""
 
 import fcntl
-import re
 import shutil
 import subprocess
 import time
@@ -32,33 +31,22 @@
         self.lock = lock  # held as long as this object lives
 
     @classmethod
-    def fresh(cls, name, run_folder, settings=None, links=False):
+    def fresh(cls, name, run_folder, links=False):
         """With an empty run folder; what an earlier run left running there is ended first."""
-        fleet = Fleet(run_folder, Fleet.from_environment().programs_folder, settings, links)
+        fleet = Fleet(run_folder, Fleet.from_environment().programs_folder, links)
         lock = lock_run_folder(fleet.run_folder)
         if fleet.deployment_folder.is_dir():
             fleet.stop()
         shutil.rmtree(fleet.run_folder, ignore_errors=True)
         return cls(name, fleet, lock)
 
-    def start(self, capacity=None):
-        """`capacity`: what the groups declare for each backend in place of the example's, e.g. {"slots": "64"}."""
+    def start(self):
         self.fleet.start(self.name, [])
-        self._declare_capacity(capacity or {})
         self.apply_manifests()
         self.fleet.wait_until_serving()
         for group in self.groups():
             self.fleet.primary_of(group)
 
-    def _declare_capacity(self, capacity):
-        file = self.fleet.deployment_folder / "manifests" / "groups.yaml"
-        text = file.read_text()
-        for key, value in capacity.items():
-            text, count = re.subn(rf"\b{key}PerBackend: \d+", f"{key}PerBackend: {value}", text)
-            if count == 0:
-                raise FleetError(f"{file}: no {key}PerBackend")
-        file.write_text(text)
-
     def apply_manifests(self):
         """A control node refuses until the voters have elected a leader: then it is tried again."""
         manifests = self.fleet.deployment_folder / "manifests"
--- a/tools/fleetlib/fleet.py
+++ b/tools/fleetlib/fleet.py
@@ -47,12 +47,10 @@
 
 
 class Fleet:
-    def __init__(self, run_folder, programs_folder, settings=None, links=False):
-        """`settings`: by role, settings that go over those of the files, e.g. {"database": {"slots": "64"}}.
-        `links`: start with a relay between the processes, so that cut() works."""
+    def __init__(self, run_folder, programs_folder, links=False):
+        """`links`: start with a relay between the processes, so that cut() works."""
         self.run_folder = Path(run_folder).resolve()
         self.programs_folder = Path(programs_folder).resolve()
-        self.settings = settings or {}
         self.links_file = self.run_folder / LINKS_FILE
         self.with_links = links or self.links_file.exists()
         self.deployment_folder = self.run_folder / "deployment"
@@ -126,7 +124,6 @@
         if not program.exists():
             raise FleetError(f"{program}: not built")
         command = [str(program), f"--settings={node.settings_file}"]
-        command += [f"--set={key}={value}" for key, value in self.settings.get(node.role, {}).items()]
         if self.with_links and node.link_key:
             command.append(f"--set={node.link_key}={self._listening_endpoints(node)[node.link_key]}")
         log_file = self.run_folder / "logs" / f"{node.name}.log"
--- a/tools/fleetlib/processes.py
+++ b/tools/fleetlib/processes.py
@@ -7,10 +7,8 @@
 from pathlib import Path
 
 POLL_SECONDS = 0.05
-# Fields of /proc/PID/stat behind the command's closing bracket (proc(5)): state is the first, utime the 12th,
-# starttime the 20th.
+# Fields of /proc/PID/stat behind the command's closing bracket (proc(5)): state is the first, starttime the 20th.
 STATE_FIELD = 0
-USER_TIME_FIELD = 11
 START_TIME_FIELD = 19
 
 
@@ -26,20 +24,6 @@
     return fields[STATE_FIELD], fields[START_TIME_FIELD]
 
 
-def processor_seconds(process_id):
-    """User and system time that a process has taken."""
-    fields = Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()
-    ticks = int(fields[USER_TIME_FIELD]) + int(fields[USER_TIME_FIELD + 1])
-    return ticks / os.sysconf("SC_CLK_TCK")
-
-
-def resident_kilobytes(process_id):
-    for line in Path(f"/proc/{process_id}/status").read_text().splitlines():
-        if line.startswith("VmRSS:"):
-            return int(line.split()[1])
-    return 0
-
-
 class ProcessFile:
     """One started process, kept in a file."""
 
