--- a/simulation/command.cpp
+++ b/simulation/command.cpp
@@ -3,8 +3,6 @@
 #include <docopt.h>
 #include <fmt/format.h>
 
-#include <chrono>
-#include <fstream>
 #include <map>
 #include <stdexcept>
 #include <thread>
@@ -24,22 +22,19 @@
 
 Usage:
   cairnhollow-sim list
-  cairnhollow-sim run SCENARIO [--seeds=RANGE] [--profile=P] [--workers=N] [--report=FILE] [--log] [--hashes] [--gaps]
-  cairnhollow-sim explore [--seeds=RANGE] [--profile=P] [--workers=N] [--report=FILE] [--log] [--hashes] [--gaps]
-  cairnhollow-sim measure [--seeds=RANGE] [--profile=P] [--workers=N] [--report=FILE]
+  cairnhollow-sim run SCENARIO [--seeds=RANGE] [--profile=P] [--workers=N] [--log] [--hashes] [--gaps]
+  cairnhollow-sim explore [--seeds=RANGE] [--profile=P] [--workers=N] [--log] [--hashes] [--gaps]
   cairnhollow-sim (-h | --help | --version)
 
 Commands:
   list     The scenarios, a line each.
   run      Runs one scenario, or `all`, with each seed, and checks every promise after each run.
   explore  As run, with random faults, several at once, chosen by the seed.
-  measure  Runs the scenarios that the deployments' figures come from.
 
 Options:
   --seeds=RANGE   One seed or a range, e.g. 7 or 1-50 [default: 1-10].
   --profile=P     study-card, scooter-fleet or both [default: both].
   --workers=N     Threads; 0 takes one a hardware thread [default: 0].
-  --report=FILE   Writes a line a scenario and profile, as JSON.
   --log           Prints the log lines of every simulated process; for single runs.
   --hashes        Prints the trace's hash of each run.
   --gaps          Prints the longest write gap of each run.
@@ -102,9 +97,7 @@
     if (options.print_gaps) fmt::print("seed {} {}\n", result.seed, gap_text(result));
     if (!result.violations.empty()) print_violations(scenario.name, profile, result);
   };
-  const auto begun = std::chrono::steady_clock::now();
   run_seeds(options.seeds.first, options.seeds.last, options.workers, run, take);
-  report.set_wall_time(std::chrono::steady_clock::now() - begun, options.workers);
   fmt::print("{}\n", report.to_text());
   std::fflush(stdout);
   return report;
@@ -117,18 +110,7 @@
   return kExitHeld;
 }
 
-/// Where the deployments' figures come from.
-std::vector<Scenario> measured_scenarios() {
-  std::vector<Scenario> measured;
-  for (const char* name : {"calm", "calm-with-200ms-lag", "primary-killed", "primary-frozen",
-                           "primary-cut-off", "primary-cut-from-replicas", "messages-lost"}) {
-    measured.push_back(*find_scenario(name));
-  }
-  return measured;
-}
-
 std::vector<Scenario> chosen_scenarios(std::map<std::string, docopt::value>& arguments) {
-  if (arguments["measure"].asBool()) return measured_scenarios();
   if (arguments["explore"].asBool()) return {explore_scenario()};
   const std::string name = arguments["SCENARIO"].asString();
   if (name == "all") return all_scenarios();
@@ -145,14 +127,10 @@
   options.print_hashes = arguments["--hashes"].asBool();
   options.print_gaps = arguments["--gaps"].asBool();
   const auto profiles = parse_profiles(arguments["--profile"].asString());
-  std::ofstream report_file;
-  if (arguments["--report"]) report_file.open(arguments["--report"].asString());
   bool held = true;
   for (const Scenario& scenario : chosen_scenarios(arguments)) {
     for (const auto profile : profiles) {
-      const ScenarioReport report = run_one(scenario, profile, options);
-      held = held && report.violated_seeds() == 0;
-      if (report_file.is_open()) report_file << report.to_json() << '\n';
+      held = run_one(scenario, profile, options).violated_seeds() == 0 && held;
     }
   }
   return held ? kExitHeld : kExitViolated;
--- a/simulation/overload.cpp
+++ b/simulation/overload.cpp
@@ -59,10 +59,6 @@
     if (is_during) ++attempts;
     if (is_during && is_urgent(operation)) add_urgent(operation, window, figures);
     if (done && ended >= window.from && ended < window.until) answered += operation.records.size();
-    if (!done && (is_before || is_after || (is_during && is_urgent(operation)))) {
-      ++figures.refusals[operation.refusal];
-    }
-    if (!done && is_before) ++figures.refused_before;
     if (!done && is_after) ++figures.refused_after;
     if (!done && ended > window.until) figures.last_refusal_after = ended - window.until;
     if (!done || operation.kind == OperationKind::kTransaction) continue;
--- a/simulation/overload.h
+++ b/simulation/overload.h
@@ -3,8 +3,6 @@
 #pragma once
 
 #include <cstdint>
-#include <map>
-#include <string>
 
 #include "base/types.h"
 #include "standins/callers/history.h"
@@ -24,12 +22,11 @@
   double goodput = 0;  ///< statements answered a second in the window, as a share of the capacity
   double offered = 0;  ///< attempts a second in the window, as a share of the capacity
   std::uint64_t urgent_writes = 0;
-  std::uint64_t urgent_refused = 0;               ///< attempts
-  std::map<std::string, std::uint64_t> refusals;  ///< of urgent writes, and those before and after, by reason
-  std::uint64_t urgent_late = 0;  ///< attempts that took longer than the deadline, or were not answered
+  std::uint64_t urgent_refused = 0;  ///< attempts
+  std::uint64_t urgent_late = 0;     ///< attempts that took longer than the deadline, or were not answered
   Duration urgent_slowest{0};
-  std::uint64_t refused_before = 0;  ///< attempts of any kind that began before the window
-  std::uint64_t refused_after = 0;   ///< and kReturnLimit or more after it
+  /// Attempts of any kind that began kReturnLimit or more after the window.
+  std::uint64_t refused_after = 0;
   /// From the window's end to the last refusal; zero when there is none.
   Duration last_refusal_after{0};
   Duration p99_before{0};  ///< of answered reads and appends that began before the window
--- a/simulation/report.h
+++ b/simulation/report.h
@@ -1,13 +1,11 @@
-// What the runs of one scenario came to, for people and as JSON.
+// What the runs of one scenario came to, for people.
 #pragma once
 
-#include <chrono>
 #include <cstdint>
 #include <map>
 #include <string>
 #include <vector>
 
-#include "simulation/run_measures.h"
 #include "simulation/scenario_runner.h"
 
 namespace cairnhollow::simulation {
@@ -19,18 +17,11 @@
       : scenario_(std::move(scenario)), profile_(profile) {}
 
   void add(const RunResult& result);
-  void set_wall_time(std::chrono::steady_clock::duration wall_time, unsigned workers);
 
   [[nodiscard]] std::uint64_t violated_seeds() const { return violated_seeds_; }
   [[nodiscard]] std::string to_text() const;
-  /// One line.
-  [[nodiscard]] std::string to_json() const;
 
  private:
-  [[nodiscard]] double fleet_seconds_per_core_minute() const;
-  [[nodiscard]] std::string measures_text() const;
-  [[nodiscard]] std::string overload_text() const;
-
   std::string scenario_;
   standins::callers::Profile profile_;
   std::uint64_t runs_ = 0;
@@ -38,13 +29,14 @@
   std::uint64_t operations_ = 0;
   std::uint64_t acknowledged_ = 0;
   std::map<std::string, std::uint64_t> violations_;  ///< by checker
-  Duration simulated_{0};
-  RunMeasures measures_;                    ///< summed up
-  std::vector<OverloadFigures> overloads_;  ///< of runs that had one
-  std::vector<Duration> write_gaps_;        ///< the longest of each run
-  double core_seconds_ = 0;
+  std::uint64_t reads_ = 0;                          ///< that were answered
+  std::uint64_t replica_reads_ = 0;                  ///< of these, served by a replica
+  std::vector<Duration> write_gaps_;                 ///< the longest of each run
 };
 
+/// The value below which `share` of the values lie (nearest rank). Zero when there are none.
+Duration quantile(std::vector<Duration> values, double share);
+
 /// One run's longest write gap: how long, from when to when on the world's clock, and of whose group.
 std::string gap_text(const RunResult& result);
 
--- a/simulation/scenario_runner.cpp
+++ b/simulation/scenario_runner.cpp
@@ -33,21 +33,6 @@
   return evidence;
 }
 
-std::uint64_t bytes_between_proxies_and_control(Fleet& fleet) {
-  std::uint64_t bytes = 0;
-  const auto sent = [&](const std::string& from, const std::string& to) {
-    const TrafficByPeer& traffic = fleet.world().network().traffic_of(from);
-    const auto found = traffic.find(to);
-    return found == traffic.end() ? 0 : found->second;
-  };
-  for (const auto& proxy : fleet.deployment().proxies) {
-    for (const auto& node : fleet.deployment().control_nodes) {
-      bytes += sent(proxy.node.value, node.node.value) + sent(node.node.value, proxy.node.value);
-    }
-  }
-  return bytes;
-}
-
 /// Loads, breaks and settles the fleet; the evidence is complete after it.
 void play(const Scenario& scenario, Fleet& fleet, RunResult& result) {
   Reason reason;
@@ -63,8 +48,6 @@
     result.violations.push_back({"liveness", "", "", "the run did not settle: " + reason.to_string()});
   }
   result.statistics = fleet.callers().statistics();
-  result.control_bytes = bytes_between_proxies_and_control(fleet);
-  result.proxies = fleet.deployment().proxies.size();
   result.evidence = collect_evidence(fleet, run, scenario, reason);
   if (reason.failed()) result.violations.push_back({"scenario", "", "", reason.to_string()});
   for (const Violation& violation : run.violations()) result.violations.push_back(violation);
@@ -101,7 +84,6 @@
   }
   result.trace_hash = fleet.world().trace().hash();
   result.trace_events = fleet.world().trace().event_count();
-  result.simulated = fleet.world().now().time_since_epoch();
   return result;
 }
 
--- a/simulation/scenario_runner.h
+++ b/simulation/scenario_runner.h
@@ -21,12 +21,9 @@
   std::uint64_t seed = 0;
   std::uint64_t trace_hash = 0;
   std::uint64_t trace_events = 0;
-  Duration simulated{0};
   std::vector<Violation> violations;
   Evidence evidence;
   standins::callers::LoadStatistics statistics;
-  std::uint64_t control_bytes = 0;  ///< between proxies and control nodes, both ways, in the whole run
-  std::size_t proxies = 0;
 };
 
 /// The same settings give the same result, the trace's hash included, in any process.
