--- /dev/null
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -0,0 +1,166 @@
+// When a primary counts as silent, as of no use, and when its commits count as stalled.
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <string>
+#include <vector>
+
+#include "registered/proxy/group/group_access.h"
+#include "simulation/world.h"
+
+namespace cairnhollow::registered::proxy {
+
+using std::chrono::milliseconds;
+
+namespace {
+
+class NoDialer : public BackendDialer {
+ public:
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
+                                               std::optional<Refusal>& /*refusal*/,
+                                               Reason& /*reason*/) override {
+    co_return nullptr;
+  }
+};
+
+class ClosableLink : public BackendLink {
+ public:
+  Awaitable<std::optional<Answer>> run(BackendRequest /*request*/, TimePoint /*deadline*/,
+                                       runtime::SendState& /*sent*/, Reason& /*reason*/) override {
+    co_return std::nullopt;
+  }
+  std::optional<BackendStatus> read_status(const Answer& /*answer*/, Reason& /*reason*/) override {
+    return std::nullopt;
+  }
+  void close() override { open_ = false; }
+  [[nodiscard]] bool is_open() const override { return open_; }
+  [[nodiscard]] std::string peer() const override { return "peer"; }
+
+ private:
+  bool open_ = true;
+};
+
+/// A statement that was sent so long ago and has no answer.
+struct Sent {
+  Duration age;
+  bool commits;
+};
+
+}  // namespace
+
+class PrimaryHealthTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PrimaryHealthTest);
+  CPPUNIT_TEST(silence);
+  CPPUNIT_TEST(stalled_commits);
+  CPPUNIT_TEST(a_stall_ends_with_an_answer_or_with_the_primary);
+  CPPUNIT_TEST(a_primary_that_breaks_off_everything_is_of_no_use);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void setUp() override {
+    world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
+    runtime_ = &world_->start_bare({"proxy", "10.0.0.1", ZoneName("a")});
+    world_->run_for(milliseconds(1000));
+    start();
+  }
+  void tearDown() override {
+    group_.reset();
+    world_.reset();
+  }
+
+  void silence() {
+    struct Row {
+      std::string name;
+      std::vector<Sent> sent;
+      bool silent;
+      bool commits_only;
+    };
+    const std::vector<Row> rows{
+        {"nothing is under way", {}, false, true},
+        {"just under", {{milliseconds(299), false}}, false, true},
+        {"a read", {{milliseconds(300), false}}, true, false},
+        {"a commit", {{milliseconds(300), true}}, true, true},
+        {"a commit, and a read that is young",
+         {{milliseconds(300), true}, {milliseconds(1), false}},
+         true,
+         true},
+        {"a commit and a read", {{milliseconds(300), true}, {milliseconds(301), false}}, true, false},
+    };
+    for (const Row& row : rows) {
+      start();
+      for (const Sent& sent : row.sent) send(sent);
+      bool commits_only = false;
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.silent,
+                                   group_->is_primary_silent(runtime_->now(), commits_only));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.commits_only, commits_only);
+    }
+  }
+
+  void stalled_commits() {
+    struct Row {
+      std::string name;
+      std::vector<Sent> sent;
+      Duration answered_age;  ///< of a commit that was sent so long ago; 0: none
+      bool refuses;
+    };
+    const std::vector<Row> rows{
+        {"nothing is under way", {}, {}, false},
+        {"a read is no commit", {{milliseconds(500), false}}, {}, false},
+        {"at the bound", {{milliseconds(200), true}}, {}, false},
+        {"beyond it", {{milliseconds(201), true}}, {}, true},
+        {"one sent later was answered", {{milliseconds(500), true}}, milliseconds(400), false},
+        {"one sent before was answered", {{milliseconds(500), true}}, milliseconds(600), true},
+    };
+    for (const Row& row : rows) {
+      start();
+      if (row.answered_age > Duration(0)) group_->record_commit_answered(runtime_->now() - row.answered_age);
+      for (const Sent& sent : row.sent) send(sent);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.refuses, group_->refuses_commits());
+    }
+  }
+
+  void a_stall_ends_with_an_answer_or_with_the_primary() {
+    const auto first = send({milliseconds(300), true});
+    CPPUNIT_ASSERT(group_->refuses_commits());
+    group_->end_work(first);
+    CPPUNIT_ASSERT_MESSAGE("one goes, to see whether it is over", !group_->refuses_commits());
+    send({milliseconds(0), true});
+    CPPUNIT_ASSERT_MESSAGE("one at a time", group_->refuses_commits());
+    group_->record_commit_answered(runtime_->now());
+    CPPUNIT_ASSERT(!group_->refuses_commits());
+    const auto link = std::make_shared<ClosableLink>();
+    group_->begin_work({link, runtime_->now() - milliseconds(300), true});
+    group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
+    CPPUNIT_ASSERT_MESSAGE("who waits is told at once", !link->is_open());
+  }
+
+  void a_primary_that_breaks_off_everything_is_of_no_use() {
+    CPPUNIT_ASSERT(!group_->mark_broken_off());
+    world_->run_for(milliseconds(200));
+    CPPUNIT_ASSERT_MESSAGE("two", !group_->mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("three, for so long", group_->mark_broken_off());
+    group_->record_primary_answered();
+    for (int statement = 0; statement < 5; ++statement) CPPUNIT_ASSERT(!group_->mark_broken_off());
+    world_->run_for(milliseconds(200));
+    group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
+    CPPUNIT_ASSERT_MESSAGE("a term begins the count anew", !group_->mark_broken_off());
+  }
+
+ private:
+  void start() {
+    group_ = std::make_unique<GroupAccess>(*runtime_, dialer_, GroupName("group"), ZoneName("a"),
+                                           std::make_shared<EvacuatedZones>(std::chrono::seconds(5)));
+    group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
+  }
+  std::uint64_t send(const Sent& sent) {
+    return group_->begin_work({std::make_shared<ClosableLink>(), runtime_->now() - sent.age, sent.commits});
+  }
+
+  std::unique_ptr<simulation::World> world_;
+  runtime::Runtime* runtime_ = nullptr;
+  NoDialer dialer_;
+  std::unique_ptr<GroupAccess> group_;
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(PrimaryHealthTest);
+
+}  // namespace cairnhollow::registered::proxy
--- /dev/null
+++ b/tests/registered/proxy/group/read_need_test.cpp
@@ -0,0 +1,176 @@
+// What a read must see, by its route, its session's latest commit and what is known of the primary's log.
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <string>
+#include <vector>
+
+#include "registered/proxy/group/group_access.h"
+#include "simulation/world.h"
+
+namespace cairnhollow::registered::proxy {
+
+using registry::ReadPolicy;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+namespace {
+
+class NoDialer : public BackendDialer {
+ public:
+  Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
+                                               std::optional<Refusal>& /*refusal*/,
+                                               Reason& /*reason*/) override {
+    co_return nullptr;
+  }
+};
+
+/// The primary showed the log's end at `index`, so long ago.
+struct Shown {
+  Duration age;
+  std::uint64_t index;
+};
+
+struct Row {
+  std::string name;
+  ReadPolicy reads = ReadPolicy::kBoundedStaleness;
+  std::vector<Shown> shown;
+  std::uint64_t committed = 0;  ///< by the session, 100 ms ago; 0: nothing
+  bool open = true;
+  /// What is expected; 0: only the primary may serve it.
+  std::uint64_t required = 0;
+  Duration since{0};  ///< so long ago the primary had it
+};
+
+constexpr Duration kStaleness = milliseconds(900);
+
+}  // namespace
+
+class ReadNeedTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ReadNeedTest);
+  CPPUNIT_TEST(by_policy_and_positions);
+  CPPUNIT_TEST(what_a_primary_showed_is_forgotten_with_its_term);
+  CPPUNIT_TEST(a_question_is_due_once_what_is_known_gets_old);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void setUp() override {
+    world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
+    runtime_ = &world_->start_bare({"proxy", "10.0.0.1", ZoneName("a")});
+    world_->run_for(seconds(5));
+  }
+  void tearDown() override {
+    group_.reset();
+    world_.reset();
+  }
+
+  void by_policy_and_positions() {
+    const std::vector<Shown> young{{milliseconds(950), 10}, {milliseconds(400), 12}};
+    const std::vector<Shown> old{{milliseconds(880), 10}, {milliseconds(460), 12}};
+    const std::vector<Row> rows{
+        {"a route that reads at the primary", ReadPolicy::kPrimary, young, 0, true, 0, {}},
+        {"nothing is known", ReadPolicy::kBoundedStaleness, {}, 0, true, 0, {}},
+        {"the youngest that covers the bound", ReadPolicy::kBoundedStaleness, young, 0, true, 12,
+         milliseconds(400)},
+        {"a bound ignores the session", ReadPolicy::kBoundedStaleness, young, 20, true, 12,
+         milliseconds(400)},
+        {"own writes: nothing committed", ReadPolicy::kReadYourWrites, young, 0, true, 12, milliseconds(400)},
+        {"own writes: committed before", ReadPolicy::kReadYourWrites, young, 11, true, 12, milliseconds(400)},
+        {"own writes: committed since", ReadPolicy::kReadYourWrites, young, 13, true, 13, milliseconds(100)},
+        {"half of the bound is over: the primary shows a newer one",
+         ReadPolicy::kBoundedStaleness,
+         old,
+         0,
+         true,
+         0,
+         {}},
+        {"without a primary it serves on", ReadPolicy::kBoundedStaleness, old, 0, false, 10,
+         milliseconds(880)},
+        {"without a primary until it is too old",
+         ReadPolicy::kBoundedStaleness,
+         {{milliseconds(901), 10}},
+         0,
+         false,
+         0,
+         {}},
+        {"first seen earlier than the sighting that covers",
+         ReadPolicy::kBoundedStaleness,
+         {{milliseconds(950), 12}, {milliseconds(300), 12}},
+         0,
+         true,
+         12,
+         milliseconds(950)},
+    };
+    for (const Row& row : rows) check(row);
+  }
+
+  void what_a_primary_showed_is_forgotten_with_its_term() {
+    start(true);
+    group_->record_primary_position(runtime_->now(), {1, 7});
+    CPPUNIT_ASSERT(!need(ReadPolicy::kBoundedStaleness, {}).primary_only);
+    set_term(1, false);
+    CPPUNIT_ASSERT_MESSAGE("the same term, closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
+    set_term(2, true);
+    CPPUNIT_ASSERT(need(ReadPolicy::kBoundedStaleness, {}).primary_only);
+    CPPUNIT_ASSERT(!group_->primary_shown());
+  }
+
+  void a_question_is_due_once_what_is_known_gets_old() {
+    start(true);
+    CPPUNIT_ASSERT_MESSAGE("no such read came", !group_->is_position_due());
+    need(ReadPolicy::kBoundedStaleness, {});
+    CPPUNIT_ASSERT_MESSAGE("nothing is known", group_->is_position_due());
+    group_->record_primary_position(runtime_->now(), {1, 7});
+    world_->run_for(milliseconds(300));
+    CPPUNIT_ASSERT_MESSAGE("a third of the bound", !group_->is_position_due());
+    world_->run_for(milliseconds(1));
+    CPPUNIT_ASSERT(group_->is_position_due());
+    set_term(1, false);
+    CPPUNIT_ASSERT_MESSAGE("nobody to ask", !group_->is_position_due());
+    set_term(1, true);
+    world_->run_for(seconds(1));
+    CPPUNIT_ASSERT_MESSAGE("such reads no longer come", !group_->is_position_due());
+  }
+
+ private:
+  void start(bool open) {
+    group_ = std::make_unique<GroupAccess>(*runtime_, dialer_, GroupName("group"), ZoneName("a"),
+                                           std::make_shared<EvacuatedZones>(seconds(5)));
+    registry::BackendEntry primary;
+    primary.name = BackendName("primary");
+    primary.group = GroupName("group");
+    primary.zone = ZoneName("a");
+    group_->put_backend(primary);
+    set_term(1, open);
+  }
+  void set_term(std::uint64_t term, bool open) {
+    group_->set_term({GroupName("group"), term, BackendName("primary"), open, ++epoch_, 1});
+  }
+  ReadNeed need(ReadPolicy reads, const SessionCommit& committed) {
+    registry::RouteRule route;
+    route.reads = reads;
+    route.max_staleness_ms = static_cast<std::uint64_t>(kStaleness / milliseconds(1));
+    return group_->need_of(route, committed);
+  }
+  void check(const Row& row) {
+    start(row.open);
+    const TimePoint now = runtime_->now();
+    for (const Shown& shown : row.shown) group_->record_primary_position(now - shown.age, {1, shown.index});
+    SessionCommit committed;
+    if (row.committed > 0) committed = {Position{1, row.committed}, now - milliseconds(100)};
+    const ReadNeed needed = need(row.reads, committed);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.required == 0, needed.primary_only);
+    if (needed.primary_only) return;
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.required, needed.required.value_or(Position{}).index);
+    CPPUNIT_ASSERT_MESSAGE(row.name, needed.required_since == now - row.since);
+  }
+
+  std::unique_ptr<simulation::World> world_;
+  runtime::Runtime* runtime_ = nullptr;
+  NoDialer dialer_;
+  std::unique_ptr<GroupAccess> group_;
+  std::uint64_t epoch_ = 0;
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(ReadNeedTest);
+
+}  // namespace cairnhollow::registered::proxy
