--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -128,7 +128,7 @@
   if (answer.refusal != Refusal::kBusy) return false;
   const registry::RouteRule* route = services_.view.find_route(database_);
   const auto group = route == nullptr ? nullptr : services_.view.find_group(route->group);
-  return group && (!services_.view.holds_lease_for(*group) || group->is_primary_unreachable());
+  return group && (!services_.view.holds_lease_for(*group) || group->leadership.is_primary_unreachable());
 }
 
 TransactionState CallerSession::state() const {
@@ -245,7 +245,7 @@
       transaction_ ? transaction_->allowed : services_.view.allowed_regions(order.route, order.tenant);
   order.text = statement.text;
   order.values = values_;
-  if (committed_in_ == order.group->group()) order.committed = committed_;
+  if (committed_in_ == order.group->name) order.committed = committed_;
   order.arrived = services_.runtime.now();
   order.deadline = order.arrived + std::chrono::milliseconds(order.route.timeout_ms);
   return order;
@@ -271,7 +271,7 @@
 void CallerSession::record_committed(const RunOrder& order, const Answer& answer) {
   if (!answer.succeeded() || !answer.position) return;
   committed_ = SessionCommit{answer.position, services_.runtime.now()};
-  committed_in_ = order.group->group();
+  committed_in_ = order.group->name;
 }
 
 Awaitable<bool> CallerSession::admit(const RunOrder& order, std::optional<TimePoint>& token,
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "registered/proxy/knobs.h"
+#include "registered/registry/division.h"
 #include "registered/registry/member_lease.h"
 #include "registered/tenancy/tenant_division.h"
 #include "registered/tenancy/tenant_limit.h"
@@ -29,7 +30,7 @@
 const registry::BackendEntry* FleetView::find_backend(const BackendName& name) const {
   const auto group = group_of_.find(name);
   if (group == group_of_.end()) return nullptr;
-  const auto& backends = groups_.at(group->second)->backends();
+  const auto& backends = groups_.at(group->second)->backends.all();
   const auto found = backends.find(name);
   return found == backends.end() ? nullptr : &found->second->entry;
 }
@@ -43,7 +44,7 @@
 std::optional<limits::Limit> FleetView::cold_limit(const BackendName& backend) const {
   const auto group = group_of_.find(backend);
   if (group == group_of_.end()) return std::nullopt;
-  const double rate = groups_.at(group->second)->cold_rate_per_s();
+  const double rate = groups_.at(group->second)->cold.rate_per_s();
   if (rate <= 0 || !limits_cold_) return std::nullopt;
   return proxy::cold_limit(backend, rate, cold_window_);
 }
@@ -105,7 +106,7 @@
     log_evacuation("evacuation_in_force", zone, delta.revision);
   }
   if (!changed) return ended;
-  for (const auto& [name, group] : groups_) group->record_evacuations();
+  for (const auto& [name, group] : groups_) group->changed.notify_all();
   return ended;
 }
 
@@ -179,10 +180,11 @@
   serving_.clear();
   forward_for_.clear();
   for (const auto& [name, group] : groups_) {
-    const std::size_t size = group->serving_proxies(takers.size(), requires_keys_);
+    const std::size_t size =
+        registry::serving_proxies(group->rule, group->backends.slots(), takers.size(), requires_keys_);
     if (size >= takers.size()) {
       if (requires_keys_) share_connections(*group, takers);
-      if (!requires_keys_) group->share_connections(proxies_.size());
+      if (!requires_keys_) group->backends.share_connections(proxies_.size());
       also_serving_[name] = others_;
       serving_[name] = subset::forwarding_order(takers, node_, zone_);
       continue;
@@ -201,23 +203,23 @@
 
 void FleetView::share_connections(GroupAccess& group,
                                   const std::vector<subset::ProxyPointer>& serving) const {
-  if (!requires_keys_) return group.share_connections(serving.size());
+  if (!requires_keys_) return group.backends.share_connections(serving.size());
   tenancy::ServingProxies counts;
   counts.all = serving.size();
   for (const auto& proxy : serving) ++counts.in_zone[proxy->zone];
-  group.share_connections(std::move(counts));
+  group.backends.share_connections(std::move(counts));
 }
 
 std::optional<ZoneName> FleetView::zone_of_work(const GroupName& group, const TenantName& tenant,
                                                 GroupWork work) const {
   const auto found = groups_.find(group);
   if (found == groups_.end()) return zone_;
-  const auto primary = work == GroupWork::kAtPrimary ? found->second->primary() : nullptr;
+  const auto primary = work == GroupWork::kAtPrimary ? found->second->standing.primary() : nullptr;
   if (primary) return primary->entry.zone;
   // Who leads next may be anywhere. Without a lease others may know more than this proxy.
   if (work == GroupWork::kAtPrimary && holds_lease_for(*found->second)) return std::nullopt;
-  if (found->second->reads_in(zone_)) return zone_;
-  const ZoneName reads = tenancy::zone_of_reads(found->second->reading_zones(), tenant, zone_);
+  if (found->second->backends.reads_in(zone_)) return zone_;
+  const ZoneName reads = tenancy::zone_of_reads(found->second->backends.reading_zones(), tenant, zone_);
   return reads.empty() ? zone_ : reads;
 }
 
@@ -285,7 +287,7 @@
   if (delta.routes.empty() && delta.tenants.empty()) return;
   // These lists may be the first ones.
   for (const auto& [name, group] : groups_) {
-    for (const auto& [backend, use] : group->backends()) record_zone(use->entry.zone);
+    for (const auto& [backend, use] : group->backends.all()) record_zone(use->entry.zone);
   }
   for (const auto& [node, proxy] : proxies_) record_zone(proxy.zone);
 }
@@ -297,11 +299,11 @@
   const std::vector<ZoneName> given_back = apply_evacuations(delta);
   apply_routes(delta);
   apply_tenants(delta);
-  for (const registry::GroupRule& rule : delta.groups) access(rule.name)->set_rule(rule);
+  for (const registry::GroupRule& rule : delta.groups) access(rule.name)->rule = rule;
   const bool divides = keys_changed_ || changes_division(delta);
   apply_backends(delta);
   for (const ZoneName& zone : given_back) {
-    for (const auto& [name, group] : groups_) group->record_evacuation_ended(zone);
+    for (const auto& [name, group] : groups_) group->backends.record_evacuation_ended(zone);
   }
   for (const registry::GroupTerm& term : delta.terms) access(term.group)->set_term(term);
   const auto changed = changed_proxies(delta);
@@ -333,14 +335,14 @@
 
 void FleetView::extend_member_lease(GroupAccess& group, std::uint64_t epoch, std::uint64_t membership,
                                     TimePoint until) {
-  group.extend_member_lease(epoch, membership,
-                            std::min(until, lease_until_ + registry::kServeWithoutControl));
+  group.leadership.extend_member_lease(epoch, membership,
+                                       std::min(until, lease_until_ + registry::kServeWithoutControl));
   renewed_.notify_all();
 }
 
 bool FleetView::has_member_lease() const {
   return std::any_of(groups_.begin(), groups_.end(),
-                     [](const auto& entry) { return entry.second->has_member_lease(); });
+                     [](const auto& entry) { return entry.second->leadership.has_member_lease(); });
 }
 
 std::vector<registry::ClosedGroup> FleetView::closed_groups() const {
@@ -348,7 +350,7 @@
   for (const auto& [name, group] : groups_) {
     const registry::GroupTerm& term = group->term();
     if (term.open || term.epoch == 0) continue;
-    closed.push_back({name, term.epoch, group->highest_acknowledged()});
+    closed.push_back({name, term.epoch, group->positions.highest_acknowledged()});
   }
   return closed;
 }
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -56,7 +56,7 @@
                            TimePoint until);
   /// Control's lease, or that of the group's members, lets this proxy use the group's primary.
   [[nodiscard]] bool holds_lease_for(const GroupAccess& group) const {
-    return lease_valid() || group.has_member_lease();
+    return lease_valid() || group.leadership.has_member_lease();
   }
   /// Some group is served by its members' lease.
   [[nodiscard]] bool has_member_lease() const;
@@ -119,7 +119,8 @@
   /// Whether the primary of `epoch` may be sent to, and its answers be passed on, at this moment: not once
   /// another incarnation has its name.
   [[nodiscard]] bool may_use_primary(const GroupAccess& group, std::uint64_t epoch) const {
-    const bool is_same = group.term().open && group.term().epoch == epoch && !group.is_primary_restarted();
+    const bool is_same =
+        group.term().open && group.term().epoch == epoch && !group.backends.is_primary_restarted();
     return is_same && holds_lease_for(group);
   }
   /// Notified when the lease was extended.
--- a/src/registered/proxy/group/evacuated_zones.h
+++ b/src/registered/proxy/group/evacuated_zones.h
@@ -2,15 +2,23 @@
 #pragma once
 
 #include <algorithm>
+#include <chrono>
 #include <map>
 #include <set>
 #include <vector>
 
 #include "base/types.h"
-#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::registered::proxy {
 
+/// Of the time in which an evacuated zone must be left, what passes until a proxy with a lease has heard
+/// (control's lease, of which deployments have 1.5 s), and what is kept for a process that stands still
+/// between its last check and the sending. Chosen, not measured.
+inline constexpr Duration kLongestServingLease = std::chrono::milliseconds(1500);
+inline constexpr Duration kEvacuationMargin = std::chrono::milliseconds(500);
+/// Where the settings name no bound: that of the one deployment that has such orders.
+inline constexpr Duration kUsualEvacuationBound = std::chrono::seconds(5);
+
 /// Two moments count. From the first, when this proxy heard, nothing new goes to a replica of the zone; its
 /// primaries and open transactions go on, so that control can hand over while they run. From the second on
 /// nothing goes there at all. Whoever holds control's lease heard at most one lease after operators were told
--- /dev/null
+++ b/src/registered/proxy/group/leadership.cpp
@@ -0,0 +1,22 @@
+#include "registered/proxy/group/leadership.h"
+
+namespace cairnhollow::registered::proxy {
+
+TermChange Leadership::set_term(const registry::GroupTerm& term) {
+  TermChange change;
+  change.given_up = term_.open && (!term.open || term.epoch != term_.epoch);
+  change.other_primary = term.term != term_.term || term.primary != term_.primary ||
+                         term.primary_born_ms != term_.primary_born_ms;
+  if (term_.open && !term.open) closed_at_ = runtime_.now();
+  term_ = term;
+  if (change.given_up) member_lease_until_ = TimePoint{};
+  return change;
+}
+
+void Leadership::extend_member_lease(std::uint64_t epoch, std::uint64_t membership, TimePoint until) {
+  if (!term_.open || term_.epoch != epoch || membership_ != membership) return;
+  member_lease_until_ = std::max(member_lease_until_, until);
+  changed_.notify_all();
+}
+
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -51,24 +51,25 @@
 Awaitable<void> MemberLeaseKeeper::renew(std::shared_ptr<GroupAccess> group) {
   const TimePoint asked_at = runtime_.now();
   const auto round = std::make_shared<Round>(runtime_, group->term());
-  const std::uint64_t membership = group->membership();
-  round->primary_shows = std::max(group->highest_acknowledged(), group->primary_shown().value_or(Position{}));
-  for (const auto& [name, member] : group->backends()) {
+  const std::uint64_t membership = group->leadership.membership();
+  round->primary_shows =
+      std::max(group->positions.highest_acknowledged(), group->positions.shown().value_or(Position{}));
+  for (const auto& [name, member] : group->backends.all()) {
     if (name == round->term.primary) continue;
     ++round->unanswered;
     runtime_.spawn("member_lease_ask", ask(round, member));
   }
   if (round->unanswered == 0) round->failure = "no member may follow the primary";
-  if (group->is_primary_restarted()) round->failure = "the primary has started again";
+  if (group->backends.is_primary_restarted()) round->failure = "the primary has started again";
   bool in_time = true;
   while (round->unanswered > 0 && round->failure.empty() && in_time)
     in_time = co_await round->answered.wait_until(round->deadline);
   if (round->unanswered > 0 && round->failure.empty()) round->failure = "a member did not answer in time";
   if (round->failure.empty())
     view_.extend_member_lease(*group, round->term.epoch, membership, asked_at + registry::kMemberLease);
-  failed_[group->group()] = round->failure;
+  failed_[group->name] = round->failure;
   if (!round->failure.empty() && !view_.holds_lease_for(*group)) record_refused(*group, round->failure);
-  asking_.erase(group->group());
+  asking_.erase(group->name);
 }
 
 Awaitable<void> MemberLeaseKeeper::ask(RoundPointer round, std::shared_ptr<BackendUse> member) {
@@ -105,15 +106,15 @@
 
 bool MemberLeaseKeeper::has_lost_log(const Round& round, BackendUse& member, Position received) {
   const bool is_blank = received.index == 0 && round.primary_shows.index > 0;
-  return !member.record_shown(round.term.term, received) || is_blank;
+  return !member.shown_log.record(round.term.term, received) || is_blank;
 }
 
 void MemberLeaseKeeper::record_refused(const GroupAccess& group, const std::string& why) {
-  std::string& told = told_[group.group()];
+  std::string& told = told_[group.name];
   if (told == why) return;
   told = why;
   runtime_.logger().log(LogLevel::kWarning, "member_lease_refused",
-                        {{"group", group.group().value},
+                        {{"group", group.name.value},
                          {"term", std::to_string(group.term().term)},
                          {"epoch", std::to_string(group.term().epoch)},
                          {"why", why}});
@@ -123,7 +124,7 @@
   if (view_.lease_valid()) told_.clear();
   std::size_t serving = 0;
   for (const auto& [name, group] : view_.groups()) {
-    const bool serves = !view_.lease_valid() && group->has_member_lease();
+    const bool serves = !view_.lease_valid() && group->leadership.has_member_lease();
     if (serves) ++serving;
     if (serves == (serving_.count(name) > 0)) continue;
     if (serves) serving_.insert(name);
--- a/src/registered/proxy/group/position_history.h
+++ b/src/registered/proxy/group/position_history.h
@@ -1,15 +1,20 @@
 // Where a primary's log was, and when: what a read that may be somewhat stale must at least see.
 #pragma once
 
+#include <chrono>
 #include <deque>
 #include <optional>
 
 #include "base/types.h"
-#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::registered::proxy {
 
-/// Invariant: everything that anybody had acknowledged before `asked_at` is within the position noted with
+/// Positions of a primary are remembered this long, and no closer together than the spacing: 200 of them at
+/// most. Chosen, not measured.
+inline constexpr Duration kPositionMemory = std::chrono::seconds(4);
+inline constexpr Duration kPositionSpacing = std::chrono::milliseconds(20);
+
+/// Invariant: everything that anybody had acknowledged before `asked_at` is within the position recorded with
 /// it, since the primary showed that position to a question sent at that time.
 class PositionHistory {
  public:
--- a/src/registered/proxy/group/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -16,8 +16,8 @@
 
 void PositionKeeper::ask_where_due() {
   for (const auto& [name, group] : view_.groups()) {
-    if (!group->is_position_due() || !view_.holds_lease_for(*group)) continue;
-    const auto primary = group->primary();
+    if (!group->positions.is_question_due() || !view_.holds_lease_for(*group)) continue;
+    const auto primary = group->standing.primary();
     if (!primary || !asking_.insert(name).second) continue;
     runtime_.spawn("ask_position", ask(group, primary));
   }
@@ -28,9 +28,8 @@
   TimePoint asked_at{};
   const auto position = co_await position_of(primary, term.term, asked_at);
   // Only while the term is open does the answer cover all that was acknowledged before the question.
-  if (position && view_.may_use_primary(*group, term.epoch))
-    group->record_primary_position(asked_at, *position);
-  asking_.erase(group->group());
+  if (position && view_.may_use_primary(*group, term.epoch)) group->positions.record(asked_at, *position);
+  asking_.erase(group->name);
 }
 
 Awaitable<std::optional<Position>> PositionKeeper::position_of(std::shared_ptr<BackendUse> primary,
--- a/src/registered/proxy/group/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -25,20 +25,20 @@
 
 /// The runtime and the view outlive the process's coroutines.
 Awaitable<void> ask(runtime::Runtime* runtime, FleetView* view, std::shared_ptr<GroupAccess> group) {
-  const auto leader = group->primary();
+  const auto leader = group->standing.primary();
   const std::uint64_t epoch = group->term().epoch;
   const TimePoint asked_at = runtime->now();
   std::optional<BackendStatus> status;
   if (leader) status = co_await ask_status(leader, asked_at + kLinkSetupTimeout);
   const bool leads = status && status->is_primary && view->may_use_primary(*group, epoch);
-  if (leads) group->record_primary_position(asked_at, status->received);
-  group->end_position_question();
+  if (leads) group->positions.record(asked_at, status->received);
+  group->positions.end_question();
 }
 
 }  // namespace
 
 void ask_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group) {
-  if (group->begin_position_question()) runtime.spawn("ask_position", ask(&runtime, &view, group));
+  if (group->positions.begin_question()) runtime.spawn("ask_position", ask(&runtime, &view, group));
 }
 
 }  // namespace cairnhollow::registered::proxy
--- /dev/null
+++ b/src/registered/proxy/group/shown_log.h
@@ -0,0 +1,31 @@
+// Whether a member's log ever became shorter within a term, which shows that it has started again.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+
+#include "base/types.h"
+
+namespace cairnhollow::registered::proxy {
+
+/// Entries of an open term are never taken back. A member that shows fewer of them than before has lost its
+/// log, and may tell so only later, with its next registration.
+class ShownLog {
+ public:
+  /// The member showed `position` in `term`, the open one. False: a lower one than before.
+  bool record(std::uint64_t term, Position position) {
+    if (term != term_) highest_ = Position{};
+    term_ = term;
+    // Entries of earlier terms may still be rolled back.
+    if (position.term != term) return highest_.index == 0;
+    const bool holds_less = position < highest_;
+    highest_ = std::max(highest_, position);
+    return !holds_less;
+  }
+
+ private:
+  Position highest_;  ///< of `term_`
+  std::uint64_t term_ = 0;
+};
+
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -9,6 +9,7 @@
 #include "registered/proxy/fleet/fleet_view.h"
 #include "registered/proxy/fleet/known_registrations.h"
 #include "registered/proxy/forwarding/forward_server.h"
+#include "registered/proxy/group/link_warming.h"
 #include "registered/proxy/group/member_lease_keeper.h"
 #include "registered/proxy/group/position_keeper.h"
 #include "registered/proxy/knobs.h"
@@ -166,7 +167,7 @@
 void SessionProxy::watch_primaries(TimePoint now) {
   for (const auto& [name, group] : view_.groups()) {
     bool commits_only = false;
-    if (!group->is_primary_silent(now, commits_only)) continue;
+    if (!group->primary_health.is_silent(now, commits_only)) continue;
     link_.report_suspicion(*group, commits_only ? SuspicionKind::kCommitsStall : SuspicionKind::kSilent);
     if (!commits_only) check_primary(group);
   }
@@ -174,12 +175,12 @@
 
 /// Slow or out of reach: a new connection tells.
 void SessionProxy::check_primary(const std::shared_ptr<GroupAccess>& group) {
-  if (!checked_.insert(group->group()).second) return;
+  if (!checked_.insert(group->name).second) return;
   runtime_.spawn("check_primary", dial_primary(group));
 }
 
 Awaitable<void> SessionProxy::dial_primary(std::shared_ptr<GroupAccess> group) {
-  const auto primary = group->primary();
+  const auto primary = group->standing.primary();
   bool reached = true;
   if (primary) {
     std::optional<Refusal> refusal;
@@ -190,10 +191,10 @@
     if (link) link->close();
   }
   if (!reached) {
-    group->mark_primary_unreachable();
+    group->leadership.mark_primary_unreachable();
     link_.report_suspicion(*group, SuspicionKind::kUnreachable);
   }
-  checked_.erase(group->group());
+  checked_.erase(group->name);
 }
 
 void SessionProxy::let_idle_go() {
@@ -223,7 +224,7 @@
     // proxy would open links to groups that others serve.
     if (!is_ready() || view_.document_version() == 0 || view_.requires_keys()) continue;
     for (const auto& [name, group] : view_.groups()) {
-      if (view_.forward_to(name).empty() && group->warm_one()) break;
+      if (view_.forward_to(name).empty() && warm_one(runtime_, *group)) break;
     }
   }
 }
@@ -234,7 +235,7 @@
     const bool serves = view_.forward_to(name).empty();
     // None is kept for a tenant, either: there are more tenants than links.
     const std::size_t kept = serves && !view_.requires_keys() ? 1 : 0;
-    for (const auto& [backend, use] : group->backends()) use->pool.trim(now, kept);
+    for (const auto& [backend, use] : group->backends.all()) use->pool.trim(now, kept);
   }
 }
 
@@ -243,7 +244,7 @@
   if (view_.evacuated().size() == 0) return;
   for (const auto& [id, session] : sessions_) session->end_evacuated_transaction();
   forward_server_.end_evacuated_transactions();
-  for (const auto& [name, group] : view_.groups()) group->close_evacuated_links();
+  for (const auto& [name, group] : view_.groups()) group->backends.close_evacuated_links();
 }
 
 Awaitable<void> SessionProxy::watch() {
--- a/src/registered/proxy/statement/placement_facts.cpp
+++ b/src/registered/proxy/statement/placement_facts.cpp
@@ -2,14 +2,15 @@
 
 namespace cairnhollow::registered::proxy {
 
-placement::ProxyFacts proxy_facts(const FleetView& view, GroupAccess& group) {
+placement::ProxyFacts proxy_facts(const FleetView& view, const GroupAccess& group) {
   placement::ProxyFacts facts;
   facts.holds_lease = view.holds_lease_for(group);
   facts.expects_lease = view.expects_lease();
   facts.group_open = group.term().open;
-  facts.group_changing = group.is_changing();
-  facts.primary_unreachable = group.is_primary_unreachable();
-  facts.primary_full = group.is_primary_full();
+  facts.group_changing = group.leadership.is_changing();
+  facts.primary_unreachable = group.leadership.is_primary_unreachable();
+  const auto primary = group.standing.primary();
+  facts.primary_full = primary && primary->pool.is_refused();
   return facts;
 }
 
--- a/src/registered/proxy/statement/placement_facts.h
+++ b/src/registered/proxy/statement/placement_facts.h
@@ -9,7 +9,7 @@
 namespace cairnhollow::registered::proxy {
 
 /// Without lists of proxies.
-placement::ProxyFacts proxy_facts(const FleetView& view, GroupAccess& group);
+placement::ProxyFacts proxy_facts(const FleetView& view, const GroupAccess& group);
 /// A caller's key on a route; `tenant`: what it proved when the statement came, empty where none was asked
 /// for.
 placement::KeyFacts key_facts(const FleetView& view, const registry::RouteRule& route, const ApiKey& key,
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -22,13 +22,14 @@
 /// A statement at a primary, taken out of the group's list when the scope ends.
 class WorkScope {
  public:
-  WorkScope(GroupAccess& group, PrimaryWork work) : group_(group), key_(group.begin_work(std::move(work))) {}
-  ~WorkScope() { group_.end_work(key_); }
+  WorkScope(PrimaryHealth& primary, PrimaryWork work)
+      : primary_(primary), key_(primary.begin_work(std::move(work))) {}
+  ~WorkScope() { primary_.end_work(key_); }
   WorkScope(const WorkScope&) = delete;
   WorkScope& operator=(const WorkScope&) = delete;
 
  private:
-  GroupAccess& group_;
+  PrimaryHealth& primary_;
   std::uint64_t key_;
 };
 
--- a/src/registered/proxy/statement/statement_cold.cpp
+++ b/src/registered/proxy/statement/statement_cold.cpp
@@ -10,7 +10,7 @@
 using runtime::LogLevel;
 
 bool StatementRunner::holds_cold_token(const Attempt& attempt) const {
-  if (!attempt.order.group->is_cold(*attempt.backend)) return true;
+  if (!attempt.order.group->cold.is_cold(*attempt.backend)) return true;
   return attempt.cold_token && services_.runtime.now() < *attempt.cold_token;
 }
 
@@ -29,12 +29,12 @@
 void StatementRunner::record_cold_limit(const GroupAccess& group, BackendUse& backend,
                                         const AdmissionAnswer& admission) {
   const TimePoint now = services_.runtime.now();
-  const bool is_news = !group.is_cold_limit_reached(backend);
+  const bool is_news = !group.cold.is_reached(backend);
   backend.cold_limit_reached_until = now + admission.retry_after;
   if (!is_news) return;
   const bool is_over = admission.outcome == AdmissionOutcome::kOverLimit;
   services_.runtime.logger().log(LogLevel::kInfo, "cold_limit_reached",
-                                 {{"group", group.group().value},
+                                 {{"group", group.name.value},
                                   {"backend", backend.entry.name.value},
                                   {"why", is_over ? "over its rate" : "no home counts for it"},
                                   {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
@@ -61,7 +61,7 @@
                                               std::shared_ptr<BackendUse> backend, TimePoint deadline,
                                               placement::RejectionReason& rejection) {
   const auto holds = [&](const std::optional<TimePoint>& token) {
-    return !group->is_cold(*backend) || (token && services_.runtime.now() < *token);
+    return !group->cold.is_cold(*backend) || (token && services_.runtime.now() < *token);
   };
   while (true) {
     std::optional<TimePoint> token;
@@ -81,7 +81,7 @@
                                                      std::shared_ptr<BackendUse> backend, TimePoint deadline,
                                                      std::optional<TimePoint>& token) {
   runtime::Runtime& runtime = services_.runtime;
-  while (group->is_cold(*backend)) {
+  while (group->cold.is_cold(*backend)) {
     const AdmissionAnswer admission =
         co_await services_.limits.admit_to_cold(BackendName(backend->entry.name));
     const TimePoint now = runtime.now();
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -36,7 +36,7 @@
 
 Awaitable<RunResult> StatementRunner::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
   // Those that did not answer a moment ago go last.
-  const GroupName group = order.group->group();
+  const GroupName group = order.group->name;
   std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const subset::ProxyPointer& proxy) {
     return !services_.forwarder.is_avoided(proxy->name, group);
   });
@@ -103,7 +103,7 @@
   RunResult result;
   if (!answer) {
     services_.metrics.count_lost_answer();
-    services_.forwarder.record_no_answer(proxy->name, order.group->group());
+    services_.forwarder.record_no_answer(proxy->name, order.group->name);
     // A transaction's first statement leaves nothing: whoever served it rolls back when it finds nobody
     // there.
     may_try_another = (!order.writes || order.opens_transaction) && services_.runtime.now() < order.deadline;
@@ -113,7 +113,7 @@
     co_return result;
   }
   may_try_another = answer->may_try_another;
-  if (may_try_another) services_.forwarder.avoid_for(proxy->name, order.group->group());
+  if (may_try_another) services_.forwarder.avoid_for(proxy->name, order.group->name);
   result.answer = std::move(answer->answer);
   result.nothing_run = answer->nothing_run;
   result.served_by = answer->at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
--- a/src/registered/proxy/statement/statement_in_transaction.cpp
+++ b/src/registered/proxy/statement/statement_in_transaction.cpp
@@ -34,7 +34,7 @@
   facts.may_use_primary = services_.view.may_use_primary(group, pinned.epoch);
   facts.commits_stall = commits_stall;
   facts.key = key_facts(services_.view, order.route, order.key, order.tenant, services_.runtime.now());
-  return placement::rejection_in_transaction(facts, group.facts_of(*pinned.backend, {}));
+  return placement::rejection_in_transaction(facts, group.standing.facts_of(*pinned.backend, {}));
 }
 
 Awaitable<Answer> StatementRunner::run_pinned(PinnedLink pinned, RunOrder order, bool commits, bool wrote) {
@@ -46,7 +46,7 @@
   aborted.state = TransactionState::kFailed;
   aborted.detail = ending(RejectionReason::kNone);
   Reason reason;
-  const bool stalls = commits && wrote && pinned.at_primary && group.refuses_commits();
+  const bool stalls = commits && wrote && pinned.at_primary && group.primary_health.refuses_commits();
   RejectionReason rejection = rejection_in_transaction(pinned, order, stalls);
   const TimePoint setup_deadline = std::min(order.deadline, runtime.now() + kLinkSetupTimeout);
   bool ready = rejection == RejectionReason::kNone && pinned.link->link().is_open();
@@ -66,14 +66,14 @@
   SendState sent = SendState::kNotSent;
   std::optional<WorkScope> work;
   if (pinned.at_primary)
-    work.emplace(group, PrimaryWork{pinned.link->shared_link(), sent_at, commits && wrote});
+    work.emplace(group.primary_health, PrimaryWork{pinned.link->shared_link(), sent_at, commits && wrote});
   BackendRequest request = make_request(order, *pinned.link, std::nullopt);
   auto answer = co_await pinned.link->link().run(std::move(request), order.deadline, sent, reason);
   leave_gate(pinned.backend->gate, answer, runtime.now() - sent_at);
   work.reset();
   const bool current = services_.view.may_use_primary(group, pinned.epoch);
   if (answer) pinned.link->record_state(answer->state);
-  if (answer && pinned.at_primary) group.record_primary_answered();
+  if (answer && pinned.at_primary) group.primary_health.record_answered();
   if (!answer) {
     services_.metrics.count_lost_answer();
     record_loss(group, *pinned.backend, pinned.epoch, reason);
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -12,7 +12,7 @@
   services_.runtime.logger().log(
       LogLevel::kInfo, "statement_slow",
       {{"id", attempt.order.id},
-       {"group", attempt.order.group->group().value},
+       {"group", attempt.order.group->name.value},
        {"writes", attempt.order.writes ? "true" : "false"},
        {"opens_transaction", attempt.order.opens_transaction ? "true" : "false"},
        {"primary_only", attempt.need.primary_only ? "true" : "false"},
--- a/src/registered/proxy/statement/statement_placement.cpp
+++ b/src/registered/proxy/statement/statement_placement.cpp
@@ -19,10 +19,10 @@
   GroupAccess& group = *order.group;
   placement::ProxyFacts proxy = proxy_facts(view, group);
   proxy.serving =
-      keep_inside(view.forward_to(group.group(), order.tenant, work_of(order)), order, inside.serving);
+      keep_inside(view.forward_to(group.name, order.tenant, work_of(order)), order, inside.serving);
   proxy.others = keep_inside(view.others(), order, inside.others);
   if (proxy.primary_full)
-    proxy.also_serving = keep_inside(view.also_serving(group.group()), order, inside.also_serving);
+    proxy.also_serving = keep_inside(view.also_serving(group.name), order, inside.also_serving);
   placement::StatementNeed need;
   need.reads = order.reads();
   // What a read must see takes a while to find out, and plays no part where this proxy can serve it all.
@@ -54,11 +54,11 @@
   need.reads = attempt.is_read();
   need.primary_only = attempt.need.primary_only;
   need.is_forwarded = attempt.order.is_forwarded;
-  const GroupFacts backends = group.facts(question_of(attempt));
+  const GroupFacts backends = group.standing.facts(question_of(attempt));
   const auto placed =
       placement::place_here(need, proxy_facts(services_.view, group), backends, patience_of(attempt));
   if (placed.action != Action::kRun) return placed;
-  attempt.backend = group.backend_at(placed.backend);
+  attempt.backend = group.backends.at(placed.backend);
   attempt.epoch = group.term().epoch;
   attempt.at_primary = placement::may_lead(backends[placed.backend]);
   attempt.needs_primary = need.needs_primary();
@@ -85,7 +85,7 @@
   while (placed.action == Action::kWait) {
     attempt->excluded.clear();
     const TimePoint again = services_.runtime.now() + kBusyPause;
-    co_await attempt->order.group->changed().wait_until(std::min(attempt->refuse_at, again));
+    co_await attempt->order.group->changed.wait_until(std::min(attempt->refuse_at, again));
     placed = look(*attempt);
     has_waited = true;
   }
@@ -102,7 +102,7 @@
   attempt.unplaced = Unplaced{since, back_in, {}};
   if (back_in == Duration(0)) return;
   answer.detail += fmt::format("; come back in {} ms", in_ms(back_in));
-  const GroupFacts backends = attempt.order.group->facts(question_of(attempt));
+  const GroupFacts backends = attempt.order.group->standing.facts(question_of(attempt));
   for (const placement::BackendFacts& backend : backends) {
     const RejectionReason rejection = placement::rejection_at(backend, attempt.need.primary_only, backends);
     if (rejection == RejectionReason::kNone) continue;
@@ -139,7 +139,7 @@
 placement::SendDecision StatementRunner::look_again(const Attempt& attempt,
                                                     const placement::SendFacts& facts) const {
   const GroupAccess& group = *attempt.order.group;
-  placement::BackendFacts backend = group.facts_of(*attempt.backend, question_of(attempt));
+  placement::BackendFacts backend = group.standing.facts_of(*attempt.backend, question_of(attempt));
   // Its token is its own, whoever had none; and without one it is not sent, whatever others had.
   backend.cold_limit_reached = !holds_cold_token(attempt);
   return placement::before_sending(facts, backend);
--- a/src/registered/proxy/statement/statement_regions.cpp
+++ b/src/registered/proxy/statement/statement_regions.cpp
@@ -31,8 +31,8 @@
   if (order.allowed.is_nowhere()) return true;
   ReadNeed need;
   need.primary_only = !may_use_replicas(order);
-  const auto choice =
-      placement::choose_backend(need.primary_only, order.group->facts({&need, nullptr, &order.allowed}));
+  const auto choice = placement::choose_backend(
+      need.primary_only, order.group->standing.facts({&need, nullptr, &order.allowed}));
   return choice.is_final && choice.rejection == placement::RejectionReason::kOutsideRegions;
 }
 
@@ -52,11 +52,11 @@
   GroupAccess& group = *order.group;
   if (!may_use_replicas(order) || !group.is_primary_outside(order.allowed)) co_return;
   const Duration staleness = std::chrono::milliseconds(order.route.max_staleness_ms);
-  if (group.wants_position(staleness)) ask_position(services_.runtime, services_.view, order.group);
+  if (group.positions.wants_newer(staleness)) ask_position(services_.runtime, services_.view, order.group);
   const TimePoint patience = std::min(attempt->refuse_at, services_.runtime.now() + kPositionPatience);
   while (group.need_of(order.route, order.committed, &order.allowed).primary_only &&
          group.is_primary_outside(order.allowed) && services_.runtime.now() < patience)
-    co_await group.changed().wait_until(patience);
+    co_await group.changed.wait_until(patience);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -45,7 +45,7 @@
   auto attempt = std::make_shared<Attempt>(std::move(order));
   attempt->refuse_at = refuse_limit(attempt->order);
   const bool writes = attempt->order.writes;
-  const bool stalls = writes && attempt->order.group->refuses_commits();
+  const bool stalls = writes && attempt->order.group->primary_health.refuses_commits();
   if (placement::commit_rejection(writes, stalls) != RejectionReason::kNone)
     co_return refuse_stalled(*attempt);
   if (!attempt->order.allowed.is_anywhere()) co_await bring_position(attempt);
@@ -100,7 +100,7 @@
   if (!full) backend.avoid_until = services_.runtime.now() + kAvoidBackend;
   if (!full && attempt->at_primary && !refusal) {
     services_.link.report_suspicion(*order.group, SuspicionKind::kUnreachable);
-    order.group->mark_primary_unreachable();
+    order.group->leadership.mark_primary_unreachable();
   }
   co_return false;
 }
@@ -189,7 +189,7 @@
   const bool may_go_elsewhere =
       attempt->count < kMaxAttempts - 1 && attempt->is_read() && !attempt->needs_primary;
   // Given up here and sent here again, it would only be run twice.
-  if (may_go_elsewhere && order.group->has_other_reader(attempt->need, *attempt->backend)) {
+  if (may_go_elsewhere && order.group->standing.has_other_reader(attempt->need, *attempt->backend)) {
     const Duration target = std::chrono::milliseconds(order.route.target_latency_ms);
     const Duration patience = std::max<Duration>(target / kReadPatienceDivisor, kLeastReadPatience);
     deadline = std::min(deadline, attempt->sent_at + patience);
@@ -199,7 +199,8 @@
   std::optional<WorkScope> work;
   if (attempt->at_primary) {
     const bool commits = order.writes && !order.opens_transaction;
-    work.emplace(*order.group, PrimaryWork{attempt->link->shared_link(), attempt->sent_at, commits});
+    work.emplace(order.group->primary_health,
+                 PrimaryWork{attempt->link->shared_link(), attempt->sent_at, commits});
   }
   BackendRequest request = make_request(order, *attempt->link, required);
   co_return co_await attempt->link->link().run(std::move(request), deadline, attempt->sent, attempt->reason);
@@ -212,7 +213,7 @@
   record_loss(group, *attempt.backend, attempt.epoch, reason);
   if (attempt.at_primary && group.term().epoch == attempt.epoch) {
     const bool broke_off = reason.code == ReasonCode::kConnectionLost && attempt.sent != SendState::kNotSent;
-    const bool is_of_no_use = broke_off && group.mark_broken_off();
+    const bool is_of_no_use = broke_off && group.primary_health.mark_broken_off();
     services_.link.report_suspicion(group,
                                     is_of_no_use ? SuspicionKind::kUnreachable : SuspicionKind::kSilent);
   }
@@ -237,11 +238,11 @@
 }
 
 void StatementRunner::take_primary_answer(GroupAccess& group, PrimaryAnswer primary, Answer& answer) {
-  if (primary.commits) group.record_commit_answered(primary.asked_at);
+  if (primary.commits) group.primary_health.record_commit_answered(primary.asked_at);
   const bool current = services_.view.may_use_primary(group, primary.epoch);
   if (current && answer.position) {
-    group.record_primary_position(primary.asked_at, *answer.position);
-    if (primary.commits) group.record_acknowledged(*answer.position);
+    group.positions.record(primary.asked_at, *answer.position);
+    if (primary.commits) group.positions.record_acknowledged(*answer.position);
     return;
   }
   if (!primary.commits) return;
@@ -259,7 +260,7 @@
   const PinnedLink pinned{attempt.backend, attempt.link, std::nullopt, attempt.epoch, attempt.at_primary};
   attempt.link->record_state(answer.state);
   const bool current = services_.view.may_use_primary(group, attempt.epoch);
-  if (attempt.at_primary) group.record_primary_answered();
+  if (attempt.at_primary) group.primary_health.record_answered();
   const auto drop = [&] {
     if (order.opens_transaction) {
       services_.runtime.spawn("roll_back", roll_back(pinned));
@@ -267,7 +268,7 @@
       backend.pool.release(attempt.link);
     }
   };
-  if (answer.succeeded()) group.record_latency(backend, services_.runtime.now() - attempt.sent_at);
+  if (answer.succeeded()) group.standing.record_latency(backend, services_.runtime.now() - attempt.sent_at);
   if (answer.refusal && is_not_run(*answer.refusal)) {
     services_.metrics.count_retry(*answer.refusal);
     if (*answer.refusal == Refusal::kUnknownStatement) attempt.link->forget_prepared();
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -3,8 +3,8 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/proxy/group/group_access.h"
-#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
+#include "tests/registered/proxy/group/choose_reader.h"
 
 namespace cairnhollow::registered::proxy {
 
@@ -63,33 +63,35 @@
   }
 
   void reads_stay_inside() {
-    CPPUNIT_ASSERT_EQUAL(std::string("south"), group_->choose_reader(need_, {})->entry.name.value);
-    CPPUNIT_ASSERT(!group_->has_other_reader(need_, *group_->backends().at(BackendName("south"))));
-    CPPUNIT_ASSERT(group_->choose_reader(need_, {BackendName("south")}) == nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string("south"), choose_reader(*group_, need_, {})->entry.name.value);
+    CPPUNIT_ASSERT(
+        !group_->standing.has_other_reader(need_, *group_->backends.all().at(BackendName("south"))));
+    CPPUNIT_ASSERT(choose_reader(*group_, need_, {BackendName("south")}) == nullptr);
     const locality::PermittedRegions anywhere;
     need_.allowed = &anywhere;
-    CPPUNIT_ASSERT_EQUAL(std::string("near"), group_->choose_reader(need_, {})->entry.name.value);
+    CPPUNIT_ASSERT_EQUAL(std::string("near"), choose_reader(*group_, need_, {})->entry.name.value);
   }
 
   void a_primary_outside_does_not_stand_in_for_a_replica_that_lags() {
-    group_->record_replica(*group_->backends().at(BackendName("south")), need_, std::nullopt);
-    CPPUNIT_ASSERT_EQUAL(std::string("south"), group_->choose_reader(need_, {})->entry.name.value);
+    group_->record_replica(*group_->backends.all().at(BackendName("south")), need_, std::nullopt);
+    CPPUNIT_ASSERT_EQUAL(std::string("south"), choose_reader(*group_, need_, {})->entry.name.value);
   }
 
   void what_nobody_inside_can_run_is_refused_for_good() {
     need_.primary_only = true;
-    auto choice = placement::choose_backend(true, group_->facts({&need_, nullptr, &south_}));
+    auto choice = placement::choose_backend(true, group_->standing.facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
     CPPUNIT_ASSERT(choice.rejection == placement::RejectionReason::kOutsideRegions);
     CPPUNIT_ASSERT(choice.back_in == kRetryAfterOutsideRegions);
     group_->remove_backend(BackendName("south"));
     need_.primary_only = false;
-    choice = placement::choose_backend(false, group_->facts({&need_, nullptr, &south_}));
+    choice = placement::choose_backend(false, group_->standing.facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
     // The next primary may be inside: that is waited for.
     group_->put_backend(backend("south", 3, "s1"));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
-    CPPUNIT_ASSERT(!placement::choose_backend(true, group_->facts({&need_, nullptr, &south_})).is_final);
+    CPPUNIT_ASSERT(
+        !placement::choose_backend(true, group_->standing.facts({&need_, nullptr, &south_})).is_final);
   }
 
   void beside_a_primary_outside_older_positions_serve_until_they_are_too_old() {
@@ -98,9 +100,9 @@
     route.max_staleness_ms = 1500;
     CPPUNIT_ASSERT(group_->is_primary_outside(south_));
     CPPUNIT_ASSERT(group_->need_of(route, {}, &south_).primary_only);
-    group_->record_primary_position(runtime_->now(), {1, 7});
+    group_->positions.record(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(1000));
-    CPPUNIT_ASSERT(group_->wants_position(milliseconds(1500)));
+    CPPUNIT_ASSERT(group_->positions.wants_newer(milliseconds(1500)));
     CPPUNIT_ASSERT_MESSAGE("renews what is known", group_->need_of(route, {}).primary_only);
     const ReadNeed bound = group_->need_of(route, {}, &south_);
     CPPUNIT_ASSERT(!bound.primary_only && bound.required == Position({1, 7}));
@@ -110,10 +112,10 @@
   }
 
   void one_position_question_at_a_time() {
-    CPPUNIT_ASSERT(group_->begin_position_question());
-    CPPUNIT_ASSERT(!group_->begin_position_question());
-    group_->end_position_question();
-    CPPUNIT_ASSERT(group_->begin_position_question());
+    CPPUNIT_ASSERT(group_->positions.begin_question());
+    CPPUNIT_ASSERT(!group_->positions.begin_question());
+    group_->positions.end_question();
+    CPPUNIT_ASSERT(group_->positions.begin_question());
   }
 
  private:
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -103,7 +103,7 @@
     const TimePoint until = stand_->now() + seconds(1);
     GroupAccess& group = *stand_->group();
     const std::uint64_t closed = group.term().epoch;
-    stand_->view().extend_member_lease(group, closed, group.membership(), until);
+    stand_->view().extend_member_lease(group, closed, group.leadership.membership(), until);
     CPPUNIT_ASSERT(!serves());
     registry::FleetDelta opened = stand_->delta();
     registry::GroupTerm term = group.term();
@@ -111,9 +111,9 @@
     ++term.epoch;
     opened.terms = {term};
     stand_->view().apply(opened);
-    stand_->view().extend_member_lease(group, closed, group.membership(), until);
+    stand_->view().extend_member_lease(group, closed, group.leadership.membership(), until);
     CPPUNIT_ASSERT_MESSAGE("asked for another epoch", !serves());
-    stand_->view().extend_member_lease(group, term.epoch, group.membership(), until);
+    stand_->view().extend_member_lease(group, term.epoch, group.leadership.membership(), until);
     CPPUNIT_ASSERT(serves());
   }
 
@@ -130,7 +130,7 @@
     stand_->run_for(milliseconds(2));
     CPPUNIT_ASSERT(!serves());
     GroupAccess& group = *stand_->group();
-    stand_->view().extend_member_lease(group, group.term().epoch, group.membership(),
+    stand_->view().extend_member_lease(group, group.term().epoch, group.leadership.membership(),
                                        stand_->now() + registry::kMemberLease);
     CPPUNIT_ASSERT(!serves());
   }
--- a/tests/registered/proxy/group/position_history_test.cpp
+++ b/tests/registered/proxy/group/position_history_test.cpp
@@ -5,6 +5,8 @@
 
 namespace cairnhollow::registered::proxy {
 
+using std::chrono::milliseconds;
+
 namespace {
 TimePoint at(int ms) { return TimePoint(milliseconds(ms)); }
 }  // namespace
--- a/tests/registered/proxy/group/primary_health_test.cpp
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -90,7 +90,7 @@
       for (const Sent& sent : row.sent) send(sent);
       bool commits_only = false;
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.silent,
-                                   group_->is_primary_silent(runtime_->now(), commits_only));
+                                   group_->primary_health.is_silent(runtime_->now(), commits_only));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.commits_only, commits_only);
     }
   }
@@ -112,37 +112,39 @@
     };
     for (const Row& row : rows) {
       start();
-      if (row.answered_age > Duration(0)) group_->record_commit_answered(runtime_->now() - row.answered_age);
+      if (row.answered_age > Duration(0))
+        group_->primary_health.record_commit_answered(runtime_->now() - row.answered_age);
       for (const Sent& sent : row.sent) send(sent);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.refuses, group_->refuses_commits());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.refuses, group_->primary_health.refuses_commits());
     }
   }
 
   void a_stall_ends_with_an_answer_or_with_the_primary() {
     const auto first = send({milliseconds(300), true});
-    CPPUNIT_ASSERT(group_->refuses_commits());
-    group_->end_work(first);
-    CPPUNIT_ASSERT_MESSAGE("one goes, to see whether it is over", !group_->refuses_commits());
+    CPPUNIT_ASSERT(group_->primary_health.refuses_commits());
+    group_->primary_health.end_work(first);
+    CPPUNIT_ASSERT_MESSAGE("one goes, to see whether it is over", !group_->primary_health.refuses_commits());
     send({milliseconds(0), true});
-    CPPUNIT_ASSERT_MESSAGE("one at a time", group_->refuses_commits());
-    group_->record_commit_answered(runtime_->now());
-    CPPUNIT_ASSERT(!group_->refuses_commits());
+    CPPUNIT_ASSERT_MESSAGE("one at a time", group_->primary_health.refuses_commits());
+    group_->primary_health.record_commit_answered(runtime_->now());
+    CPPUNIT_ASSERT(!group_->primary_health.refuses_commits());
     const auto link = std::make_shared<ClosableLink>();
-    group_->begin_work({link, runtime_->now() - milliseconds(300), true});
+    group_->primary_health.begin_work({link, runtime_->now() - milliseconds(300), true});
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
     CPPUNIT_ASSERT_MESSAGE("who waits is told at once", !link->is_open());
   }
 
   void a_primary_that_breaks_off_everything_is_of_no_use() {
-    CPPUNIT_ASSERT(!group_->mark_broken_off());
+    CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
     world_->run_for(milliseconds(200));
-    CPPUNIT_ASSERT_MESSAGE("two", !group_->mark_broken_off());
-    CPPUNIT_ASSERT_MESSAGE("three, for so long", group_->mark_broken_off());
-    group_->record_primary_answered();
-    for (int statement = 0; statement < 5; ++statement) CPPUNIT_ASSERT(!group_->mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("two", !group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("three, for so long", group_->primary_health.mark_broken_off());
+    group_->primary_health.record_answered();
+    for (int statement = 0; statement < 5; ++statement)
+      CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
     world_->run_for(milliseconds(200));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
-    CPPUNIT_ASSERT_MESSAGE("a term begins the count anew", !group_->mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("a term begins the count anew", !group_->primary_health.mark_broken_off());
   }
 
  private:
@@ -152,7 +154,8 @@
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
   }
   std::uint64_t send(const Sent& sent) {
-    return group_->begin_work({std::make_shared<ClosableLink>(), runtime_->now() - sent.age, sent.commits});
+    return group_->primary_health.begin_work(
+        {std::make_shared<ClosableLink>(), runtime_->now() - sent.age, sent.commits});
   }
 
   std::unique_ptr<simulation::World> world_;
--- a/tests/registered/proxy/group/read_need_test.cpp
+++ b/tests/registered/proxy/group/read_need_test.cpp
@@ -105,30 +105,30 @@
 
   void what_a_primary_showed_is_forgotten_with_its_term() {
     start(true);
-    group_->record_primary_position(runtime_->now(), {1, 7});
+    group_->positions.record(runtime_->now(), {1, 7});
     CPPUNIT_ASSERT(!need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(1, false);
     CPPUNIT_ASSERT_MESSAGE("the same term, closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(2, true);
     CPPUNIT_ASSERT(need(ReadPolicy::kBoundedStaleness, {}).primary_only);
-    CPPUNIT_ASSERT(!group_->primary_shown());
+    CPPUNIT_ASSERT(!group_->positions.shown());
   }
 
   void a_question_is_due_once_what_is_known_gets_old() {
     start(true);
-    CPPUNIT_ASSERT_MESSAGE("no such read came", !group_->is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no such read came", !is_position_due());
     need(ReadPolicy::kBoundedStaleness, {});
-    CPPUNIT_ASSERT_MESSAGE("nothing is known", group_->is_position_due());
-    group_->record_primary_position(runtime_->now(), {1, 7});
+    CPPUNIT_ASSERT_MESSAGE("nothing is known", is_position_due());
+    group_->positions.record(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(300));
-    CPPUNIT_ASSERT_MESSAGE("a third of the bound", !group_->is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("a third of the bound", !is_position_due());
     world_->run_for(milliseconds(1));
-    CPPUNIT_ASSERT(group_->is_position_due());
+    CPPUNIT_ASSERT(is_position_due());
     set_term(1, false);
-    CPPUNIT_ASSERT_MESSAGE("nobody to ask", !group_->is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("nobody to ask", !is_position_due());
     set_term(1, true);
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("such reads no longer come", !group_->is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("such reads no longer come", !is_position_due());
   }
 
  private:
@@ -151,10 +151,13 @@
     route.max_staleness_ms = static_cast<std::uint64_t>(kStaleness / milliseconds(1));
     return group_->need_of(route, committed);
   }
+  [[nodiscard]] bool is_position_due() const {
+    return group_->term().open && group_->positions.is_question_due();
+  }
   void check(const Row& row) {
     start(row.open);
     const TimePoint now = runtime_->now();
-    for (const Shown& shown : row.shown) group_->record_primary_position(now - shown.age, {1, shown.index});
+    for (const Shown& shown : row.shown) group_->positions.record(now - shown.age, {1, shown.index});
     SessionCommit committed;
     if (row.committed > 0) committed = {Position{1, row.committed}, now - milliseconds(100)};
     const ReadNeed needed = need(row.reads, committed);
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -4,7 +4,9 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/proxy/fleet/fleet_view.h"
+#include "registered/proxy/group/link_warming.h"
 #include "simulation/world.h"
+#include "tests/registered/proxy/group/choose_reader.h"
 
 namespace cairnhollow::registered::proxy {
 
@@ -122,20 +124,21 @@
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen(others));
     use("cold").cold_limit_reached_until = runtime_->now() + milliseconds(80);
     CPPUNIT_ASSERT_EQUAL(std::string(), chosen(others));
-    const auto facts = group().facts_of(use("cold"), {});
+    const auto facts = group().standing.facts_of(use("cold"), {});
     CPPUNIT_ASSERT(facts.cold_limit_reached);
     CPPUNIT_ASSERT(facts.back_in == milliseconds(80));
     world_->run_for(milliseconds(81));
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen(others));
     use("warm").cold_limit_reached_until = runtime_->now() + seconds(1);
-    CPPUNIT_ASSERT_MESSAGE("a warm one has no limit", !group().facts_of(use("warm"), {}).cold_limit_reached);
+    CPPUNIT_ASSERT_MESSAGE("a warm one has no limit",
+                           !group().standing.facts_of(use("warm"), {}).cold_limit_reached);
   }
 
   void no_links_are_opened_ahead_to_a_cold_one() {
     for (const char* name : {"warm", "primary"}) use(name).entry.leaving = true;
-    CPPUNIT_ASSERT(!group().warm_one());
+    CPPUNIT_ASSERT(!warm_one(*runtime_, group()));
     use("cold").entry.cold_ms = 0;
-    CPPUNIT_ASSERT(group().warm_one());
+    CPPUNIT_ASSERT(warm_one(*runtime_, group()));
   }
 
   void a_zone_that_comes_back_is_cold_for_a_while() {
@@ -175,9 +178,9 @@
     registry::RouteRule route;
     route.reads = registry::ReadPolicy::kBoundedStaleness;
     route.max_staleness_ms = 900;
-    group().record_primary_position(runtime_->now(), Position{1, 10});
+    group().positions.record(runtime_->now(), Position{1, 10});
     world_->run_for(milliseconds(600));
-    group().record_primary_position(runtime_->now() - milliseconds(500), Position{1, 11});
+    group().positions.record(runtime_->now() - milliseconds(500), Position{1, 11});
     CPPUNIT_ASSERT_MESSAGE("the primary is to show a newer one", is_for_primary(route));
     use("primary").cold_limit_reached_until = runtime_->now() + milliseconds(80);
     CPPUNIT_ASSERT_MESSAGE("a warm one has no limit", is_for_primary(route));
@@ -216,11 +219,11 @@
   }
   void confirm(TimePoint asked_at) { view_->extend_lease(asked_at, asked_at, 1); }
   GroupAccess& group() { return *view_->find_group(kGroup); }
-  BackendUse& use(const std::string& name) { return *group().backends().at(BackendName(name)); }
+  BackendUse& use(const std::string& name) { return *group().backends.all().at(BackendName(name)); }
   bool is_for_primary(const registry::RouteRule& route) { return group().need_of(route, {}).primary_only; }
-  bool is_cold(const std::string& name) { return group().is_cold(use(name)); }
+  bool is_cold(const std::string& name) { return group().cold.is_cold(use(name)); }
   std::string chosen(const std::set<BackendName>& excluded) {
-    const auto reader = group().choose_reader(need_, excluded);
+    const auto reader = choose_reader(group(), need_, excluded);
     return reader ? reader->entry.name.value : std::string();
   }
 
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -9,6 +9,7 @@
 
 #include <random>
 
+#include "registered/proxy/group/connection_shares.h"
 #include "registered/proxy/links/stateful_pool.h"
 #include "registered/registry/division.h"
 #include "registered/tenancy/tenant_division.h"
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -285,7 +285,7 @@
 }
 
 void SessionStand::occupy_gate(const std::string& backend) {
-  runtime_->spawn("hold_gate", hold_gate(group()->backends().at(BackendName(backend))));
+  runtime_->spawn("hold_gate", hold_gate(group()->backends.all().at(BackendName(backend))));
   run_for(milliseconds(1));
 }
 
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -271,7 +271,7 @@
     start(6, 0);
     run_side_by_side(5, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("it is warm", 5, backend().statements);
-    for (const auto& [name, use] : group()->backends()) use->pool.close_idle();
+    for (const auto& [name, use] : group()->backends.all()) use->pool.close_idle();
     backend().is_gone = true;
     run_side_by_side(1, milliseconds(1000));
     backend().is_gone = false;
@@ -349,7 +349,7 @@
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
     return *results_[0].pinned;
   }
-  StatementGate& gate() { return group()->backends().at(kBackend)->gate; }
+  StatementGate& gate() { return group()->backends.all().at(kBackend)->gate; }
   Awaitable<void> take_place(std::uint32_t& taken) {
     const bool entered = co_await gate().enter(admission::kUrgentClass, runtime_->now());
     if (entered) ++taken;
--- a/tests/registered/proxy/statement/statement_outcomes_test.cpp
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -156,8 +156,8 @@
     statement.group = proxy_->view.find_group(kGroup);
     // What the primary showed so long ago is what a replica must hold.
     world_->run_for(seconds(2));
-    statement.group->record_primary_position(runtime_->now() - seconds(1), Position{1, 5});
-    statement.group->record_primary_position(runtime_->now(), Position{1, 6});
+    statement.group->positions.record(runtime_->now() - seconds(1), Position{1, 5});
+    statement.group->positions.record(runtime_->now(), Position{1, 6});
     statement.arrived = runtime_->now();
     statement.deadline = statement.arrived + milliseconds(statement.route.timeout_ms);
     backends().at_statement[backend] = mishap;
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -206,7 +206,7 @@
   }
 
   void what_is_shut_out_is_not_passed_on() {
-    group_->mark_primary_unreachable();
+    group_->leadership.mark_primary_unreachable();
     check_refused(write_in({"south"}, {}));
     const std::string metrics = proxy_->metrics.render();
     CPPUNIT_ASSERT(metrics.find("forwarded_total{cause=\"primary_unreachable\"} 0") != std::string::npos);
@@ -228,11 +228,11 @@
     ask_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statuses);
-    CPPUNIT_ASSERT(group_->wants_position(milliseconds(1500)));
+    CPPUNIT_ASSERT(group_->positions.wants_newer(milliseconds(1500)));
     proxy_->script.meanwhile = nullptr;
     ask_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
-    CPPUNIT_ASSERT(!group_->wants_position(milliseconds(1500)));
+    CPPUNIT_ASSERT(!group_->positions.wants_newer(milliseconds(1500)));
   }
 
   void a_changed_document_binds_the_next_transaction() {
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -90,7 +90,7 @@
     const RunResult result = run(stand_->write("w"));
     CPPUNIT_ASSERT(result.answer.succeeded());
     CPPUNIT_ASSERT(sent(SessionStand::kPrimary) == (std::vector<std::string>{"execute w"}));
-    CPPUNIT_ASSERT(stand_->group()->highest_acknowledged() == *result.answer.position);
+    CPPUNIT_ASSERT(stand_->group()->positions.highest_acknowledged() == *result.answer.position);
   }
 
   void a_write_waits_for_the_lease() {
@@ -216,13 +216,14 @@
       std::optional<PinnedLink> pinned;
       stand_->confirm(kLong, kLong);
       if (commits) pinned = begin();
-      const Position before = stand_->group()->highest_acknowledged();
+      const Position before = stand_->group()->positions.highest_acknowledged();
       stand_->run_for(kLong - kShort);
       stand_->confirm(kShort, kLong);
       stand_->during(Step::kStatement, [] {});
       const Answer answer = pinned ? run_pinned(*pinned, commit(), true) : run(stand_->write("w")).answer;
       CPPUNIT_ASSERT(answer.refusal == Refusal::kInDoubt);
-      CPPUNIT_ASSERT_MESSAGE("nothing is acknowledged", before == stand_->group()->highest_acknowledged());
+      CPPUNIT_ASSERT_MESSAGE("nothing is acknowledged",
+                             before == stand_->group()->positions.highest_acknowledged());
     }
   }
 
@@ -380,8 +381,8 @@
   /// One that a replica may serve: the primary's position was seen just now, and long enough ago.
   RunOrder replica_read(const std::string& id) {
     GroupAccess& group = *stand_->group();
-    group.record_primary_position(stand_->now() - seconds(1), Position{1, 5});
-    group.record_primary_position(stand_->now(), Position{1, 6});
+    group.positions.record(stand_->now() - seconds(1), Position{1, 5});
+    group.positions.record(stand_->now(), Position{1, 6});
     RunOrder order = stand_->write(id);
     order.writes = false;
     order.route.reads = registry::ReadPolicy::kBoundedStaleness;
