--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -4,6 +4,7 @@
 
 #include <utility>
 
+#include "registered/proxy/group/status_question.h"
 #include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
 
@@ -73,37 +74,29 @@
 }
 
 Awaitable<void> MemberLeaseKeeper::ask(RoundPointer round, std::shared_ptr<BackendUse> member) {
-  std::optional<Refusal> refusal;
   Reason reason;
-  std::optional<BackendStatus> status;
-  const LinkDeadlines deadlines{round->deadline, round->deadline};
-  LinkWish wish;
-  wish.any_tenant = true;
-  const auto link = co_await member->pool.acquire(std::move(wish), deadlines, refusal, reason);
-  if (link) {
-    runtime::SendState sent = runtime::SendState::kNotSent;
-    BackendRequest request = AskStatus{};
-    const auto answer = co_await link->link().run(std::move(request), round->deadline, sent, reason);
-    if (answer && answer->refusal) reason.detail = refusal_name(*answer->refusal);
-    if (answer && !answer->refusal) status = link->link().read_status(*answer, reason);
-    member->pool.release(link);
-  }
+  const auto answer = co_await ask_status(runtime_, member, round->deadline, reason);
   --round->unanswered;
-  const std::string name = member->entry.name.value;
-  if (!status) {
-    round->failure = fmt::format("{} gave no status: {}", name, reason.to_string());
-  } else if (status->is_primary || status->term != round->term.term) {
-    round->failure = fmt::format("{} is {} of term {}, the known term is {}", name,
-                                 status->is_primary ? "primary" : "replica", status->term, round->term.term);
-  } else if (status->pause_term > 0) {
-    round->failure = fmt::format("{} is paused for term {}", name, status->pause_term);
-  } else if (member->entry.tells_birth() && has_lost_log(*round, *member, status->received)) {
-    // Its pause, if there was one, ended with the life that the round was to ask.
-    round->failure = fmt::format("{} shows less than it should, so that it has started again", name);
-  }
+  std::string objection =
+      answer ? objection_of(*round, *member, answer->status)
+             : fmt::format("{} gave no status: {}", member->entry.name.value, reason.to_string());
+  if (!objection.empty()) round->failure = std::move(objection);
   round->answered.notify_all();
 }
 
+std::string MemberLeaseKeeper::objection_of(const Round& round, BackendUse& member,
+                                            const BackendStatus& status) {
+  const std::string& name = member.entry.name.value;
+  if (status.is_primary || status.term != round.term.term)
+    return fmt::format("{} is {} of term {}, the known term is {}", name,
+                       status.is_primary ? "primary" : "replica", status.term, round.term.term);
+  if (status.pause_term > 0) return fmt::format("{} is paused for term {}", name, status.pause_term);
+  // Its pause, if there was one, ended with the incarnation that the round was to ask.
+  if (member.entry.tells_birth() && has_lost_log(round, member, status.received))
+    return fmt::format("{} shows less than it should, so that it has started again", name);
+  return {};
+}
+
 bool MemberLeaseKeeper::has_lost_log(const Round& round, BackendUse& member, Position received) {
   const bool is_blank = received.index == 0 && round.primary_shows.index > 0;
   return !member.shown_log.record(round.term.term, received) || is_blank;
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -34,6 +34,8 @@
   void begin_rounds();
   Awaitable<void> renew(std::shared_ptr<GroupAccess> group);
   Awaitable<void> ask(RoundPointer round, std::shared_ptr<BackendUse> member);
+  /// Why the member's answer allows no lease; empty: it allows one.
+  static std::string objection_of(const Round& round, BackendUse& member, const BackendStatus& status);
   /// Whether a member that tells its start shows an empty log, or less of this term than it showed before.
   static bool has_lost_log(const Round& round, BackendUse& member, Position received);
   /// Logs why a group is not served, when that is another reason than before.
--- a/src/registered/proxy/group/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -1,5 +1,6 @@
 #include "registered/proxy/group/position_keeper.h"
 
+#include "registered/proxy/group/status_question.h"
 #include "registered/proxy/knobs.h"
 
 namespace cairnhollow::registered::proxy {
@@ -25,32 +26,14 @@
 
 Awaitable<void> PositionKeeper::ask(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> primary) {
   const registry::GroupTerm term = group->term();
-  TimePoint asked_at{};
-  const auto position = co_await position_of(primary, term.term, asked_at);
-  // Only while the term is open does the answer cover all that was acknowledged before the question.
-  if (position && view_.may_use_primary(*group, term.epoch)) group->positions.record(asked_at, *position);
-  asking_.erase(group->name);
-}
-
-Awaitable<std::optional<Position>> PositionKeeper::position_of(std::shared_ptr<BackendUse> primary,
-                                                               std::uint64_t term, TimePoint& asked_at) {
   const TimePoint deadline = runtime_.now() + kLinkSetupTimeout;
-  const LinkDeadlines deadlines{deadline, deadline};
-  LinkWish wish;
-  wish.any_tenant = true;
-  std::optional<Refusal> refusal;
   Reason reason;
-  const auto link = co_await primary->pool.acquire(std::move(wish), deadlines, refusal, reason);
-  if (!link) co_return std::nullopt;
-  asked_at = runtime_.now();
-  runtime::SendState sent = runtime::SendState::kNotSent;
-  BackendRequest request = AskStatus{};
-  const auto answer = co_await link->link().run(std::move(request), deadline, sent, reason);
-  std::optional<BackendStatus> status;
-  if (answer && !answer->refusal) status = link->link().read_status(*answer, reason);
-  primary->pool.release(link);
-  if (!status || !status->is_primary || status->term != term) co_return std::nullopt;
-  co_return answer->position;
+  const auto answer = co_await ask_status(runtime_, primary, deadline, reason);
+  const bool leads = answer && answer->status.is_primary && answer->status.term == term.term;
+  // Only while the term is open does the answer cover all that was acknowledged before the question.
+  if (leads && answer->position && view_.may_use_primary(*group, term.epoch))
+    group->positions.record(answer->sent_at, *answer->position);
+  asking_.erase(group->name);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_keeper.h
+++ b/src/registered/proxy/group/position_keeper.h
@@ -24,9 +24,6 @@
   void ask_where_due();
   /// Asks the group's primary, on any link, where its log is.
   Awaitable<void> ask(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> primary);
-  /// The position that the primary of the open term showed; empty when it gave none or is none.
-  Awaitable<std::optional<Position>> position_of(std::shared_ptr<BackendUse> primary, std::uint64_t term,
-                                                 TimePoint& asked_at);
 
   runtime::Runtime& runtime_;
   FleetView& view_;
