--- a/src/registered/limits/limit.h
+++ b/src/registered/limits/limit.h
@@ -14,7 +14,7 @@
   kColdBackend  ///< statements to a backend that was started lately, counted where they are sent
 };
 
-/// Proxies choose homes by it: stable.
+/// Proxies choose owners by it: stable.
 inline const char* kind_name(LimitedKind kind) {
   return kind == LimitedKind::kTenant ? "tenant" : "cold backend";
 }
@@ -24,7 +24,7 @@
   return kind == LimitedKind::kTenant ? "tenant" : "cold_backend";
 }
 
-/// One tenant, or one backend. Proxies choose its homes by kind and name, so neither may change meaning
+/// One tenant, or one backend. Proxies choose its owners by kind and name, so neither may change meaning
 /// between builds.
 struct LimitedName {
   LimitedKind kind = LimitedKind::kTenant;
--- a/src/registered/limits/limit_budget.cpp
+++ b/src/registered/limits/owner_share.cpp
@@ -1,4 +1,4 @@
-#include "registered/limits/limit_budget.h"
+#include "registered/limits/owner_share.h"
 
 #include <algorithm>
 
@@ -15,13 +15,13 @@
   return (in_window + limit.burst) * (1 + limit.window.overshoot) + limit.window.slack;
 }
 
-HomeBudget home_budget(const Limit& limit) {
-  constexpr double kLeastDepths = kHomes;
+OwnerShare owner_share(const Limit& limit) {
+  constexpr double kLeastDepths = kQuotaOwners;
   const double allowed = allowance(limit);
   if (allowed < kLeastDepths) return {0, 0};
   const double counted_s = seconds_of(limit.window.window + kGrantLife);
   const double rate = std::min(limit.rate_per_s, (allowed - kLeastDepths) / counted_s);
-  return {rate / kHomes, (allowed - rate * counted_s) / kHomes};
+  return {rate / kQuotaOwners, (allowed - rate * counted_s) / kQuotaOwners};
 }
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/budget_home.cpp
+++ b/src/registered/limits/quota_ledger.cpp
@@ -1,4 +1,4 @@
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,28 +7,28 @@
 
 namespace cairnhollow::registered::limits {
 
-void BudgetHome::set_homes(BudgetHomes homes, std::uint64_t revision) {
-  homes_ = std::move(homes);
+void QuotaLedger::set_owners(QuotaOwners owners, std::uint64_t revision) {
+  owners_ = std::move(owners);
   revision_ = revision;
   settled_since_.reset();
   for (auto entry = counts_.begin(); entry != counts_.end();) {
-    const bool stays = homes_.is_home(entry->first, node_) && homes_.was_home(entry->first, node_);
+    const bool stays = owners_.is_owner(entry->first, node_) && owners_.was_owner(entry->first, node_);
     entry = stays ? std::next(entry) : counts_.erase(entry);
   }
 }
 
-void BudgetHome::record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now) {
+void QuotaLedger::record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now) {
   if (!confirmed_at_ || *confirmed_at_ < confirmed_at) confirmed_at_ = confirmed_at;
   settled_revision_ = std::max(settled_revision_, settled_revision);
   if (settled_revision_ >= revision_ && !settled_since_) settled_since_ = now;
 }
 
-bool BudgetHome::may_count(const Count& count, TimePoint now) const {
+bool QuotaLedger::may_count(const Count& count, TimePoint now) const {
   const bool confirmed = confirmed_at_ && now - *confirmed_at_ < registry::kBudgetAuthority;
-  return confirmed && settled_revision_ >= count.home_since;
+  return confirmed && settled_revision_ >= count.owner_since;
 }
 
-void BudgetHome::record_limit(const Limit& former, const Limit& limit, TimePoint now) {
+void QuotaLedger::record_limit(const Limit& former, const Limit& limit, TimePoint now) {
   const bool is_lower = limit.rate_per_s < former.rate_per_s || limit.burst < former.burst;
   if (!is_lower || !limit.bounds() || !former.bounds()) return;
   // A second lowering does not prolong the first.
@@ -37,37 +37,37 @@
   held->second = FormerLimit{former.rate_per_s, former.burst, now + limit.window.lowered_after};
 }
 
-HomeBudget BudgetHome::budget_of(const Limit& limit, TimePoint now) {
+OwnerShare QuotaLedger::share_of(const Limit& limit, TimePoint now) {
   const auto former = former_.find(limit.of);
-  if (former == former_.end()) return home_budget(limit);
+  if (former == former_.end()) return owner_share(limit);
   if (now >= former->second.until) {
     former_.erase(former);
-    return home_budget(limit);
+    return owner_share(limit);
   }
   Limit counted = limit;
   counted.rate_per_s = std::max(limit.rate_per_s, former->second.rate_per_s);
   counted.burst = std::max(limit.burst, former->second.burst);
-  return home_budget(counted);
+  return owner_share(counted);
 }
 
-Grant BudgetHome::grant(const Limit& limit, const TokenWish& wish, TimePoint now) {
-  if (!homes_.is_home(limit.of, node_)) return {};
+Grant QuotaLedger::grant(const Limit& limit, const TokenRequest& request, TimePoint now) {
+  if (!owners_.is_owner(limit.of, node_)) return {};
   auto found = counts_.find(limit.of);
-  // First asked for: it may be a home since the newest membership only.
+  // First asked for: it may be an owner since the newest membership only.
   if (found == counts_.end()) found = counts_.emplace(limit.of, Count{revision_, std::nullopt}).first;
   Count& count = found->second;
   if (!may_count(count, now)) return {};
   if (!count.bucket) {
-    const bool is_of_now = count.home_since == revision_ && settled_since_;
+    const bool is_of_now = count.owner_since == revision_ && settled_since_;
     count.bucket.emplace(is_of_now ? *settled_since_ : now);
   }
-  const HomeBudget budget = budget_of(limit, now);
+  const OwnerShare share = share_of(limit, now);
   Grant grant;
-  grant.tokens = count.bucket->take(wish.needed, budget, now);
-  if (grant.tokens == wish.needed && count.bucket->is_half_full(budget))
-    grant.tokens += count.bucket->take(wish.ahead, budget, now);
+  grant.tokens = count.bucket->take(request.needed, share, now);
+  if (grant.tokens == request.needed && count.bucket->is_half_full(share))
+    grant.tokens += count.bucket->take(request.ahead, share, now);
   grant.outcome = grant.tokens > 0 ? GrantOutcome::kGranted : GrantOutcome::kEmpty;
-  if (grant.tokens == 0) grant.retry_after = count.bucket->time_to_token(budget);
+  if (grant.tokens == 0) grant.retry_after = count.bucket->time_to_token(share);
   return grant;
 }
 
--- a/src/registered/limits/budget_home.h
+++ b/src/registered/limits/quota_ledger.h
@@ -1,13 +1,13 @@
-// What a proxy counts for what it is a home of: tenants and cold backends.
+// What a proxy counts for what it is an owner of: tenants and cold backends.
 //
-// Invariant: at any moment at most kHomes proxies grant tokens of one limited thing, each from a bucket that
-// was empty when it became a home. A proxy grants only
+// Invariant: at any moment at most kQuotaOwners proxies grant tokens of one limited thing, each from a bucket
+// that was empty when it became an owner. A proxy grants only
 // - while control confirmed its copy of the membership less than kBudgetAuthority ago, counted from the
 //   question, and
 // - when control has said that every proxy which may act on a membership older than the one that made it a
-//   home has learned of that, or has been without a confirmation for longer (registry::ProxyUpdate's
+//   owner has learned of that, or has been without a confirmation for longer (registry::ProxyUpdate's
 //   settled_revision).
-// So the one whose place it took has stopped. tests/limits/budget_home_test.cpp plays changes of membership,
+// So the one whose place it took has stopped. tests/limits/quota_ledger_test.cpp plays changes of membership,
 // cuts, freezes and restarts and counts what runs in every window.
 #pragma once
 
@@ -15,8 +15,8 @@
 #include <map>
 #include <optional>
 
-#include "registered/limits/budget_homes.h"
-#include "registered/limits/limit_budget.h"
+#include "registered/limits/owner_share.h"
+#include "registered/limits/quota_owners.h"
 #include "registered/limits/token_bucket.h"
 
 namespace cairnhollow::registered::limits {
@@ -42,30 +42,30 @@
 };
 
 /// Tokens asked for: those that are waited for, and more for those that are likely to come soon.
-struct TokenWish {
+struct TokenRequest {
   std::uint64_t needed = 0;
   std::uint64_t ahead = 0;  ///< granted only while there are plenty
 };
 
-class BudgetHome {
+class QuotaLedger {
  public:
-  explicit BudgetHome(NodeName node) : node_(std::move(node)) {}
+  explicit QuotaLedger(NodeName node) : node_(std::move(node)) {}
 
   /// The membership of `revision` holds from now on, on this proxy.
-  void set_homes(BudgetHomes homes, std::uint64_t revision);
+  void set_owners(QuotaOwners owners, std::uint64_t revision);
   /// `confirmed_at`: when control was asked the question that it answered last. `settled_revision`: nobody
   /// acts on an older membership any more.
   void record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now);
-  [[nodiscard]] const BudgetHomes& homes() const { return homes_; }
+  [[nodiscard]] const QuotaOwners& owners() const { return owners_; }
 
   /// A limit was `former` until now. One that was lowered is counted with as it was for a while
   /// (LimitWindow::lowered_after).
   void record_limit(const Limit& former, const Limit& limit, TimePoint now);
-  Grant grant(const Limit& limit, const TokenWish& wish, TimePoint now);
+  Grant grant(const Limit& limit, const TokenRequest& request, TimePoint now);
 
  private:
   struct Count {
-    std::uint64_t home_since = 0;  ///< revision of the membership that made this proxy a home
+    std::uint64_t owner_since = 0;  ///< revision of the membership that made this proxy an owner
     std::optional<TokenBucket> bucket;
   };
 
@@ -77,11 +77,11 @@
   };
 
   [[nodiscard]] bool may_count(const Count& count, TimePoint now) const;
-  /// What a home counts with now.
-  HomeBudget budget_of(const Limit& limit, TimePoint now);
+  /// What an owner counts with now.
+  OwnerShare share_of(const Limit& limit, TimePoint now);
 
   NodeName node_;
-  BudgetHomes homes_;
+  QuotaOwners owners_;
   std::uint64_t revision_ = 0;
   std::map<LimitedName, Count> counts_;
   std::map<LimitedName, FormerLimit> former_;
--- a/src/registered/limits/budget_homes.cpp
+++ b/src/registered/limits/quota_owners.cpp
@@ -1,16 +1,16 @@
-#include "registered/limits/budget_homes.h"
+#include "registered/limits/quota_owners.h"
 
 #include <algorithm>
 
-#include "registered/limits/limit_budget.h"
+#include "registered/limits/owner_share.h"
 
 namespace cairnhollow::registered::limits {
 
 namespace {
 
-std::vector<subset::ProxyPointer> homes_among(const subset::SubsetTable& table, const LimitedName& limited) {
+std::vector<subset::ProxyPointer> owners_among(const subset::SubsetTable& table, const LimitedName& limited) {
   return table.serving(GroupName(kind_name(limited.kind) + (" " + limited.name)),
-                       static_cast<std::uint32_t>(kHomes));
+                       static_cast<std::uint32_t>(kQuotaOwners));
 }
 
 bool holds(const std::vector<subset::ProxyPointer>& proxies, const NodeName& node) {
@@ -31,24 +31,24 @@
 
 }  // namespace
 
-BudgetHomes::BudgetHomes(const std::vector<subset::ProxyPointer>& takers,
+QuotaOwners::QuotaOwners(const std::vector<subset::ProxyPointer>& takers,
                          const std::vector<subset::ProxyPointer>& changed)
     : takers_(takers), with_changed_(united(takers, changed)) {
   for (const auto& proxy : changed) changed_.insert(proxy->name);
 }
 
-const std::vector<subset::ProxyPointer>& BudgetHomes::of(const LimitedName& limited) const {
-  const auto [homes, is_new] = homes_.try_emplace(limited);
-  if (is_new) homes->second = homes_among(takers_, limited);
-  return homes->second;
+const std::vector<subset::ProxyPointer>& QuotaOwners::of(const LimitedName& limited) const {
+  const auto [owners, is_new] = owners_.try_emplace(limited);
+  if (is_new) owners->second = owners_among(takers_, limited);
+  return owners->second;
 }
 
-bool BudgetHomes::is_home(const LimitedName& limited, const NodeName& node) const {
+bool QuotaOwners::is_owner(const LimitedName& limited, const NodeName& node) const {
   return holds(of(limited), node);
 }
 
-bool BudgetHomes::was_home(const LimitedName& limited, const NodeName& node) const {
-  return changed_.count(node) == 0 && holds(homes_among(with_changed_, limited), node);
+bool QuotaOwners::was_owner(const LimitedName& limited, const NodeName& node) const {
+  return changed_.count(node) == 0 && holds(owners_among(with_changed_, limited), node);
 }
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/budget_homes.h
+++ b/src/registered/limits/quota_owners.h
@@ -11,30 +11,30 @@
 
 namespace cairnhollow::registered::limits {
 
-/// The homes of all that is limited among the proxies that take work, before and after a change.
+/// The owners of all that is limited among the proxies that take work, before and after a change.
 ///
-/// Whoever is a home among `takers` together with `changed` was one before the change as well: rendezvous
-/// hashing drops nobody out of a subset when others go. Whoever is a home among `takers` only has become one,
-/// and has to wait until those before have stopped (limits/budget_home.h).
-class BudgetHomes {
+/// Whoever is an owner among `takers` together with `changed` was one before the change as well: rendezvous
+/// hashing drops nobody out of a subset when others go. Whoever is an owner among `takers` only has become
+/// one, and has to wait until those before have stopped (limits/quota_ledger.h).
+class QuotaOwners {
  public:
-  BudgetHomes() = default;
+  QuotaOwners() = default;
   /// `changed`: proxies that came, went or started anew since the view before, also those that came and went.
-  BudgetHomes(const std::vector<subset::ProxyPointer>& takers,
+  QuotaOwners(const std::vector<subset::ProxyPointer>& takers,
               const std::vector<subset::ProxyPointer>& changed);
 
-  /// Up to kHomes proxies, in different zones as far as possible.
+  /// Up to kQuotaOwners proxies, in different zones as far as possible.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& of(const LimitedName& limited) const;
-  [[nodiscard]] bool is_home(const LimitedName& limited, const NodeName& node) const;
-  /// Whether `node`, a home now, was one all the time.
-  [[nodiscard]] bool was_home(const LimitedName& limited, const NodeName& node) const;
+  [[nodiscard]] bool is_owner(const LimitedName& limited, const NodeName& node) const;
+  /// Whether `node`, an owner now, was one all the time.
+  [[nodiscard]] bool was_owner(const LimitedName& limited, const NodeName& node) const;
 
  private:
   subset::SubsetTable takers_;
   subset::SubsetTable with_changed_;
   std::set<NodeName> changed_;
   /// Of those that were asked for: each operation asks, and a membership stays.
-  mutable std::map<LimitedName, std::vector<subset::ProxyPointer>> homes_;
+  mutable std::map<LimitedName, std::vector<subset::ProxyPointer>> owners_;
 };
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/token_bucket.h
+++ b/src/registered/limits/token_bucket.h
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <cstdint>
 
-#include "registered/limits/limit_budget.h"
+#include "registered/limits/owner_share.h"
 
 namespace cairnhollow::registered::limits {
 
@@ -16,26 +16,26 @@
   explicit TokenBucket(TimePoint now) : filled_at_(now) {}
 
   /// Takes up to `wanted` tokens.
-  std::uint64_t take(std::uint64_t wanted, const HomeBudget& budget, TimePoint now) {
-    fill(budget, now);
+  std::uint64_t take(std::uint64_t wanted, const OwnerShare& share, TimePoint now) {
+    fill(share, now);
     const auto taken = std::min(wanted, static_cast<std::uint64_t>(tokens_));
     tokens_ -= static_cast<double>(taken);
     return taken;
   }
   /// Whether it holds more than half of what it may.
-  [[nodiscard]] bool is_half_full(const HomeBudget& budget) const { return tokens_ * 2 >= budget.depth; }
+  [[nodiscard]] bool is_half_full(const OwnerShare& share) const { return tokens_ * 2 >= share.depth; }
   /// Until it holds one token.
-  [[nodiscard]] Duration time_to_token(const HomeBudget& budget) const {
+  [[nodiscard]] Duration time_to_token(const OwnerShare& share) const {
     if (tokens_ >= 1) return Duration(0);
-    if (budget.rate_per_s <= 0) return std::chrono::seconds(1);
+    if (share.rate_per_s <= 0) return std::chrono::seconds(1);
     return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double>((1 - tokens_) / budget.rate_per_s));
+        std::chrono::duration<double>((1 - tokens_) / share.rate_per_s));
   }
 
  private:
-  void fill(const HomeBudget& budget, TimePoint now) {
+  void fill(const OwnerShare& share, TimePoint now) {
     const double elapsed = std::chrono::duration<double>(now - filled_at_).count();
-    tokens_ = std::min(tokens_ + elapsed * budget.rate_per_s, budget.depth);
+    tokens_ = std::min(tokens_ + elapsed * share.rate_per_s, share.depth);
     filled_at_ = now;
   }
 
--- a/src/registered/limits/token_stock.h
+++ b/src/registered/limits/token_stock.h
@@ -8,7 +8,7 @@
 #include <deque>
 #include <optional>
 
-#include "registered/limits/limit_budget.h"
+#include "registered/limits/owner_share.h"
 
 namespace cairnhollow::registered::limits {
 
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -132,7 +132,7 @@
   for (const registry::TenantRule& tenant : delta.tenants) {
     const auto former = tenant_limit(tenant.name);
     tenants_.put(tenant);
-    if (former) budgets_.record_limit(*former, *tenant_limit(tenant.name), runtime_.now());
+    if (former) quotas_.record_limit(*former, *tenant_limit(tenant.name), runtime_.now());
   }
   if (!delta.tenants.empty() || !delta.removed_tenants.empty()) forward_for_.clear();
 }
@@ -311,7 +311,7 @@
   record_unknown_regions(delta);
   if (!divides) return;
   const auto takers = this->takers();
-  if (!changed.empty()) budgets_.set_homes(limits::BudgetHomes(takers, changed), revision_);
+  if (!changed.empty()) quotas_.set_owners(limits::QuotaOwners(takers, changed), revision_);
   divide_groups(takers);
 }
 
@@ -328,7 +328,7 @@
 
 void FleetView::extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t settled_revision) {
   keys_confirmed_.record(asked_at);
-  budgets_.record_confirmed(asked_at, settled_revision, runtime_.now());
+  quotas_.record_confirmed(asked_at, settled_revision, runtime_.now());
   lease_until_ = std::max(lease_until_, until);
   renewed_.notify_all();
 }
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <vector>
 
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 #include "registered/locality/permitted_regions.h"
 #include "registered/proxy/group/group_access.h"
 #include "registered/proxy/links/cold_backend.h"
@@ -37,7 +37,7 @@
         limit_window_(settings.limit_window),
         cold_window_{kColdWindow, settings.cold_overshoot - 1, settings.cold_slack},
         limits_cold_(settings.cold_overshoot > 0 || settings.cold_slack > 0),
-        budgets_(settings.node),
+        quotas_(settings.node),
         renewed_(runtime),
         started_(runtime.now()) {}
 
@@ -90,7 +90,7 @@
   /// or its group limits nothing.
   [[nodiscard]] std::optional<limits::Limit> cold_limit(const BackendName& backend) const;
   /// What this proxy counts for tenants and cold backends, and who counts for the others.
-  limits::BudgetHome& budgets() { return budgets_; }
+  limits::QuotaLedger& quotas() { return quotas_; }
   [[nodiscard]] const NodeName& node() const { return node_; }
   [[nodiscard]] const ZoneName& zone() const { return zone_; }
   /// Null when it is not registered, as far as this proxy knows.
@@ -188,7 +188,7 @@
   limits::LimitWindow limit_window_;
   limits::LimitWindow cold_window_;
   bool limits_cold_;  ///< what is sent to cold backends is bound
-  limits::BudgetHome budgets_;
+  limits::QuotaLedger quotas_;
   runtime::Signal renewed_;
   TimePoint started_;
   TimePoint lease_until_{};
--- a/src/registered/proxy/forwarding/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -8,7 +8,7 @@
 #include <variant>
 
 #include "base/reason.h"
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 #include "registered/protocol/statement.h"
 #include "registered/proxy/links/stateful_pool.h"
 #include "registered/registry/model.h"
@@ -75,8 +75,8 @@
   }
 };
 
-/// Asks a home of the tenant, or of the cold backend where one is named, for tokens, one for each operation
-/// or statement.
+/// Asks a quota owner of the tenant, or of the cold backend where one is named, for tokens, one for each
+/// operation or statement.
 struct ForwardTokens {
   TenantName tenant;
   std::uint64_t needed = 0;  ///< by operations that wait
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -113,7 +113,7 @@
   const auto limit = request.cold_backend.empty() ? view.tenant_limit(request.tenant)
                                                   : view.cold_limit(request.cold_backend);
   if (!limit) return {};
-  return view.budgets().grant(*limit, {request.needed, request.ahead}, services_.runtime.now());
+  return view.quotas().grant(*limit, {request.needed, request.ahead}, services_.runtime.now());
 }
 
 Awaitable<void> ForwardServer::send_answers(std::shared_ptr<Connection> connection) {
--- a/src/registered/proxy/forwarding/forward_server.h
+++ b/src/registered/proxy/forwarding/forward_server.h
@@ -45,7 +45,7 @@
   Awaitable<ForwardAnswer> run_in_transaction(std::shared_ptr<Connection> connection,
                                               ForwardInTransaction request);
   Awaitable<void> end_transaction(std::shared_ptr<Connection> connection, std::uint64_t pin);
-  /// Tokens of a tenant whose home this proxy may be.
+  /// Tokens of a tenant whose quota this proxy may own.
   limits::Grant grant(const ForwardTokens& request);
   Awaitable<void> send_answers(std::shared_ptr<Connection> connection);
   /// Empty when this proxy knows no such group, or no tenant of the caller's key.
--- a/src/registered/proxy/knobs.h
+++ b/src/registered/proxy/knobs.h
@@ -98,13 +98,13 @@
 /// new connection and an exchange across regions.
 inline constexpr Duration kPositionPatience = milliseconds(200);
 
-/// A home of a tenant is waited for this long for tokens: as long as a dial to another proxy, and a little
-/// for the answer; then the next home is asked. All three fit into the limit.
-inline constexpr Duration kHomePatience = milliseconds(60);
+/// A quota owner is waited for this long for tokens: as long as a dial to another proxy, and a little
+/// for the answer; then the next one is asked. All three fit into the limit.
+inline constexpr Duration kOwnerPatience = milliseconds(60);
 inline constexpr Duration kAdmissionLimit = milliseconds(200);
-/// After all homes of a tenant had no token, none of its operations here asks again for this long: a tenant
-/// at several times its limit would ask three homes for each refusal. No token is lost by it: the homes hold
-/// them.
+/// After all owners of a tenant's quota had no token, none of its operations here asks again for this long: a
+/// tenant at several times its limit would ask three of them for each refusal. No token is lost by it: the
+/// owners hold them.
 inline constexpr Duration kLeastRefusalPause = milliseconds(20);
 
 /// Orders of proxies for a group and a tenant that are remembered, 0.5 KB each; then they are worked out
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-ForwardTokens question(const limits::LimitedName& limited, const limits::TokenWish& wish) {
-  ForwardTokens tokens{TenantName(), wish.needed, wish.ahead, BackendName()};
+ForwardTokens question(const limits::LimitedName& limited, const limits::TokenRequest& request) {
+  ForwardTokens tokens{TenantName(), request.needed, request.ahead, BackendName()};
   if (limited.kind == limits::LimitedKind::kTenant) {
     tokens.tenant = TenantName(limited.name);
   } else {
@@ -55,7 +55,7 @@
   ++account->waiting;
   bool answered = true;
   do {
-    if (!std::exchange(account->asking, true)) runtime_.spawn("ask_homes", ask_homes(limit, account));
+    if (!std::exchange(account->asking, true)) runtime_.spawn("ask_homes", ask_owners(limit, account));
     // Where this process counts itself, all is answered before the spawn returns.
     answered = !account->asking;
     if (!answered) answered = co_await account->answered.wait_until(begun + kAdmissionLimit);
@@ -67,13 +67,13 @@
   co_return account->last;
 }
 
-Awaitable<void> LimitClient::ask_homes(limits::Limit limit, AccountPointer account) {
+Awaitable<void> LimitClient::ask_owners(limits::Limit limit, AccountPointer account) {
   const TimePoint asked_at = runtime_.now();
-  const limits::TokenWish wish{std::max<std::uint64_t>(account->waiting, 1),
-                               account->stock.expected(asked_at)};
+  const limits::TokenRequest request{std::max<std::uint64_t>(account->waiting, 1),
+                                     account->stock.expected(asked_at)};
   AdmissionAnswer answer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
-  for (const subset::ProxyPointer& home : order_of(limit.of)) {
-    const Grant grant = co_await ask(limit, wish, home);
+  for (const subset::ProxyPointer& owner : order_of(limit.of)) {
+    const Grant grant = co_await ask(limit, request, owner);
     if (grant.outcome == GrantOutcome::kNotCounting) continue;
     if (grant.outcome == GrantOutcome::kGranted) {
       account->stock.put(grant.tokens, asked_at);
@@ -94,36 +94,37 @@
 }
 
 std::vector<subset::ProxyPointer> LimitClient::order_of(const limits::LimitedName& limited) const {
-  auto homes = view_.budgets().homes().of(limited);
+  auto owners = view_.quotas().owners().of(limited);
   const TimePoint now = runtime_.now();
-  const auto rank = [&](const subset::ProxyPointer& home) {
-    const auto silent = silent_until_.find(home->name);
+  const auto rank = [&](const subset::ProxyPointer& owner) {
+    const auto silent = silent_until_.find(owner->name);
     if (silent != silent_until_.end() && now < silent->second) return 3;
-    if (forwarder_.is_unreachable(home->name)) return 3;
-    if (home->name == view_.node()) return 0;
-    return home->zone == view_.zone() ? 1 : 2;
+    if (forwarder_.is_unreachable(owner->name)) return 3;
+    if (owner->name == view_.node()) return 0;
+    return owner->zone == view_.zone() ? 1 : 2;
   };
-  std::stable_sort(homes.begin(), homes.end(),
+  std::stable_sort(owners.begin(), owners.end(),
                    [&](const auto& one, const auto& other) { return rank(one) < rank(other); });
-  return homes;
+  return owners;
 }
 
-Awaitable<Grant> LimitClient::ask(limits::Limit limit, limits::TokenWish wish, subset::ProxyPointer home) {
-  if (home->name == view_.node()) co_return view_.budgets().grant(limit, wish, runtime_.now());
+Awaitable<Grant> LimitClient::ask(limits::Limit limit, limits::TokenRequest wanted,
+                                  subset::ProxyPointer owner) {
+  if (owner->name == view_.node()) co_return view_.quotas().grant(limit, wanted, runtime_.now());
   metrics_.count_token_question();
   Reason reason;
-  const TimePoint deadline = runtime_.now() + kHomePatience;
-  const auto connection = co_await forwarder_.connect(home, deadline, reason);
+  const TimePoint deadline = runtime_.now() + kOwnerPatience;
+  const auto connection = co_await forwarder_.connect(owner, deadline, reason);
   std::optional<ForwardAnswer> answer;
   if (connection) {
     ForwardRequest request;
-    request.body = question(limit.of, wish);
+    request.body = question(limit.of, wanted);
     answer = co_await connection->call(std::move(request), deadline, reason);
   }
   if (answer) co_return answer->grant;
-  silent_until_[home->name] = runtime_.now() + kAvoidProxy;
+  silent_until_[owner->name] = runtime_.now() + kAvoidProxy;
   runtime_.logger().log(runtime::LogLevel::kWarning, "tokens_not_granted", reason,
-                        {{limits::field_name(limit.of.kind), limit.of.name}, {"home", home->name.value}});
+                        {{limits::field_name(limit.of.kind), limit.of.name}, {"home", owner->name.value}});
   co_return Grant{};
 }
 
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -1,11 +1,11 @@
-// Asks the homes of what is limited for tokens: one for each operation of a tenant, and for each statement to
-// a cold backend.
+// Asks the owners of what is limited for tokens: one for each operation of a tenant, and for each statement
+// to a cold backend.
 #pragma once
 
 #include <map>
 #include <memory>
 
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 #include "registered/limits/token_stock.h"
 #include "registered/proxy/fleet/fleet_view.h"
 #include "registered/proxy/forwarding/forwarder.h"
@@ -52,8 +52,8 @@
   using AccountPointer = std::shared_ptr<Account>;
 
   Awaitable<AdmissionAnswer> take_or_ask(limits::Limit limit);
-  Awaitable<void> ask_homes(limits::Limit limit, AccountPointer account);
-  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenWish wish, subset::ProxyPointer home);
+  Awaitable<void> ask_owners(limits::Limit limit, AccountPointer account);
+  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenRequest wanted, subset::ProxyPointer owner);
   /// This proxy, those of its zone, the others; those that did not answer a moment ago last.
   [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitedName& limited) const;
 
--- a/standins/registered/tenant_history.cpp
+++ b/standins/registered/tenant_history.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <set>
 
-#include "registered/limits/limit_budget.h"
+#include "registered/limits/owner_share.h"
 #include "registered/tenancy/tenant_limit.h"
 
 namespace cairnhollow::standins::registered {
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -18,7 +18,7 @@
 using play::worst_of;
 
 const LimitWindow kUsual{proxy::kColdWindow, 0.5, 5};
-/// Leaves each home one token beside its rate.
+/// Leaves each owner one token beside its rate.
 const LimitWindow kTight{proxy::kColdWindow, 0.25, 3};
 
 Limit cold(double rate, const LimitWindow& window = kUsual) {
@@ -60,7 +60,7 @@
     const Limit tight = cold(60, kTight);
     expect_needed("waits until settled", &Guards::waits_until_settled, tight);
     expect_needed("authority ends", &Guards::authority_ends, tight);
-    expect_needed("returning home is new", &Guards::returning_home_is_new, tight, with_short_lease(1));
+    expect_needed("returning owner is new", &Guards::returning_home_is_new, tight, with_short_lease(1));
     // Where a bucket holds one token, none is granted ahead that could grow old.
     expect_needed("tokens expire", &Guards::tokens_expire, cold(6));
   }
@@ -70,8 +70,8 @@
       for (const LimitWindow& window :
            {kUsual, kTight, LimitWindow{proxy::kColdWindow, 0, 4}, LimitWindow{proxy::kColdWindow, -1, 5}}) {
         const Limit limit = cold(rate, window);
-        const HomeBudget budget = home_budget(limit);
-        const double most = kHomes * (budget.rate_per_s * 1.25 + budget.depth);
+        const OwnerShare share = owner_share(limit);
+        const double most = kQuotaOwners * (share.rate_per_s * 1.25 + share.depth);
         CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of {}", rate, most, allowance(limit)),
                                most <= allowance(limit) + 1e-9);
       }
@@ -79,13 +79,13 @@
   }
 
   void a_bucket_holds_a_token_where_that_is_allowed() {
-    const HomeBudget usual = home_budget(cold(3));
+    const OwnerShare usual = owner_share(cold(3));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, usual.rate_per_s, 1e-9);
     CPPUNIT_ASSERT(usual.depth >= 1);
-    const HomeBudget lowered = home_budget(cold(40, {proxy::kColdWindow, 0, 0}));
+    const OwnerShare lowered = owner_share(cold(40, {proxy::kColdWindow, 0, 0}));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, lowered.depth, 1e-9);
-    CPPUNIT_ASSERT(lowered.rate_per_s * kHomes > 29);
-    const HomeBudget nothing = home_budget(cold(2, {proxy::kColdWindow, 0, 0}));
+    CPPUNIT_ASSERT(lowered.rate_per_s * kQuotaOwners > 29);
+    const OwnerShare nothing = owner_share(cold(2, {proxy::kColdWindow, 0, 0}));
     CPPUNIT_ASSERT_EQUAL(0.0, nothing.rate_per_s);
     CPPUNIT_ASSERT_MESSAGE("two statements a second can't be divided in three", nothing.depth < 1);
   }
@@ -95,15 +95,15 @@
     const LimitedName backend{LimitedKind::kColdBackend, "one"};
     const auto proxy =
         std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p"), ZoneName("a"), {"10.0.0.1", 1}});
-    BudgetHome home(NodeName("p"));
-    home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
-    home.record_confirmed(TimePoint(play::seconds(10)), 1, TimePoint(play::seconds(10)));
+    QuotaLedger owner(NodeName("p"));
+    owner.set_owners(QuotaOwners({proxy}, {proxy}), 1);
+    owner.record_confirmed(TimePoint(play::seconds(10)), 1, TimePoint(play::seconds(10)));
     const TimePoint later(play::seconds(12));
     const Limit tenant_limit{tenant, 3, 0, kUsual};
     const Limit backend_limit{backend, 3, 0, kUsual};
-    CPPUNIT_ASSERT(home.grant(tenant_limit, {1, 0}, later).outcome == GrantOutcome::kGranted);
-    CPPUNIT_ASSERT(home.grant(tenant_limit, {1, 0}, later).outcome == GrantOutcome::kEmpty);
-    CPPUNIT_ASSERT(home.grant(backend_limit, {1, 0}, later).outcome == GrantOutcome::kGranted);
+    CPPUNIT_ASSERT(owner.grant(tenant_limit, {1, 0}, later).outcome == GrantOutcome::kGranted);
+    CPPUNIT_ASSERT(owner.grant(tenant_limit, {1, 0}, later).outcome == GrantOutcome::kEmpty);
+    CPPUNIT_ASSERT(owner.grant(backend_limit, {1, 0}, later).outcome == GrantOutcome::kGranted);
   }
 };
 
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -12,7 +12,7 @@
 #include <set>
 #include <vector>
 
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 #include "registered/limits/token_stock.h"
 #include "registered/registry/budget_authority.h"
 #include "registered/registry/settled_revision.h"
@@ -84,10 +84,10 @@
     std::uint64_t incarnation = 0;
   };
   struct Node {
-    std::unique_ptr<BudgetHome> home;
+    std::unique_ptr<QuotaLedger> owner;
     TokenStock stock;
     std::map<std::string, Row> view;
-    std::vector<int> homes;  ///< by its copy of the membership
+    std::vector<int> owners;  ///< by its copy of the membership
     std::uint64_t revision = 0;
     std::uint64_t incarnation = 0;
     TimePoint next_report{};
@@ -112,10 +112,10 @@
   void start(int number) {
     Node& node = nodes_[number];
     const Node fresh{};
-    node.home = std::make_unique<BudgetHome>(NodeName(name_of(number)));
+    node.owner = std::make_unique<QuotaLedger>(NodeName(name_of(number)));
     node.stock = TokenStock();
     node.view.clear();
-    node.homes.clear();
+    node.owners.clear();
     node.revision = 0;
     node.incarnation = ++incarnations_;
     node.updates.clear();
@@ -248,20 +248,20 @@
         const bool is_changed = node.revision == 0 || row.changed_at > node.revision;
         if (is_changed && (guards_.returning_home_is_new || !was_told)) changed.push_back(proxy);
       }
-      node.home->set_homes(BudgetHomes(takers, changed), update.revision);
-      node.homes.clear();
-      for (const auto& home : node.home->homes().of(limit_.of))
-        node.homes.push_back(std::stoi(home->name.value.substr(name_of(0).size() - 1)));
+      node.owner->set_owners(QuotaOwners(takers, changed), update.revision);
+      node.owners.clear();
+      for (const auto& owner : node.owner->owners().of(limit_.of))
+        node.owners.push_back(std::stoi(owner->name.value.substr(name_of(0).size() - 1)));
       node.view = update.rows;
       node.revision = update.revision;
     }
-    node.home->record_confirmed(update.asked_at, update.settled, now_);
+    node.owner->record_confirmed(update.asked_at, update.settled, now_);
   }
 
   void call(int number) {
     Node& node = nodes_[number];
     if (!runs(node) || !asks_) return;
-    if (!guards_.authority_ends) node.home->record_confirmed(now_, 0, now_);
+    if (!guards_.authority_ends) node.owner->record_confirmed(now_, 0, now_);
     for (int operation = 0; operation < 3; ++operation) {
       const TimePoint taken_at = guards_.tokens_expire ? now_ : TimePoint{};
       if (!node.stock.take(taken_at)) {
@@ -274,14 +274,14 @@
 
   void ask(int number) {
     Node& node = nodes_[number];
-    for (const int home : node.homes) {
-      Node& other = nodes_[home];
+    for (const int owner : node.owners) {
+      Node& other = nodes_[owner];
       if (!runs(other)) continue;
       // Sometimes more than is needed, held back until shortly before it expires.
-      const TokenWish wish{1, chance(0.2) ? 40U : 0U};
-      Grant grant = other.home->grant(limit_, wish, now_);
+      const TokenRequest request{1, chance(0.2) ? 40U : 0U};
+      Grant grant = other.owner->grant(limit_, request, now_);
       if (!guards_.bucket_starts_empty && fresh_.insert(other.incarnation).second)
-        grant.tokens += static_cast<std::uint64_t>(home_budget(limit_).depth);
+        grant.tokens += static_cast<std::uint64_t>(owner_share(limit_).depth);
       if (grant.tokens == 0) continue;
       node.stock.put(grant.tokens, now_);
       return;
@@ -315,7 +315,7 @@
   TimePoint turns_at_{};
 };
 
-/// The promise does not rest on the length of the lease; with a short one a lost home is replaced sooner.
+/// The promise does not rest on the length of the lease; with a short one a lost owner is replaced sooner.
 inline Guards with_short_lease(int only_event) {
   Guards guards;
   guards.lease = milliseconds(400);
--- a/tests/registered/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -2,7 +2,7 @@
 // refused before the change is owed anywhere.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 
 namespace cairnhollow::registered::limits {
 
@@ -31,15 +31,15 @@
   void setUp() override {
     const auto proxy = std::make_shared<subset::ProxyView>(
         subset::ProxyView{NodeName("proxy"), ZoneName("a"), {"10.0.0.1", 1}});
-    home_ = std::make_unique<BudgetHome>(NodeName("proxy"));
-    home_->set_homes(BudgetHomes({proxy}, {proxy}), 1);
+    ledger_ = std::make_unique<QuotaLedger>(NodeName("proxy"));
+    ledger_->set_owners(QuotaOwners({proxy}, {proxy}), 1);
     now_ = TimePoint(seconds(100));
     confirm();
   }
 
   void a_lowered_limit_is_counted_with_for_a_while() {
     granted_in(tenant_of(300), seconds(10));
-    home_->record_limit(tenant_of(300), tenant_of(30), now_);
+    ledger_->record_limit(tenant_of(300), tenant_of(30), now_);
     const int before = granted_in(tenant_of(30), seconds(2));
     CPPUNIT_ASSERT_MESSAGE("a third of 300 a second", before >= 190);
     const int after = granted_in(tenant_of(30), seconds(2));
@@ -48,16 +48,16 @@
 
   void a_second_lowering_does_not_prolong_the_first() {
     granted_in(tenant_of(300), seconds(10));
-    home_->record_limit(tenant_of(300), tenant_of(240), now_);
+    ledger_->record_limit(tenant_of(300), tenant_of(240), now_);
     granted_in(tenant_of(240), milliseconds(1900));
-    home_->record_limit(tenant_of(240), tenant_of(30), now_);
+    ledger_->record_limit(tenant_of(240), tenant_of(30), now_);
     granted_in(tenant_of(30), milliseconds(100));
     CPPUNIT_ASSERT(granted_in(tenant_of(30), seconds(2)) <= 20 + 20);
   }
 
   void a_raised_limit_holds_at_once() {
     granted_in(tenant_of(30), seconds(10));
-    home_->record_limit(tenant_of(30), tenant_of(300), now_);
+    ledger_->record_limit(tenant_of(30), tenant_of(300), now_);
     CPPUNIT_ASSERT(granted_in(tenant_of(300), seconds(2)) >= 190);
     CPPUNIT_ASSERT(granted_in(tenant_of(300), seconds(2)) >= 190);
   }
@@ -65,12 +65,12 @@
   void a_first_limit_holds_at_once() {
     Limit none = tenant_of(0);
     none.burst = 0;
-    home_->record_limit(none, tenant_of(30), now_);
+    ledger_->record_limit(none, tenant_of(30), now_);
     CPPUNIT_ASSERT(granted_in(tenant_of(30), seconds(2)) <= 20 + 20);
   }
 
  private:
-  void confirm() { home_->record_confirmed(now_, 1, now_); }
+  void confirm() { ledger_->record_confirmed(now_, 1, now_); }
   /// By a caller who asks for a token each 2 ms.
   int granted_in(const Limit& tenant, Duration length) {
     int granted = 0;
@@ -78,12 +78,12 @@
     while (now_ < end) {
       now_ += milliseconds(2);
       confirm();
-      granted += static_cast<int>(home_->grant(tenant, {1, 0}, now_).tokens);
+      granted += static_cast<int>(ledger_->grant(tenant, {1, 0}, now_).tokens);
     }
     return granted;
   }
 
-  std::unique_ptr<BudgetHome> home_;
+  std::unique_ptr<QuotaLedger> ledger_;
   TimePoint now_{};
 };
 
--- a/tests/registered/limits/budget_home_test.cpp
+++ b/tests/registered/limits/quota_ledger_test.cpp
@@ -1,7 +1,7 @@
 // Limits over all proxies: whatever happens to proxies, control and the paths between them, no window sees
 // more operations of a tenant than the operator allows. A tenant at many times its limit asks all the time,
 // which is the load that tells: every token that two proxies grant for one is used.
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-class BudgetHomeTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(BudgetHomeTest);
+class QuotaLedgerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(QuotaLedgerTest);
   CPPUNIT_TEST(no_window_sees_more_than_is_allowed);
   CPPUNIT_TEST(thin_tenants_are_bounded_alike);
   CPPUNIT_TEST(each_guard_is_needed);
@@ -75,28 +75,28 @@
     expect_needed("waits until settled", &Guards::waits_until_settled);
     expect_needed("authority ends", &Guards::authority_ends);
     expect_needed("bucket starts empty", &Guards::bucket_starts_empty, {});
-    expect_needed("returning home is new", &Guards::returning_home_is_new, kStrict, with_short_lease(1));
+    expect_needed("returning owner is new", &Guards::returning_home_is_new, kStrict, with_short_lease(1));
   }
 
   void a_home_that_returns_waits_like_a_new_one() {
     const auto proxy = std::make_shared<subset::ProxyView>(
         subset::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
-    BudgetHome home(NodeName("home"));
+    QuotaLedger owner(NodeName("home"));
     TimePoint now{seconds(10)};
-    const auto outcome = [&] { return home.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
-    home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
-    home.record_confirmed(now, 1, now);
+    const auto outcome = [&] { return owner.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
+    owner.set_owners(QuotaOwners({proxy}, {proxy}), 1);
+    owner.record_confirmed(now, 1, now);
     now += seconds(1);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
-    // Others came, and it stayed a home all the time.
-    home.set_homes(BudgetHomes({proxy}, {}), 2);
+    // Others came, and it stayed an owner all the time.
+    owner.set_owners(QuotaOwners({proxy}, {}), 2);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
     // It was none for a while, and others may count in its place.
-    home.set_homes(BudgetHomes({proxy}, {proxy}), 4);
+    owner.set_owners(QuotaOwners({proxy}, {proxy}), 4);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
-    home.record_confirmed(now, 3, now);
+    owner.record_confirmed(now, 3, now);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
-    home.record_confirmed(now, 4, now);
+    owner.record_confirmed(now, 4, now);
     now += seconds(1);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
   }
@@ -104,15 +104,15 @@
   void a_home_stops_when_control_was_not_heard_for_long() {
     const auto proxy = std::make_shared<subset::ProxyView>(
         subset::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
-    BudgetHome home(NodeName("home"));
+    QuotaLedger owner(NodeName("home"));
     const TimePoint asked{seconds(10)};
-    const auto outcome = [&](TimePoint now) { return home.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
-    home.set_homes(BudgetHomes({proxy}, {proxy}), 1);
-    home.record_confirmed(asked, 1, asked + milliseconds(200));
+    const auto outcome = [&](TimePoint now) { return owner.grant(tenant_of(100, 100), {1, 0}, now).outcome; };
+    owner.set_owners(QuotaOwners({proxy}, {proxy}), 1);
+    owner.record_confirmed(asked, 1, asked + milliseconds(200));
     const TimePoint end = asked + registry::kBudgetAuthority;
     CPPUNIT_ASSERT(outcome(end - milliseconds(1)) == GrantOutcome::kGranted);
     CPPUNIT_ASSERT_MESSAGE("counted from the question", outcome(end) == GrantOutcome::kNotCounting);
-    home.record_confirmed(end, 1, end);
+    owner.record_confirmed(end, 1, end);
     CPPUNIT_ASSERT(outcome(end) == GrantOutcome::kGranted);
   }
 
@@ -141,36 +141,36 @@
   }
 
   void a_calm_fleet_gives_the_whole_rate() {
-    // Homes that nobody disturbs: what one bucket of the whole rate and burst lets through.
+    // Owners that nobody disturbs: what one bucket of the whole rate and burst lets through.
     const Limit tenant = tenant_of(30, 30);
-    std::vector<TokenBucket> buckets(kHomes, TokenBucket(TimePoint{}));
-    const HomeBudget budget = home_budget(tenant);
+    std::vector<TokenBucket> buckets(kQuotaOwners, TokenBucket(TimePoint{}));
+    const OwnerShare share = owner_share(tenant);
     TimePoint now = TimePoint(seconds(30));
     std::uint64_t granted = 0;
     for (int tick = 0; tick < 1000; ++tick) {
       now += milliseconds(10);
-      for (TokenBucket& bucket : buckets) granted += bucket.take(10, budget, now);
+      for (TokenBucket& bucket : buckets) granted += bucket.take(10, share, now);
     }
     CPPUNIT_ASSERT(granted >= 30 * 10 + 30);
   }
 
   void two_homes_of_three_give_two_thirds() {
-    const HomeBudget budget = home_budget(tenant_of(90, 90));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(60.0, budget.rate_per_s * 2, 1e-9);
+    const OwnerShare share = owner_share(tenant_of(90, 90));
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(60.0, share.rate_per_s * 2, 1e-9);
   }
 
   void the_part_of_a_home_adds_up() {
     for (const std::uint64_t rate : {5, 117, 900}) {
       const Limit tenant = tenant_of(rate, rate);
-      const HomeBudget budget = home_budget(tenant);
-      const double in_window = 5.25 * budget.rate_per_s * kHomes + budget.depth * kHomes;
+      const OwnerShare share = owner_share(tenant);
+      const double in_window = 5.25 * share.rate_per_s * kQuotaOwners + share.depth * kQuotaOwners;
       CPPUNIT_ASSERT(in_window <= allowance(tenant) + 1e-6);
       CPPUNIT_ASSERT_MESSAGE("no less than the operator's burst",
-                             budget.depth * kHomes >= static_cast<double>(rate));
+                             share.depth * kQuotaOwners >= static_cast<double>(rate));
     }
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(BudgetHomeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(QuotaLedgerTest);
 
 }  // namespace cairnhollow::registered::limits
--- a/tests/registered/proxy/limits/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -1,4 +1,4 @@
-// Operations of a tenant begin as soon as one of its homes has a token, also where that home is this proxy.
+// Operations of a tenant begin as soon as one of its owners has a token, also where that owner is this proxy.
 #include "registered/proxy/limits/limit_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -55,7 +55,7 @@
     limits_ = std::make_unique<LimitClient>(*runtime_, *view_, *forwarder_, *metrics_);
     view_->apply(fleet());
     view_->extend_lease(runtime_->now(), runtime_->now() + seconds(60), 1);
-    begin();  // the bucket of a home that was not asked before is empty
+    begin();  // the bucket of an owner that was not asked before is empty
     world_->run_for(seconds(2));
   }
   void tearDown() override {
@@ -92,7 +92,7 @@
       CPPUNIT_ASSERT(admission->answer);
       if (admission->answer->outcome == AdmissionOutcome::kOverLimit) ++refused;
     }
-    CPPUNIT_ASSERT_MESSAGE("a bucket of 3 homes holds less than 200", refused > 50);
+    CPPUNIT_ASSERT_MESSAGE("a bucket of 3 owners holds less than 200", refused > 50);
   }
 
  private:
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -308,7 +308,7 @@
     proxy_ = std::make_unique<Proxy>(*runtime_, fleet(cold_rate, cold_ms));
     confirm();
     // The bucket begins with the first question.
-    proxy_->view.budgets().grant(*proxy_->view.cold_limit(kBackend), {}, runtime_->now());
+    proxy_->view.quotas().grant(*proxy_->view.cold_limit(kBackend), {}, runtime_->now());
     world_->run_for(milliseconds(4500));
     confirm();
   }
