--- a/src/registered/proxy/fleet/control_conversation.h
+++ b/src/registered/proxy/fleet/control_conversation.h
@@ -1,6 +1,7 @@
 // One connection of a proxy to a control node, and what was asked on it.
 #pragma once
 
+#include <chrono>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -9,6 +10,10 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// Without an answer for this long another control node is asked.
+inline constexpr Duration kReportTimeout = std::chrono::milliseconds(600);
+inline constexpr Duration kFirstReportTimeout = std::chrono::milliseconds(900);
+
 struct ControlConversation {
   std::shared_ptr<runtime::FrameConnection> connection;
   Endpoint endpoint;
--- a/src/registered/proxy/fleet/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -1,6 +1,7 @@
 // A proxy's conversation with the leader of the control nodes: leases, changes, answers to closes.
 #pragma once
 
+#include <chrono>
 #include <functional>
 #include <map>
 #include <memory>
@@ -17,6 +18,11 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// A lease is asked for this often.
+inline constexpr Duration kReportInterval = std::chrono::milliseconds(400);
+/// The same primary is not reported again within this time.
+inline constexpr Duration kSuspicionRepeat = std::chrono::milliseconds(300);
+
 /// Why a primary is suspected.
 enum class SuspicionKind : std::uint8_t {
   kSilent,        ///< a statement has no answer
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -1,6 +1,7 @@
 // A proxy's copy of the registered fleet: routes by database, groups, and how long it may be trusted.
 #pragma once
 
+#include <chrono>
 #include <map>
 #include <memory>
 #include <set>
@@ -20,6 +21,16 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// So soon after its start, or after its last lease, a proxy expects the next one. What needs it waits only
+/// then. After a common loss of power leases came 0.12
+/// to 0.52 s after the proxies' start; a proxy without one by then is cut off, and its callers are told at
+/// once.
+inline constexpr Duration kFirstLeaseExpectedWithin = std::chrono::milliseconds(700);
+inline constexpr Duration kLeaseExpectedWithin = std::chrono::milliseconds(1500);
+/// Orders of proxies for a group and a tenant that are remembered, 0.5 KB each; then they are worked out
+/// anew.
+inline constexpr std::size_t kMostTenantDivisions = 4096;
+
 /// What a group's backends are to do for a tenant.
 enum class GroupWork : std::uint8_t { kAtPrimary, kSingleReads };
 
--- a/src/registered/proxy/fleet/leader_search.h
+++ b/src/registered/proxy/fleet/leader_search.h
@@ -3,6 +3,7 @@
 // leads or knows who does.
 #pragma once
 
+#include <chrono>
 #include <deque>
 #include <functional>
 #include <memory>
@@ -19,6 +20,20 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// Control nodes asked side by side for the leader: as many as vote where five lost disks are borne. More
+/// machines only stand by.
+inline constexpr std::size_t kControlNodesAskedAtOnce = 11;
+/// Longest wait for a connection to one of them. A machine that has no power lets a dial hang, and one that
+/// has it back answers a new dial at once: so dials are short, but fifty round trips between zones (2 ms on
+/// the deployments) and four between regions. Each fifth is longer, for links that are slow.
+inline constexpr Duration kControlDial = std::chrono::milliseconds(100);
+inline constexpr Duration kLongControlDial = std::chrono::milliseconds(400);
+inline constexpr int kLongControlDialEvery = 5;
+inline constexpr Duration kSearchLogInterval = std::chrono::milliseconds(250);
+/// Pause before a control node is asked again, first and at most; it doubles in between.
+inline constexpr Duration kControlRetryPause = std::chrono::milliseconds(20);
+inline constexpr Duration kControlRetryLimit = std::chrono::milliseconds(80);
+
 /// What it refers to outlives it; it lives until the process ends.
 class LeaderSearch {
  public:
--- a/src/registered/proxy/forwarding/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -2,6 +2,7 @@
 // is one hop only: who gets a forwarded statement runs it or refuses it.
 #pragma once
 
+#include <chrono>
 #include <map>
 #include <memory>
 #include <optional>
@@ -15,6 +16,24 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// A statement waits this long for a connection to another proxy before the next one is asked: 25 round trips
+/// between zones (2 ms on the deployments), two between regions. The dial itself goes on for the limit.
+inline constexpr Duration kForwardDialPatience = std::chrono::milliseconds(50);
+inline constexpr Duration kForwardDialLimit = std::chrono::milliseconds(400);
+/// Pause before a proxy out of reach is dialled again, first and at most; it doubles in between. It is
+/// dialled as long as a statement was to be sent there within the interest.
+inline constexpr Duration kForwardRedialPause = std::chrono::milliseconds(100);
+inline constexpr Duration kForwardRedialLimit = std::chrono::milliseconds(800);
+inline constexpr Duration kForwardInterest = std::chrono::seconds(10);
+/// A proxy that answers nothing for this long while it is waited for is asked for a sign of life, which it
+/// gives before all else; without one it is given up. A process whose share of a core is spent stands still
+/// for up to 100 ms, and is not to be given up for that. Looked at no more often than the pause.
+inline constexpr Duration kForwardSilence = std::chrono::milliseconds(80);
+inline constexpr Duration kForwardAnswerLimit = std::chrono::milliseconds(170);
+inline constexpr Duration kForwardWatchPause = std::chrono::milliseconds(20);
+/// A proxy that could not serve a group is not sent its statements for this long, where another can.
+inline constexpr Duration kAvoidProxy = std::chrono::seconds(1);
+
 /// One connection to another proxy, shared by the statements that are forwarded over it.
 class ForwardConnection {
  public:
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -2,6 +2,7 @@
 // described in registry/member_lease.h.
 #pragma once
 
+#include <chrono>
 #include <map>
 #include <memory>
 #include <set>
@@ -14,6 +15,14 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// Members are asked for leases this often, once control's lease has less than the head start left: its
+/// renewals come 0.4 to 0.6 s apart (of 1.5 s), so one was missed by then. Three questions fit into one such
+/// lease (0.5 s).
+inline constexpr Duration kMemberLeaseTick = std::chrono::milliseconds(150);
+inline constexpr Duration kMemberLeaseHeadStart = std::chrono::milliseconds(700);
+/// Longest wait for all members' answers: half of a member lease is left when they come this late.
+inline constexpr Duration kMemberRoundLimit = std::chrono::milliseconds(250);
+
 /// What it refers to outlives it; it lives until the process ends.
 class MemberLeaseKeeper {
  public:
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -2,6 +2,7 @@
 // to a cold backend.
 #pragma once
 
+#include <chrono>
 #include <map>
 #include <memory>
 
@@ -15,6 +16,15 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// A quota owner is waited for this long for tokens: as long as a dial to another proxy, and a little
+/// for the answer; then the next one is asked. All three fit into the limit.
+inline constexpr Duration kOwnerPatience = std::chrono::milliseconds(60);
+inline constexpr Duration kAdmissionLimit = std::chrono::milliseconds(200);
+/// After all owners of a tenant's quota had no token, none of its operations here asks again for this long: a
+/// tenant at several times its limit would ask three of them for each refusal. No token is lost by it: the
+/// owners hold them.
+inline constexpr Duration kLeastRefusalPause = std::chrono::milliseconds(20);
+
 /// What an operation is told that wants to begin, or a statement that wants to be sent: what may pass has
 /// passed, or no proxy that counts answered.
 struct AdmissionAnswer {
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -1,6 +1,7 @@
 #include "registered/proxy/session_proxy.h"
 
 #include <algorithm>
+#include <chrono>
 #include <map>
 #include <set>
 
@@ -21,6 +22,18 @@
 
 namespace {
 
+/// A proxy that is left with less of its lease takes no new sessions: two renewals in a row have failed.
+inline constexpr Duration kReadyLeaseLeft = std::chrono::milliseconds(500);
+/// Without a lease for this long, idle sessions are let go: their callers find another proxy.
+inline constexpr Duration kLetGoAfter = std::chrono::milliseconds(2300);
+/// After SIGTERM: how long callers are still sent here, and idle sessions are kept.
+inline constexpr Duration kDrainIdleAfter = std::chrono::milliseconds(2300);
+/// How long before the end of the drain nothing more is read; what was read is answered until shortly before
+/// the end.
+inline constexpr Duration kDrainMargin = std::chrono::milliseconds(800);
+inline constexpr Duration kDrainLastMargin = std::chrono::milliseconds(200);
+inline constexpr Duration kDrainLastTick = std::chrono::milliseconds(20);
+
 /// Answers whether the proxy takes sessions, and its metrics.
 class ReadinessCalls : public runtime::HttpHandler {
  public:
