--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -1,13 +1,14 @@
 // A proxy's copy of the registered fleet: routes by database, groups, and how long it may be trusted.
 #pragma once
 
+#include <chrono>
 #include <map>
 #include <memory>
 #include <set>
 #include <tuple>
 #include <vector>
 
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 #include "registered/locality/permitted_regions.h"
 #include "registered/proxy/group/group_access.h"
 #include "registered/proxy/links/cold_backend.h"
@@ -20,6 +21,16 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// So soon after its start, or after its last lease, a proxy expects the next one. What needs it waits only
+/// then. After a common loss of power leases came 0.12
+/// to 0.52 s after the proxies' start; a proxy without one by then is cut off, and its callers are told at
+/// once.
+inline constexpr Duration kFirstLeaseExpectedWithin = std::chrono::milliseconds(700);
+inline constexpr Duration kLeaseExpectedWithin = std::chrono::milliseconds(1500);
+/// Orders of proxies for a group and a tenant that are remembered, 0.5 KB each; then they are worked out
+/// anew.
+inline constexpr std::size_t kMostTenantDivisions = 4096;
+
 /// What a group's backends are to do for a tenant.
 enum class GroupWork : std::uint8_t { kAtPrimary, kSingleReads };
 
@@ -37,7 +48,7 @@
         limit_window_(settings.limit_window),
         cold_window_{kColdWindow, settings.cold_overshoot - 1, settings.cold_slack},
         limits_cold_(settings.cold_overshoot > 0 || settings.cold_slack > 0),
-        budgets_(settings.node),
+        quotas_(settings.node),
         renewed_(runtime),
         started_(runtime.now()) {}
 
@@ -56,7 +67,7 @@
                            TimePoint until);
   /// Control's lease, or that of the group's members, lets this proxy use the group's primary.
   [[nodiscard]] bool holds_lease_for(const GroupAccess& group) const {
-    return lease_valid() || group.has_member_lease();
+    return lease_valid() || group.leadership.has_member_lease();
   }
   /// Some group is served by its members' lease.
   [[nodiscard]] bool has_member_lease() const;
@@ -90,7 +101,7 @@
   /// or its group limits nothing.
   [[nodiscard]] std::optional<limits::Limit> cold_limit(const BackendName& backend) const;
   /// What this proxy counts for tenants and cold backends, and who counts for the others.
-  limits::BudgetHome& budgets() { return budgets_; }
+  limits::QuotaLedger& quotas() { return quotas_; }
   [[nodiscard]] const NodeName& node() const { return node_; }
   [[nodiscard]] const ZoneName& zone() const { return zone_; }
   /// Null when it is not registered, as far as this proxy knows.
@@ -119,7 +130,8 @@
   /// Whether the primary of `epoch` may be sent to, and its answers be passed on, at this moment: not once
   /// another incarnation has its name.
   [[nodiscard]] bool may_use_primary(const GroupAccess& group, std::uint64_t epoch) const {
-    const bool is_same = group.term().open && group.term().epoch == epoch && !group.is_primary_restarted();
+    const bool is_same =
+        group.term().open && group.term().epoch == epoch && !group.backends.is_primary_restarted();
     return is_same && holds_lease_for(group);
   }
   /// Notified when the lease was extended.
@@ -187,7 +199,7 @@
   limits::LimitWindow limit_window_;
   limits::LimitWindow cold_window_;
   bool limits_cold_;  ///< what is sent to cold backends is bound
-  limits::BudgetHome budgets_;
+  limits::QuotaLedger quotas_;
   runtime::Signal renewed_;
   TimePoint started_;
   TimePoint lease_until_{};
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -4,6 +4,7 @@
 
 #include <utility>
 
+#include "registered/proxy/group/status_question.h"
 #include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
 
@@ -51,69 +52,62 @@
 Awaitable<void> MemberLeaseKeeper::renew(std::shared_ptr<GroupAccess> group) {
   const TimePoint asked_at = runtime_.now();
   const auto round = std::make_shared<Round>(runtime_, group->term());
-  const std::uint64_t membership = group->membership();
-  round->primary_shows = std::max(group->highest_acknowledged(), group->primary_shown().value_or(Position{}));
-  for (const auto& [name, member] : group->backends()) {
+  const std::uint64_t membership = group->leadership.membership();
+  round->primary_shows =
+      std::max(group->positions.highest_acknowledged(), group->positions.shown().value_or(Position{}));
+  for (const auto& [name, member] : group->backends.all()) {
     if (name == round->term.primary) continue;
     ++round->unanswered;
     runtime_.spawn("member_lease_ask", ask(round, member));
   }
   if (round->unanswered == 0) round->failure = "no member may follow the primary";
-  if (group->is_primary_restarted()) round->failure = "the primary has started again";
+  if (group->backends.is_primary_restarted()) round->failure = "the primary has started again";
   bool in_time = true;
   while (round->unanswered > 0 && round->failure.empty() && in_time)
     in_time = co_await round->answered.wait_until(round->deadline);
   if (round->unanswered > 0 && round->failure.empty()) round->failure = "a member did not answer in time";
   if (round->failure.empty())
     view_.extend_member_lease(*group, round->term.epoch, membership, asked_at + registry::kMemberLease);
-  failed_[group->group()] = round->failure;
+  failed_[group->name] = round->failure;
   if (!round->failure.empty() && !view_.holds_lease_for(*group)) record_refused(*group, round->failure);
-  asking_.erase(group->group());
+  asking_.erase(group->name);
 }
 
 Awaitable<void> MemberLeaseKeeper::ask(RoundPointer round, std::shared_ptr<BackendUse> member) {
-  std::optional<Refusal> refusal;
   Reason reason;
-  std::optional<BackendStatus> status;
-  const LinkDeadlines deadlines{round->deadline, round->deadline};
-  LinkWish wish;
-  wish.any_tenant = true;
-  const auto link = co_await member->pool.acquire(std::move(wish), deadlines, refusal, reason);
-  if (link) {
-    runtime::SendState sent = runtime::SendState::kNotSent;
-    BackendRequest request = AskStatus{};
-    const auto answer = co_await link->link().run(std::move(request), round->deadline, sent, reason);
-    if (answer && answer->refusal) reason.detail = refusal_name(*answer->refusal);
-    if (answer && !answer->refusal) status = link->link().read_status(*answer, reason);
-    member->pool.release(link);
-  }
+  const auto answer = co_await ask_status(runtime_, member, round->deadline, reason);
   --round->unanswered;
-  const std::string name = member->entry.name.value;
-  if (!status) {
-    round->failure = fmt::format("{} gave no status: {}", name, reason.to_string());
-  } else if (status->is_primary || status->term != round->term.term) {
-    round->failure = fmt::format("{} is {} of term {}, the known term is {}", name,
-                                 status->is_primary ? "primary" : "replica", status->term, round->term.term);
-  } else if (status->pause_term > 0) {
-    round->failure = fmt::format("{} is paused for term {}", name, status->pause_term);
-  } else if (member->entry.tells_birth() && has_lost_log(*round, *member, status->received)) {
-    // Its pause, if there was one, ended with the life that the round was to ask.
-    round->failure = fmt::format("{} shows less than it should, so that it has started again", name);
-  }
+  std::string objection =
+      answer ? objection_of(*round, *member, answer->status)
+             : fmt::format("{} gave no status: {}", member->entry.name.value, reason.to_string());
+  if (!objection.empty()) round->failure = std::move(objection);
   round->answered.notify_all();
 }
 
+std::string MemberLeaseKeeper::objection_of(const Round& round, BackendUse& member,
+                                            const BackendStatus& status) {
+  const std::string& name = member.entry.name.value;
+  if (status.is_primary || status.term != round.term.term)
+    return fmt::format("{} is {} of term {}, the known term is {}", name,
+                       status.is_primary ? "primary" : "replica", status.term, round.term.term);
+  if (status.pause_term > 0) return fmt::format("{} is paused for term {}", name, status.pause_term);
+  // Its pause, if there was one, ended with the incarnation that the round was to ask.
+  if (member.entry.tells_birth() && has_lost_log(round, member, status.received))
+    return fmt::format("{} shows less than it should, so that it has started again", name);
+  return {};
+}
+
 bool MemberLeaseKeeper::has_lost_log(const Round& round, BackendUse& member, Position received) {
   const bool is_blank = received.index == 0 && round.primary_shows.index > 0;
-  return !member.record_shown(round.term.term, received) || is_blank;
+  return !member.shown_log.record(round.term.term, received) || is_blank;
 }
 
 void MemberLeaseKeeper::record_refused(const GroupAccess& group, const std::string& why) {
-  std::string& told = told_[group.group()];
+  std::string& told = told_[group.name];
   if (told == why) return;
   told = why;
   runtime_.logger().log(LogLevel::kWarning, "member_lease_refused",
-                        {{"group", group.group().value},
+                        {{"group", group.name.value},
                          {"term", std::to_string(group.term().term)},
                          {"epoch", std::to_string(group.term().epoch)},
                          {"why", why}});
@@ -123,7 +117,7 @@
   if (view_.lease_valid()) told_.clear();
   std::size_t serving = 0;
   for (const auto& [name, group] : view_.groups()) {
-    const bool serves = !view_.lease_valid() && group->has_member_lease();
+    const bool serves = !view_.lease_valid() && group->leadership.has_member_lease();
     if (serves) ++serving;
     if (serves == (serving_.count(name) > 0)) continue;
     if (serves) serving_.insert(name);
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -1,11 +1,12 @@
-// Asks the homes of what is limited for tokens: one for each operation of a tenant, and for each statement to
-// a cold backend.
+// Asks the owners of what is limited for tokens: one for each operation of a tenant, and for each statement
+// to a cold backend.
 #pragma once
 
+#include <chrono>
 #include <map>
 #include <memory>
 
-#include "registered/limits/budget_home.h"
+#include "registered/limits/quota_ledger.h"
 #include "registered/limits/token_stock.h"
 #include "registered/proxy/fleet/fleet_view.h"
 #include "registered/proxy/forwarding/forwarder.h"
@@ -15,6 +16,15 @@
 
 namespace cairnhollow::registered::proxy {
 
+/// A quota owner is waited for this long for tokens: as long as a dial to another proxy, and a little
+/// for the answer; then the next one is asked. All three fit into the limit.
+inline constexpr Duration kOwnerPatience = std::chrono::milliseconds(60);
+inline constexpr Duration kAdmissionLimit = std::chrono::milliseconds(200);
+/// After all owners of a tenant's quota had no token, none of its operations here asks again for this long: a
+/// tenant at several times its limit would ask three of them for each refusal. No token is lost by it: the
+/// owners hold them.
+inline constexpr Duration kLeastRefusalPause = std::chrono::milliseconds(20);
+
 /// What an operation is told that wants to begin, or a statement that wants to be sent: what may pass has
 /// passed, or no proxy that counts answered.
 struct AdmissionAnswer {
@@ -52,8 +62,8 @@
   using AccountPointer = std::shared_ptr<Account>;
 
   Awaitable<AdmissionAnswer> take_or_ask(limits::Limit limit);
-  Awaitable<void> ask_homes(limits::Limit limit, AccountPointer account);
-  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenWish wish, subset::ProxyPointer home);
+  Awaitable<void> ask_owners(limits::Limit limit, AccountPointer account);
+  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenRequest wanted, subset::ProxyPointer owner);
   /// This proxy, those of its zone, the others; those that did not answer a moment ago last.
   [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitedName& limited) const;
 
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -1,6 +1,7 @@
 #include "registered/proxy/session_proxy.h"
 
 #include <algorithm>
+#include <chrono>
 #include <map>
 #include <set>
 
@@ -9,6 +10,7 @@
 #include "registered/proxy/fleet/fleet_view.h"
 #include "registered/proxy/fleet/known_registrations.h"
 #include "registered/proxy/forwarding/forward_server.h"
+#include "registered/proxy/group/link_warming.h"
 #include "registered/proxy/group/member_lease_keeper.h"
 #include "registered/proxy/group/position_keeper.h"
 #include "registered/proxy/knobs.h"
@@ -20,6 +22,18 @@
 
 namespace {
 
+/// A proxy that is left with less of its lease takes no new sessions: two renewals in a row have failed.
+inline constexpr Duration kReadyLeaseLeft = std::chrono::milliseconds(500);
+/// Without a lease for this long, idle sessions are let go: their callers find another proxy.
+inline constexpr Duration kLetGoAfter = std::chrono::milliseconds(2300);
+/// After SIGTERM: how long callers are still sent here, and idle sessions are kept.
+inline constexpr Duration kDrainIdleAfter = std::chrono::milliseconds(2300);
+/// How long before the end of the drain nothing more is read; what was read is answered until shortly before
+/// the end.
+inline constexpr Duration kDrainMargin = std::chrono::milliseconds(800);
+inline constexpr Duration kDrainLastMargin = std::chrono::milliseconds(200);
+inline constexpr Duration kDrainLastTick = std::chrono::milliseconds(20);
+
 /// Answers whether the proxy takes sessions, and its metrics.
 class ReadinessCalls : public runtime::HttpHandler {
  public:
@@ -166,7 +180,7 @@
 void SessionProxy::watch_primaries(TimePoint now) {
   for (const auto& [name, group] : view_.groups()) {
     bool commits_only = false;
-    if (!group->is_primary_silent(now, commits_only)) continue;
+    if (!group->primary_health.is_silent(now, commits_only)) continue;
     link_.report_suspicion(*group, commits_only ? SuspicionKind::kCommitsStall : SuspicionKind::kSilent);
     if (!commits_only) check_primary(group);
   }
@@ -174,12 +188,12 @@
 
 /// Slow or out of reach: a new connection tells.
 void SessionProxy::check_primary(const std::shared_ptr<GroupAccess>& group) {
-  if (!checked_.insert(group->group()).second) return;
+  if (!checked_.insert(group->name).second) return;
   runtime_.spawn("check_primary", dial_primary(group));
 }
 
 Awaitable<void> SessionProxy::dial_primary(std::shared_ptr<GroupAccess> group) {
-  const auto primary = group->primary();
+  const auto primary = group->standing.primary();
   bool reached = true;
   if (primary) {
     std::optional<Refusal> refusal;
@@ -190,10 +204,10 @@
     if (link) link->close();
   }
   if (!reached) {
-    group->mark_primary_unreachable();
+    group->leadership.mark_primary_unreachable();
     link_.report_suspicion(*group, SuspicionKind::kUnreachable);
   }
-  checked_.erase(group->group());
+  checked_.erase(group->name);
 }
 
 void SessionProxy::let_idle_go() {
@@ -223,7 +237,7 @@
     // proxy would open links to groups that others serve.
     if (!is_ready() || view_.document_version() == 0 || view_.requires_keys()) continue;
     for (const auto& [name, group] : view_.groups()) {
-      if (view_.forward_to(name).empty() && group->warm_one()) break;
+      if (view_.forward_to(name).empty() && warm_one(runtime_, *group)) break;
     }
   }
 }
@@ -234,7 +248,7 @@
     const bool serves = view_.forward_to(name).empty();
     // None is kept for a tenant, either: there are more tenants than links.
     const std::size_t kept = serves && !view_.requires_keys() ? 1 : 0;
-    for (const auto& [backend, use] : group->backends()) use->pool.trim(now, kept);
+    for (const auto& [backend, use] : group->backends.all()) use->pool.trim(now, kept);
   }
 }
 
@@ -243,7 +257,7 @@
   if (view_.evacuated().size() == 0) return;
   for (const auto& [id, session] : sessions_) session->end_evacuated_transaction();
   forward_server_.end_evacuated_transactions();
-  for (const auto& [name, group] : view_.groups()) group->close_evacuated_links();
+  for (const auto& [name, group] : view_.groups()) group->backends.close_evacuated_links();
 }
 
 Awaitable<void> SessionProxy::watch() {
