--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -57,10 +57,9 @@
 
 /// How far a statement may go on.
 struct Patience {
-  bool may_try = true;     ///< it has time and attempts left
-  bool may_wait = true;    ///< and may wait for somebody who can serve it
-  bool offered = false;    ///< a backend that could run it was asked already
-  Duration back_after{0};  ///< what a refused caller is told to wait, where nothing better is known
+  bool may_try = true;   ///< it has time and attempts left
+  bool may_wait = true;  ///< and may wait for somebody who can serve it
+  bool offered = false;  ///< a backend that could run it was asked already
 };
 
 /// A caller's key, and what it has to prove.
--- a/src/registered/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -1,5 +1,7 @@
 #include "registered/placement/placement.h"
 
+#include "registered/placement/retry_after.h"
+
 namespace cairnhollow::registered::placement {
 
 namespace {
@@ -64,13 +66,15 @@
 Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
                      std::span<const BackendFacts> backends, const Patience& patience) {
   if (!patience.may_try)
-    return refuse(main_rejection(need, proxy, patience, RejectionReason::kNone), patience.back_after);
+    return refuse(main_rejection(need, proxy, patience, RejectionReason::kNone), kRetryAfterWithoutPrimary);
   const BackendChoice choice = choose_backend(need.needs_primary(), backends);
   if (choice.is_final)
-    return refuse(choice.rejection, choice.back_in > Duration(0) ? choice.back_in : patience.back_after);
+    return refuse(choice.rejection,
+                  choice.back_in > Duration(0) ? choice.back_in : kRetryAfterWithoutPrimary);
   if (choice.backend && (proxy.holds_lease || !need.needs_primary())) return run_at(*choice.backend);
   const RejectionReason rejection = main_rejection(need, proxy, patience, choice.rejection);
-  return is_worth_waiting(proxy, patience) ? wait_for(rejection) : refuse(rejection, patience.back_after);
+  return is_worth_waiting(proxy, patience) ? wait_for(rejection)
+                                           : refuse(rejection, kRetryAfterWithoutPrimary);
 }
 
 TurnAction take_turn(const ProxyTurn& turn, const ProxyFacts& proxy) {
@@ -81,11 +85,11 @@
 }
 
 Placement place_unforwarded(const ForwardingEnd& end, const ProxyFacts& proxy, const Patience& patience) {
-  if (!end.may_try_another) return refuse(RejectionReason::kNone, patience.back_after);
+  if (!end.may_try_another) return refuse(RejectionReason::kNone, kRetryAfterWithoutPrimary);
   if (proxy.holds_lease && end.has_waited) return run_at(0);
-  if (proxy.holds_lease) return refuse(RejectionReason::kNoProxy, patience.back_after);
+  if (proxy.holds_lease) return refuse(RejectionReason::kNoProxy, kRetryAfterWithoutPrimary);
   if (proxy.expects_lease && patience.may_wait) return wait_for(RejectionReason::kNoLease);
-  return refuse(RejectionReason::kNoLease, patience.back_after);
+  return refuse(RejectionReason::kNoLease, kRetryAfterWithoutPrimary);
 }
 
 bool may_another_serve(const ProxyFacts& proxy) {
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -6,6 +6,8 @@
 #include <utility>
 #include <vector>
 
+#include "registered/placement/attempt_outcome.h"
+#include "registered/placement/retry_after.h"
 #include "registered/registry/division.h"
 
 namespace cairnhollow::registered::proxy {
@@ -116,7 +118,7 @@
   if (link) backend->rebirth.record_reached(runtime_.now());
   if (!link && !refusal) backend->rebirth.mark_unreachable();
   if (link) backend->pool.release(std::move(link));
-  if (!link) backend->avoid_until = runtime_.now() + kAvoidBackend;
+  if (!link) backend->avoid_until = runtime_.now() + placement::kAvoidBackend;
 }
 
 void GroupAccess::share_connections(std::uint64_t proxies) {
@@ -203,14 +205,14 @@
   // A primary goes on for a while, so that it is followed while it runs.
   facts.transaction_grace_over = backend.is_off_limits(now);
   facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
-  if (facts.zone_evacuated) facts.back_in = kRetryAfterEvacuation;
+  if (facts.zone_evacuated) facts.back_in = placement::kRetryAfterEvacuation;
   facts.tried = question.tried != nullptr && question.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
   facts.refused = backend.pool.is_refused();
   facts.cold_limit_reached = is_cold_limit_reached(backend);
   if (facts.cold_limit_reached) facts.back_in = backend.cold_limit_reached_until - now;
   if (question.allowed != nullptr) facts.region_allowed = question.allowed->allows(backend.entry.zone);
-  if (!facts.region_allowed) facts.back_in = kRetryAfterOutsideRegions;
+  if (!facts.region_allowed) facts.back_in = placement::kRetryAfterOutsideRegions;
   if (question.need == nullptr || question.need->primary_only) return facts;
   facts.lags = !facts.is_primary && backend.lag(now) > now - question.need->required_since;
   facts.cost = cost_of(backend);
--- a/src/registered/proxy/knobs.h
+++ b/src/registered/proxy/knobs.h
@@ -82,27 +82,6 @@
 inline constexpr Duration kForwardSlack = milliseconds(60);
 /// Proxies that one statement is forwarded to, one after the other.
 inline constexpr int kMaxForwards = 3;
-/// Times that one statement is passed on after it had waited for a primary. A second primary may fall while
-/// it is on its way; who has waited thrice has no time left.
-inline constexpr int kMaxReroutes = 2;
-/// A backend that failed to answer is passed over for this long where another can serve.
-inline constexpr Duration kAvoidBackend = milliseconds(400);
-/// A read that got no answer goes to another backend after this part of the time that callers aim at.
-inline constexpr int kReadPatienceDivisor = 2;
-inline constexpr Duration kLeastReadPatience = milliseconds(100);
-/// A request waits this part of its time for a lease or a primary, either of which most often comes back that
-/// soon; then it is refused.
-inline constexpr int kRefusePatienceDivisor = 3;
-/// Backends tried for one statement.
-inline constexpr int kMaxAttempts = 4;
-/// Pause before a busy backend is tried again.
-inline constexpr Duration kBusyPause = milliseconds(8);
-/// What a refused caller is told to wait while a group has no primary.
-inline constexpr Duration kRetryAfterWithoutPrimary = milliseconds(300);
-
-/// The same where all backends that could run it are outside the regions that it may be run in. Only a change
-/// of primary, of backends or of the document helps, and those come a few times an hour at most; chosen.
-inline constexpr Duration kRetryAfterOutsideRegions = seconds(5);
 /// A read that may not go to the primary waits this long for the primary's position, where none is known: a
 /// new connection and an exchange across regions.
 inline constexpr Duration kPositionPatience = milliseconds(200);
@@ -185,8 +164,6 @@
 inline constexpr Duration kEvacuationMargin = milliseconds(500);
 /// Where the settings name no bound: that of the one deployment that has such orders.
 inline constexpr Duration kUsualEvacuationBound = seconds(5);
-/// What a caller is told to wait where only backends of evacuated zones could serve it.
-inline constexpr Duration kRetryAfterEvacuation = seconds(1);
 
 /// What a backend is thought to take before anything is known.
 inline constexpr double kFirstLatencyMs = 15.0;
@@ -203,7 +180,5 @@
 inline constexpr Duration kLatencyMemory = seconds(1);
 inline constexpr double kLatencyWeight = 0.15;
 inline constexpr double kUsualLatencyWeight = 0.02;
-/// A statement waits this part of the time that callers aim at for a backend that is full.
-inline constexpr int kGatePatienceDivisor = 2;
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "registered/placement/retry_after.h"
 #include "registered/proxy/knobs.h"
 #include "registered/tenancy/tenant_limit.h"
 
@@ -63,7 +64,7 @@
   } while (!token && answered && account->last.outcome == AdmissionOutcome::kAdmitted);
   --account->waiting;
   if (token) co_return AdmissionAnswer{AdmissionOutcome::kAdmitted, Duration(0), token};
-  if (!answered) co_return AdmissionAnswer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
+  if (!answered) co_return AdmissionAnswer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
   co_return account->last;
 }
 
@@ -71,7 +72,7 @@
   const TimePoint asked_at = runtime_.now();
   const limits::TokenWish wish{std::max<std::uint64_t>(account->waiting, 1),
                                account->stock.expected(asked_at)};
-  AdmissionAnswer answer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
+  AdmissionAnswer answer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
   for (const subset::ProxyPointer& home : order_of(limit.of)) {
     const Grant grant = co_await ask(limit, wish, home);
     if (grant.outcome == GrantOutcome::kNotCounting) continue;
@@ -86,7 +87,7 @@
   account->last = answer;
   if (answer.outcome != AdmissionOutcome::kAdmitted) {
     account->last.retry_after =
-        std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, kRetryAfterWithoutPrimary);
+        std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, placement::kRetryAfterWithoutPrimary);
     account->refused_until = runtime_.now() + kLeastRefusalPause;
   }
   account->asking = false;
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -34,16 +34,14 @@
 
 /// One statement on its way, over all its attempts.
 struct StatementRunner::Attempt {
-  explicit Attempt(RunOrder run_order) : order(std::move(run_order)) {}
+  explicit Attempt(RunOrder run_order) : order(std::move(run_order)), progress(order.progress()) {}
 
   RunOrder order;
-  int count = 0;
+  placement::StatementProgress progress;
   std::set<BackendName> excluded;
   ReadNeed need;
-  TimePoint refuse_at{};  ///< until then somebody who can serve it is waited for
-  bool offered = false;   ///< a backend that could run it has been asked
-  Reason reason;          ///< of the last failure
-  Unplaced unplaced;      ///< why this proxy refuses it
+  Reason reason;      ///< of the last failure
+  Unplaced unplaced;  ///< why this proxy refuses it
   RunResult result;
   /// Not empty: it has waited, and is to be passed on to these.
   std::vector<subset::ProxyPointer> moved_to;
@@ -65,9 +63,22 @@
   Duration at_backend{0};
   std::string path;  ///< backends tried and how each attempt ended
 
-  /// Whether nothing is lost when it runs once more.
-  [[nodiscard]] bool may_run_again() const { return !order.writes || order.opens_transaction; }
-  [[nodiscard]] bool is_read() const { return order.reads(); }
+  [[nodiscard]] PinnedLink pinned() const {
+    return PinnedLink{backend, link, std::nullopt, epoch, at_primary};
+  }
+  /// What its end is judged by; `may_use_primary`: that of `epoch`.
+  [[nodiscard]] placement::AttemptFacts facts(bool may_use_primary) const {
+    placement::AttemptFacts facts;
+    facts.reads = order.reads();
+    facts.repeatable = !order.keeps_changes();
+    facts.needs_primary = needs_primary;
+    facts.primary_only = need.primary_only;
+    facts.at_primary = at_primary;
+    facts.term_is_current = order.group->term().epoch == epoch;
+    facts.may_use_primary = may_use_primary;
+    facts.attempts = progress.attempts;
+    return facts;
+  }
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_cold.cpp
+++ b/src/registered/proxy/statement/statement_cold.cpp
@@ -45,18 +45,6 @@
   if (token) services_.limits.give_back(limited(attempt.backend->entry.name), *token);
 }
 
-void StatementRunner::record_dial(BackendUse& backend, bool has_link, bool was_refused) {
-  // Idle links that ended by themselves may have ended with their backend's process.
-  if (backend.pool.take_lost_idle() || (!has_link && !was_refused)) backend.rebirth.mark_unreachable();
-  if (has_link) backend.rebirth.record_reached(services_.runtime.now());
-}
-
-void StatementRunner::record_loss(const GroupAccess& group, BackendUse& backend, std::uint64_t epoch,
-                                  const Reason& reason) {
-  const bool is_own = group.term().epoch != epoch;
-  if (!is_own && reason.code == ReasonCode::kConnectionLost) backend.rebirth.mark_unreachable();
-}
-
 Awaitable<bool> StatementRunner::enter_pinned(std::shared_ptr<GroupAccess> group,
                                               std::shared_ptr<BackendUse> backend, TimePoint deadline,
                                               placement::RejectionReason& rejection) {
@@ -92,7 +80,7 @@
     // One that is not known any more gets no tokens.
     const bool is_gone = admission.outcome == AdmissionOutcome::kAdmitted && !admission.expires_at;
     if (is_gone || now + admission.retry_after >= deadline) co_return false;
-    co_await runtime.sleep_for(std::max<Duration>(admission.retry_after, kBusyPause));
+    co_await runtime.sleep_for(std::max<Duration>(admission.retry_after, placement::kRetryPause));
   }
   co_return true;
 }
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -62,7 +62,8 @@
     order.may_have_run = order.may_have_run || !result.nothing_run;
     result.nothing_run = !order.may_have_run;
   }
-  const auto placed = co_await await_lease(order.group, refuse_limit(order), may_try_another);
+  const auto placed =
+      co_await await_lease(order.group, placement::refusal_time(order.progress()), may_try_another);
   if (placed.action == placement::Action::kRun) co_return co_await run(std::move(order));
   const Unplaced unplaced{placed.rejection, placed.back_in, {}};
   if (placed.rejection == placement::RejectionReason::kNoLease || !is_answered) {
@@ -73,15 +74,10 @@
   co_return result;
 }
 
-TimePoint StatementRunner::refuse_limit(const RunOrder& order) {
-  return order.arrived + (order.deadline - order.arrived) / kRefusePatienceDivisor;
-}
-
 Awaitable<placement::Placement> StatementRunner::await_lease(std::shared_ptr<GroupAccess> group,
                                                              TimePoint refuse_at, bool may_try_another) {
   placement::ForwardingEnd end{may_try_another, false};
   placement::Patience patience;
-  patience.back_after = kRetryAfterWithoutPrimary;
   while (true) {
     patience.may_wait = services_.runtime.now() < refuse_at;
     const auto placed = placement::place_unforwarded(end, proxy_facts(services_.view, *group), patience);
@@ -106,8 +102,8 @@
     services_.forwarder.record_no_answer(proxy->name, order.group->group());
     // A transaction's first statement leaves nothing: whoever served it rolls back when it finds nobody
     // there.
-    may_try_another = (!order.writes || order.opens_transaction) && services_.runtime.now() < order.deadline;
-    const bool in_doubt = order.writes && !order.opens_transaction;
+    const bool in_doubt = placement::is_in_doubt(order.keeps_changes(), true);
+    may_try_another = !in_doubt && services_.runtime.now() < order.deadline;
     result.answer.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kBusy;
     result.answer.detail = "the proxy that serves the group gave no answer";
     co_return result;
@@ -138,7 +134,7 @@
   if (answer) co_return std::move(answer->answer);
   Answer lost;
   lost.state = TransactionState::kFailed;
-  const bool in_doubt = commits && wrote && was_open;
+  const bool in_doubt = placement::is_in_doubt(commits && wrote, was_open);
   lost.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kAborted;
   lost.detail = in_doubt ? "the commit was sent and its outcome is not known"
                          : "the proxy that served the transaction is gone; nothing of it is kept";
--- a/src/registered/proxy/statement/statement_in_transaction.cpp
+++ b/src/registered/proxy/statement/statement_in_transaction.cpp
@@ -76,9 +76,12 @@
   if (answer && pinned.at_primary) group.record_primary_answered();
   if (!answer) {
     services_.metrics.count_lost_answer();
-    record_loss(group, *pinned.backend, pinned.epoch, reason);
+    const placement::LossFacts loss{sent == SendState::kMaybeSent,
+                                    reason.code == ReasonCode::kConnectionLost};
+    if (placement::may_be_reborn(loss, group.term().epoch == pinned.epoch))
+      pinned.backend->rebirth.mark_unreachable();
     if (pinned.at_primary && current) services_.link.report_suspicion(group, SuspicionKind::kSilent);
-    const bool in_doubt = commits && wrote && sent == SendState::kMaybeSent;
+    const bool in_doubt = placement::is_in_doubt(commits && wrote, loss.may_have_arrived);
     if (in_doubt) aborted.refusal = Refusal::kInDoubt;
     if (in_doubt) aborted.detail = "the commit was sent and its outcome is not known";
     log_refusal(order, aborted, reason, 1);
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -16,7 +16,7 @@
        {"writes", attempt.order.writes ? "true" : "false"},
        {"opens_transaction", attempt.order.opens_transaction ? "true" : "false"},
        {"primary_only", attempt.need.primary_only ? "true" : "false"},
-       {"attempts", std::to_string(attempt.count)},
+       {"attempts", std::to_string(attempt.progress.attempts)},
        {"backends", attempt.path},
        {"gate_ms", std::to_string(in_ms(attempt.at_gate))},
        {"link_ms", std::to_string(in_ms(attempt.at_pool))},
@@ -24,6 +24,17 @@
        {"took_ms", std::to_string(in_ms(services_.runtime.now() - attempt.order.arrived))}});
 }
 
+void StatementRunner::log_lost_answer(const Attempt& attempt, const Reason& reason) {
+  services_.runtime.logger().log(
+      LogLevel::kWarning, "answer_lost", reason,
+      {{"id", attempt.order.id},
+       {"backend", attempt.backend->entry.name.value},
+       {"at_primary", attempt.at_primary ? "true" : "false"},
+       {"epoch", std::to_string(attempt.epoch)},
+       {"writes", attempt.order.writes ? "true" : "false"},
+       {"waited_ms", std::to_string(in_ms(services_.runtime.now() - attempt.sent_at))}});
+}
+
 void StatementRunner::log_refusal(const RunOrder& order, const Answer& answer, const Reason& reason,
                                   int attempts, const Unplaced& unplaced) {
   const bool is_own = unplaced.since != placement::RejectionReason::kNone;
--- a/src/registered/proxy/statement/statement_placement.cpp
+++ b/src/registered/proxy/statement/statement_placement.cpp
@@ -31,16 +31,6 @@
   return placement::place_elsewhere(need, proxy);
 }
 
-placement::Patience StatementRunner::patience_of(const Attempt& attempt) const {
-  const TimePoint now = services_.runtime.now();
-  placement::Patience patience;
-  patience.may_try = attempt.count < kMaxAttempts && now < attempt.order.deadline;
-  patience.may_wait = now < attempt.refuse_at;
-  patience.offered = attempt.offered;
-  patience.back_after = kRetryAfterWithoutPrimary;
-  return patience;
-}
-
 PlacementQuestion StatementRunner::question_of(const Attempt& attempt) {
   return PlacementQuestion{&attempt.need, &attempt.excluded, &attempt.order.allowed};
 }
@@ -49,14 +39,14 @@
   GroupAccess& group = *attempt.order.group;
   const RunOrder& order = attempt.order;
   attempt.need = ReadNeed{true, std::nullopt, {}, &order.allowed};
-  if (attempt.is_read()) attempt.need = group.need_of(order.route, order.committed, &order.allowed);
+  if (order.reads()) attempt.need = group.need_of(order.route, order.committed, &order.allowed);
   placement::StatementNeed need;
-  need.reads = attempt.is_read();
+  need.reads = order.reads();
   need.primary_only = attempt.need.primary_only;
   need.is_forwarded = attempt.order.is_forwarded;
   const GroupFacts backends = group.facts(question_of(attempt));
-  const auto placed =
-      placement::place_here(need, proxy_facts(services_.view, group), backends, patience_of(attempt));
+  const auto patience = placement::patience_at(attempt.progress, services_.runtime.now());
+  const auto placed = placement::place_here(need, proxy_facts(services_.view, group), backends, patience);
   if (placed.action != Action::kRun) return placed;
   attempt.backend = group.backend_at(placed.backend);
   attempt.epoch = group.term().epoch;
@@ -69,7 +59,7 @@
   RunOrder& order = attempt.order;
   // Without tenants any proxy that serves the group is as good.
   if (order.is_forwarded || order.tenant.empty() || work_of(order) != GroupWork::kAtPrimary) return false;
-  if (attempt.count > 0 || attempt.offered || order.rerouted >= kMaxReroutes) return false;
+  if (!placement::may_be_rerouted(attempt.progress)) return false;
   PeersInside inside;
   const auto elsewhere = find_elsewhere(order, inside);
   if (!elsewhere) return false;
@@ -84,8 +74,9 @@
   bool has_waited = false;
   while (placed.action == Action::kWait) {
     attempt->excluded.clear();
-    const TimePoint again = services_.runtime.now() + kBusyPause;
-    co_await attempt->order.group->changed().wait_until(std::min(attempt->refuse_at, again));
+    const TimePoint again = services_.runtime.now() + placement::kRetryPause;
+    const TimePoint limit = placement::refusal_time(attempt->progress);
+    co_await attempt->order.group->changed().wait_until(std::min(limit, again));
     placed = look(*attempt);
     has_waited = true;
   }
@@ -112,21 +103,16 @@
   }
 }
 
-StatementRunner::Step StatementRunner::pass_over(Attempt& attempt) {
-  if (!attempt.needs_primary) attempt.excluded.insert(attempt.backend->entry.name);
-  return attempt.needs_primary ? Step::kWait : Step::kNext;
-}
-
-StatementRunner::Step StatementRunner::stop_before_sending(Attempt& attempt, bool begun) {
+placement::NextStep StatementRunner::stop_before_sending(Attempt& attempt, bool begun) {
   const placement::SendDecision& decision = attempt.last_look;
   const bool is_given_up = decision.rejection == RejectionReason::kPrimaryGivenUp;
   if (begun) {
     if (attempt.order.opens_transaction || is_given_up) attempt.link->link().close();
     attempt.backend->pool.release(attempt.link);
   }
-  if (decision.action == SendAction::kChooseAgain) return Step::kNext;
+  if (decision.action == SendAction::kChooseAgain) return placement::NextStep::kChooseAgain;
   refuse(attempt, decision.rejection, Duration(0));
-  return Step::kDone;
+  return placement::NextStep::kAnswer;
 }
 
 placement::SendFacts StatementRunner::send_facts(const Attempt& attempt) const {
--- a/src/registered/proxy/statement/statement_regions.cpp
+++ b/src/registered/proxy/statement/statement_regions.cpp
@@ -39,7 +39,7 @@
 RunResult StatementRunner::refuse_outside(RunOrder order) {
   Attempt attempt(std::move(order));
   attempt.need.primary_only = !may_use_replicas(attempt.order);
-  refuse(attempt, placement::RejectionReason::kOutsideRegions, kRetryAfterOutsideRegions);
+  refuse(attempt, placement::RejectionReason::kOutsideRegions, placement::kRetryAfterOutsideRegions);
   attempt.reason = Reason{ReasonCode::kNoBackend, "check_regions", attempt.order.group->term().primary.value,
                           "allowed regions: " + attempt.order.allowed.to_string()};
   log_refusal(attempt.order, attempt.result.answer, attempt.reason, 0, attempt.unplaced);
@@ -53,7 +53,8 @@
   if (!may_use_replicas(order) || !group.is_primary_outside(order.allowed)) co_return;
   const Duration staleness = std::chrono::milliseconds(order.route.max_staleness_ms);
   if (group.wants_position(staleness)) ask_position(services_.runtime, services_.view, order.group);
-  const TimePoint patience = std::min(attempt->refuse_at, services_.runtime.now() + kPositionPatience);
+  const TimePoint patience =
+      std::min(placement::refusal_time(attempt->progress), services_.runtime.now() + kPositionPatience);
   while (group.need_of(order.route, order.committed, &order.allowed).primary_only &&
          group.is_primary_outside(order.allowed) && services_.runtime.now() < patience)
     co_await group.changed().wait_until(patience);
--- a/src/registered/proxy/statement/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -2,13 +2,17 @@
 // certainly not run, and says definitely what became of the rest.
 #pragma once
 
+#include <chrono>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
 
 #include "registered/locality/permitted_regions.h"
+#include "registered/placement/attempt_outcome.h"
 #include "registered/placement/placement.h"
+#include "registered/placement/retry_after.h"
+#include "registered/placement/statement_progress.h"
 #include "registered/proxy/forwarding/forward_messages.h"
 #include "registered/proxy/links/stateful_pool.h"
 #include "registered/proxy/session_services.h"
@@ -41,6 +45,13 @@
   bool may_have_run = false;
   /// It, or the transaction that it opens, changes nothing.
   [[nodiscard]] bool reads() const { return opens_transaction ? read_only_transaction : !writes; }
+  /// Its success alone leaves something: a write of its own, which may have run when its answer is lost. What
+  /// a transaction's first statement did is gone with the transaction.
+  [[nodiscard]] bool keeps_changes() const { return writes && !opens_transaction; }
+  /// Before it is tried.
+  [[nodiscard]] placement::StatementProgress progress() const {
+    return {arrived, deadline, std::chrono::milliseconds(route.target_latency_ms), 0, rerouted, false};
+  }
 };
 
 /// A transaction that is open at another proxy.
@@ -94,13 +105,6 @@
 
  private:
   struct Attempt;
-  enum class Step : std::uint8_t { kDone, kNext, kWait };
-
-  /// Until when something is waited for at a backend.
-  [[nodiscard]] TimePoint wait_limit(const Attempt& attempt) const;
-  /// The same for a backend's gate: who would come through later would be late, and make others late.
-  [[nodiscard]] TimePoint gate_limit(const Attempt& attempt) const;
-
   /// Proxies to which an order may be sent that is bound to regions.
   struct PeersInside {
     placement::ProxyList serving;
@@ -119,7 +123,6 @@
   /// A read that may not go to the primary has the primary's position asked for, and waits for it where none
   /// is known.
   Awaitable<void> bring_position(std::shared_ptr<Attempt> attempt);
-  [[nodiscard]] placement::Patience patience_of(const Attempt& attempt) const;
   [[nodiscard]] static PlacementQuestion question_of(const Attempt& attempt);
   /// Where the attempt may go now. Takes the backend over that is to run it.
   placement::Placement look(Attempt& attempt);
@@ -130,7 +133,6 @@
   /// No proxy took the order: waits for the lease as long as that is worth it.
   Awaitable<placement::Placement> await_lease(std::shared_ptr<GroupAccess> group, TimePoint refuse_at,
                                               bool may_try_another);
-  [[nodiscard]] static TimePoint refuse_limit(const RunOrder& order);
   Awaitable<std::optional<RunResult>> forward_to(RunOrder order, subset::ProxyPointer proxy,
                                                  bool& may_try_another, Reason& reason);
   Awaitable<Answer> forward_pinned(RemotePin remote, RunOrder order, bool commits, bool wrote);
@@ -141,11 +143,11 @@
   bool is_moved(Attempt& attempt) const;
   /// False when it is refused, or passed on.
   Awaitable<bool> choose(std::shared_ptr<Attempt> attempt);
-  Awaitable<Step> try_backend(std::shared_ptr<Attempt> attempt);
+  Awaitable<placement::NextStep> try_backend(std::shared_ptr<Attempt> attempt);
   Awaitable<bool> prepare_link(std::shared_ptr<Attempt> attempt);
   Awaitable<bool> acquire_link(std::shared_ptr<Attempt> attempt);
-  /// The chosen backend lacks the position that it was asked for.
-  void mark_too_stale(Attempt& attempt);
+  /// Does what the chosen backend's refusal tells of it.
+  void apply(const placement::RefusalEffects& effects, Attempt& attempt);
   Awaitable<bool> begin_transaction(std::shared_ptr<Attempt> attempt);
   /// What may have changed while it waited for the backend, but the key.
   [[nodiscard]] placement::SendFacts send_facts(const Attempt& attempt) const;
@@ -156,20 +158,15 @@
   /// The last look before it is sent, at its key as well: what runs again takes a token of its own.
   Awaitable<placement::SendDecision> last_look(std::shared_ptr<Attempt> attempt);
   /// It does not go to the backend for which it has waited.
-  Step stop_before_sending(Attempt& attempt, bool begun);
-  /// Nothing could be begun at the backend.
-  Step pass_over(Attempt& attempt);
+  placement::NextStep stop_before_sending(Attempt& attempt, bool begun);
+  /// Passes over the attempt's backend where that is asked.
+  static placement::NextStep apply(const placement::Retry& retry, Attempt& attempt);
   /// Whether the attempt's backend is not cold, or the attempt has a token that may be used now.
   [[nodiscard]] bool holds_cold_token(const Attempt& attempt) const;
   /// Takes a token where the attempt's backend is cold. False: there is none, and the backend's facts say so.
   Awaitable<bool> pass_cold(std::shared_ptr<Attempt> attempt);
   void record_cold_limit(const GroupAccess& group, BackendUse& backend, const AdmissionAnswer& admission);
   void give_cold_token_back(Attempt& attempt);
-  /// A link to the backend was asked for. `was_refused`: an answer came, if not the one wanted.
-  void record_dial(BackendUse& backend, bool has_link, bool was_refused);
-  /// A backend broke off what it was sent in `epoch`; later on this proxy itself closes its links.
-  static void record_loss(const GroupAccess& group, BackendUse& backend, std::uint64_t epoch,
-                          const Reason& reason);
   /// For a statement that can go nowhere else: it waits for a token where the backend is cold, then at the
   /// gate. True: it holds a place there, and a token that is good now. False: its time ended first,
   /// `rejection` is set where the token was missing.
@@ -179,7 +176,8 @@
   Awaitable<bool> wait_for_cold_token(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
                                       TimePoint deadline, std::optional<TimePoint>& token);
   Awaitable<std::optional<Answer>> exchange(std::shared_ptr<Attempt> attempt);
-  Step take_answer(Attempt& attempt, Answer answer);
+  placement::NextStep take_answer(Attempt& attempt, Answer answer);
+  placement::NextStep take_final_answer(Attempt& attempt, Answer answer);
   /// A primary's success, as it was asked for.
   struct PrimaryAnswer {
     std::uint64_t epoch = 0;  ///< in which it was asked
@@ -189,7 +187,7 @@
   /// Notes where the primary's log is, and what is acknowledged from now on. A commit whose primary was given
   /// up meanwhile is in doubt.
   void take_primary_answer(GroupAccess& group, PrimaryAnswer primary, Answer& answer);
-  Step take_loss(Attempt& attempt, const Reason& reason);
+  placement::NextStep take_loss(Attempt& attempt, const Reason& reason);
   /// The attempt's answer: not run, since this stands in the way.
   void refuse(Attempt& attempt, placement::RejectionReason since, Duration back_in);
   /// A write, while writes sent before have no answer.
@@ -200,6 +198,7 @@
   [[nodiscard]] BackendRequest make_request(const RunOrder& order, const StatefulLink& link,
                                             std::optional<Position> required) const;
   void log_slow(const Attempt& attempt);
+  void log_lost_answer(const Attempt& attempt, const Reason& reason);
   void log_refusal(const RunOrder& order, const Answer& answer, const Reason& reason, int attempts,
                    const Unplaced& unplaced = {});
 
--- /dev/null
+++ b/tests/registered/placement/attempt_outcome_test.cpp
@@ -0,0 +1,255 @@
+// What an attempt's end means: one row for each refusal, loss and failure of each kind of statement.
+#include "registered/placement/attempt_outcome.h"
+
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <string>
+#include <vector>
+
+namespace cairnhollow::registered::placement {
+namespace {
+
+AttemptFacts write() {
+  AttemptFacts facts;
+  facts.needs_primary = true;
+  facts.primary_only = true;
+  facts.at_primary = true;
+  facts.term_is_current = true;
+  facts.may_use_primary = true;
+  return facts;
+}
+AttemptFacts opens_transaction() {
+  AttemptFacts facts = write();
+  facts.repeatable = true;
+  return facts;
+}
+AttemptFacts primary_read() {
+  AttemptFacts facts = opens_transaction();
+  facts.reads = true;
+  return facts;
+}
+/// Of a replica that is chosen for it.
+AttemptFacts replica_read() {
+  AttemptFacts facts = primary_read();
+  facts.needs_primary = false;
+  facts.primary_only = false;
+  facts.at_primary = false;
+  return facts;
+}
+/// A read that any backend may serve, at the primary.
+AttemptFacts free_read_at_primary() {
+  AttemptFacts facts = replica_read();
+  facts.at_primary = true;
+  return facts;
+}
+AttemptFacts second(AttemptFacts facts) {
+  facts.attempts = 2;
+  return facts;
+}
+AttemptFacts of_former_term(AttemptFacts facts) {
+  facts.term_is_current = false;
+  facts.may_use_primary = false;
+  return facts;
+}
+
+std::string text_of(const Retry& retry) {
+  const std::string where = retry.passes_over ? " elsewhere" : "";
+  if (retry.next == NextStep::kAnswer) return "answer" + where;
+  return (retry.next == NextStep::kChooseAgain ? "again" : "pause") + where;
+}
+
+std::string text_of(const RefusalEffects& effects) {
+  std::string text;
+  if (effects.suspect_primary) text += " suspect";
+  if (effects.close_link) text += " close";
+  if (effects.forget_prepared) text += " forget";
+  if (effects.record_lag) text += " lag";
+  return text;
+}
+
+std::string text_of(const LossOutcome& outcome) {
+  std::string text = text_of(outcome.retry);
+  if (outcome.may_be_reborn) text += " reborn";
+  if (outcome.suspect_primary) text += " suspect";
+  if (outcome.broke_off) text += " broke_off";
+  return text;
+}
+
+}  // namespace
+
+class AttemptOutcomeTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(AttemptOutcomeTest);
+  CPPUNIT_TEST(answers);
+  CPPUNIT_TEST(effects_of_refusals);
+  CPPUNIT_TEST(effects_of_refused_begins);
+  CPPUNIT_TEST(lost_answers);
+  CPPUNIT_TEST(lost_answers_in_transactions);
+  CPPUNIT_TEST(link_failures);
+  CPPUNIT_TEST(successes_at_the_primary);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void answers() {
+    struct Row {
+      std::optional<Refusal> refusal;
+      std::string write;
+      std::string primary_read;
+      std::string replica_read;
+    };
+    const std::vector<Row> rows{
+        {std::nullopt, "answer", "answer", "answer"},
+        {Refusal::kBusy, "pause", "pause", "again elsewhere"},
+        {Refusal::kAborted, "answer", "answer", "answer"},
+        {Refusal::kTooStale, "pause", "pause", "again elsewhere"},
+        {Refusal::kNotPrimary, "pause", "pause", "again elsewhere"},
+        {Refusal::kWrongBackend, "pause", "pause", "again elsewhere"},
+        {Refusal::kConnectionLimit, "pause", "pause", "again elsewhere"},
+        {Refusal::kInDoubt, "answer", "answer", "answer"},
+        {Refusal::kTimedOut, "answer", "answer", "answer"},
+        {Refusal::kFailed, "answer", "again elsewhere", "again elsewhere"},
+        {Refusal::kMalformed, "answer", "answer", "answer"},
+        {Refusal::kUnknownStatement, "pause", "pause", "again elsewhere"},
+        {Refusal::kUnknownDatabase, "answer", "answer", "answer"},
+        {Refusal::kUnauthorized, "pause", "pause", "again elsewhere"},
+        {Refusal::kOverLimit, "pause", "pause", "again elsewhere"},
+    };
+    CPPUNIT_ASSERT_EQUAL(kRefusalCount + 1, rows.size());
+    for (const Row& row : rows) {
+      const std::string what = row.refusal ? refusal_name(*row.refusal) : "success";
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.write, text_of(after_answer(row.refusal, write())));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.primary_read,
+                                   text_of(after_answer(row.refusal, primary_read())));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.replica_read,
+                                   text_of(after_answer(row.refusal, replica_read())));
+    }
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("it failed twice", std::string("answer"),
+                                 text_of(after_answer(Refusal::kFailed, second(replica_read()))));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a transaction that may write", std::string("answer"),
+                                 text_of(after_answer(Refusal::kFailed, opens_transaction())));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("any number of times", std::string("pause"),
+                                 text_of(after_answer(Refusal::kBusy, second(write()))));
+  }
+
+  void effects_of_refusals() {
+    struct Row {
+      std::string what;
+      Refusal refusal;
+      AttemptFacts attempt;
+      std::string effects;
+    };
+    const std::vector<Row> rows{
+        {"busy", Refusal::kBusy, write(), ""},
+        {"a replica lags", Refusal::kTooStale, replica_read(), " lag"},
+        {"a primary lost its log", Refusal::kTooStale, primary_read(), " suspect close"},
+        {"it leads no more", Refusal::kNotPrimary, write(), " suspect"},
+        {"it led a former term", Refusal::kNotPrimary, of_former_term(write()), ""},
+        {"it is no primary", Refusal::kNotPrimary, replica_read(), ""},
+        {"another backend", Refusal::kWrongBackend, write(), " close"},
+        {"nothing is prepared", Refusal::kUnknownStatement, write(), " forget"},
+        {"no connection", Refusal::kConnectionLimit, write(), ""},
+        {"a key", Refusal::kUnauthorized, write(), ""},
+        {"a limit", Refusal::kOverLimit, write(), ""},
+    };
+    for (const Row& row : rows)
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.effects,
+                                   text_of(effects_of_refusal(row.refusal, row.attempt)));
+  }
+
+  void effects_of_refused_begins() {
+    const auto effects = [](Refusal refusal, bool primary_only) {
+      return text_of(effects_of_refused_begin(refusal, primary_only));
+    };
+    CPPUNIT_ASSERT_EQUAL(std::string(" lag"), effects(Refusal::kTooStale, false));
+    CPPUNIT_ASSERT_EQUAL(std::string(" suspect close"), effects(Refusal::kTooStale, true));
+    CPPUNIT_ASSERT_EQUAL(std::string(" suspect"), effects(Refusal::kNotPrimary, true));
+    CPPUNIT_ASSERT_EQUAL(std::string(" suspect"), effects(Refusal::kNotPrimary, false));
+    CPPUNIT_ASSERT_EQUAL(std::string(""), effects(Refusal::kBusy, true));
+    CPPUNIT_ASSERT_EQUAL(std::string(""), effects(Refusal::kWrongBackend, true));
+  }
+
+  void lost_answers() {
+    constexpr LossFacts kNotSent{false, true};
+    constexpr LossFacts kBrokenOff{true, true};
+    constexpr LossFacts kLate{true, false};
+    struct Row {
+      std::string what;
+      AttemptFacts attempt;
+      LossFacts loss;
+      std::string outcome;
+    };
+    const std::vector<Row> rows{
+        {"a write that was not sent", write(), kNotSent, "pause reborn suspect"},
+        {"a write that was broken off", write(), kBrokenOff, "answer reborn suspect broke_off"},
+        {"a write whose answer is late", write(), kLate, "answer suspect"},
+        {"a write at a former primary", of_former_term(write()), kBrokenOff, "answer"},
+        {"the first of a transaction", opens_transaction(), kBrokenOff, "pause reborn suspect broke_off"},
+        {"a read of the primary", primary_read(), kLate, "pause suspect"},
+        {"a read of a replica", replica_read(), kLate, "again elsewhere"},
+        {"a replica breaks off", replica_read(), kBrokenOff, "again elsewhere reborn"},
+        {"a read at the primary", free_read_at_primary(), kLate, "again elsewhere suspect"},
+    };
+    for (const Row& row : rows)
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome, text_of(after_loss(row.attempt, row.loss)));
+  }
+
+  void lost_answers_in_transactions() {
+    CPPUNIT_ASSERT(is_in_doubt(true, true));
+    CPPUNIT_ASSERT(!is_in_doubt(true, false));
+    CPPUNIT_ASSERT(!is_in_doubt(false, true));
+    CPPUNIT_ASSERT(may_be_reborn({true, true}, true));
+    CPPUNIT_ASSERT(may_be_reborn({false, true}, true));
+    CPPUNIT_ASSERT(!may_be_reborn({true, false}, true));
+    CPPUNIT_ASSERT(!may_be_reborn({true, true}, false));
+  }
+
+  void link_failures() {
+    struct Row {
+      std::string what;
+      LinkFailure failure;
+      bool at_primary;
+      LinkFailureOutcome outcome;
+    };
+    const std::vector<Row> rows{
+        {"nobody answers", {false, false}, false, {true, false, true}},
+        {"the primary does not", {false, false}, true, {true, true, true}},
+        {"it answers and refuses", {true, false}, true, {true, false, false}},
+        {"all links are in use", {false, true}, true, {false, false, false}},
+        {"it takes no more", {true, true}, true, {false, false, false}},
+    };
+    for (const Row& row : rows) {
+      const LinkFailureOutcome outcome = after_link_failure(row.failure, row.at_primary);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.avoid_backend, outcome.avoid_backend);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.primary_unreachable, outcome.primary_unreachable);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.may_be_reborn, outcome.may_be_reborn);
+    }
+  }
+
+  void successes_at_the_primary() {
+    struct Row {
+      std::string what;
+      bool commits;
+      bool may_use_primary;
+      bool has_position;
+      PrimarySuccess success;
+    };
+    const std::vector<Row> rows{
+        {"a commit", true, true, true, {true, true, false}},
+        {"a read", false, true, true, {true, false, false}},
+        {"a commit at a former primary", true, false, true, {false, false, true}},
+        {"a read at a former primary", false, false, true, {false, false, false}},
+        {"a commit that shows no position", true, true, false, {false, false, true}},
+        {"a read that shows none", false, true, false, {false, false, false}},
+    };
+    for (const Row& row : rows) {
+      const PrimarySuccess success =
+          after_primary_success(row.commits, row.may_use_primary, row.has_position);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.success.record_position, success.record_position);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.success.acknowledge, success.acknowledge);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.success.in_doubt, success.in_doubt);
+    }
+  }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(AttemptOutcomeTest);
+
+}  // namespace cairnhollow::registered::placement
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -61,7 +61,6 @@
 Patience patience(bool may_wait) {
   Patience patience;
   patience.may_wait = may_wait;
-  patience.back_after = kBackAfter;
   return patience;
 }
 Patience used_up() {
--- /dev/null
+++ b/tests/registered/placement/statement_progress_test.cpp
@@ -0,0 +1,133 @@
+// How often and how long one statement is tried: one row for each case of its times.
+#include "registered/placement/statement_progress.h"
+
+#include <cppunit/extensions/HelperMacros.h>
+
+#include <string>
+#include <vector>
+
+namespace cairnhollow::registered::placement {
+namespace {
+
+using std::chrono::milliseconds;
+
+TimePoint at(int ms) { return TimePoint{} + milliseconds(ms); }
+
+/// Arrived at 1,000 ms with 900 ms until its deadline; callers aim at 600 ms.
+StatementProgress fresh() {
+  StatementProgress progress;
+  progress.arrived = at(1000);
+  progress.deadline = at(1900);
+  progress.target_latency = milliseconds(600);
+  return progress;
+}
+
+template <class Change>
+StatementProgress with(Change change) {
+  StatementProgress progress = fresh();
+  change(progress);
+  return progress;
+}
+
+StatementProgress tried(int attempts) {
+  return with([attempts](auto& progress) { progress.attempts = attempts; });
+}
+StatementProgress offered() {
+  return with([](auto& progress) { progress.offered = true; });
+}
+StatementProgress aims_at(int ms) {
+  return with([ms](auto& progress) { progress.target_latency = milliseconds(ms); });
+}
+
+std::string text_of(TimePoint time) { return std::to_string(in_ms(time - TimePoint{})); }
+
+}  // namespace
+
+class StatementProgressTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StatementProgressTest);
+  CPPUNIT_TEST(how_often_and_how_long);
+  CPPUNIT_TEST(waits_at_a_backend);
+  CPPUNIT_TEST(silent_backends);
+  CPPUNIT_TEST(reroutes);
+  CPPUNIT_TEST_SUITE_END();
+
+ public:
+  void how_often_and_how_long() {
+    struct Row {
+      std::string what;
+      StatementProgress progress;
+      int now;
+      bool may_try;
+      bool may_wait;
+    };
+    const std::vector<Row> rows{
+        {"it came now", fresh(), 1000, true, true},
+        {"a third of its time is nearly over", fresh(), 1299, true, true},
+        {"a third of its time is over", fresh(), 1300, true, false},
+        {"its time is nearly over", fresh(), 1899, true, false},
+        {"its time is over", fresh(), 1900, false, false},
+        {"three backends tried", tried(3), 1000, true, true},
+        {"four backends tried", tried(4), 1000, false, true},
+    };
+    for (const Row& row : rows) {
+      const Patience patience = patience_at(row.progress, at(row.now));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.may_try, patience.may_try);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.may_wait, patience.may_wait);
+      CPPUNIT_ASSERT_MESSAGE(row.what, !patience.offered);
+    }
+    CPPUNIT_ASSERT(patience_at(offered(), at(1000)).offered);
+    CPPUNIT_ASSERT_EQUAL(std::string("1300"), text_of(refusal_time(tried(4))));
+  }
+
+  void waits_at_a_backend() {
+    struct Row {
+      std::string what;
+      StatementProgress progress;
+      int now;
+      std::string link;
+      std::string slot;
+    };
+    const std::vector<Row> rows{
+        {"it came now", fresh(), 1000, "1300", "1300"},
+        {"callers aim at less than its time", aims_at(200), 1000, "1300", "1100"},
+        {"half of the aim is over: a last moment", aims_at(200), 1150, "1300", "1158"},
+        {"no longer than for a primary", aims_at(200), 1296, "1300", "1300"},
+        {"offered before: 100 ms for a link", offered(), 1400, "1500", "1408"},
+        {"offered before, aim not reached", offered(), 1100, "1200", "1200"},
+        {"never beyond its time", offered(), 1850, "1900", "1858"},
+        {"nor for a place", offered(), 1895, "1900", "1900"},
+    };
+    for (const Row& row : rows) {
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.link, text_of(link_wait_end(row.progress, at(row.now))));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.slot, text_of(slot_wait_end(row.progress, at(row.now))));
+    }
+  }
+
+  void silent_backends() {
+    CPPUNIT_ASSERT(may_leave_silent_backend(false, tried(1)));
+    CPPUNIT_ASSERT(may_leave_silent_backend(false, tried(2)));
+    CPPUNIT_ASSERT_MESSAGE("the one after it would be the last", !may_leave_silent_backend(false, tried(3)));
+    CPPUNIT_ASSERT_MESSAGE("nobody else may run it", !may_leave_silent_backend(true, tried(1)));
+    const auto wait_end = [](const StatementProgress& progress, int sent_at) {
+      return text_of(silent_backend_wait_end(progress, at(sent_at)));
+    };
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("half of the aim", std::string("1310"), wait_end(fresh(), 1010));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("100 ms at least", std::string("1110"), wait_end(aims_at(60), 1010));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("its time at most", std::string("1900"), wait_end(fresh(), 1700));
+  }
+
+  void reroutes() {
+    const auto rerouted = [](int times) {
+      return with([times](auto& progress) { progress.reroutes = times; });
+    };
+    CPPUNIT_ASSERT(may_be_rerouted(fresh()));
+    CPPUNIT_ASSERT(may_be_rerouted(rerouted(1)));
+    CPPUNIT_ASSERT(!may_be_rerouted(rerouted(2)));
+    CPPUNIT_ASSERT_MESSAGE("a backend may have seen it", !may_be_rerouted(offered()));
+    CPPUNIT_ASSERT(!may_be_rerouted(tried(1)));
+  }
+};
+
+CPPUNIT_TEST_SUITE_REGISTRATION(StatementProgressTest);
+
+}  // namespace cairnhollow::registered::placement
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -2,6 +2,7 @@
 // beside a primary outside.
 #include <cppunit/extensions/HelperMacros.h>
 
+#include "registered/placement/retry_after.h"
 #include "registered/proxy/group/group_access.h"
 #include "registered/proxy/knobs.h"
 #include "simulation/world.h"
@@ -81,7 +82,7 @@
     auto choice = placement::choose_backend(true, group_->facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
     CPPUNIT_ASSERT(choice.rejection == placement::RejectionReason::kOutsideRegions);
-    CPPUNIT_ASSERT(choice.back_in == kRetryAfterOutsideRegions);
+    CPPUNIT_ASSERT(choice.back_in == placement::kRetryAfterOutsideRegions);
     group_->remove_backend(BackendName("south"));
     need_.primary_only = false;
     choice = placement::choose_backend(false, group_->facts({&need_, nullptr, &south_}));
