--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -38,6 +38,8 @@
 Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
                      std::span<const BackendFacts> backends, const Patience& patience);
 
+/// Proxies that one statement is forwarded to, one after the other. Chosen, not measured.
+inline constexpr int kMaxForwards = 3;
 /// What becomes of the next proxy in the order of a forwarding.
 struct ProxyTurn {
   bool is_this_proxy = false;
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -330,7 +330,7 @@
   Answer answer;
   if (transaction_->pinned) {
     const PinnedLink pinned = *transaction_->pinned;
-    answer = co_await runner_.run_pinned(pinned, std::move(*order), false, false);
+    answer = co_await runner_.transactions().run(pinned, std::move(*order), false, false);
     served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   } else {
     order->opens_transaction = true;
@@ -364,9 +364,9 @@
     order->opens_transaction = true;
     RunResult result = co_await run_admitted(std::move(*order));
     if (result.pinned && result.answer.state == TransactionState::kIdle) {
-      runner_.give_back(*result.pinned);
+      runner_.transactions().give_back(*result.pinned);
     } else if (result.pinned) {
-      co_await runner_.roll_back(*result.pinned);
+      co_await runner_.transactions().roll_back(*result.pinned);
     }
     transaction_.reset();
     result.answer.state = TransactionState::kIdle;
@@ -375,13 +375,13 @@
   const PinnedLink pinned = *transaction_->pinned;
   const bool wrote = transaction_->wrote;
   const RunOrder kept = *order;
-  Answer answer = co_await runner_.run_pinned(pinned, std::move(*order), true, wrote);
+  Answer answer = co_await runner_.transactions().run(pinned, std::move(*order), true, wrote);
   served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   if (wrote) record_committed(kept, answer);
   if (answer.state == TransactionState::kIdle) {
-    runner_.give_back(pinned);
+    runner_.transactions().give_back(pinned);
   } else {
-    co_await runner_.roll_back(pinned);
+    co_await runner_.transactions().roll_back(pinned);
   }
   transaction_.reset();
   answer.state = TransactionState::kIdle;
@@ -398,7 +398,7 @@
   if (!transaction_) co_return;
   const auto pinned = transaction_->pinned;
   transaction_.reset();
-  if (pinned) co_await runner_.roll_back(*pinned);
+  if (pinned) co_await runner_.transactions().roll_back(*pinned);
 }
 
 void CallerSession::end_resting_transaction(TimePoint now, Duration limit) {
@@ -407,7 +407,7 @@
 
 void CallerSession::end_evacuated_transaction() {
   if (!transaction_ || !transaction_->pinned || transaction_->failed) return;
-  if (answering_ || !runner_.is_off_limits(*transaction_->pinned)) return;
+  if (answering_ || !runner_.transactions().is_off_limits(*transaction_->pinned)) return;
   abort_transaction();
   transaction_->failure = kEvacuated;
   services_.metrics.count_evacuated_transaction();
@@ -417,7 +417,7 @@
   if (answering_ || !transaction_ || transaction_->failed) return;
   transaction_->failed = true;
   transaction_->failure = "the transaction was given up; nothing of it is kept";
-  if (transaction_->pinned) runner_.abort(*transaction_->pinned);
+  if (transaction_->pinned) runner_.transactions().abort(*transaction_->pinned);
 }
 
 void CallerSession::let_go() {
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -151,7 +151,7 @@
   forwarded.may_try_another = cannot_serve && forwarded.answer.refusal == Refusal::kBusy;
   if (!result.pinned) co_return forwarded;
   if (connection->ended) {
-    co_await runner_.roll_back(*result.pinned);
+    co_await runner_.transactions().roll_back(*result.pinned);
     co_return forwarded;
   }
   forwarded.pin = connection->next_pin++;
@@ -176,9 +176,10 @@
   const PinnedLink pinned = pin->link;
   forwarded.at_primary = pinned.at_primary;
   pin->running = true;
-  forwarded.answer = co_await runner_.run_pinned(pinned, std::move(*order), request.commits, request.wrote);
+  forwarded.answer =
+      co_await runner_.transactions().run(pinned, std::move(*order), request.commits, request.wrote);
   pin->running = false;
-  if (pin->ended) co_await runner_.end(pinned);
+  if (pin->ended) co_await runner_.transactions().end(pinned);
   co_return forwarded;
 }
 
@@ -187,9 +188,11 @@
     const auto connection = known.lock();
     if (!connection) continue;
     for (const auto& [number, pin] : connection->pins) {
-      if (pin->running || !pin->link.link->link().is_open() || !runner_.is_off_limits(pin->link)) continue;
+      if (pin->running || !pin->link.link->link().is_open() ||
+          !runner_.transactions().is_off_limits(pin->link))
+        continue;
       // Who forwarded hears of it with the transaction's next statement.
-      runner_.abort(pin->link);
+      runner_.transactions().abort(pin->link);
       services_.metrics.count_evacuated_transaction();
     }
   }
@@ -203,9 +206,9 @@
   ended->ended = true;
   const PinnedLink pinned = ended->link;
   if (ended->running) {
-    runner_.abort(pinned);
+    runner_.transactions().abort(pinned);
   } else {
-    co_await runner_.end(pinned);
+    co_await runner_.transactions().end(pinned);
   }
 }
 
--- a/src/registered/proxy/knobs.h
+++ b/src/registered/proxy/knobs.h
@@ -78,13 +78,6 @@
 inline constexpr Duration kForwardWatchPause = milliseconds(20);
 /// A proxy that could not serve a group is not sent its statements for this long, where another can.
 inline constexpr Duration kAvoidProxy = seconds(1);
-/// A forwarded statement's answer may take this much longer than the statement itself.
-inline constexpr Duration kForwardSlack = milliseconds(60);
-/// Proxies that one statement is forwarded to, one after the other.
-inline constexpr int kMaxForwards = 3;
-/// A read that may not go to the primary waits this long for the primary's position, where none is known: a
-/// new connection and an exchange across regions.
-inline constexpr Duration kPositionPatience = milliseconds(200);
 
 /// A home of a tenant is waited for this long for tokens: as long as a dial to another proxy, and a little
 /// for the answer; then the next home is asked. All three fit into the limit.
@@ -99,8 +92,6 @@
 /// anew.
 inline constexpr std::size_t kMostTenantDivisions = 4096;
 
-/// A statement that took longer is logged with where its time went.
-inline constexpr Duration kSlowStatement = milliseconds(200);
 /// A statement at a primary without an answer for this long makes the primary suspect.
 inline constexpr Duration kPrimarySilence = milliseconds(300);
 /// Commits without an answer for this long, while none sent later was answered, stall. Chosen, not measured:
--- /dev/null
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -0,0 +1,78 @@
+#include "registered/proxy/statement/cold_tokens.h"
+
+#include <algorithm>
+
+#include "registered/placement/statement_progress.h"
+
+namespace cairnhollow::registered::proxy {
+
+using runtime::LogLevel;
+
+bool ColdTokens::holds(const GroupAccess& group, const BackendUse& backend,
+                       const std::optional<TimePoint>& token) const {
+  if (!group.is_cold(backend)) return true;
+  return token && services_.runtime.now() < *token;
+}
+
+Awaitable<AdmissionAnswer> ColdTokens::take(std::shared_ptr<GroupAccess> group,
+                                            std::shared_ptr<BackendUse> backend) {
+  const AdmissionAnswer admission = co_await services_.limits.admit_to_cold(BackendName(backend->entry.name));
+  if (admission.outcome != AdmissionOutcome::kAdmitted) record_limit(*group, *backend, admission);
+  co_return admission;
+}
+
+void ColdTokens::record_limit(const GroupAccess& group, BackendUse& backend,
+                              const AdmissionAnswer& admission) const {
+  const TimePoint now = services_.runtime.now();
+  const bool is_news = !group.is_cold_limit_reached(backend);
+  backend.cold_limit_reached_until = now + admission.retry_after;
+  if (!is_news) return;
+  const bool is_over = admission.outcome == AdmissionOutcome::kOverLimit;
+  services_.runtime.logger().log(LogLevel::kInfo, "cold_limit_reached",
+                                 {{"group", group.group().value},
+                                  {"backend", backend.entry.name.value},
+                                  {"why", is_over ? "over its rate" : "no home counts for it"},
+                                  {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
+}
+
+void ColdTokens::give_back(const BackendUse& backend, const std::optional<TimePoint>& token) const {
+  if (token) services_.limits.give_back(limited(backend.entry.name), *token);
+}
+
+Awaitable<bool> ColdTokens::enter(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
+                                  TimePoint deadline, placement::RejectionReason& rejection) {
+  while (true) {
+    std::optional<TimePoint> token;
+    const bool passed = co_await wait_for_token(group, backend, deadline, token);
+    if (!passed) rejection = placement::RejectionReason::kColdLimit;
+    if (!passed) co_return false;
+    const bool entered = co_await backend->gate.enter(admission::kUrgentClass, deadline);
+    if (entered && holds(*group, *backend, token)) co_return true;
+    give_back(*backend, token);
+    if (!entered) co_return false;
+    // It expired meanwhile, or the backend turned cold.
+    backend->gate.leave_unanswered();
+  }
+}
+
+Awaitable<bool> ColdTokens::wait_for_token(std::shared_ptr<GroupAccess> group,
+                                           std::shared_ptr<BackendUse> backend, TimePoint deadline,
+                                           std::optional<TimePoint>& token) {
+  runtime::Runtime& runtime = services_.runtime;
+  while (group->is_cold(*backend)) {
+    const AdmissionAnswer admission =
+        co_await services_.limits.admit_to_cold(BackendName(backend->entry.name));
+    const TimePoint now = runtime.now();
+    if (admission.expires_at && now < *admission.expires_at) {
+      token = admission.expires_at;
+      co_return true;
+    }
+    // One that is not known any more gets no tokens.
+    const bool is_gone = admission.outcome == AdmissionOutcome::kAdmitted && !admission.expires_at;
+    if (is_gone || now + admission.retry_after >= deadline) co_return false;
+    co_await runtime.sleep_for(std::max<Duration>(admission.retry_after, placement::kRetryPause));
+  }
+  co_return true;
+}
+
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_in_transaction.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -1,11 +1,14 @@
-// StatementRunner's part for transactions that are open: their further statements, commit, end.
+#include "registered/proxy/statement/pinned_transactions.h"
+
 #include <fmt/format.h>
 
 #include <algorithm>
 
+#include "registered/placement/attempt_outcome.h"
+#include "registered/placement/placement.h"
 #include "registered/proxy/statement/placement_facts.h"
-#include "registered/proxy/statement/statement_attempt.h"
-#include "registered/proxy/statement/statement_runner.h"
+#include "registered/proxy/statement/statement_forwarding.h"
+#include "registered/proxy/statement/statement_sending.h"
 
 namespace cairnhollow::registered::proxy {
 
@@ -25,8 +28,8 @@
 
 }  // namespace
 
-RejectionReason StatementRunner::rejection_in_transaction(const PinnedLink& pinned, const RunOrder& order,
-                                                          bool commits_stall) const {
+RejectionReason PinnedTransactions::rejection_of(const PinnedLink& pinned, const RunOrder& order,
+                                                 bool commits_stall) const {
   const GroupAccess& group = *order.group;
   placement::TransactionFacts facts;
   facts.at_primary = pinned.at_primary;
@@ -37,8 +40,8 @@
   return placement::rejection_in_transaction(facts, group.facts_of(*pinned.backend, {}));
 }
 
-Awaitable<Answer> StatementRunner::run_pinned(PinnedLink pinned, RunOrder order, bool commits, bool wrote) {
-  if (pinned.remote) co_return co_await forward_pinned(*pinned.remote, std::move(order), commits, wrote);
+Awaitable<Answer> PinnedTransactions::run(PinnedLink pinned, RunOrder order, bool commits, bool wrote) {
+  if (pinned.remote) co_return co_await forward(*pinned.remote, std::move(order), commits, wrote);
   GroupAccess& group = *order.group;
   runtime::Runtime& runtime = services_.runtime;
   Answer aborted;
@@ -47,19 +50,19 @@
   aborted.detail = ending(RejectionReason::kNone);
   Reason reason;
   const bool stalls = commits && wrote && pinned.at_primary && group.refuses_commits();
-  RejectionReason rejection = rejection_in_transaction(pinned, order, stalls);
+  RejectionReason rejection = rejection_of(pinned, order, stalls);
   const TimePoint setup_deadline = std::min(order.deadline, runtime.now() + kLinkSetupTimeout);
   bool ready = rejection == RejectionReason::kNone && pinned.link->link().is_open();
   if (ready)
     ready = co_await pinned.link->bring_in_order(order.values, order.prepared, setup_deadline, reason);
   bool entered = false;
-  if (ready) entered = co_await enter_pinned(order.group, pinned.backend, order.deadline, rejection);
-  if (entered) rejection = rejection_in_transaction(pinned, order, false);
+  if (ready) entered = co_await cold_tokens_.enter(order.group, pinned.backend, order.deadline, rejection);
+  if (entered) rejection = rejection_of(pinned, order, false);
   if (!entered || rejection != RejectionReason::kNone) {
     if (entered) pinned.backend->gate.leave_unanswered();
     pinned.link->link().close();
     aborted.detail = ending(rejection);
-    log_refusal(order, aborted, reason, 0, Unplaced{rejection, Duration(0), {}});
+    log_.refusal(order, aborted, reason, 0, Unplaced{rejection, Duration(0), {}});
     co_return aborted;
   }
   const TimePoint sent_at = runtime.now();
@@ -84,16 +87,37 @@
     const bool in_doubt = placement::is_in_doubt(commits && wrote, loss.may_have_arrived);
     if (in_doubt) aborted.refusal = Refusal::kInDoubt;
     if (in_doubt) aborted.detail = "the commit was sent and its outcome is not known";
-    log_refusal(order, aborted, reason, 1);
+    log_.refusal(order, aborted, reason, 1);
     co_return aborted;
   }
   if (answer->succeeded() && pinned.at_primary)
-    take_primary_answer(group, PrimaryAnswer{pinned.epoch, sent_at, commits && wrote}, *answer);
-  if (answer->refusal) log_refusal(order, *answer, reason, 1);
+    take_primary_answer(services_, group, PrimaryAnswer{pinned.epoch, sent_at, commits && wrote}, *answer);
+  if (answer->refusal) log_.refusal(order, *answer, reason, 1);
   co_return std::move(*answer);
 }
 
-Awaitable<void> StatementRunner::roll_back(PinnedLink pinned) {
+Awaitable<Answer> PinnedTransactions::forward(RemotePin remote, RunOrder order, bool commits, bool wrote) {
+  Reason reason;
+  ForwardRequest request;
+  request.body =
+      ForwardInTransaction{remote.pin, to_forwarded(order, services_.runtime.now()), commits, wrote};
+  const bool was_open = remote.connection->is_open();
+  const TimePoint deadline = order.deadline + kForwardSlack;
+  std::optional<ForwardAnswer> answer;
+  if (was_open) answer = co_await remote.connection->call(std::move(request), deadline, reason);
+  if (answer) co_return std::move(answer->answer);
+  Answer lost;
+  lost.state = TransactionState::kFailed;
+  const bool in_doubt = placement::is_in_doubt(commits && wrote, was_open);
+  lost.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kAborted;
+  lost.detail = in_doubt ? "the commit was sent and its outcome is not known"
+                         : "the proxy that served the transaction is gone; nothing of it is kept";
+  if (was_open) services_.runtime.spawn("forward_end", end_remote(remote));
+  log_.refusal(order, lost, reason, 1);
+  co_return lost;
+}
+
+Awaitable<void> PinnedTransactions::roll_back(PinnedLink pinned) {
   if (pinned.remote) {
     co_await end_remote(*pinned.remote);
     co_return;
@@ -112,7 +136,7 @@
   give_back(pinned);
 }
 
-Awaitable<void> StatementRunner::end(PinnedLink pinned) {
+Awaitable<void> PinnedTransactions::end(PinnedLink pinned) {
   if (pinned.link && !pinned.link->has_open_transaction()) {
     give_back(pinned);
     co_return;
@@ -120,7 +144,7 @@
   co_await roll_back(pinned);
 }
 
-void StatementRunner::give_back(const PinnedLink& pinned) {
+void PinnedTransactions::give_back(const PinnedLink& pinned) {
   if (pinned.remote) {
     services_.runtime.spawn("forward_end", end_remote(*pinned.remote));
   } else {
@@ -128,7 +152,7 @@
   }
 }
 
-void StatementRunner::abort(const PinnedLink& pinned) {
+void PinnedTransactions::abort(const PinnedLink& pinned) {
   if (pinned.remote) {
     services_.runtime.spawn("forward_end", end_remote(*pinned.remote));
   } else {
@@ -136,4 +160,12 @@
   }
 }
 
+Awaitable<void> PinnedTransactions::end_remote(RemotePin remote) {
+  if (!remote.connection->is_open()) co_return;
+  Reason reason;
+  ForwardRequest request;
+  request.body = ForwardEnd{remote.pin};
+  co_await remote.connection->call(std::move(request), services_.runtime.now() + kLinkSetupTimeout, reason);
+}
+
 }  // namespace cairnhollow::registered::proxy
--- /dev/null
+++ b/src/registered/proxy/statement/pre_send_check.cpp
@@ -0,0 +1,46 @@
+#include "registered/proxy/statement/pre_send_check.h"
+
+#include "registered/proxy/statement/placement_facts.h"
+
+namespace cairnhollow::registered::proxy {
+
+using placement::SendAction;
+
+placement::SendFacts PreSendCheck::send_facts(const StatementAttempt& attempt) const {
+  placement::SendFacts facts;
+  facts.needs_primary = attempt.needs_primary;
+  facts.may_use_primary = services_.view.may_use_primary(*attempt.order.group, attempt.epoch);
+  return facts;
+}
+
+placement::SendDecision PreSendCheck::decide(const StatementAttempt& attempt,
+                                             const placement::SendFacts& facts) const {
+  const GroupAccess& group = *attempt.order.group;
+  placement::BackendFacts backend = group.facts_of(*attempt.backend, attempt.question());
+  // Its token is its own, whoever had none; and without one it is not sent, whatever others had.
+  backend.cold_limit_reached = !cold_tokens_.holds(group, *attempt.backend, attempt.cold_token);
+  return placement::before_sending(facts, backend);
+}
+
+bool PreSendCheck::may_go_on(StatementAttempt& attempt) const {
+  attempt.last_look = decide(attempt, send_facts(attempt));
+  return attempt.last_look.action == SendAction::kSend;
+}
+
+Awaitable<placement::SendDecision> PreSendCheck::check(std::shared_ptr<StatementAttempt> attempt) const {
+  const RunOrder& order = attempt->order;
+  const FleetView& view = services_.view;
+  bool lacks_token = false;
+  const bool runs_again = order.may_have_run && !order.tenant.empty();
+  // What can't be sent in any case takes no token.
+  if (runs_again && decide(*attempt, send_facts(*attempt)).action == SendAction::kSend) {
+    const AdmissionAnswer admission = co_await services_.limits.admit(order.tenant);
+    lacks_token = admission.outcome != AdmissionOutcome::kAdmitted;
+  }
+  placement::SendFacts facts = send_facts(*attempt);
+  facts.lacks_token = lacks_token;
+  facts.key = key_facts(view, order.route, order.key, order.tenant, services_.runtime.now());
+  co_return decide(*attempt, facts);
+}
+
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -1,4 +1,4 @@
-// StatementRunner's bookkeeping of one statement, for its own parts only.
+// The bookkeeping of one statement that this proxy runs itself, over all its attempts.
 #pragma once
 
 #include <optional>
@@ -6,35 +6,15 @@
 #include <string>
 #include <vector>
 
-#include "registered/proxy/statement/statement_runner.h"
+#include "registered/placement/attempt_outcome.h"
+#include "registered/placement/placement.h"
+#include "registered/proxy/statement/statement_request.h"
 
 namespace cairnhollow::registered::proxy {
 
-/// Gives back the place that a statement took, with what its answer tells of the backend.
-inline void leave_gate(StatementGate& gate, const std::optional<Answer>& answer, Duration latency) {
-  if (!answer) return gate.leave_unanswered();
-  if (answer->refusal == Refusal::kBusy) return gate.leave_busy();
-  // What was not run was answered at once and tells nothing about the time that statements take.
-  if (answer->refusal) return gate.leave_unanswered();
-  gate.leave(latency);
-}
-
-/// A statement at a primary, taken out of the group's list when the scope ends.
-class WorkScope {
- public:
-  WorkScope(GroupAccess& group, PrimaryWork work) : group_(group), key_(group.begin_work(std::move(work))) {}
-  ~WorkScope() { group_.end_work(key_); }
-  WorkScope(const WorkScope&) = delete;
-  WorkScope& operator=(const WorkScope&) = delete;
-
- private:
-  GroupAccess& group_;
-  std::uint64_t key_;
-};
-
 /// One statement on its way, over all its attempts.
-struct StatementRunner::Attempt {
-  explicit Attempt(RunOrder run_order) : order(std::move(run_order)), progress(order.progress()) {}
+struct StatementAttempt {
+  explicit StatementAttempt(RunOrder run_order) : order(std::move(run_order)), progress(order.progress()) {}
 
   RunOrder order;
   placement::StatementProgress progress;
@@ -63,6 +43,8 @@
   Duration at_backend{0};
   std::string path;  ///< backends tried and how each attempt ended
 
+  [[nodiscard]] PlacementQuestion question() const { return {&need, &excluded, &order.allowed}; }
+  /// The transaction that it has opened.
   [[nodiscard]] PinnedLink pinned() const {
     return PinnedLink{backend, link, std::nullopt, epoch, at_primary};
   }
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -1,21 +1,15 @@
-// StatementRunner's part for groups that other proxies serve.
+#include "registered/proxy/statement/statement_forwarding.h"
+
 #include <fmt/format.h>
 
 #include <algorithm>
 
+#include "registered/placement/attempt_outcome.h"
 #include "registered/proxy/statement/placement_facts.h"
-#include "registered/proxy/statement/statement_runner.h"
 
 namespace cairnhollow::registered::proxy {
 
-GroupWork StatementRunner::work_of(const RunOrder& order) {
-  const bool reads = order.opens_transaction ? order.read_only_transaction : !order.writes;
-  const bool may_be_stale = order.route.reads != registry::ReadPolicy::kPrimary;
-  return reads && may_be_stale ? GroupWork::kSingleReads : GroupWork::kAtPrimary;
-}
-
-ForwardedOrder StatementRunner::to_forwarded(const RunOrder& order) const {
-  const TimePoint now = services_.runtime.now();
+ForwardedOrder to_forwarded(const RunOrder& order, TimePoint now) {
   ForwardedOrder forwarded;
   forwarded.route = order.route;
   forwarded.key = order.key;
@@ -34,7 +28,7 @@
   return forwarded;
 }
 
-Awaitable<RunResult> StatementRunner::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
+Awaitable<Forwarded> StatementForwarding::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
   // Those that did not answer a moment ago go last.
   const GroupName group = order.group->group();
   std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const subset::ProxyPointer& proxy) {
@@ -45,7 +39,7 @@
   result.answer.refusal = Refusal::kBusy;
   Reason reason;
   // Whoever runs it does so under its own lease; this proxy needs none to pass it on.
-  const auto tries = std::min<std::size_t>(proxies.size(), kMaxForwards);
+  const auto tries = std::min<std::size_t>(proxies.size(), placement::kMaxForwards);
   bool may_try_another = true;
   bool is_answered = false;
   for (std::size_t attempt = 0; attempt < tries && may_try_another; ++attempt) {
@@ -54,7 +48,8 @@
                                     services_.forwarder.is_avoided(node, group)};
     const auto action = placement::take_turn(turn, proxy_facts(services_.view, *order.group));
     if (action == placement::TurnAction::kSkip) continue;
-    if (action == placement::TurnAction::kRunHere) co_return co_await run_here(std::move(order));
+    if (action == placement::TurnAction::kRunHere)
+      co_return Forwarded{ForwardedNext::kRunHere, std::move(order), {}};
     auto forwarded = co_await forward_to(order, proxies[attempt], may_try_another, reason);
     if (!forwarded) continue;
     is_answered = true;
@@ -62,20 +57,21 @@
     order.may_have_run = order.may_have_run || !result.nothing_run;
     result.nothing_run = !order.may_have_run;
   }
-  const auto placed =
-      co_await await_lease(order.group, placement::refusal_time(order.progress()), may_try_another);
-  if (placed.action == placement::Action::kRun) co_return co_await run(std::move(order));
+  const TimePoint refuse_at = placement::refusal_time(order.progress());
+  const auto placed = co_await await_lease(order.group, refuse_at, may_try_another);
+  if (placed.action == placement::Action::kRun)
+    co_return Forwarded{ForwardedNext::kRunAgain, std::move(order), {}};
   const Unplaced unplaced{placed.rejection, placed.back_in, {}};
   if (placed.rejection == placement::RejectionReason::kNoLease || !is_answered) {
     result.answer.detail = fmt::format("{}; come back in {} ms", placement::rejection_text(placed.rejection),
                                        in_ms(placed.back_in));
   }
-  if (result.answer.refusal) log_refusal(order, result.answer, reason, 1, unplaced);
-  co_return result;
+  if (result.answer.refusal) log_.refusal(order, result.answer, reason, 1, unplaced);
+  co_return Forwarded{ForwardedNext::kAnswer, std::move(order), std::move(result)};
 }
 
-Awaitable<placement::Placement> StatementRunner::await_lease(std::shared_ptr<GroupAccess> group,
-                                                             TimePoint refuse_at, bool may_try_another) {
+Awaitable<placement::Placement> StatementForwarding::await_lease(std::shared_ptr<GroupAccess> group,
+                                                                 TimePoint refuse_at, bool may_try_another) {
   placement::ForwardingEnd end{may_try_another, false};
   placement::Patience patience;
   while (true) {
@@ -87,13 +83,14 @@
   }
 }
 
-Awaitable<std::optional<RunResult>> StatementRunner::forward_to(RunOrder order, subset::ProxyPointer proxy,
-                                                                bool& may_try_another, Reason& reason) {
+Awaitable<std::optional<RunResult>> StatementForwarding::forward_to(RunOrder order,
+                                                                    subset::ProxyPointer proxy,
+                                                                    bool& may_try_another, Reason& reason) {
   may_try_another = true;
   const auto connection = co_await services_.forwarder.connect(proxy, order.deadline, reason);
   if (!connection) co_return std::nullopt;
   ForwardRequest request;
-  request.body = ForwardRun{to_forwarded(order)};
+  request.body = ForwardRun{to_forwarded(order, services_.runtime.now())};
   const TimePoint deadline = order.deadline + kForwardSlack;
   auto answer = co_await connection->call(std::move(request), deadline, reason);
   RunResult result;
@@ -122,33 +119,4 @@
   co_return result;
 }
 
-Awaitable<Answer> StatementRunner::forward_pinned(RemotePin remote, RunOrder order, bool commits,
-                                                  bool wrote) {
-  Reason reason;
-  ForwardRequest request;
-  request.body = ForwardInTransaction{remote.pin, to_forwarded(order), commits, wrote};
-  const bool was_open = remote.connection->is_open();
-  const TimePoint deadline = order.deadline + kForwardSlack;
-  std::optional<ForwardAnswer> answer;
-  if (was_open) answer = co_await remote.connection->call(std::move(request), deadline, reason);
-  if (answer) co_return std::move(answer->answer);
-  Answer lost;
-  lost.state = TransactionState::kFailed;
-  const bool in_doubt = placement::is_in_doubt(commits && wrote, was_open);
-  lost.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kAborted;
-  lost.detail = in_doubt ? "the commit was sent and its outcome is not known"
-                         : "the proxy that served the transaction is gone; nothing of it is kept";
-  if (was_open) services_.runtime.spawn("forward_end", end_remote(remote));
-  log_refusal(order, lost, reason, 1);
-  co_return lost;
-}
-
-Awaitable<void> StatementRunner::end_remote(RemotePin remote) {
-  if (!remote.connection->is_open()) co_return;
-  Reason reason;
-  ForwardRequest request;
-  request.body = ForwardEnd{remote.pin};
-  co_await remote.connection->call(std::move(request), services_.runtime.now() + kLinkSetupTimeout, reason);
-}
-
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -1,14 +1,10 @@
-// What StatementRunner logs of statements: refusals, and where the time of slow ones went.
-#include <chrono>
-
-#include "registered/proxy/statement/statement_attempt.h"
-#include "registered/proxy/statement/statement_runner.h"
+#include "registered/proxy/statement/statement_log.h"
 
 namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
-void StatementRunner::log_slow(const Attempt& attempt) {
+void StatementLog::slow(const StatementAttempt& attempt) const {
   services_.runtime.logger().log(
       LogLevel::kInfo, "statement_slow",
       {{"id", attempt.order.id},
@@ -24,7 +20,7 @@
        {"took_ms", std::to_string(in_ms(services_.runtime.now() - attempt.order.arrived))}});
 }
 
-void StatementRunner::log_lost_answer(const Attempt& attempt, const Reason& reason) {
+void StatementLog::lost_answer(const StatementAttempt& attempt, const Reason& reason) const {
   services_.runtime.logger().log(
       LogLevel::kWarning, "answer_lost", reason,
       {{"id", attempt.order.id},
@@ -35,8 +31,8 @@
        {"waited_ms", std::to_string(in_ms(services_.runtime.now() - attempt.sent_at))}});
 }
 
-void StatementRunner::log_refusal(const RunOrder& order, const Answer& answer, const Reason& reason,
-                                  int attempts, const Unplaced& unplaced) {
+void StatementLog::refusal(const RunOrder& order, const Answer& answer, const Reason& reason, int attempts,
+                           const Unplaced& unplaced) const {
   const bool is_own = unplaced.since != placement::RejectionReason::kNone;
   if (is_own) services_.metrics.count_unplaced(unplaced.since);
   const registry::GroupTerm& term = order.group->term();
--- /dev/null
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -0,0 +1,98 @@
+#include "registered/proxy/statement/statement_placer.h"
+
+#include <algorithm>
+
+#include "registered/proxy/group/position_question.h"
+#include "registered/proxy/statement/placement_facts.h"
+
+namespace cairnhollow::registered::proxy {
+
+using placement::Action;
+
+const placement::ProxyList* StatementPlacer::keep_inside(const placement::ProxyList& proxies,
+                                                         const RunOrder& order,
+                                                         placement::ProxyList& kept) const {
+  if (order.allowed.is_anywhere()) return &proxies;
+  kept = services_.view.in_regions(proxies, order.allowed);
+  // The first choice is this proxy: nothing is to be passed on.
+  if (!kept.empty() && kept.front()->name == services_.view.node()) kept.clear();
+  return &kept;
+}
+
+std::optional<placement::Forwarding> StatementPlacer::find_elsewhere(const RunOrder& order,
+                                                                     PeersInside& inside) const {
+  FleetView& view = services_.view;
+  GroupAccess& group = *order.group;
+  placement::ProxyFacts proxy = proxy_facts(view, group);
+  proxy.serving =
+      keep_inside(view.forward_to(group.group(), order.tenant,
+                                  order.may_use_replicas() ? GroupWork::kSingleReads : GroupWork::kAtPrimary),
+                  order, inside.serving);
+  proxy.others = keep_inside(view.others(), order, inside.others);
+  if (proxy.primary_full)
+    proxy.also_serving = keep_inside(view.also_serving(group.group()), order, inside.also_serving);
+  placement::StatementNeed need;
+  need.reads = order.reads();
+  // What a read must see takes a while to find out, and plays no part where this proxy can serve it all.
+  if (need.reads && placement::may_another_serve(proxy))
+    need.primary_only = group.need_of(order.route, order.committed, &order.allowed).primary_only;
+  return placement::place_elsewhere(need, proxy);
+}
+
+bool StatementPlacer::is_shut_out(const RunOrder& order) {
+  if (order.allowed.is_nowhere()) return true;
+  ReadNeed need;
+  need.primary_only = !order.may_use_replicas();
+  const auto choice =
+      placement::choose_backend(need.primary_only, order.group->facts({&need, nullptr, &order.allowed}));
+  return choice.is_final && choice.rejection == placement::RejectionReason::kOutsideRegions;
+}
+
+placement::Placement StatementPlacer::place(StatementAttempt& attempt) const {
+  GroupAccess& group = *attempt.order.group;
+  const RunOrder& order = attempt.order;
+  attempt.need = ReadNeed{true, std::nullopt, {}, &order.allowed};
+  if (order.reads()) attempt.need = group.need_of(order.route, order.committed, &order.allowed);
+  placement::StatementNeed need;
+  need.reads = order.reads();
+  need.primary_only = attempt.need.primary_only;
+  need.is_forwarded = attempt.order.is_forwarded;
+  const GroupFacts backends = group.facts(attempt.question());
+  const auto patience = placement::patience_at(attempt.progress, services_.runtime.now());
+  const auto placed = placement::place_here(need, proxy_facts(services_.view, group), backends, patience);
+  if (placed.action != Action::kRun) return placed;
+  attempt.backend = group.backend_at(placed.backend);
+  attempt.epoch = group.term().epoch;
+  attempt.at_primary = placement::may_lead(backends[placed.backend]);
+  attempt.needs_primary = need.needs_primary();
+  return placed;
+}
+
+bool StatementPlacer::reroute(StatementAttempt& attempt) const {
+  RunOrder& order = attempt.order;
+  // Without tenants any proxy that serves the group is as good.
+  if (order.is_forwarded || order.tenant.empty() || order.may_use_replicas()) return false;
+  if (!placement::may_be_rerouted(attempt.progress)) return false;
+  PeersInside inside;
+  const auto elsewhere = find_elsewhere(order, inside);
+  if (!elsewhere) return false;
+  services_.metrics.count_forwarded(elsewhere->since);
+  ++order.rerouted;
+  attempt.moved_to = *elsewhere->proxies;
+  return true;
+}
+
+Awaitable<void> StatementPlacer::bring_position(std::shared_ptr<StatementAttempt> attempt) const {
+  const RunOrder& order = attempt->order;
+  GroupAccess& group = *order.group;
+  if (!order.may_use_replicas() || !group.is_primary_outside(order.allowed)) co_return;
+  const Duration staleness = std::chrono::milliseconds(order.route.max_staleness_ms);
+  if (group.wants_position(staleness)) ask_position(services_.runtime, services_.view, order.group);
+  const TimePoint patience =
+      std::min(placement::refusal_time(attempt->progress), services_.runtime.now() + kPositionPatience);
+  while (group.need_of(order.route, order.committed, &order.allowed).primary_only &&
+         group.is_primary_outside(order.allowed) && services_.runtime.now() < patience)
+    co_await group.changed().wait_until(patience);
+}
+
+}  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -3,11 +3,15 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
-#include "registered/proxy/statement/statement_attempt.h"
+#include "registered/placement/retry_after.h"
+#include "registered/proxy/statement/placement_facts.h"
+#include "registered/proxy/statement/statement_sending.h"
 
 namespace cairnhollow::registered::proxy {
 
+using placement::Action;
 using placement::NextStep;
 using placement::RejectionReason;
 using placement::SendAction;
@@ -23,60 +27,112 @@
 
 }  // namespace
 
-BackendRequest StatementRunner::make_request(const RunOrder& order, const StatefulLink& link,
-                                             std::optional<Position> required) const {
-  if (!order.prepared) return PassOn{order.id, order.text, required};
-  return Execute{order.id, link.prepared_name(*order.prepared), order.argument, required};
-}
-
 Awaitable<RunResult> StatementRunner::run(RunOrder order) {
-  if (!order.allowed.is_anywhere() && is_shut_out(order)) co_return refuse_outside(std::move(order));
+  if (!order.allowed.is_anywhere() && StatementPlacer::is_shut_out(order))
+    co_return refuse_outside(std::move(order));
   std::optional<placement::Forwarding> elsewhere;
   PeersInside inside;
-  if (!order.is_forwarded) elsewhere = find_elsewhere(order, inside);
+  if (!order.is_forwarded) elsewhere = placer_.find_elsewhere(order, inside);
   if (!elsewhere) co_return co_await run_here(std::move(order));
   services_.metrics.count_forwarded(elsewhere->since);
   std::vector<subset::ProxyPointer> proxies = *elsewhere->proxies;
   co_return co_await forward(std::move(order), std::move(proxies));
 }
 
+Awaitable<RunResult> StatementRunner::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
+  Forwarded forwarded = co_await forwarding_.forward(std::move(order), std::move(proxies));
+  if (forwarded.next == ForwardedNext::kRunHere) co_return co_await run_here(std::move(forwarded.order));
+  if (forwarded.next == ForwardedNext::kRunAgain) co_return co_await run(std::move(forwarded.order));
+  co_return std::move(forwarded.result);
+}
+
 Awaitable<RunResult> StatementRunner::run_here(RunOrder order) {
   runtime::Runtime& runtime = services_.runtime;
-  auto attempt = std::make_shared<Attempt>(std::move(order));
+  auto attempt = std::make_shared<StatementAttempt>(std::move(order));
   const bool writes = attempt->order.writes;
   const bool stalls = writes && attempt->order.group->refuses_commits();
   if (placement::commit_rejection(writes, stalls) != RejectionReason::kNone)
     co_return refuse_stalled(*attempt);
-  if (!attempt->order.allowed.is_anywhere()) co_await bring_position(attempt);
+  if (!attempt->order.allowed.is_anywhere()) co_await placer_.bring_position(attempt);
   NextStep next = NextStep::kChooseAgain;
   while (next != NextStep::kAnswer) {
     const bool chosen = co_await choose(attempt);
     if (!chosen) break;
     ++attempt->progress.attempts;
     next = co_await try_backend(attempt);
-    give_cold_token_back(*attempt);
+    cold_tokens_.give_back(*attempt->backend, std::exchange(attempt->cold_token, {}));
     if (next == NextStep::kPauseAndTryAgain) co_await runtime.sleep_for(placement::kRetryPause);
   }
   if (!attempt->moved_to.empty())
     co_return co_await forward(std::move(attempt->order), std::move(attempt->moved_to));
   const Answer& answer = attempt->result.answer;
-  if (!answer.refusal && runtime.now() - attempt->order.arrived > kSlowStatement) log_slow(*attempt);
+  if (!answer.refusal && runtime.now() - attempt->order.arrived > kSlowStatement) log_.slow(*attempt);
   if (answer.refusal)
-    log_refusal(attempt->order, answer, attempt->reason, attempt->progress.attempts, attempt->unplaced);
+    log_.refusal(attempt->order, answer, attempt->reason, attempt->progress.attempts, attempt->unplaced);
   attempt->result.nothing_run = !attempt->order.may_have_run;
   co_return std::move(attempt->result);
 }
 
-RunResult StatementRunner::refuse_stalled(Attempt& attempt) {
-  refuse(attempt, RejectionReason::kCommitsStall, placement::kRetryAfterWithoutPrimary);
-  attempt.reason = Reason{ReasonCode::kOverloaded, "check_commits", attempt.order.group->term().primary.value,
-                          "commits sent before have no answer"};
-  log_refusal(attempt.order, attempt.result.answer, attempt.reason, 0, attempt.unplaced);
+Awaitable<bool> StatementRunner::choose(Attempt attempt) {
+  placement::Placement placed = placer_.place(*attempt);
+  bool has_waited = false;
+  while (placed.action == Action::kWait) {
+    attempt->excluded.clear();
+    const TimePoint again = services_.runtime.now() + placement::kRetryPause;
+    const TimePoint limit = placement::refusal_time(attempt->progress);
+    co_await attempt->order.group->changed().wait_until(std::min(limit, again));
+    placed = placer_.place(*attempt);
+    has_waited = true;
+  }
+  if (placed.action == Action::kRefuse) refuse(*attempt, placed.rejection, placed.back_in);
+  if (placed.action != Action::kRun) co_return false;
+  co_return !has_waited || !placer_.reroute(*attempt);
+}
+
+void StatementRunner::refuse(StatementAttempt& attempt, RejectionReason since, Duration back_in) {
+  Answer& answer = attempt.result.answer;
+  answer.refusal = refusal_of(since);
+  answer.state = TransactionState::kIdle;
+  answer.detail = placement::rejection_text(since);
+  attempt.unplaced = Unplaced{since, back_in, {}};
+  if (back_in == Duration(0)) return;
+  answer.detail += fmt::format("; come back in {} ms", in_ms(back_in));
+  const GroupFacts backends = attempt.order.group->facts(attempt.question());
+  for (const placement::BackendFacts& backend : backends) {
+    const RejectionReason rejection = placement::rejection_at(backend, attempt.need.primary_only, backends);
+    if (rejection == RejectionReason::kNone) continue;
+    std::string& passed_over = attempt.unplaced.passed_over;
+    if (!passed_over.empty()) passed_over += ' ';
+    passed_over += fmt::format("{}:{}", backend.name, placement::rejection_name(rejection));
+  }
+}
+
+RunResult StatementRunner::refuse_untried(StatementAttempt& attempt, RejectionReason since, Duration back_in,
+                                          Reason reason) {
+  refuse(attempt, since, back_in);
+  attempt.reason = std::move(reason);
+  log_.refusal(attempt.order, attempt.result.answer, attempt.reason, 0, attempt.unplaced);
   attempt.result.nothing_run = !attempt.order.may_have_run;
   return std::move(attempt.result);
 }
 
-Awaitable<bool> StatementRunner::acquire_link(std::shared_ptr<Attempt> attempt) {
+RunResult StatementRunner::refuse_stalled(StatementAttempt& attempt) {
+  Reason reason{ReasonCode::kOverloaded, "check_commits", attempt.order.group->term().primary.value,
+                "commits sent before have no answer"};
+  return refuse_untried(attempt, RejectionReason::kCommitsStall, placement::kRetryAfterWithoutPrimary,
+                        std::move(reason));
+}
+
+RunResult StatementRunner::refuse_outside(RunOrder order) {
+  StatementAttempt attempt(std::move(order));
+  attempt.need.primary_only = !attempt.order.may_use_replicas();
+  Reason reason{ReasonCode::kNoBackend, "check_regions", attempt.order.group->term().primary.value,
+                "allowed regions: " + attempt.order.allowed.to_string()};
+  return refuse_untried(attempt, RejectionReason::kOutsideRegions, placement::kRetryAfterOutsideRegions,
+                        std::move(reason));
+}
+
+Awaitable<bool> StatementRunner::acquire_link(Attempt attempt) {
   const RunOrder& order = attempt->order;
   BackendUse& backend = *attempt->backend;
   std::optional<Refusal> refusal;
@@ -102,22 +158,22 @@
   co_return false;
 }
 
-Awaitable<bool> StatementRunner::prepare_link(std::shared_ptr<Attempt> attempt) {
-  if (!may_go_on(*attempt)) co_return false;
+Awaitable<bool> StatementRunner::prepare_link(Attempt attempt) {
+  if (!check_.may_go_on(*attempt)) co_return false;
   const bool acquired = co_await acquire_link(attempt);
   if (!acquired) co_return false;
   const RunOrder& order = attempt->order;
   // What the link is brought in order by is sent there, too.
-  bool ready = may_go_on(*attempt);
+  bool ready = check_.may_go_on(*attempt);
   const TimePoint deadline = std::min(order.deadline, services_.runtime.now() + kLinkSetupTimeout);
   if (ready)
     ready = co_await attempt->link->bring_in_order(order.values, order.prepared, deadline, attempt->reason);
-  if (ready && order.opens_transaction) ready = may_go_on(*attempt);
+  if (ready && order.opens_transaction) ready = check_.may_go_on(*attempt);
   if (!ready) attempt->backend->pool.release(attempt->link);
   co_return ready;
 }
 
-void StatementRunner::apply(const placement::RefusalEffects& effects, Attempt& attempt) {
+void StatementRunner::apply(const placement::RefusalEffects& effects, StatementAttempt& attempt) {
   GroupAccess& group = *attempt.order.group;
   if (effects.forget_prepared) attempt.link->forget_prepared();
   if (effects.close_link) attempt.link->link().close();
@@ -125,12 +181,12 @@
   if (effects.suspect_primary) services_.link.report_suspicion(group, SuspicionKind::kSilent);
 }
 
-NextStep StatementRunner::apply(const placement::Retry& retry, Attempt& attempt) {
+NextStep StatementRunner::apply(const placement::Retry& retry, StatementAttempt& attempt) {
   if (retry.passes_over) attempt.excluded.insert(attempt.backend->entry.name);
   return retry.next;
 }
 
-Awaitable<bool> StatementRunner::begin_transaction(std::shared_ptr<Attempt> attempt) {
+Awaitable<bool> StatementRunner::begin_transaction(Attempt attempt) {
   const auto required = attempt->order.group->required_of(*attempt->backend, attempt->need);
   const Begin begin{attempt->order.read_only_transaction, required};
   const TimePoint deadline = std::min(attempt->order.deadline, services_.runtime.now() + kLinkSetupTimeout);
@@ -146,11 +202,22 @@
   co_return false;
 }
 
-Awaitable<NextStep> StatementRunner::try_backend(std::shared_ptr<Attempt> attempt) {
+Awaitable<bool> StatementRunner::take_cold_token(Attempt attempt) {
+  const auto group = attempt->order.group;
+  const auto backend = attempt->backend;
+  if (cold_tokens_.holds(*group, *backend, attempt->cold_token)) co_return true;
+  const AdmissionAnswer admission = co_await cold_tokens_.take(group, backend);
+  attempt->cold_token = admission.expires_at;
+  if (admission.outcome == AdmissionOutcome::kAdmitted) co_return true;
+  attempt->reason = Reason{ReasonCode::kOverloaded, "pass_cold", backend->entry.name.value,
+                           "there is no token for the cold backend"};
+  co_return false;
+}
+
+Awaitable<NextStep> StatementRunner::try_backend(Attempt attempt) {
   const std::shared_ptr<BackendUse> backend = attempt->backend;
   attempt->last_look = {};
-  bool admitted = holds_cold_token(*attempt);
-  if (!admitted) admitted = co_await pass_cold(attempt);
+  const bool admitted = co_await take_cold_token(attempt);
   if (!admitted) co_return NextStep::kChooseAgain;
   const std::uint8_t priority = urgency_of(attempt->order);
   const TimePoint begun_at = services_.runtime.now();
@@ -167,7 +234,7 @@
   bool begun = co_await prepare_link(attempt);
   attempt->at_pool += services_.runtime.now() - entered_at;
   if (begun && attempt->order.opens_transaction) begun = co_await begin_transaction(attempt);
-  if (begun) attempt->last_look = co_await last_look(attempt);
+  if (begun) attempt->last_look = co_await check_.check(attempt);
   const bool may_be_sent = attempt->last_look.action == SendAction::kSend;
   if (!begun || !may_be_sent) backend->gate.leave_unanswered();
   if (!may_be_sent) co_return stop_before_sending(*attempt, begun);
@@ -184,7 +251,7 @@
   co_return take_loss(*attempt, reason);
 }
 
-Awaitable<std::optional<Answer>> StatementRunner::exchange(std::shared_ptr<Attempt> attempt) {
+Awaitable<std::optional<Answer>> StatementRunner::exchange(Attempt attempt) {
   const RunOrder& order = attempt->order;
   attempt->progress.offered = true;
   attempt->sent_at = services_.runtime.now();
@@ -203,7 +270,19 @@
   co_return co_await attempt->link->link().run(std::move(request), deadline, attempt->sent, attempt->reason);
 }
 
-NextStep StatementRunner::take_loss(Attempt& attempt, const Reason& reason) {
+NextStep StatementRunner::stop_before_sending(StatementAttempt& attempt, bool begun) {
+  const placement::SendDecision& decision = attempt.last_look;
+  const bool is_given_up = decision.rejection == RejectionReason::kPrimaryGivenUp;
+  if (begun) {
+    if (attempt.order.opens_transaction || is_given_up) attempt.link->link().close();
+    attempt.backend->pool.release(attempt.link);
+  }
+  if (decision.action == SendAction::kChooseAgain) return NextStep::kChooseAgain;
+  refuse(attempt, decision.rejection, Duration(0));
+  return NextStep::kAnswer;
+}
+
+NextStep StatementRunner::take_loss(StatementAttempt& attempt, const Reason& reason) {
   services_.metrics.count_lost_answer();
   GroupAccess& group = *attempt.order.group;
   const placement::LossFacts loss{attempt.sent != SendState::kNotSent,
@@ -216,7 +295,7 @@
     services_.link.report_suspicion(group,
                                     is_of_no_use ? SuspicionKind::kUnreachable : SuspicionKind::kSilent);
   }
-  log_lost_answer(attempt, reason);
+  log_.lost_answer(attempt, reason);
   if (outcome.retry.next != NextStep::kAnswer) return apply(outcome.retry, attempt);
   Answer& answer = attempt.result.answer;
   answer = Answer{};
@@ -225,22 +304,7 @@
   return NextStep::kAnswer;
 }
 
-void StatementRunner::take_primary_answer(GroupAccess& group, PrimaryAnswer primary, Answer& answer) {
-  if (primary.commits) group.record_commit_answered(primary.asked_at);
-  const bool current = services_.view.may_use_primary(group, primary.epoch);
-  const auto success =
-      placement::after_primary_success(primary.commits, current, answer.position.has_value());
-  if (success.record_position) group.record_primary_position(primary.asked_at, *answer.position);
-  if (success.acknowledge) group.record_acknowledged(*answer.position);
-  if (!success.in_doubt) return;
-  const TransactionState state = answer.state;
-  answer = Answer{};
-  answer.refusal = Refusal::kInDoubt;
-  answer.state = state;
-  answer.detail = "its primary was given up before the answer came";
-}
-
-NextStep StatementRunner::take_answer(Attempt& attempt, Answer answer) {
+NextStep StatementRunner::take_answer(StatementAttempt& attempt, Answer answer) {
   GroupAccess& group = *attempt.order.group;
   BackendUse& backend = *attempt.backend;
   const RunOrder& order = attempt.order;
@@ -258,18 +322,19 @@
                             refusal_name(*answer.refusal)};
   }
   if (order.opens_transaction) {
-    services_.runtime.spawn("roll_back", roll_back(attempt.pinned()));
+    services_.runtime.spawn("roll_back", transactions_.roll_back(attempt.pinned()));
   } else {
     backend.pool.release(attempt.link);
   }
   return apply(retry, attempt);
 }
 
-NextStep StatementRunner::take_final_answer(Attempt& attempt, Answer answer) {
+NextStep StatementRunner::take_final_answer(StatementAttempt& attempt, Answer answer) {
   GroupAccess& group = *attempt.order.group;
   const RunOrder& order = attempt.order;
   if (answer.succeeded() && attempt.at_primary)
-    take_primary_answer(group, PrimaryAnswer{attempt.epoch, attempt.sent_at, order.keeps_changes()}, answer);
+    take_primary_answer(services_, group,
+                        PrimaryAnswer{attempt.epoch, attempt.sent_at, order.keeps_changes()}, answer);
   if (answer.succeeded() && !attempt.at_primary && answer.position)
     group.record_replica(*attempt.backend, attempt.need, answer.position);
   attempt.result.served_by = attempt.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -363,7 +363,8 @@
   }
   void start_pinned(const PinnedLink& pinned, Duration within) {
     answers_.clear();
-    runtime_->spawn("further", keep(proxy_->runner.run_pinned(pinned, order(), false, false), answers_));
+    runtime_->spawn("further",
+                    keep(proxy_->runner.transactions().run(pinned, order(), false, false), answers_));
     world_->run_for(within);
   }
   Answer run_pinned(const PinnedLink& pinned, Duration within) {
--- a/tests/registered/proxy/statement/statement_outcomes_test.cpp
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -172,7 +172,8 @@
     CPPUNIT_ASSERT(opened.pinned);
     backends().at_statement[kPrimary] = mishap;
     Answer answer;
-    runtime_->spawn("run", keep(proxy_->runner.run_pinned(*opened.pinned, order(), commits, wrote), answer));
+    runtime_->spawn("run",
+                    keep(proxy_->runner.transactions().run(*opened.pinned, order(), commits, wrote), answer));
     world_->run_for(milliseconds(1200));
     return answer.refusal ? refusal_name(*answer.refusal) : "ok";
   }
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -355,7 +355,7 @@
     auto answer = std::make_shared<Answer>();
     const auto task = [](StatementRunner& runner, PinnedLink link, RunOrder wanted, bool is_commit,
                          std::shared_ptr<Answer> told) -> Awaitable<void> {
-      *told = co_await runner.run_pinned(std::move(link), std::move(wanted), is_commit, true);
+      *told = co_await runner.transactions().run(std::move(link), std::move(wanted), is_commit, true);
     };
     CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(pinned), std::move(order), commits, answer)));
     return *answer;
--- a/tests/registered/proxy/statement/transaction_look_test.cpp
+++ b/tests/registered/proxy/statement/transaction_look_test.cpp
@@ -55,7 +55,7 @@
     runtime_->spawn("run", keep(proxy_->runner.run(order()), write));
     world_->run_for(milliseconds(300));
     Answer answer;
-    runtime_->spawn("commit", keep(proxy_->runner.run_pinned(pinned, order(), true, true), answer));
+    runtime_->spawn("commit", keep(proxy_->runner.transactions().run(pinned, order(), true, true), answer));
     world_->run_for(milliseconds(10));
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(std::string("commits reach no replica now; nothing of it is kept"), answer.detail);
@@ -83,8 +83,8 @@
   void check_ended(const PinnedLink& pinned, const std::string& since) {
     Answer answer;
     RunOrder further = order("second");
-    runtime_->spawn("further",
-                    keep(proxy_->runner.run_pinned(pinned, std::move(further), false, false), answer));
+    runtime_->spawn(
+        "further", keep(proxy_->runner.transactions().run(pinned, std::move(further), false, false), answer));
     world_->run_for(milliseconds(1200));
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(1, sent("one"));
