--- a/src/registered/proxy/group/backend_standing.cpp
+++ b/src/registered/proxy/group/backend_standing.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 
+#include "registered/placement/retry_after.h"
+
 namespace cairnhollow::registered::proxy {
 
 placement::BackendFacts BackendStanding::facts_of(const BackendUse& backend,
@@ -18,14 +20,14 @@
   // A primary goes on for a while, so that it is followed while it runs.
   facts.transaction_grace_over = backend.is_off_limits(now);
   facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
-  if (facts.zone_evacuated) facts.back_in = kRetryAfterEvacuation;
+  if (facts.zone_evacuated) facts.back_in = placement::kRetryAfterEvacuation;
   facts.tried = question.tried != nullptr && question.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
   facts.refused = backend.pool.is_refused();
   facts.cold_limit_reached = cold_.is_reached(backend);
   if (facts.cold_limit_reached) facts.back_in = backend.cold_limit_reached_until - now;
   if (question.allowed != nullptr) facts.region_allowed = question.allowed->allows(backend.entry.zone);
-  if (!facts.region_allowed) facts.back_in = kRetryAfterOutsideRegions;
+  if (!facts.region_allowed) facts.back_in = placement::kRetryAfterOutsideRegions;
   if (question.need == nullptr || question.need->primary_only) return facts;
   facts.lags = !facts.is_primary && backend.lag.at(now) > now - question.need->required_since;
   facts.cost = cost_of(backend);
--- a/src/registered/proxy/group/backend_standing.h
+++ b/src/registered/proxy/group/backend_standing.h
@@ -17,12 +17,6 @@
 
 /// A backend that leaves as primary is used no longer than this. Chosen, not measured.
 inline constexpr Duration kLeavingPrimaryUse = std::chrono::seconds(5);
-/// What a caller is told to wait where only backends of evacuated zones could serve it. Chosen, not measured.
-inline constexpr Duration kRetryAfterEvacuation = std::chrono::seconds(1);
-/// The same where all backends that could run it are outside the regions that it may be run in. Only a change
-/// of primary, of backends or of the document helps, and those come a few times an hour at most. Chosen, not
-/// measured.
-inline constexpr Duration kRetryAfterOutsideRegions = std::chrono::seconds(5);
 /// A read goes to another zone when the backends of its own are slower by this. Bytes between zones cost
 /// money and a round trip there 2 ms. With 8, 100 proxies and 60 backends sent an eighth more bytes between
 /// zones at the same latencies (0.018 against 0.016 GB in 50 s); 100 saves no more.
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -1,5 +1,6 @@
 #include "registered/proxy/group/link_warming.h"
 
+#include "registered/placement/attempt_outcome.h"
 #include "registered/proxy/knobs.h"
 
 namespace cairnhollow::registered::proxy {
@@ -16,7 +17,7 @@
   if (link) backend->rebirth.record_reached(runtime->now());
   if (!link && !refusal) backend->rebirth.mark_unreachable();
   if (link) backend->pool.release(std::move(link));
-  if (!link) backend->avoid_until = runtime->now() + kAvoidBackend;
+  if (!link) backend->avoid_until = runtime->now() + placement::kAvoidBackend;
 }
 
 }  // namespace
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "registered/placement/retry_after.h"
 #include "registered/proxy/knobs.h"
 #include "registered/tenancy/tenant_limit.h"
 
@@ -63,7 +64,8 @@
   } while (!token && answered && account->last.outcome == AdmissionOutcome::kAdmitted);
   --account->waiting;
   if (token) co_return AdmissionAnswer{AdmissionOutcome::kAdmitted, Duration(0), token};
-  if (!answered) co_return AdmissionAnswer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
+  if (!answered)
+    co_return AdmissionAnswer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
   co_return account->last;
 }
 
@@ -71,7 +73,7 @@
   const TimePoint asked_at = runtime_.now();
   const limits::TokenRequest request{std::max<std::uint64_t>(account->waiting, 1),
                                      account->stock.expected(asked_at)};
-  AdmissionAnswer answer{AdmissionOutcome::kNotCounted, kRetryAfterWithoutPrimary, {}};
+  AdmissionAnswer answer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
   for (const subset::ProxyPointer& owner : order_of(limit.of)) {
     const Grant grant = co_await ask(limit, request, owner);
     if (grant.outcome == GrantOutcome::kNotCounting) continue;
@@ -86,7 +88,7 @@
   account->last = answer;
   if (answer.outcome != AdmissionOutcome::kAdmitted) {
     account->last.retry_after =
-        std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, kRetryAfterWithoutPrimary);
+        std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, placement::kRetryAfterWithoutPrimary);
     account->refused_until = runtime_.now() + kLeastRefusalPause;
   }
   account->asking = false;
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -1,4 +1,4 @@
-// StatementRunner's bookkeeping of one statement, for its own parts only.
+// The bookkeeping of one statement that this proxy runs itself, over all its attempts.
 #pragma once
 
 #include <optional>
@@ -6,45 +6,22 @@
 #include <string>
 #include <vector>
 
-#include "registered/proxy/statement/statement_runner.h"
+#include "registered/placement/attempt_outcome.h"
+#include "registered/placement/placement.h"
+#include "registered/proxy/statement/statement_request.h"
 
 namespace cairnhollow::registered::proxy {
 
-/// Gives back the place that a statement took, with what its answer tells of the backend.
-inline void leave_gate(StatementGate& gate, const std::optional<Answer>& answer, Duration latency) {
-  if (!answer) return gate.leave_unanswered();
-  if (answer->refusal == Refusal::kBusy) return gate.leave_busy();
-  // What was not run was answered at once and tells nothing about the time that statements take.
-  if (answer->refusal) return gate.leave_unanswered();
-  gate.leave(latency);
-}
-
-/// A statement at a primary, taken out of the group's list when the scope ends.
-class WorkScope {
- public:
-  WorkScope(PrimaryHealth& primary, PrimaryWork work)
-      : primary_(primary), key_(primary.begin_work(std::move(work))) {}
-  ~WorkScope() { primary_.end_work(key_); }
-  WorkScope(const WorkScope&) = delete;
-  WorkScope& operator=(const WorkScope&) = delete;
-
- private:
-  PrimaryHealth& primary_;
-  std::uint64_t key_;
-};
-
 /// One statement on its way, over all its attempts.
-struct StatementRunner::Attempt {
-  explicit Attempt(RunOrder run_order) : order(std::move(run_order)) {}
+struct StatementAttempt {
+  explicit StatementAttempt(RunOrder run_order) : order(std::move(run_order)), progress(order.progress()) {}
 
   RunOrder order;
-  int count = 0;
+  placement::StatementProgress progress;
   std::set<BackendName> excluded;
   ReadNeed need;
-  TimePoint refuse_at{};  ///< until then somebody who can serve it is waited for
-  bool offered = false;   ///< a backend that could run it has been asked
-  Reason reason;          ///< of the last failure
-  Unplaced unplaced;      ///< why this proxy refuses it
+  Reason reason;      ///< of the last failure
+  Unplaced unplaced;  ///< why this proxy refuses it
   RunResult result;
   /// Not empty: it has waited, and is to be passed on to these.
   std::vector<subset::ProxyPointer> moved_to;
@@ -66,9 +43,24 @@
   Duration at_backend{0};
   std::string path;  ///< backends tried and how each attempt ended
 
-  /// Whether nothing is lost when it runs once more.
-  [[nodiscard]] bool may_run_again() const { return !order.writes || order.opens_transaction; }
-  [[nodiscard]] bool is_read() const { return order.reads(); }
+  [[nodiscard]] PlacementQuestion question() const { return {&need, &excluded, &order.allowed}; }
+  /// The transaction that it has opened.
+  [[nodiscard]] PinnedLink pinned() const {
+    return PinnedLink{backend, link, std::nullopt, epoch, at_primary};
+  }
+  /// What its end is judged by; `may_use_primary`: that of `epoch`.
+  [[nodiscard]] placement::AttemptFacts facts(bool may_use_primary) const {
+    placement::AttemptFacts facts;
+    facts.reads = order.reads();
+    facts.repeatable = !order.keeps_changes();
+    facts.needs_primary = needs_primary;
+    facts.primary_only = need.primary_only;
+    facts.at_primary = at_primary;
+    facts.term_is_current = order.group->term().epoch == epoch;
+    facts.may_use_primary = may_use_primary;
+    facts.attempts = progress.attempts;
+    return facts;
+  }
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -1,14 +1,10 @@
-// What StatementRunner logs of statements: refusals, and where the time of slow ones went.
-#include <chrono>
-
-#include "registered/proxy/statement/statement_attempt.h"
-#include "registered/proxy/statement/statement_runner.h"
+#include "registered/proxy/statement/statement_log.h"
 
 namespace cairnhollow::registered::proxy {
 
 using runtime::LogLevel;
 
-void StatementRunner::log_slow(const Attempt& attempt) {
+void StatementLog::slow(const StatementAttempt& attempt) const {
   services_.runtime.logger().log(
       LogLevel::kInfo, "statement_slow",
       {{"id", attempt.order.id},
@@ -16,7 +12,7 @@
        {"writes", attempt.order.writes ? "true" : "false"},
        {"opens_transaction", attempt.order.opens_transaction ? "true" : "false"},
        {"primary_only", attempt.need.primary_only ? "true" : "false"},
-       {"attempts", std::to_string(attempt.count)},
+       {"attempts", std::to_string(attempt.progress.attempts)},
        {"backends", attempt.path},
        {"gate_ms", std::to_string(in_ms(attempt.at_gate))},
        {"link_ms", std::to_string(in_ms(attempt.at_pool))},
@@ -24,8 +20,19 @@
        {"took_ms", std::to_string(in_ms(services_.runtime.now() - attempt.order.arrived))}});
 }
 
-void StatementRunner::log_refusal(const RunOrder& order, const Answer& answer, const Reason& reason,
-                                  int attempts, const Unplaced& unplaced) {
+void StatementLog::lost_answer(const StatementAttempt& attempt, const Reason& reason) const {
+  services_.runtime.logger().log(
+      LogLevel::kWarning, "answer_lost", reason,
+      {{"id", attempt.order.id},
+       {"backend", attempt.backend->entry.name.value},
+       {"at_primary", attempt.at_primary ? "true" : "false"},
+       {"epoch", std::to_string(attempt.epoch)},
+       {"writes", attempt.order.writes ? "true" : "false"},
+       {"waited_ms", std::to_string(in_ms(services_.runtime.now() - attempt.sent_at))}});
+}
+
+void StatementLog::refusal(const RunOrder& order, const Answer& answer, const Reason& reason, int attempts,
+                           const Unplaced& unplaced) const {
   const bool is_own = unplaced.since != placement::RejectionReason::kNone;
   if (is_own) services_.metrics.count_unplaced(unplaced.since);
   const registry::GroupTerm& term = order.group->term();
