--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -21,8 +21,8 @@
   return member.status && member.status->is_primary && member.status->term == facts.closed.term;
 }
 
-/// Whether its status is that of the life which led the closed term. One that tells its start may answer in
-/// its next incarnation before that one has registered.
+/// Whether its status is that of the incarnation which led the closed term. One that tells its start may
+/// answer in its next incarnation before that one has registered.
 bool shows_old_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || !is_old_primary(member, facts)) return false;
   if (!member.entry.tells_birth()) return true;
@@ -159,7 +159,7 @@
 }
 
 /// Whether nobody can be found any more who holds more: the primary's incarnation is over, and all answer.
-/// Its next life is waited for, too: it may have come back with the whole log.
+/// Its next incarnation is waited for, too: it may have come back with the whole log.
 bool is_nothing_left(const PromotionFacts& facts) {
   bool primary_is_over = false;
   for (const MemberFinding& member : facts.members) {
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -25,7 +25,8 @@
   registry::GroupTerm closed;  ///< the term that is given up
   std::uint64_t synchronous_replicas = 0;
   std::vector<MemberFinding> members;
-  /// No life of a backend has left the group for so long that whoever stayed has received all that it held.
+  /// No incarnation of a backend has left the group for so long that whoever stayed has received all that it
+  /// held.
   bool members_are_stable = false;
   /// An incarnation that was replaced under its name may have been the only one beside the primary to hold
   /// acknowledged commits, and no other was seen to hold as much as the primary since.
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -193,7 +193,7 @@
 
 Awaitable<bool> RegistrationService::deregister_backend(BackendName name, Reason& reason) {
   if (fleet_.find_backend(name) == nullptr && fleet_.is_deregistered(name)) co_return true;
-  // The life that is present now: one that registers while this is on its way into the log goes on.
+  // The incarnation that is present now: one that registers while this is on its way into the log goes on.
   const bool confirmed = co_await confirm(reason);
   if (!confirmed) co_return false;
   const std::string text = name.value;
--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -30,7 +30,7 @@
 
 struct DeregisterBackend {
   BackendName name;
-  std::uint64_t born_ms = 0;  ///< of the life that ends; 0: the one that is held
+  std::uint64_t born_ms = 0;  ///< of the incarnation that ends; 0: the one that is held
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name);
--- a/src/registered/registry/model.h
+++ b/src/registered/registry/model.h
@@ -98,7 +98,7 @@
   }
 };
 
-/// One life of a backend's process. A backend that starts again under its name holds nothing of what the one
+/// One run of a backend's process. A backend that starts again under its name holds nothing of what the one
 /// before held.
 struct BackendIncarnation {
   BackendName name;
@@ -191,7 +191,7 @@
   }
 };
 
-/// One life of a proxy's process that may hold a serving lease.
+/// One run of a proxy's process that may hold a serving lease.
 struct AdmittedProxy {
   NodeName node;
   std::uint64_t incarnation = 0;
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -48,12 +48,12 @@
   }
   /// Who registered last at an address and is not gone; null: nobody.
   [[nodiscard]] const BackendEntry* find_backend_at(const Endpoint& endpoint) const;
-  /// The life of that start was deregistered for good, or is before one that was; a late heartbeat does not
-  /// bring it back.
+  /// The incarnation of that start was deregistered for good, or is before one that was; a late heartbeat
+  /// does not bring it back.
   [[nodiscard]] bool is_deregistered(const BackendName& name, std::uint64_t born_ms = 0) const {
     return state_.backends.was_removed(name) && born_ms <= ended_birth(name);
   }
-  /// The start of the last life of a removed backend; 0: it told none, or is not known.
+  /// The start of the last incarnation of a removed backend; 0: it told none, or is not known.
   [[nodiscard]] std::uint64_t ended_birth(const BackendName& name) const {
     const auto found = state_.ended_births.find(name);
     return found == state_.ended_births.end() ? 0 : found->second;
@@ -65,7 +65,7 @@
   [[nodiscard]] std::vector<BackendEntry> backends_of(const GroupName& group) const;
   /// Names of the group's backends; empty where none registered.
   [[nodiscard]] const std::set<BackendName>& members_of(const GroupName& group) const;
-  /// The group's backends, each as the life that is registered.
+  /// The group's backends, each as the incarnation that is registered.
   [[nodiscard]] std::set<BackendIncarnation> incarnations_of(const GroupName& group) const;
   [[nodiscard]] std::vector<BackendEntry> backends() const { return state_.backends.all(); }
   [[nodiscard]] const GroupTerm* find_term(const GroupName& group) const { return state_.terms.find(group); }
@@ -111,7 +111,7 @@
     RevisedTable<TenantName, TenantRule> tenants;
     std::uint64_t proxy_lost_at =
         0;  ///< revision at which an incarnation of a proxy was last replaced or forgotten
-    /// Of removed backends, the start of the last life: what an earlier one says comes late.
+    /// Of removed backends, the start of the last incarnation: what an earlier one says comes late.
     std::map<BackendName, std::uint64_t> ended_births;
     RevisedTable<ZoneName, Evacuation> evacuations;
 
--- a/tests/registered/control/control_stand.h
+++ b/tests/registered/control/control_stand.h
@@ -95,7 +95,7 @@
   static registry::BackendEntry entry(const std::string& name, std::uint16_t port);
   /// Opens the group under "primary".
   void open_group();
-  /// A proxy is admitted in its first life.
+  /// A proxy is admitted in its first incarnation.
   void admit(const std::string& proxy);
   /// A proxy that is connected to the lease keeper.
   std::shared_ptr<ProxyFrames> connect(const std::string& proxy);
--- a/tests/registered/control/failover/fence_acknowledgements_test.cpp
+++ b/tests/registered/control/failover/fence_acknowledgements_test.cpp
@@ -83,7 +83,7 @@
     answers_.set_proxies({proxy(1), proxy(2, 2)});
     CPPUNIT_ASSERT(!ask(4).all_answered);
     answers_.record(node(2), 1, answer(1, 4, 7));
-    CPPUNIT_ASSERT_MESSAGE("an answer of the life before", !ask(4).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("an answer of the incarnation before", !ask(4).all_answered);
     answers_.record(node(2), 2, answer(1, 4, 0));
     CPPUNIT_ASSERT(ask(4).all_answered);
   }
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -152,14 +152,15 @@
     CPPUNIT_ASSERT(stand_->term().open);
   }
 
-  /// Lives are replaced while this node follows; it is elected once the primary, and a proxy, are gone.
+  /// Incarnations are replaced while this node follows; it is elected once the primary, and a proxy, are
+  /// gone.
   void who_follows_compares_members_too() {
     stand_->consensus().is_leader = false;
     std::uint16_t port = 9001;
     for (const char* name : {"primary", "replica-1", "replica-2"}) {
-      registry::BackendEntry life = ControlStand::entry(name, port++);
-      life.born_ms = 1000;
-      stand_->consensus().commit(registry::RegisterBackend{life});
+      registry::BackendEntry incarnation = ControlStand::entry(name, port++);
+      incarnation.born_ms = 1000;
+      stand_->consensus().commit(registry::RegisterBackend{incarnation});
     }
     stand_->run_for(seconds(5));
     stand_->admit("proxy");
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -210,8 +210,8 @@
 
   void not_by_a_primary_that_answers_with_nothing() {
     // It started again and has not registered yet: its former incarnation's position is not known.
-    auto known =
-        facts({life("old", 1000, replica(0)), life("a", 1000, replica(7)), life("b", 1000, std::nullopt)});
+    auto known = facts({incarnation("old", 1000, replica(0)), incarnation("a", 1000, replica(7)),
+                        incarnation("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = leading(0);
@@ -224,8 +224,8 @@
   }
 
   void a_restarted_primary_is_not_the_old_one() {
-    auto known =
-        facts({life("old", 2000, leading(3)), life("a", 1000, replica(7)), life("b", 1000, std::nullopt)});
+    auto known = facts({incarnation("old", 2000, leading(3)), incarnation("a", 1000, replica(7)),
+                        incarnation("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.all_acknowledgers_answered = true;
@@ -233,14 +233,14 @@
     const auto choice = choose_promotion(known, true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kPromote && !choice.is_unproved);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), choice.backend.value);
-    // It came back with its log, as primary: then it may go on, as the life that it is.
+    // It came back with its log, as primary: then it may go on, as the incarnation that it is.
     known.members.front().status = leading(8);
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kReopen);
   }
 
   void a_replica_without_its_log_was_not_compared() {
-    auto known =
-        facts({life("old", 1000, std::nullopt), life("a", 1000, replica(7)), life("b", 1000, replica(0))});
+    auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, replica(7)),
+                        incarnation("b", 1000, replica(0))});
     known.members_are_stable = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     for (MemberFinding& member : known.members) member.entry.born_ms = 0;
@@ -249,8 +249,8 @@
   }
 
   void a_replaced_incarnation_may_have_been_the_only_one_to_hold_a_commit() {
-    auto known =
-        facts({life("old", 1000, std::nullopt), life("a", 1000, replica(7)), life("b", 2000, replica(5))});
+    auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, replica(7)),
+                        incarnation("b", 2000, replica(5))});
     known.highest_acknowledged = {3, 6};  // a proxy did not answer
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.replaced_incarnation_is_unsettled = true;
@@ -261,8 +261,8 @@
 
   void nothing_left_keeps_to_the_furthest() {
     // Both that held the newest commits started again.
-    auto known =
-        facts({life("old", 2000, replica(0)), life("a", 1000, replica(7)), life("b", 2000, replica(0))});
+    auto known = facts({incarnation("old", 2000, replica(0)), incarnation("a", 1000, replica(7)),
+                        incarnation("b", 2000, replica(0))});
     known.closed.primary_born_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
@@ -274,13 +274,13 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.back().status = replica(0);
     known.members.front().entry.born_ms = 1000;
-    CPPUNIT_ASSERT_MESSAGE("so may the old primary's life",
+    CPPUNIT_ASSERT_MESSAGE("so may the old primary's incarnation",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
   void the_primarys_next_incarnation_may_have_its_log() {
-    auto known =
-        facts({life("old", 2000, std::nullopt), life("a", 1000, replica(7)), life("b", 2000, replica(5))});
+    auto known = facts({incarnation("old", 2000, std::nullopt), incarnation("a", 1000, replica(7)),
+                        incarnation("b", 2000, replica(5))});
     known.closed.primary_born_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
@@ -298,8 +298,9 @@
 
   void who_joined_in_the_term_needs_entries_of_it() {
     // No proxy acknowledged anything in this term; those that did before have started again since.
-    auto known = facts({life("old", 1000, std::nullopt), life("a", 2000, BackendStatus{false, 3, {2, 5}}),
-                        life("b", 1000, std::nullopt)});
+    auto known = facts({incarnation("old", 1000, std::nullopt),
+                        incarnation("a", 2000, BackendStatus{false, 3, {2, 5}}),
+                        incarnation("b", 1000, std::nullopt)});
     known.all_acknowledgers_answered = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.members[1].joined_in_term = true;
@@ -314,8 +315,8 @@
   }
 
   void a_newer_primary_without_a_log_is_not_adopted() {
-    auto known =
-        facts({life("old", 1000, std::nullopt), life("a", 1000, leading(0, 4)), life("b", 1000, replica(7))});
+    auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, leading(0, 4)),
+                        incarnation("b", 1000, replica(7))});
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members[1].status = leading(6, 4);
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kAdopt);
@@ -323,8 +324,8 @@
 
   void a_primary_without_what_proxies_acknowledged_is_not_the_old_one() {
     // Both answer in a next incarnation that has not registered; the other replica does not answer.
-    auto known =
-        facts({life("old", 1000, leading(0)), life("a", 1000, replica(0)), life("b", 1000, std::nullopt)});
+    auto known = facts({incarnation("old", 1000, leading(0)), incarnation("a", 1000, replica(0)),
+                        incarnation("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.highest_acknowledged = {3, 4};
@@ -332,8 +333,8 @@
   }
 
   void a_group_without_commits_gets_a_primary() {
-    auto known =
-        facts({life("old", 1000, std::nullopt), life("a", 1000, replica(0)), life("b", 1000, std::nullopt)});
+    auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, replica(0)),
+                        incarnation("b", 1000, std::nullopt)});
     known.members_are_stable = true;
     known.closed.epoch = 2;
     known.all_acknowledgers_answered = true;
@@ -382,8 +383,8 @@
   }
 
  private:
-  static MemberFinding life(const std::string& name, std::uint64_t born_ms,
-                            std::optional<BackendStatus> status) {
+  static MemberFinding incarnation(const std::string& name, std::uint64_t born_ms,
+                                   std::optional<BackendStatus> status) {
     MemberFinding member = finding(name, status);
     member.entry.born_ms = born_ms;
     return member;
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -43,8 +43,8 @@
 struct Member {
   std::uint64_t length = 0;  ///< commits that it holds
   bool answers = true;
-  int life = 1;
-  int registered = 1;  ///< the life that the registry has
+  int incarnation = 1;
+  int registered = 1;  ///< the incarnation that the registry has
   bool joined = false;
   auto operator<=>(const Member&) const = default;
 };
@@ -96,8 +96,8 @@
     std::string text;
     for (std::size_t place = 0; place < kMembers; ++place) {
       const Member& member = state.members[place];
-      text += fmt::format("{} holds {}{} life {} registered {}{}, ", kNames[place], member.length,
-                          member.answers ? "" : " silent", member.life, member.registered,
+      text += fmt::format("{} holds {}{} incarnation {} registered {}{}, ", kNames[place], member.length,
+                          member.answers ? "" : " silent", member.incarnation, member.registered,
                           member.joined ? " joined" : "");
     }
     return text + fmt::format("acknowledged {} told {} closed {} unsettled {} replaced {} ordered {}\n",
@@ -113,7 +113,7 @@
   }
 
   /// Whether P leads the term: not once it has started again.
-  static bool leads(const State& state) { return state.members[kPrimary].life == 1; }
+  static bool leads(const State& state) { return state.members[kPrimary].incarnation == 1; }
 
   void expand(const State& state) {
     for (std::size_t place = 0; place < kMembers; ++place) {
@@ -144,7 +144,7 @@
     Member& member = next.members[place];
     if (member.length >= primary.length) return;
     // Entry by entry, or all at once.
-    member.length = member.registered == member.life ? member.length + 1 : primary.length;
+    member.length = member.registered == member.incarnation ? member.length + 1 : primary.length;
     next.replicated = std::max(next.replicated, member.length);
     visit(next);
   }
@@ -170,14 +170,14 @@
     if (state.restarts >= kMostRestarts) return;
     State next = state;
     ++next.restarts;
-    ++next.members[place].life;
+    ++next.members[place].incarnation;
     next.members[place].length = 0;
     visit(next);
   }
   void register_incarnation(const State& state, std::size_t place) {
     State next = state;
-    if (next.members[place].registered == next.members[place].life) return;
-    next.members[place].registered = next.members[place].life;
+    if (next.members[place].registered == next.members[place].incarnation) return;
+    next.members[place].registered = next.members[place].incarnation;
     next.members[place].joined = true;
     next.unsettled = true;
     next.replaced = true;
@@ -256,7 +256,7 @@
   /// Nobody is chosen: somebody silent, or unregistered, may still change that.
   void expect_hope(const State& state) {
     const bool all_known = std::all_of(state.members.begin(), state.members.end(), [](const Member& member) {
-      return member.answers && member.registered == member.life;
+      return member.answers && member.registered == member.incarnation;
     });
     if (all_known) violate(state, "nobody is chosen, and nothing will change that");
   }
@@ -298,8 +298,8 @@
   }
 
   void each_guard_is_needed() {
-    expect_violation("lives", [](Guards& guards) { guards.backends_tell_incarnations = false; });
-    expect_violation("primary's life",
+    expect_violation("incarnations", [](Guards& guards) { guards.backends_tell_incarnations = false; });
+    expect_violation("primary's incarnation",
                      [](Guards& guards) { guards.term_tells_primarys_incarnation = false; });
     expect_violation("replaced", [](Guards& guards) { guards.replaced_incarnation_unsettles = false; });
     expect_violation("left", [](Guards& guards) { guards.left_incarnation_unsettles = false; });
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -130,11 +130,11 @@
     CPPUNIT_ASSERT_MESSAGE("of an earlier close", !progress(3).all_answered);
     stand_->consensus().commit(
         registry::AdmitProxy{{NodeName("proxy"), 2, ZoneName("a"), {"10.0.0.9", 7440}, false}});
-    CPPUNIT_ASSERT_MESSAGE("of a life that is over", !progress(2).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("of an incarnation that is over", !progress(2).all_answered);
   }
 
  private:
-  /// In the proxy's first life; `closed_epoch` 0: it tells of no closed group.
+  /// In the proxy's first incarnation; `closed_epoch` 0: it tells of no closed group.
   void report(ProxyFrames& proxy, std::uint64_t closed_epoch = 0) {
     registry::ProxyReport report;
     report.nonce = ++nonce_;
--- a/tests/registered/control/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -25,7 +25,7 @@
   }
 };
 
-registry::BackendEntry life(const std::string& name, std::uint64_t sequence, std::uint64_t born_ms) {
+registry::BackendEntry incarnation(const std::string& name, std::uint64_t sequence, std::uint64_t born_ms) {
   registry::BackendEntry entry;
   entry.name = BackendName(name);
   entry.group = GroupName("records");
@@ -79,11 +79,11 @@
   }
 
   void a_next_incarnation_is_taken_and_a_late_word_of_the_former_one_is_not() {
-    CPPUNIT_ASSERT(say(life("b1", 70, 1000)));
-    CPPUNIT_ASSERT(say(life("b1", 1, 2000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 70, 1000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 1, 2000)));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().replaced);
-    registry::BackendEntry late = life("b1", 71, 1000);
+    registry::BackendEntry late = incarnation("b1", 71, 1000);
     late.leaving = true;
     CPPUNIT_ASSERT_MESSAGE("acknowledged, since it binds whoever serves", say(late));
     CPPUNIT_ASSERT(!held("b1")->leaving);
@@ -91,11 +91,11 @@
   }
 
   void a_removed_backend_comes_back_in_its_next_incarnation() {
-    CPPUNIT_ASSERT(say(life("b1", 5, 1000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
     CPPUNIT_ASSERT(remove("b1"));
-    CPPUNIT_ASSERT(say(life("b1", 6, 1000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 6, 1000)));
     CPPUNIT_ASSERT(held("b1") == nullptr);
-    CPPUNIT_ASSERT(say(life("b1", 1, 2000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 1, 2000)));
     CPPUNIT_ASSERT(held("b1") != nullptr);
     CPPUNIT_ASSERT_MESSAGE("and may be removed again", remove("b1"));
     CPPUNIT_ASSERT(held("b1") == nullptr);
@@ -103,14 +103,14 @@
 
   /// The next incarnation registers while the removal of the former one is on its way into the log.
   void a_late_removal_does_not_end_the_next_incarnation() {
-    CPPUNIT_ASSERT(say(life("b1", 5, 1000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
     const auto removal = [this]() -> Awaitable<void> {
       Reason reason;
       co_await node_->service.deregister_backend(BackendName("b1"), reason);
     };
     runtime_->spawn("removal", removal());
     world_->run_for(milliseconds(1));
-    put(life("b1", 1, 2000));
+    put(incarnation("b1", 1, 2000));
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT(held("b1") != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
@@ -118,15 +118,15 @@
 
   /// It hears of the next incarnation only in the quorum round.
   void a_removal_at_a_node_that_is_behind_ends_the_present_incarnation() {
-    CPPUNIT_ASSERT(say(life("b1", 5, 1000)));
-    node_->log.during_barrier = [this] { put(life("b1", 1, 2000)); };
+    CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
+    node_->log.during_barrier = [this] { put(incarnation("b1", 1, 2000)); };
     CPPUNIT_ASSERT(remove("b1"));
     CPPUNIT_ASSERT(held("b1") == nullptr);
   }
 
   void a_former_backend_of_the_address_displaces_nobody() {
-    CPPUNIT_ASSERT(say(life("b2", 1, 2000)));
-    CPPUNIT_ASSERT(say(life("b1", 9, 1000)));
+    CPPUNIT_ASSERT(say(incarnation("b2", 1, 2000)));
+    CPPUNIT_ASSERT(say(incarnation("b1", 9, 1000)));
     CPPUNIT_ASSERT(held("b2") != nullptr);
     CPPUNIT_ASSERT(held("b1") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().outdated);
--- a/tests/registered/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -232,41 +232,41 @@
 
   void the_later_incarnation_holds_in_whichever_order_both_arrive() {
     const BackendName b1("b1");
-    apply(RegisterBackend{life("b1", 1, 70, 1000)});
+    apply(RegisterBackend{incarnation("b1", 1, 70, 1000)});
     const std::uint64_t revision = machine_->revision();
-    apply(RegisterBackend{life("b1", 1, 1, 2000)});
+    apply(RegisterBackend{incarnation("b1", 1, 1, 2000)});
     CPPUNIT_ASSERT_EQUAL_MESSAGE("its count starts anew", std::uint64_t{2000}, born(b1));
     CPPUNIT_ASSERT_MESSAGE("followers hear of it", machine_->backend_revision(b1) > revision);
-    BackendEntry late = life("b1", 1, 99, 1000);
+    BackendEntry late = incarnation("b1", 1, 99, 1000);
     late.leaving = true;
     apply(RegisterBackend{late});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, born(b1));
     CPPUNIT_ASSERT(!machine_->find_backend(b1)->leaving);
     const std::set<BackendIncarnation> expected{{b1, 2000}};
     CPPUNIT_ASSERT(machine_->incarnations_of(GroupName("records")) == expected);
-    late = life("b1", 1, 2, 2000);
+    late = incarnation("b1", 1, 2, 2000);
     late.leaving = true;
     apply(RegisterBackend{late});
-    CPPUNIT_ASSERT_MESSAGE("of the same life: by its count", machine_->find_backend(b1)->leaving);
+    CPPUNIT_ASSERT_MESSAGE("of the same incarnation: by its count", machine_->find_backend(b1)->leaving);
   }
 
   void a_removal_ends_one_incarnation() {
     const BackendName b1("b1");
-    apply(RegisterBackend{life("b1", 1, 5, 2000)});
+    apply(RegisterBackend{incarnation("b1", 1, 5, 2000)});
     apply(DeregisterBackend{b1, 1000});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("a former life ended", std::uint64_t{2000}, born(b1));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a former incarnation ended", std::uint64_t{2000}, born(b1));
     apply(DeregisterBackend{b1});
     CPPUNIT_ASSERT(machine_->is_deregistered(b1, 2000));
     CPPUNIT_ASSERT(!machine_->is_deregistered(b1, 2001));
     for (const std::uint64_t over : {std::uint64_t{0}, std::uint64_t{1000}, std::uint64_t{2000}}) {
-      apply(RegisterBackend{life("b1", 1, 9, over)});
+      apply(RegisterBackend{incarnation("b1", 1, 9, over)});
       CPPUNIT_ASSERT_MESSAGE(std::to_string(over), machine_->find_backend(b1) == nullptr);
     }
     FleetStateMachine other(world_->runtime("node"));
     Reason reason;
     CPPUNIT_ASSERT(other.restore_snapshot(machine_->take_snapshot(), reason));
     CPPUNIT_ASSERT_MESSAGE("in the snapshot", other.is_deregistered(b1, 2000));
-    apply(RegisterBackend{life("b1", 1, 1, 3000)});
+    apply(RegisterBackend{incarnation("b1", 1, 1, 3000)});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(b1));
     CPPUNIT_ASSERT(!machine_->is_deregistered(b1, 3000));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the entry orders from here on", std::uint64_t{0},
@@ -275,23 +275,23 @@
 
   void what_tells_no_start_displaces_nothing_that_does() {
     const BackendName b1("b1");
-    apply(RegisterBackend{life("b1", 1, 5, 0)});
-    apply(RegisterBackend{life("b1", 1, 2, 1000)});
+    apply(RegisterBackend{incarnation("b1", 1, 5, 0)});
+    apply(RegisterBackend{incarnation("b1", 1, 2, 1000)});
     CPPUNIT_ASSERT_EQUAL_MESSAGE("it begins to tell", std::uint64_t{1000}, born(b1));
-    BackendEntry untold = life("b1", 1, 9, 0);
+    BackendEntry untold = incarnation("b1", 1, 9, 0);
     untold.leaving = true;
     apply(RegisterBackend{untold});
     CPPUNIT_ASSERT(!machine_->find_backend(b1)->leaving);
-    apply(RegisterBackend{life("b2", 1, 1, 0)});
+    apply(RegisterBackend{incarnation("b2", 1, 1, 0)});
     CPPUNIT_ASSERT_MESSAGE("nor from its address", machine_->find_backend(BackendName("b2")) == nullptr);
   }
 
   void an_address_belongs_to_who_started_there_last() {
-    apply(RegisterBackend{life("b1", 1, 1, 2000)});
-    apply(RegisterBackend{life("former", 1, 50, 1000)});
+    apply(RegisterBackend{incarnation("b1", 1, 1, 2000)});
+    apply(RegisterBackend{incarnation("former", 1, 50, 1000)});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, born(BackendName("b1")));
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("former")) == nullptr);
-    apply(RegisterBackend{life("next", 1, 1, 3000)});
+    apply(RegisterBackend{incarnation("next", 1, 1, 3000)});
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("b1")) == nullptr);
     CPPUNIT_ASSERT_MESSAGE("displaced for good", machine_->is_deregistered(BackendName("b1"), 2000));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(BackendName("next")));
@@ -301,7 +301,7 @@
     constexpr std::uint64_t kMany = 4098;
     for (std::uint64_t number = 1; number <= kMany; ++number) {
       const std::string name = "b" + std::to_string(number);
-      apply(RegisterBackend{life(name, 1, 1, number)});
+      apply(RegisterBackend{incarnation(name, 1, 1, number)});
       apply(DeregisterBackend{BackendName(name)});
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, machine_->ended_birth(BackendName("b1")));
@@ -375,8 +375,8 @@
   }
 
  private:
-  static BackendEntry life(const std::string& name, std::uint16_t port, std::uint64_t sequence,
-                           std::uint64_t born_ms) {
+  static BackendEntry incarnation(const std::string& name, std::uint16_t port, std::uint64_t sequence,
+                                  std::uint64_t born_ms) {
     BackendEntry entry = backend(name, port, sequence);
     entry.born_ms = born_ms;
     return entry;
