--- a/src/cli/log_story.cpp
+++ b/src/cli/log_story.cpp
@@ -99,8 +99,8 @@
   const auto since = registered::placement::find_rejection(event.field("since"));
   if (!since) return {};
   std::string text = fmt::format("{:14}refused since {}", "", registered::placement::rejection_text(*since));
-  const std::string back_in = event.field("back_in_ms");
-  if (!back_in.empty()) text += fmt::format("; to come back in {} ms", back_in);
+  const std::string retry_after = event.field("back_in_ms");
+  if (!retry_after.empty()) text += fmt::format("; to come back in {} ms", retry_after);
   const std::string passed_over = event.field("passed_over");
   if (!passed_over.empty()) text += fmt::format("; backends passed over: {}", passed_over);
   return text + '\n';
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -1,7 +1,7 @@
 #include "registered/control/leases/lease_keeper.h"
 
 #include "registered/control/leases/lease_bounds.h"
-#include "registered/registry/settled_revision.h"
+#include "registered/registry/stable_revision.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::registered::control {
@@ -183,7 +183,7 @@
     known.push_back({leases_.revision_of(proxy.node, proxy.incarnation),
                      budget_authority_end(lease_end, serving_lease_)});
   }
-  stable_revision_ = registry::settled_revision(known, fleet_.revision(), now);
+  stable_revision_ = registry::stable_revision(known, fleet_.revision(), now);
   return stable_revision_;
 }
 
--- a/src/registered/control/leases/proxy_updates.cpp
+++ b/src/registered/control/leases/proxy_updates.cpp
@@ -85,7 +85,7 @@
     follower.revision_sent = fleet_.revision();
   }
   update.report_interval = report_interval(followers_.size(), serving_lease_);
-  if (update.lease > Duration(0) && fleet_.has_shared_limits()) update.settled_revision = stable_revision_();
+  if (update.lease > Duration(0) && fleet_.has_shared_limits()) update.stable_revision = stable_revision_();
   if (endpoints() != follower.endpoints_sent) {
     follower.endpoints_sent = endpoints();
     update.control_endpoints = endpoints();
@@ -140,7 +140,7 @@
     const std::size_t size = update.delta.size();
     bytes_on_their_way_ += size;
     Reason reason;
-    const wire::Format format = wire::format_with_tenants(update.settled_revision > 0);
+    const wire::Format format = wire::format_with_tenants(update.stable_revision > 0);
     sent = co_await follower->connection->send(wire::encode(update, format), reason);
     bytes_on_their_way_ -= size;
     if (size > kSmallDelta) room_.notify_one();
--- a/src/registered/control/voter_keeper.cpp
+++ b/src/registered/control/voter_keeper.cpp
@@ -52,8 +52,8 @@
 std::optional<VoterKeeper::Change> VoterKeeper::find_change(TimePoint now) {
   const consensus::ConsensusStatus status = consensus_.status();
   // After a freeze of this node, or before it led, it does not know for how long a voter has been silent.
-  const bool looked_lately = now - last_look_ < 4 * kVoterTick;
-  last_look_ = now;
+  const bool looked_lately = now - pre_send_check_ < 4 * kVoterTick;
+  pre_send_check_ = now;
   if (status.state != consensus::ServerState::kLeader || !looked_lately) heard_at_.clear();
   if (status.state != consensus::ServerState::kLeader) return std::nullopt;
   const auto lost = find_lost(status, now);
--- a/src/registered/control/voter_keeper.h
+++ b/src/registered/control/voter_keeper.h
@@ -42,7 +42,7 @@
   const ControlNodeDirectory& directory_;
   std::size_t wanted_voters_;
   std::map<NodeName, TimePoint> heard_at_;
-  TimePoint last_look_{};
+  TimePoint pre_send_check_{};
   bool stopping_ = false;
 };
 
--- a/src/registered/limits/quota_ledger.cpp
+++ b/src/registered/limits/quota_ledger.cpp
@@ -17,15 +17,15 @@
   }
 }
 
-void QuotaLedger::record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now) {
+void QuotaLedger::record_confirmed(TimePoint confirmed_at, std::uint64_t stable_revision, TimePoint now) {
   if (!confirmed_at_ || *confirmed_at_ < confirmed_at) confirmed_at_ = confirmed_at;
-  settled_revision_ = std::max(settled_revision_, settled_revision);
-  if (settled_revision_ >= revision_ && !settled_since_) settled_since_ = now;
+  stable_revision_ = std::max(stable_revision_, stable_revision);
+  if (stable_revision_ >= revision_ && !settled_since_) settled_since_ = now;
 }
 
 bool QuotaLedger::may_count(const Count& count, TimePoint now) const {
   const bool confirmed = confirmed_at_ && now - *confirmed_at_ < registry::kBudgetAuthority;
-  return confirmed && settled_revision_ >= count.owner_since;
+  return confirmed && stable_revision_ >= count.owner_since;
 }
 
 void QuotaLedger::record_limit(const Limit& former, const Limit& limit, TimePoint now) {
--- a/src/registered/limits/quota_ledger.h
+++ b/src/registered/limits/quota_ledger.h
@@ -6,7 +6,7 @@
 //   question, and
 // - when control has said that every proxy which may act on a membership older than the one that made it a
 //   owner has learned of that, or has been without a confirmation for longer (registry::ProxyUpdate's
-//   settled_revision).
+//   stable_revision).
 // So the one whose place it took has stopped. tests/limits/quota_ledger_test.cpp plays changes of membership,
 // cuts, freezes and restarts and counts what runs in every window.
 #pragma once
@@ -53,9 +53,9 @@
 
   /// The membership of `revision` holds from now on, on this proxy.
   void set_owners(QuotaOwners owners, std::uint64_t revision);
-  /// `confirmed_at`: when control was asked the question that it answered last. `settled_revision`: nobody
+  /// `confirmed_at`: when control was asked the question that it answered last. `stable_revision`: nobody
   /// acts on an older membership any more.
-  void record_confirmed(TimePoint confirmed_at, std::uint64_t settled_revision, TimePoint now);
+  void record_confirmed(TimePoint confirmed_at, std::uint64_t stable_revision, TimePoint now);
   [[nodiscard]] const QuotaOwners& owners() const { return owners_; }
 
   /// A limit was `former` until now. One that was lowered is counted with as it was for a while
@@ -86,7 +86,7 @@
   std::map<LimitedName, Count> counts_;
   std::map<LimitedName, FormerLimit> former_;
   std::optional<TimePoint> confirmed_at_;
-  std::uint64_t settled_revision_ = 0;
+  std::uint64_t stable_revision_ = 0;
   /// Since when nobody acts on an older membership than this proxy's; empty: somebody may.
   std::optional<TimePoint> settled_since_;
 };
--- a/src/registered/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -29,10 +29,10 @@
   for (const BackendFacts& backend : backends) {
     const RejectionReason rejection = rejection_of_new_work(backend);
     const bool is_first = nearness(choice.rejection) < nearness(rejection);
-    const bool is_sooner = choice.rejection == rejection && backend.back_in < choice.back_in;
+    const bool is_sooner = choice.rejection == rejection && backend.retry_after < choice.retry_after;
     if (rejection == RejectionReason::kNone || (!is_first && !is_sooner)) continue;
     choice.rejection = rejection;
-    choice.back_in = backend.back_in;
+    choice.retry_after = backend.retry_after;
   }
   choice.is_final = nearness(choice.rejection) > 0;
 }
@@ -46,7 +46,7 @@
     choice.rejection = rejection_as_primary(backend);
     if (choice.rejection == RejectionReason::kNone) choice.backend = place;
     choice.is_final = nearness(choice.rejection) > 0;
-    if (choice.is_final) choice.back_in = backend.back_in;
+    if (choice.is_final) choice.retry_after = backend.retry_after;
   }
   return choice;
 }
--- a/src/registered/placement/backend_choice.h
+++ b/src/registered/placement/backend_choice.h
@@ -30,7 +30,7 @@
       RejectionReason::kNone;  ///< of the backend nearest to running it, when none is chosen
   /// Nothing but what keeps new work away stands in the way: waiting a moment would not help.
   bool is_final = false;
-  Duration back_in{0};  ///< with `is_final`: when to come back; 0: not known
+  Duration retry_after{0};  ///< with `is_final`: when to come back; 0: not known
 };
 
 /// What needs the primary goes there or nowhere. A read goes where it costs least among those that have its
--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -36,7 +36,7 @@
   bool lags = false;     ///< as a replica, for this statement
   double cost = 0;       ///< of a read there; the lower the better
   /// When what keeps new work away is likely to be over, counted from now; 0: not known.
-  Duration back_in{0};
+  Duration retry_after{0};
 };
 
 /// Proxies in the order in which they are to be asked. Null stands for none.
--- a/src/registered/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -15,10 +15,10 @@
   return runs;
 }
 
-Placement refuse(RejectionReason rejection, Duration back_in) {
+Placement refuse(RejectionReason rejection, Duration retry_after) {
   Placement refused;
   refused.rejection = rejection;
-  refused.back_in = back_in;
+  refused.retry_after = retry_after;
   return refused;
 }
 
@@ -70,18 +70,18 @@
   const BackendChoice choice = choose_backend(need.needs_primary(), backends);
   if (choice.is_final)
     return refuse(choice.rejection,
-                  choice.back_in > Duration(0) ? choice.back_in : kRetryAfterWithoutPrimary);
+                  choice.retry_after > Duration(0) ? choice.retry_after : kRetryAfterWithoutPrimary);
   if (choice.backend && (proxy.holds_lease || !need.needs_primary())) return run_at(*choice.backend);
   const RejectionReason rejection = main_rejection(need, proxy, patience, choice.rejection);
   return is_worth_waiting(proxy, patience) ? wait_for(rejection)
                                            : refuse(rejection, kRetryAfterWithoutPrimary);
 }
 
-TurnAction take_turn(const ProxyTurn& turn, const ProxyFacts& proxy) {
+NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy) {
   // Without a lease the others may well be without one, too: they are not asked each time.
-  if (turn.gave_no_answer && !proxy.holds_lease) return TurnAction::kSkip;
-  if (!turn.is_this_proxy) return TurnAction::kSend;
-  return proxy.holds_lease ? TurnAction::kRunHere : TurnAction::kSkip;
+  if (turn.gave_no_answer && !proxy.holds_lease) return NextProxyAction::kSkip;
+  if (!turn.is_this_proxy) return NextProxyAction::kSend;
+  return proxy.holds_lease ? NextProxyAction::kRunHere : NextProxyAction::kSkip;
 }
 
 Placement place_unforwarded(const ForwardingEnd& end, const ProxyFacts& proxy, const Patience& patience) {
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -25,14 +25,14 @@
 enum class Action : std::uint8_t {
   kRun,     ///< at `backend`
   kWait,    ///< until something of the group or the lease has changed, or a moment; then ask again
-  kRefuse,  ///< since `rejection`; come back in `back_in`
+  kRefuse,  ///< since `rejection`; come back in `retry_after`
 };
 
 struct Placement {
   Action action = Action::kRefuse;
   std::size_t backend = 0;                             ///< of kRun: place in the list of facts
   RejectionReason rejection = RejectionReason::kNone;  ///< what is waited for to go, or why it is refused
-  Duration back_in{0};                                 ///< of kRefuse
+  Duration retry_after{0};                             ///< of kRefuse
 };
 /// What becomes of a statement that this proxy is to run.
 Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
@@ -41,12 +41,12 @@
 /// Proxies that one statement is forwarded to, one after the other. Chosen, not measured.
 inline constexpr int kMaxForwards = 3;
 /// What becomes of the next proxy in the order of a forwarding.
-struct ProxyTurn {
+struct NextProxy {
   bool is_this_proxy = false;
   bool gave_no_answer = false;  ///< a moment ago
 };
-enum class TurnAction : std::uint8_t { kSkip, kRunHere, kSend };
-TurnAction take_turn(const ProxyTurn& turn, const ProxyFacts& proxy);
+enum class NextProxyAction : std::uint8_t { kSkip, kRunHere, kSend };
+NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy);
 /// How a forwarding ended that no proxy answered with success.
 struct ForwardingEnd {
   bool may_try_another = true;  ///< it has certainly not run, or may run once more
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -87,7 +87,7 @@
   co_return view.keys_confirmed().is_confirmed_since(arrived) ? Refusal::kUnauthorized : Refusal::kBusy;
 }
 
-bool CallerSession::find_tenant(RunOrder& order, Answer& refusal) {
+bool CallerSession::find_tenant(StatementRequest& order, Answer& refusal) {
   const FleetView& view = services_.view;
   if (!view.needs_key(order.route)) return true;
   const registry::TenantRule* tenant = view.tenants().find_by_key(key_);
@@ -204,7 +204,7 @@
   return refuse(Refusal::kUnknownStatement, "no prepared statement of this name");
 }
 
-bool CallerSession::find_shape(const Statement& statement, RunOrder& order) const {
+bool CallerSession::find_shape(const Statement& statement, StatementRequest& order) const {
   if (statement.kind != StatementKind::kExecute) {
     order.writes = statement.kind == StatementKind::kWrite;
     return true;
@@ -217,8 +217,8 @@
   return true;
 }
 
-std::optional<RunOrder> CallerSession::make_order(const Statement& statement, Answer& refusal) {
-  RunOrder order;
+std::optional<StatementRequest> CallerSession::make_order(const Statement& statement, Answer& refusal) {
+  StatementRequest order;
   if (transaction_) {
     order.route = transaction_->route;
     order.group = transaction_->group;
@@ -268,13 +268,13 @@
   return done();
 }
 
-void CallerSession::record_committed(const RunOrder& order, const Answer& answer) {
+void CallerSession::record_committed(const StatementRequest& order, const Answer& answer) {
   if (!answer.succeeded() || !answer.position) return;
   committed_ = SessionCommit{answer.position, services_.runtime.now()};
   committed_in_ = order.group->name;
 }
 
-Awaitable<bool> CallerSession::admit(const RunOrder& order, std::optional<TimePoint>& token,
+Awaitable<bool> CallerSession::admit(const StatementRequest& order, std::optional<TimePoint>& token,
                                      Answer& refusal) {
   if (order.tenant.empty()) co_return true;
   const AdmissionAnswer admission = co_await services_.limits.admit(order.tenant);
@@ -294,7 +294,7 @@
   co_return false;
 }
 
-Awaitable<RunResult> CallerSession::run_admitted(RunOrder order) {
+Awaitable<RunResult> CallerSession::run_admitted(StatementRequest order) {
   RunResult result;
   std::optional<TimePoint> token;
   const bool admitted = co_await admit(order, token, result.answer);
@@ -310,7 +310,7 @@
   auto order = make_order(statement, refusal);
   if (!order) co_return refusal;
   const bool writes = order->writes;
-  const RunOrder kept = *order;
+  const StatementRequest kept = *order;
   RunResult result = co_await run_admitted(std::move(*order));
   if (writes) record_committed(kept, result.answer);
   served_by_ = result.served_by;
@@ -374,7 +374,7 @@
   }
   const PinnedLink pinned = *transaction_->pinned;
   const bool wrote = transaction_->wrote;
-  const RunOrder kept = *order;
+  const StatementRequest kept = *order;
   Answer answer = co_await runner_.transactions().run(pinned, std::move(*order), true, wrote);
   served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   if (wrote) record_committed(kept, answer);
--- a/src/registered/proxy/callers/caller_session.h
+++ b/src/registered/proxy/callers/caller_session.h
@@ -57,7 +57,7 @@
   Awaitable<std::optional<Refusal>> check_key();
   /// The tenant that the session's key proves now; empty with the refusal to answer. Ends the session after
   /// that.
-  [[nodiscard]] bool find_tenant(RunOrder& order, Answer& refusal);
+  [[nodiscard]] bool find_tenant(StatementRequest& order, Answer& refusal);
   /// Refused because this proxy does not reach the group's primary, or may not use it, and reached no other
   /// proxy that does. The session is ended then, so that its caller comes back through another proxy: on this
   /// one every further attempt would meet the same.
@@ -73,17 +73,17 @@
   Answer deallocate(const Statement& statement);
 
   /// Whether the tenant may begin one more operation now; else the refusal to answer. Sets the order's token.
-  Awaitable<bool> admit(const RunOrder& order, std::optional<TimePoint>& token, Answer& refusal);
+  Awaitable<bool> admit(const StatementRequest& order, std::optional<TimePoint>& token, Answer& refusal);
   /// Runs an operation, or opens a transaction, if its tenant may begin one.
-  Awaitable<RunResult> run_admitted(RunOrder order);
+  Awaitable<RunResult> run_admitted(StatementRequest order);
   /// The route and group that bind now; empty with the refusal to answer.
-  std::optional<RunOrder> make_order(const Statement& statement, Answer& refusal);
-  [[nodiscard]] bool find_shape(const Statement& statement, RunOrder& order) const;
+  std::optional<StatementRequest> make_order(const Statement& statement, Answer& refusal);
+  [[nodiscard]] bool find_shape(const Statement& statement, StatementRequest& order) const;
   [[nodiscard]] Answer refuse(Refusal refusal, std::string detail) const;
   [[nodiscard]] Answer done() const;
   [[nodiscard]] TransactionState state() const;
   Awaitable<void> end_transaction();
-  void record_committed(const RunOrder& order, const Answer& answer);
+  void record_committed(const StatementRequest& order, const Answer& answer);
 
   SessionServices services_;
   StatementRunner runner_;
--- a/src/registered/proxy/fleet/fleet_link.cpp
+++ b/src/registered/proxy/fleet/fleet_link.cpp
@@ -163,7 +163,7 @@
   const auto asked = conversation.asked.find(update.nonce);
   if (asked == conversation.asked.end()) return;
   if (update.lease > Duration(0))
-    view_.extend_lease(asked->second, asked->second + update.lease, update.settled_revision);
+    view_.extend_lease(asked->second, asked->second + update.lease, update.stable_revision);
   conversation.asked.erase(conversation.asked.begin(), std::next(asked));
   conversation.answered = true;
   if (connected_) return;
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -326,9 +326,9 @@
   });
 }
 
-void FleetView::extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t settled_revision) {
+void FleetView::extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t stable_revision) {
   keys_confirmed_.record(asked_at);
-  quotas_.record_confirmed(asked_at, settled_revision, runtime_.now());
+  quotas_.record_confirmed(asked_at, stable_revision, runtime_.now());
   lease_until_ = std::max(lease_until_, until);
   renewed_.notify_all();
 }
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -56,8 +56,8 @@
   void apply(const registry::FleetDelta& delta);
   /// Control answered a question asked at `asked_at`, after a quorum round: the copy is the newest of then,
   /// and may be trusted until `until`, on this process's clock.
-  /// `settled_revision`: no proxy acts on an older membership any more.
-  void extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t settled_revision);
+  /// `stable_revision`: no proxy acts on an older membership any more.
+  void extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t stable_revision);
 
   [[nodiscard]] bool lease_valid() const { return runtime_.now() < lease_until_; }
   [[nodiscard]] TimePoint lease_until() const { return lease_until_; }
--- a/src/registered/proxy/forwarding/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -16,7 +16,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A RunOrder on the way. Times are told as durations, since clocks differ.
+/// A StatementRequest on the way. Times are told as durations, since clocks differ.
 struct ForwardedOrder {
   registry::RouteRule route;
   std::string id;
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -58,8 +58,8 @@
   }
 }
 
-std::optional<RunOrder> ForwardServer::to_order(ForwardedOrder forwarded) {
-  RunOrder order;
+std::optional<StatementRequest> ForwardServer::to_order(ForwardedOrder forwarded) {
+  StatementRequest order;
   order.group = services_.view.find_group(forwarded.route.group);
   if (!order.group) return std::nullopt;
   if (services_.view.needs_key(forwarded.route)) {
@@ -132,7 +132,7 @@
   // What is in force here counts: who forwards may not have heard of it.
   const registry::RouteRule* route = services_.view.find_route(request.order.route.database);
   if (route != nullptr) request.order.route = *route;
-  std::optional<RunOrder> order;
+  std::optional<StatementRequest> order;
   if (route != nullptr) order = to_order(std::move(request.order));
   if (!order || !services_.view.holds_lease_for(*order->group)) {
     forwarded.answer.refusal = Refusal::kBusy;
--- a/src/registered/proxy/forwarding/forward_server.h
+++ b/src/registered/proxy/forwarding/forward_server.h
@@ -49,7 +49,7 @@
   limits::Grant grant(const ForwardTokens& request);
   Awaitable<void> send_answers(std::shared_ptr<Connection> connection);
   /// Empty when this proxy knows no such group, or no tenant of the caller's key.
-  std::optional<RunOrder> to_order(ForwardedOrder order);
+  std::optional<StatementRequest> to_order(ForwardedOrder order);
 
   SessionServices services_;
   StatementRunner runner_;
--- a/src/registered/proxy/group/backend_standing.cpp
+++ b/src/registered/proxy/group/backend_standing.cpp
@@ -7,7 +7,7 @@
 namespace cairnhollow::registered::proxy {
 
 placement::BackendFacts BackendStanding::facts_of(const BackendUse& backend,
-                                                  const PlacementQuestion& question) const {
+                                                  const PlacementRequest& question) const {
   const TimePoint now = runtime_.now();
   const registry::GroupTerm& term = leadership_.term();
   const auto& leaving_since = backend.leaving_since;
@@ -20,21 +20,21 @@
   // A primary goes on for a while, so that it is followed while it runs.
   facts.transaction_grace_over = backend.is_off_limits(now);
   facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
-  if (facts.zone_evacuated) facts.back_in = placement::kRetryAfterEvacuation;
+  if (facts.zone_evacuated) facts.retry_after = placement::kRetryAfterEvacuation;
   facts.tried = question.tried != nullptr && question.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
   facts.refused = backend.pool.is_refused();
   facts.cold_limit_reached = cold_.is_reached(backend);
-  if (facts.cold_limit_reached) facts.back_in = backend.cold_limit_reached_until - now;
+  if (facts.cold_limit_reached) facts.retry_after = backend.cold_limit_reached_until - now;
   if (question.allowed != nullptr) facts.region_allowed = question.allowed->allows(backend.entry.zone);
-  if (!facts.region_allowed) facts.back_in = placement::kRetryAfterOutsideRegions;
+  if (!facts.region_allowed) facts.retry_after = placement::kRetryAfterOutsideRegions;
   if (question.need == nullptr || question.need->primary_only) return facts;
   facts.lags = !facts.is_primary && backend.lag.at(now) > now - question.need->required_since;
   facts.cost = cost_of(backend);
   return facts;
 }
 
-GroupFacts BackendStanding::facts(const PlacementQuestion& question) const {
+GroupFacts BackendStanding::facts(const PlacementRequest& question) const {
   GroupFacts facts;
   for (const auto& [name, use] : backends_.all()) facts.push_back(facts_of(*use, question));
   return facts;
--- a/src/registered/proxy/group/backend_standing.h
+++ b/src/registered/proxy/group/backend_standing.h
@@ -25,7 +25,7 @@
 inline constexpr double kPrimaryReadCostMs = 12.0;
 
 /// The statement of which the facts of a backend are asked. What it does not name plays no part in them.
-struct PlacementQuestion {
+struct PlacementRequest {
   const ReadNeed* need = nullptr;
   const std::set<BackendName>* tried = nullptr;
   const locality::PermittedRegions* allowed = nullptr;  ///< null: anywhere
@@ -48,9 +48,9 @@
 
   /// A backend as it stands to the statement now.
   [[nodiscard]] placement::BackendFacts facts_of(const BackendUse& backend,
-                                                 const PlacementQuestion& question) const;
+                                                 const PlacementRequest& question) const;
   /// The same of all, in the order of the group's backends.
-  [[nodiscard]] GroupFacts facts(const PlacementQuestion& question) const;
+  [[nodiscard]] GroupFacts facts(const PlacementRequest& question) const;
   /// The open term's primary; null while there is none that may be used, as when another incarnation has its
   /// name.
   [[nodiscard]] std::shared_ptr<BackendUse> primary() const;
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -10,7 +10,7 @@
 Awaitable<void> warm(runtime::Runtime* runtime, std::shared_ptr<BackendUse> backend) {
   std::optional<Refusal> refusal;
   Reason reason;
-  LinkWish wish;
+  LinkRequest wish;
   const TimePoint deadline = runtime->now() + kDialTimeout;
   const LinkDeadlines deadlines{deadline, deadline};
   auto link = co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
--- a/src/registered/proxy/group/status_question.cpp
+++ b/src/registered/proxy/group/status_question.cpp
@@ -9,7 +9,7 @@
                                                   Reason& reason) {
   std::optional<Refusal> refusal;
   const LinkDeadlines deadlines{deadline, deadline};
-  LinkWish wish;
+  LinkRequest wish;
   wish.any_tenant = true;
   const auto link = co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
   if (!link) co_return std::nullopt;
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -31,8 +31,8 @@
   co_return false;
 }
 
-Awaitable<bool> StatefulLink::bring_in_order(SessionValues values, std::optional<PreparedShape> prepared,
-                                             TimePoint deadline, Reason& reason) {
+Awaitable<bool> StatefulLink::apply_session_state(SessionValues values, std::optional<PreparedShape> prepared,
+                                                  TimePoint deadline, Reason& reason) {
   if (!can_extend(values_, values) || prepared_.size() >= kMaxPreparedOnLink) {
     BackendRequest request = ResetState{};
     const bool reset = co_await run_setup(std::move(request), deadline, reason);
@@ -62,7 +62,7 @@
   lost_idle_ = lost_idle_ || lost > 0;
 }
 
-std::shared_ptr<StatefulLink> StatefulPool::take_idle(const LinkWish& wish) {
+std::shared_ptr<StatefulLink> StatefulPool::take_idle(const LinkRequest& wish) {
   drop_closed();
   auto best = idle_.end();
   for (auto candidate = idle_.end(); candidate != idle_.begin();) {
@@ -96,7 +96,7 @@
   idle_.erase(idle_.begin());
 }
 
-Awaitable<std::shared_ptr<StatefulLink>> StatefulPool::acquire(LinkWish wish, LinkDeadlines deadlines,
+Awaitable<std::shared_ptr<StatefulLink>> StatefulPool::acquire(LinkRequest wish, LinkDeadlines deadlines,
                                                                std::optional<Refusal>& refusal,
                                                                Reason& reason) {
   while (true) {
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -1,6 +1,6 @@
 // Links to one backend. A link keeps the values and prepared statements that were put on it; whoever takes it
-// is given one that fits, or brings it in order. The backend is told a link's tenant when it is opened, so a
-// link serves no other tenant, ever.
+// is given one that fits, or applies the state to it. The backend is told a link's tenant when it is opened,
+// so a link serves no other tenant, ever.
 #pragma once
 
 #include <map>
@@ -39,8 +39,8 @@
 
   /// Makes the link's values equal to `values`, and puts `prepared` on it where it is not null. False: the
   /// link can't be used any more.
-  Awaitable<bool> bring_in_order(SessionValues values, std::optional<PreparedShape> prepared,
-                                 TimePoint deadline, Reason& reason);
+  Awaitable<bool> apply_session_state(SessionValues values, std::optional<PreparedShape> prepared,
+                                      TimePoint deadline, Reason& reason);
   /// The name of a prepared statement on this link; empty when it is not there.
   [[nodiscard]] std::string prepared_name(const PreparedShape& shape) const;
   /// The backend does not know a statement that should be there.
@@ -71,7 +71,7 @@
 };
 
 /// Whose link is wanted, and what had best be on it.
-struct LinkWish {
+struct LinkRequest {
   TenantName tenant;
   SessionValues values;
   bool any_tenant = false;  ///< for questions of the proxy's own, which run on behalf of nobody
@@ -97,7 +97,7 @@
   /// An idle link, best one with these values, or a new one; waits while the limit is reached by links in
   /// use. Where idle links of other tenants reach it, the one unused for longest is closed. Null on failure;
   /// `refusal` is set when the backend itself refused a new one.
-  Awaitable<std::shared_ptr<StatefulLink>> acquire(LinkWish wish, LinkDeadlines deadlines,
+  Awaitable<std::shared_ptr<StatefulLink>> acquire(LinkRequest wish, LinkDeadlines deadlines,
                                                    std::optional<Refusal>& refusal, Reason& reason);
   /// Gives a link back that has no transaction open and owes no answer; a closed one is dropped.
   void release(std::shared_ptr<StatefulLink> link);
@@ -117,7 +117,7 @@
   [[nodiscard]] const BackendAddress& address() const { return address_; }
 
  private:
-  std::shared_ptr<StatefulLink> take_idle(const LinkWish& wish);
+  std::shared_ptr<StatefulLink> take_idle(const LinkRequest& wish);
   void drop_closed();
   /// The backend refused one more connection.
   void mark_full();
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-RejectionReason PinnedTransactions::rejection_of(const PinnedLink& pinned, const RunOrder& order,
+RejectionReason PinnedTransactions::rejection_of(const PinnedLink& pinned, const StatementRequest& order,
                                                  bool commits_stall) const {
   const GroupAccess& group = *order.group;
   placement::TransactionFacts facts;
@@ -40,7 +40,8 @@
   return placement::rejection_in_transaction(facts, group.standing.facts_of(*pinned.backend, {}));
 }
 
-Awaitable<Answer> PinnedTransactions::run(PinnedLink pinned, RunOrder order, bool commits, bool wrote) {
+Awaitable<Answer> PinnedTransactions::run(PinnedLink pinned, StatementRequest order, bool commits,
+                                          bool wrote) {
   if (pinned.remote) co_return co_await forward(*pinned.remote, std::move(order), commits, wrote);
   GroupAccess& group = *order.group;
   runtime::Runtime& runtime = services_.runtime;
@@ -54,7 +55,7 @@
   const TimePoint setup_deadline = std::min(order.deadline, runtime.now() + kLinkSetupTimeout);
   bool ready = rejection == RejectionReason::kNone && pinned.link->link().is_open();
   if (ready)
-    ready = co_await pinned.link->bring_in_order(order.values, order.prepared, setup_deadline, reason);
+    ready = co_await pinned.link->apply_session_state(order.values, order.prepared, setup_deadline, reason);
   bool entered = false;
   if (ready) entered = co_await cold_tokens_.enter(order.group, pinned.backend, order.deadline, rejection);
   if (entered) rejection = rejection_of(pinned, order, false);
@@ -96,7 +97,8 @@
   co_return std::move(*answer);
 }
 
-Awaitable<Answer> PinnedTransactions::forward(RemotePin remote, RunOrder order, bool commits, bool wrote) {
+Awaitable<Answer> PinnedTransactions::forward(RemotePin remote, StatementRequest order, bool commits,
+                                              bool wrote) {
   Reason reason;
   ForwardRequest request;
   request.body =
--- a/src/registered/proxy/statement/pinned_transactions.h
+++ b/src/registered/proxy/statement/pinned_transactions.h
@@ -16,7 +16,7 @@
       : services_(services), cold_tokens_(services), log_(services) {}
 
   /// A further statement of a transaction, or its commit. A missing answer leaves the link closed.
-  Awaitable<Answer> run(PinnedLink pinned, RunOrder order, bool commits, bool wrote);
+  Awaitable<Answer> run(PinnedLink pinned, StatementRequest order, bool commits, bool wrote);
   /// Ends a transaction without commit and gives the link back.
   Awaitable<void> roll_back(PinnedLink pinned);
   /// The same, unless nothing is open there any more.
@@ -31,9 +31,10 @@
 
  private:
   /// Why it may not go on, as far as this proxy knows now.
-  [[nodiscard]] placement::RejectionReason rejection_of(const PinnedLink& pinned, const RunOrder& order,
+  [[nodiscard]] placement::RejectionReason rejection_of(const PinnedLink& pinned,
+                                                        const StatementRequest& order,
                                                         bool commits_stall) const;
-  Awaitable<Answer> forward(RemotePin remote, RunOrder order, bool commits, bool wrote);
+  Awaitable<Answer> forward(RemotePin remote, StatementRequest order, bool commits, bool wrote);
   Awaitable<void> end_remote(RemotePin remote);
 
   SessionServices services_;
--- a/src/registered/proxy/statement/pre_send_check.cpp
+++ b/src/registered/proxy/statement/pre_send_check.cpp
@@ -23,12 +23,12 @@
 }
 
 bool PreSendCheck::may_go_on(StatementAttempt& attempt) const {
-  attempt.last_look = decide(attempt, send_facts(attempt));
-  return attempt.last_look.action == SendAction::kSend;
+  attempt.pre_send_check = decide(attempt, send_facts(attempt));
+  return attempt.pre_send_check.action == SendAction::kSend;
 }
 
 Awaitable<placement::SendDecision> PreSendCheck::check(std::shared_ptr<StatementAttempt> attempt) const {
-  const RunOrder& order = attempt->order;
+  const StatementRequest& order = attempt->order;
   const FleetView& view = services_.view;
   bool lacks_token = false;
   const bool runs_again = order.may_have_run && !order.tenant.empty();
--- a/src/registered/proxy/statement/pre_send_check.h
+++ b/src/registered/proxy/statement/pre_send_check.h
@@ -15,7 +15,7 @@
  public:
   explicit PreSendCheck(SessionServices services) : services_(services), cold_tokens_(services) {}
 
-  /// After each wait on the way, all but the key; kept as the attempt's `last_look`.
+  /// After each wait on the way, all but the key; kept as the attempt's `pre_send_check`.
   bool may_go_on(StatementAttempt& attempt) const;
   /// Right before it is sent, its key as well: what runs again takes a token of its tenant.
   Awaitable<placement::SendDecision> check(std::shared_ptr<StatementAttempt> attempt) const;
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -14,9 +14,10 @@
 
 /// One statement on its way, over all its attempts.
 struct StatementAttempt {
-  explicit StatementAttempt(RunOrder run_order) : order(std::move(run_order)), progress(order.progress()) {}
+  explicit StatementAttempt(StatementRequest run_order)
+      : order(std::move(run_order)), progress(order.progress()) {}
 
-  RunOrder order;
+  StatementRequest order;
   placement::StatementProgress progress;
   std::set<BackendName> excluded;
   ReadNeed need;
@@ -33,7 +34,7 @@
   bool at_primary = false;
   bool needs_primary = false;           ///< the answer counts only while the primary of `epoch` may be used
   std::optional<TimePoint> cold_token;  ///< not used yet, and of use until then
-  placement::SendDecision last_look;
+  placement::SendDecision pre_send_check;
   TimePoint sent_at{};
   runtime::SendState sent = runtime::SendState::kNotSent;
 
@@ -43,7 +44,7 @@
   Duration at_backend{0};
   std::string path;  ///< backends tried and how each attempt ended
 
-  [[nodiscard]] PlacementQuestion question() const { return {&need, &excluded, &order.allowed}; }
+  [[nodiscard]] PlacementRequest question() const { return {&need, &excluded, &order.allowed}; }
   /// The transaction that it has opened.
   [[nodiscard]] PinnedLink pinned() const {
     return PinnedLink{backend, link, std::nullopt, epoch, at_primary};
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -9,7 +9,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-ForwardedOrder to_forwarded(const RunOrder& order, TimePoint now) {
+ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now) {
   ForwardedOrder forwarded;
   forwarded.route = order.route;
   forwarded.key = order.key;
@@ -28,7 +28,8 @@
   return forwarded;
 }
 
-Awaitable<Forwarded> StatementForwarding::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
+Awaitable<Forwarded> StatementForwarding::forward(StatementRequest order,
+                                                  std::vector<subset::ProxyPointer> proxies) {
   // Those that did not answer a moment ago go last.
   const GroupName group = order.group->name;
   std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const subset::ProxyPointer& proxy) {
@@ -44,11 +45,11 @@
   bool is_answered = false;
   for (std::size_t attempt = 0; attempt < tries && may_try_another; ++attempt) {
     const NodeName& node = proxies[attempt]->name;
-    const placement::ProxyTurn turn{node == services_.view.node(),
+    const placement::NextProxy turn{node == services_.view.node(),
                                     services_.forwarder.is_avoided(node, group)};
-    const auto action = placement::take_turn(turn, proxy_facts(services_.view, *order.group));
-    if (action == placement::TurnAction::kSkip) continue;
-    if (action == placement::TurnAction::kRunHere)
+    const auto action = placement::try_next_proxy(turn, proxy_facts(services_.view, *order.group));
+    if (action == placement::NextProxyAction::kSkip) continue;
+    if (action == placement::NextProxyAction::kRunHere)
       co_return Forwarded{ForwardedNext::kRunHere, std::move(order), {}};
     auto forwarded = co_await forward_to(order, proxies[attempt], may_try_another, reason);
     if (!forwarded) continue;
@@ -61,10 +62,10 @@
   const auto placed = co_await await_lease(order.group, refuse_at, may_try_another);
   if (placed.action == placement::Action::kRun)
     co_return Forwarded{ForwardedNext::kRunAgain, std::move(order), {}};
-  const Unplaced unplaced{placed.rejection, placed.back_in, {}};
+  const Unplaced unplaced{placed.rejection, placed.retry_after, {}};
   if (placed.rejection == placement::RejectionReason::kNoLease || !is_answered) {
     result.answer.detail = fmt::format("{}; come back in {} ms", placement::rejection_text(placed.rejection),
-                                       in_ms(placed.back_in));
+                                       in_ms(placed.retry_after));
   }
   if (result.answer.refusal) log_.refusal(order, result.answer, reason, 1, unplaced);
   co_return Forwarded{ForwardedNext::kAnswer, std::move(order), std::move(result)};
@@ -83,7 +84,7 @@
   }
 }
 
-Awaitable<std::optional<RunResult>> StatementForwarding::forward_to(RunOrder order,
+Awaitable<std::optional<RunResult>> StatementForwarding::forward_to(StatementRequest order,
                                                                     subset::ProxyPointer proxy,
                                                                     bool& may_try_another, Reason& reason) {
   may_try_another = true;
--- a/src/registered/proxy/statement/statement_forwarding.h
+++ b/src/registered/proxy/statement/statement_forwarding.h
@@ -20,7 +20,7 @@
 inline constexpr Duration kForwardSlack = std::chrono::milliseconds(60);
 
 /// The order as it is sent to another proxy.
-ForwardedOrder to_forwarded(const RunOrder& order, TimePoint now);
+ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now);
 
 enum class ForwardedNext : std::uint8_t {
   kAnswer,    ///< with `result`
@@ -29,7 +29,7 @@
 };
 struct Forwarded {
   ForwardedNext next = ForwardedNext::kAnswer;
-  RunOrder order;  ///< with what is known since: whether it may have run
+  StatementRequest order;  ///< with what is known since: whether it may have run
   RunResult result;
 };
 
@@ -38,11 +38,11 @@
   explicit StatementForwarding(SessionServices services) : services_(services), log_(services) {}
 
   /// `proxies`: first choice first.
-  Awaitable<Forwarded> forward(RunOrder order, std::vector<subset::ProxyPointer> proxies);
+  Awaitable<Forwarded> forward(StatementRequest order, std::vector<subset::ProxyPointer> proxies);
 
  private:
   /// Empty when no connection to the proxy was to be had.
-  Awaitable<std::optional<RunResult>> forward_to(RunOrder order, subset::ProxyPointer proxy,
+  Awaitable<std::optional<RunResult>> forward_to(StatementRequest order, subset::ProxyPointer proxy,
                                                  bool& may_try_another, Reason& reason);
   /// No proxy took the order: waits for the lease as long as that is worth it.
   Awaitable<placement::Placement> await_lease(std::shared_ptr<GroupAccess> group, TimePoint refuse_at,
--- a/src/registered/proxy/statement/statement_log.cpp
+++ b/src/registered/proxy/statement/statement_log.cpp
@@ -31,8 +31,8 @@
        {"waited_ms", std::to_string(in_ms(services_.runtime.now() - attempt.sent_at))}});
 }
 
-void StatementLog::refusal(const RunOrder& order, const Answer& answer, const Reason& reason, int attempts,
-                           const Unplaced& unplaced) const {
+void StatementLog::refusal(const StatementRequest& order, const Answer& answer, const Reason& reason,
+                           int attempts, const Unplaced& unplaced) const {
   const bool is_own = unplaced.since != placement::RejectionReason::kNone;
   if (is_own) services_.metrics.count_unplaced(unplaced.since);
   const registry::GroupTerm& term = order.group->term();
@@ -44,7 +44,7 @@
        {"why", answer.detail},
        {"since", is_own ? placement::rejection_name(unplaced.since) : ""},
        {"passed_over", unplaced.passed_over},
-       {"back_in_ms", unplaced.back_in > Duration(0) ? std::to_string(in_ms(unplaced.back_in)) : ""},
+       {"back_in_ms", unplaced.retry_after > Duration(0) ? std::to_string(in_ms(unplaced.retry_after)) : ""},
        {"database", order.route.database.value},
        {"group", term.group.value},
        {"term", std::to_string(term.term)},
--- a/src/registered/proxy/statement/statement_log.h
+++ b/src/registered/proxy/statement/statement_log.h
@@ -18,7 +18,7 @@
   void slow(const StatementAttempt& attempt) const;
   void lost_answer(const StatementAttempt& attempt, const Reason& reason) const;
   /// Also counts what this proxy itself refused. `attempts`: backends tried.
-  void refusal(const RunOrder& order, const Answer& answer, const Reason& reason, int attempts,
+  void refusal(const StatementRequest& order, const Answer& answer, const Reason& reason, int attempts,
                const Unplaced& unplaced = {}) const;
 
  private:
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -10,7 +10,7 @@
 using placement::Action;
 
 const placement::ProxyList* StatementPlacer::keep_inside(const placement::ProxyList& proxies,
-                                                         const RunOrder& order,
+                                                         const StatementRequest& order,
                                                          placement::ProxyList& kept) const {
   if (order.allowed.is_anywhere()) return &proxies;
   kept = services_.view.in_regions(proxies, order.allowed);
@@ -19,7 +19,7 @@
   return &kept;
 }
 
-std::optional<placement::Forwarding> StatementPlacer::find_elsewhere(const RunOrder& order,
+std::optional<placement::Forwarding> StatementPlacer::find_elsewhere(const StatementRequest& order,
                                                                      PeersInside& inside) const {
   FleetView& view = services_.view;
   GroupAccess& group = *order.group;
@@ -39,7 +39,7 @@
   return placement::place_elsewhere(need, proxy);
 }
 
-bool StatementPlacer::is_shut_out(const RunOrder& order) {
+bool StatementPlacer::is_shut_out(const StatementRequest& order) {
   if (order.allowed.is_nowhere()) return true;
   ReadNeed need;
   need.primary_only = !order.may_use_replicas();
@@ -50,7 +50,7 @@
 
 placement::Placement StatementPlacer::place(StatementAttempt& attempt) const {
   GroupAccess& group = *attempt.order.group;
-  const RunOrder& order = attempt.order;
+  const StatementRequest& order = attempt.order;
   attempt.need = ReadNeed{true, std::nullopt, {}, &order.allowed};
   if (order.reads()) attempt.need = group.need_of(order.route, order.committed, &order.allowed);
   placement::StatementNeed need;
@@ -69,7 +69,7 @@
 }
 
 bool StatementPlacer::reroute(StatementAttempt& attempt) const {
-  RunOrder& order = attempt.order;
+  StatementRequest& order = attempt.order;
   // Without tenants any proxy that serves the group is as good.
   if (order.is_forwarded || order.tenant.empty() || order.may_use_replicas()) return false;
   if (!placement::may_be_rerouted(attempt.progress)) return false;
@@ -83,7 +83,7 @@
 }
 
 Awaitable<void> StatementPlacer::bring_position(std::shared_ptr<StatementAttempt> attempt) const {
-  const RunOrder& order = attempt->order;
+  const StatementRequest& order = attempt->order;
   GroupAccess& group = *order.group;
   if (!order.may_use_replicas() || !group.is_primary_outside(order.allowed)) co_return;
   const Duration staleness = std::chrono::milliseconds(order.route.max_staleness_ms);
--- a/src/registered/proxy/statement/statement_placer.h
+++ b/src/registered/proxy/statement/statement_placer.h
@@ -28,9 +28,10 @@
   explicit StatementPlacer(SessionServices services) : services_(services) {}
 
   /// Another proxy that is to run the order, as far as this one knows now. The answer may refer to `inside`.
-  std::optional<placement::Forwarding> find_elsewhere(const RunOrder& order, PeersInside& inside) const;
+  std::optional<placement::Forwarding> find_elsewhere(const StatementRequest& order,
+                                                      PeersInside& inside) const;
   /// Whether all that could run the order is outside its regions, so that waiting would not help.
-  [[nodiscard]] static bool is_shut_out(const RunOrder& order);
+  [[nodiscard]] static bool is_shut_out(const StatementRequest& order);
   /// Where the attempt may go now. Takes the backend over that is to run it.
   placement::Placement place(StatementAttempt& attempt) const;
   /// Whether the order, which has waited here, is passed on now that its primary is known: StatementAttempt's
@@ -43,7 +44,7 @@
  private:
   /// `proxies`, or in `kept` those of them to which the order's text may be sent; none when this proxy is the
   /// first of them.
-  const placement::ProxyList* keep_inside(const placement::ProxyList& proxies, const RunOrder& order,
+  const placement::ProxyList* keep_inside(const placement::ProxyList& proxies, const StatementRequest& order,
                                           placement::ProxyList& kept) const;
 
   SessionServices services_;
--- a/src/registered/proxy/statement/statement_request.h
+++ b/src/registered/proxy/statement/statement_request.h
@@ -15,7 +15,7 @@
 namespace cairnhollow::registered::proxy {
 
 /// A statement with what it needs beside its text.
-struct RunOrder {
+struct StatementRequest {
   registry::RouteRule route;
   std::shared_ptr<GroupAccess> group;
   ApiKey key;         ///< of the caller; empty where none is asked for
@@ -78,7 +78,7 @@
 /// Why this proxy itself refused a statement, for the log.
 struct Unplaced {
   placement::RejectionReason since = placement::RejectionReason::kNone;
-  Duration back_in{0};
+  Duration retry_after{0};
   std::string passed_over;  ///< the group's backends, each with what stood in the way there
 };
 
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -20,14 +20,14 @@
 namespace {
 
 /// Behind the statements of open transactions, which hold connections.
-std::uint8_t urgency_of(const RunOrder& order) {
+std::uint8_t urgency_of(const StatementRequest& order) {
   constexpr std::uint64_t kLeastUrgent = 100;
   return static_cast<std::uint8_t>(std::min(order.route.priority + 1, kLeastUrgent));
 }
 
 }  // namespace
 
-Awaitable<RunResult> StatementRunner::run(RunOrder order) {
+Awaitable<RunResult> StatementRunner::run(StatementRequest order) {
   if (!order.allowed.is_anywhere() && StatementPlacer::is_shut_out(order))
     co_return refuse_outside(std::move(order));
   std::optional<placement::Forwarding> elsewhere;
@@ -39,14 +39,15 @@
   co_return co_await forward(std::move(order), std::move(proxies));
 }
 
-Awaitable<RunResult> StatementRunner::forward(RunOrder order, std::vector<subset::ProxyPointer> proxies) {
+Awaitable<RunResult> StatementRunner::forward(StatementRequest order,
+                                              std::vector<subset::ProxyPointer> proxies) {
   Forwarded forwarded = co_await forwarding_.forward(std::move(order), std::move(proxies));
   if (forwarded.next == ForwardedNext::kRunHere) co_return co_await run_here(std::move(forwarded.order));
   if (forwarded.next == ForwardedNext::kRunAgain) co_return co_await run(std::move(forwarded.order));
   co_return std::move(forwarded.result);
 }
 
-Awaitable<RunResult> StatementRunner::run_here(RunOrder order) {
+Awaitable<RunResult> StatementRunner::run_here(StatementRequest order) {
   runtime::Runtime& runtime = services_.runtime;
   auto attempt = std::make_shared<StatementAttempt>(std::move(order));
   const bool writes = attempt->order.writes;
@@ -84,19 +85,19 @@
     placed = placer_.place(*attempt);
     has_waited = true;
   }
-  if (placed.action == Action::kRefuse) refuse(*attempt, placed.rejection, placed.back_in);
+  if (placed.action == Action::kRefuse) refuse(*attempt, placed.rejection, placed.retry_after);
   if (placed.action != Action::kRun) co_return false;
   co_return !has_waited || !placer_.reroute(*attempt);
 }
 
-void StatementRunner::refuse(StatementAttempt& attempt, RejectionReason since, Duration back_in) {
+void StatementRunner::refuse(StatementAttempt& attempt, RejectionReason since, Duration retry_after) {
   Answer& answer = attempt.result.answer;
   answer.refusal = refusal_of(since);
   answer.state = TransactionState::kIdle;
   answer.detail = placement::rejection_text(since);
-  attempt.unplaced = Unplaced{since, back_in, {}};
-  if (back_in == Duration(0)) return;
-  answer.detail += fmt::format("; come back in {} ms", in_ms(back_in));
+  attempt.unplaced = Unplaced{since, retry_after, {}};
+  if (retry_after == Duration(0)) return;
+  answer.detail += fmt::format("; come back in {} ms", in_ms(retry_after));
   const GroupFacts backends = attempt.order.group->standing.facts(attempt.question());
   for (const placement::BackendFacts& backend : backends) {
     const RejectionReason rejection = placement::rejection_at(backend, attempt.need.primary_only, backends);
@@ -107,9 +108,9 @@
   }
 }
 
-RunResult StatementRunner::refuse_untried(StatementAttempt& attempt, RejectionReason since, Duration back_in,
-                                          Reason reason) {
-  refuse(attempt, since, back_in);
+RunResult StatementRunner::refuse_untried(StatementAttempt& attempt, RejectionReason since,
+                                          Duration retry_after, Reason reason) {
+  refuse(attempt, since, retry_after);
   attempt.reason = std::move(reason);
   log_.refusal(attempt.order, attempt.result.answer, attempt.reason, 0, attempt.unplaced);
   attempt.result.nothing_run = !attempt.order.may_have_run;
@@ -123,7 +124,7 @@
                         std::move(reason));
 }
 
-RunResult StatementRunner::refuse_outside(RunOrder order) {
+RunResult StatementRunner::refuse_outside(StatementRequest order) {
   StatementAttempt attempt(std::move(order));
   attempt.need.primary_only = !attempt.order.may_use_replicas();
   Reason reason{ReasonCode::kNoBackend, "check_regions", attempt.order.group->term().primary.value,
@@ -133,13 +134,13 @@
 }
 
 Awaitable<bool> StatementRunner::acquire_link(Attempt attempt) {
-  const RunOrder& order = attempt->order;
+  const StatementRequest& order = attempt->order;
   BackendUse& backend = *attempt->backend;
   std::optional<Refusal> refusal;
   const TimePoint now = services_.runtime.now();
   const LinkDeadlines deadlines{placement::slot_wait_end(attempt->progress, now),
                                 placement::link_wait_end(attempt->progress, now)};
-  LinkWish wish{order.tenant, order.values};
+  LinkRequest wish{order.tenant, order.values};
   attempt->link = co_await backend.pool.acquire(std::move(wish), deadlines, refusal, attempt->reason);
   // Idle links that ended by themselves may have ended with their backend's process.
   if (backend.pool.take_lost_idle()) backend.rebirth.mark_unreachable();
@@ -162,12 +163,13 @@
   if (!check_.may_go_on(*attempt)) co_return false;
   const bool acquired = co_await acquire_link(attempt);
   if (!acquired) co_return false;
-  const RunOrder& order = attempt->order;
-  // What the link is brought in order by is sent there, too.
+  const StatementRequest& order = attempt->order;
+  // What the link is given the session state by is sent there, too.
   bool ready = check_.may_go_on(*attempt);
   const TimePoint deadline = std::min(order.deadline, services_.runtime.now() + kLinkSetupTimeout);
   if (ready)
-    ready = co_await attempt->link->bring_in_order(order.values, order.prepared, deadline, attempt->reason);
+    ready =
+        co_await attempt->link->apply_session_state(order.values, order.prepared, deadline, attempt->reason);
   if (ready && order.opens_transaction) ready = check_.may_go_on(*attempt);
   if (!ready) attempt->backend->pool.release(attempt->link);
   co_return ready;
@@ -216,7 +218,7 @@
 
 Awaitable<NextStep> StatementRunner::try_backend(Attempt attempt) {
   const std::shared_ptr<BackendUse> backend = attempt->backend;
-  attempt->last_look = {};
+  attempt->pre_send_check = {};
   const bool admitted = co_await take_cold_token(attempt);
   if (!admitted) co_return NextStep::kChooseAgain;
   const std::uint8_t priority = urgency_of(attempt->order);
@@ -234,8 +236,8 @@
   bool begun = co_await prepare_link(attempt);
   attempt->at_pool += services_.runtime.now() - entered_at;
   if (begun && attempt->order.opens_transaction) begun = co_await begin_transaction(attempt);
-  if (begun) attempt->last_look = co_await check_.check(attempt);
-  const bool may_be_sent = attempt->last_look.action == SendAction::kSend;
+  if (begun) attempt->pre_send_check = co_await check_.check(attempt);
+  const bool may_be_sent = attempt->pre_send_check.action == SendAction::kSend;
   if (!begun || !may_be_sent) backend->gate.leave_unanswered();
   if (!may_be_sent) co_return stop_before_sending(*attempt, begun);
   if (!begun) co_return apply(placement::run_again(attempt->needs_primary), *attempt);
@@ -252,7 +254,7 @@
 }
 
 Awaitable<std::optional<Answer>> StatementRunner::exchange(Attempt attempt) {
-  const RunOrder& order = attempt->order;
+  const StatementRequest& order = attempt->order;
   attempt->progress.offered = true;
   attempt->sent_at = services_.runtime.now();
   TimePoint deadline = order.deadline;
@@ -271,7 +273,7 @@
 }
 
 NextStep StatementRunner::stop_before_sending(StatementAttempt& attempt, bool begun) {
-  const placement::SendDecision& decision = attempt.last_look;
+  const placement::SendDecision& decision = attempt.pre_send_check;
   const bool is_given_up = decision.rejection == RejectionReason::kPrimaryGivenUp;
   if (begun) {
     if (attempt.order.opens_transaction || is_given_up) attempt.link->link().close();
@@ -307,7 +309,7 @@
 NextStep StatementRunner::take_answer(StatementAttempt& attempt, Answer answer) {
   GroupAccess& group = *attempt.order.group;
   BackendUse& backend = *attempt.backend;
-  const RunOrder& order = attempt.order;
+  const StatementRequest& order = attempt.order;
   attempt.link->record_state(answer.state);
   const bool current = services_.view.may_use_primary(group, attempt.epoch);
   if (attempt.at_primary) group.primary_health.record_answered();
@@ -331,7 +333,7 @@
 
 NextStep StatementRunner::take_final_answer(StatementAttempt& attempt, Answer answer) {
   GroupAccess& group = *attempt.order.group;
-  const RunOrder& order = attempt.order;
+  const StatementRequest& order = attempt.order;
   if (answer.succeeded() && attempt.at_primary)
     take_primary_answer(services_, group,
                         PrimaryAnswer{attempt.epoch, attempt.sent_at, order.keeps_changes()}, answer);
--- a/src/registered/proxy/statement/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -31,15 +31,15 @@
         log_(services) {}
 
   /// A single statement, or with `opens_transaction` the first one of a transaction.
-  Awaitable<RunResult> run(RunOrder order);
+  Awaitable<RunResult> run(StatementRequest order);
   /// Of the transactions that it has opened.
   [[nodiscard]] PinnedTransactions& transactions() { return transactions_; }
 
  private:
   using Attempt = std::shared_ptr<StatementAttempt>;
 
-  Awaitable<RunResult> forward(RunOrder order, std::vector<subset::ProxyPointer> proxies);
-  Awaitable<RunResult> run_here(RunOrder order);
+  Awaitable<RunResult> forward(StatementRequest order, std::vector<subset::ProxyPointer> proxies);
+  Awaitable<RunResult> run_here(StatementRequest order);
   /// False when it is refused, or passed on.
   Awaitable<bool> choose(Attempt attempt);
   Awaitable<placement::NextStep> try_backend(Attempt attempt);
@@ -60,11 +60,11 @@
   static placement::NextStep apply(const placement::Retry& retry, StatementAttempt& attempt);
 
   /// The attempt's answer: not run, since this stands in the way.
-  static void refuse(StatementAttempt& attempt, placement::RejectionReason since, Duration back_in);
+  static void refuse(StatementAttempt& attempt, placement::RejectionReason since, Duration retry_after);
   /// The same of a statement that is not tried at all.
-  RunResult refuse_untried(StatementAttempt& attempt, placement::RejectionReason since, Duration back_in,
+  RunResult refuse_untried(StatementAttempt& attempt, placement::RejectionReason since, Duration retry_after,
                            Reason reason);
-  RunResult refuse_outside(RunOrder order);
+  RunResult refuse_outside(StatementRequest order);
   /// A write, while writes sent before have no answer.
   RunResult refuse_stalled(StatementAttempt& attempt);
 
--- a/src/registered/proxy/statement/statement_sending.cpp
+++ b/src/registered/proxy/statement/statement_sending.cpp
@@ -4,7 +4,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-BackendRequest make_request(const RunOrder& order, const StatefulLink& link,
+BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
                             std::optional<Position> required) {
   if (!order.prepared) return PassOn{order.id, order.text, required};
   return Execute{order.id, link.prepared_name(*order.prepared), order.argument, required};
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -33,7 +33,7 @@
 
 /// The order as the link's backend is asked for it. `required`: the position that the backend must show to
 /// hold.
-BackendRequest make_request(const RunOrder& order, const StatefulLink& link,
+BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
                             std::optional<Position> required);
 
 /// A primary's success, as it was asked for.
--- a/src/registered/registry/messages.h
+++ b/src/registered/registry/messages.h
@@ -68,14 +68,14 @@
   std::vector<Endpoint> control_endpoints;  ///< where control nodes are; empty: as before
   std::optional<Reason> refusal;            ///< kNotLeader names the leader's address as peer, where known
   /// Every proxy that may act on what control confirmed holds this revision or a later one; 0: not known.
-  std::uint64_t settled_revision = 0;
+  std::uint64_t stable_revision = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
     auto lease_nanoseconds = lease.count();
     auto interval_nanoseconds = report_interval.count();
     archive(nonce, lease_nanoseconds, delta, interval_nanoseconds, control_endpoints, refusal);
-    wire::since(archive, wire::kTenantsFormat, settled_revision, std::uint64_t{0});
+    wire::since(archive, wire::kTenantsFormat, stable_revision, std::uint64_t{0});
     lease = Duration(lease_nanoseconds);
     report_interval = Duration(interval_nanoseconds);
   }
--- a/src/registered/registry/settled_revision.h
+++ b/src/registered/registry/stable_revision.h
@@ -17,8 +17,8 @@
 
 /// The least revision that a proxy which may still count can act on; `newest` when none can act on an old
 /// one.
-inline std::uint64_t settled_revision(const std::vector<ProxyKnowledge>& proxies, std::uint64_t newest,
-                                      TimePoint now) {
+inline std::uint64_t stable_revision(const std::vector<ProxyKnowledge>& proxies, std::uint64_t newest,
+                                     TimePoint now) {
   std::uint64_t settled = newest;
   for (const ProxyKnowledge& proxy : proxies) {
     if (now <= proxy.may_count_until) settled = std::min(settled, proxy.revision);
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -15,7 +15,7 @@
 #include "registered/limits/quota_ledger.h"
 #include "registered/limits/token_stock.h"
 #include "registered/registry/budget_authority.h"
-#include "registered/registry/settled_revision.h"
+#include "registered/registry/stable_revision.h"
 
 namespace cairnhollow::registered::limits::play {
 
@@ -199,7 +199,7 @@
       known.push_back({same ? life->second.revision : 0,
                        lease_end(name, row.incarnation) - guards_.lease + registry::kBudgetAuthorityWait});
     }
-    return registry::settled_revision(known, revision_, now_);
+    return registry::stable_revision(known, revision_, now_);
   }
 
   bool runs(const Node& node) const { return now_ >= node.down_until && now_ >= node.frozen_until; }
--- a/tests/registered/limits/quota_ledger_test.cpp
+++ b/tests/registered/limits/quota_ledger_test.cpp
@@ -120,12 +120,10 @@
     const TimePoint now{seconds(10)};
     const registry::ProxyKnowledge knows{12, now + seconds(2)};
     const registry::ProxyKnowledge silent{0, now + seconds(1)};
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, registry::settled_revision({knows}, 15, now));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, registry::settled_revision({knows, silent}, 15, now));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12},
-                         registry::settled_revision({knows, silent}, 15, now + seconds(2)));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15},
-                         registry::settled_revision({knows, silent}, 15, now + seconds(3)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, registry::stable_revision({knows}, 15, now));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, registry::stable_revision({knows, silent}, 15, now));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, registry::stable_revision({knows, silent}, 15, now + seconds(2)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{15}, registry::stable_revision({knows, silent}, 15, now + seconds(3)));
   }
 
   void a_token_expires_also_when_it_was_given_back() {
--- a/tests/registered/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -58,10 +58,10 @@
 BackendFacts outside(BackendFacts facts) {
   return with(facts, [](auto& backend) { backend.region_allowed = false; });
 }
-BackendFacts cold(BackendFacts facts, milliseconds back_in = milliseconds(0)) {
-  return with(facts, [back_in](auto& backend) {
+BackendFacts cold(BackendFacts facts, milliseconds retry_after = milliseconds(0)) {
+  return with(facts, [retry_after](auto& backend) {
     backend.cold_limit_reached = true;
-    backend.back_in = back_in;
+    backend.retry_after = retry_after;
   });
 }
 
@@ -228,10 +228,10 @@
 
   void the_soonest_time_to_come_back_is_told() {
     const Backends both{cold(replica("r1"), milliseconds(900)), cold(replica("r2"), milliseconds(400))};
-    CPPUNIT_ASSERT(choose_backend(false, both).back_in == Duration(milliseconds(400)));
+    CPPUNIT_ASSERT(choose_backend(false, both).retry_after == Duration(milliseconds(400)));
     const Backends leader{cold(primary(), milliseconds(700)), cold(replica("r2"), milliseconds(400))};
-    CPPUNIT_ASSERT(choose_backend(true, leader).back_in == Duration(milliseconds(700)));
-    CPPUNIT_ASSERT(choose_backend(false, leader).back_in == Duration(milliseconds(400)));
+    CPPUNIT_ASSERT(choose_backend(true, leader).retry_after == Duration(milliseconds(700)));
+    CPPUNIT_ASSERT(choose_backend(false, leader).retry_after == Duration(milliseconds(400)));
   }
 
   void another_reader() {
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -209,7 +209,7 @@
         {"they were asked", kWrite, unleased(), {tried}, offered(), "refuse backends_busy"},
     });
     const Placement refused = place_here(kWrite, closed(), {}, patience(false));
-    CPPUNIT_ASSERT(refused.back_in == kBackAfter);
+    CPPUNIT_ASSERT(refused.retry_after == kBackAfter);
   }
 
   void what_keeps_new_work_away_is_never_waited_for() {
@@ -230,22 +230,22 @@
          patience(true),
          "refuse zone_evacuated"},
     });
-    CPPUNIT_ASSERT(place_here(kWrite, healthy(), {{cold}}, patience(true)).back_in == kBackAfter);
-    cold.back_in = milliseconds(40);
-    CPPUNIT_ASSERT(place_here(kWrite, healthy(), {{cold}}, patience(true)).back_in ==
+    CPPUNIT_ASSERT(place_here(kWrite, healthy(), {{cold}}, patience(true)).retry_after == kBackAfter);
+    cold.retry_after = milliseconds(40);
+    CPPUNIT_ASSERT(place_here(kWrite, healthy(), {{cold}}, patience(true)).retry_after ==
                    Duration(milliseconds(40)));
   }
 
   void turns_of_proxies() {
-    const ProxyTurn other;
-    const ProxyTurn silent{false, true};
-    const ProxyTurn self{true, false};
-    CPPUNIT_ASSERT(take_turn(other, healthy()) == TurnAction::kSend);
-    CPPUNIT_ASSERT(take_turn(other, unleased()) == TurnAction::kSend);
-    CPPUNIT_ASSERT(take_turn(silent, healthy()) == TurnAction::kSend);
-    CPPUNIT_ASSERT(take_turn(silent, unleased()) == TurnAction::kSkip);
-    CPPUNIT_ASSERT(take_turn(self, healthy()) == TurnAction::kRunHere);
-    CPPUNIT_ASSERT(take_turn(self, unleased()) == TurnAction::kSkip);
+    const NextProxy other;
+    const NextProxy silent{false, true};
+    const NextProxy self{true, false};
+    CPPUNIT_ASSERT(try_next_proxy(other, healthy()) == NextProxyAction::kSend);
+    CPPUNIT_ASSERT(try_next_proxy(other, unleased()) == NextProxyAction::kSend);
+    CPPUNIT_ASSERT(try_next_proxy(silent, healthy()) == NextProxyAction::kSend);
+    CPPUNIT_ASSERT(try_next_proxy(silent, unleased()) == NextProxyAction::kSkip);
+    CPPUNIT_ASSERT(try_next_proxy(self, healthy()) == NextProxyAction::kRunHere);
+    CPPUNIT_ASSERT(try_next_proxy(self, unleased()) == NextProxyAction::kSkip);
   }
 
   void what_no_proxy_took() {
--- a/tests/registered/proxy/group/choose_reader.h
+++ b/tests/registered/proxy/group/choose_reader.h
@@ -11,7 +11,7 @@
 /// Out of those not in `excluded`; null when none is left.
 inline std::shared_ptr<BackendUse> choose_reader(const GroupAccess& group, const ReadNeed& need,
                                                  const std::set<BackendName>& excluded) {
-  const PlacementQuestion question{&need, &excluded, need.allowed};
+  const PlacementRequest question{&need, &excluded, need.allowed};
   const auto choice = placement::choose_backend(need.primary_only, group.standing.facts(question));
   return choice.backend ? group.backends.at(*choice.backend) : nullptr;
 }
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -292,7 +292,7 @@
 
   void facts_follow_what_is_known() {
     const std::set<BackendName> tried{BackendName("replica-1")};
-    const PlacementQuestion question{&need_, &tried};
+    const PlacementRequest question{&need_, &tried};
     use("replica-2").avoid_until = runtime_->now() + seconds(1);
     group_->record_replica(use("replica-2"), need_, std::nullopt);
     CPPUNIT_ASSERT(group_->standing.facts_of(use("replica-1"), question).tried);
@@ -363,7 +363,7 @@
   Awaitable<void> acquire(std::shared_ptr<BackendUse> backend) {
     std::optional<Refusal> refusal;
     Reason reason;
-    LinkWish wish;
+    LinkRequest wish;
     const TimePoint deadline = runtime_->now() + seconds(1);
     const LinkDeadlines deadlines{deadline, deadline};
     co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
@@ -381,7 +381,7 @@
     const TimePoint deadline = runtime_->now() + milliseconds(100);
     const LinkDeadlines deadlines{deadline, deadline};
     const auto task = [&]() -> Awaitable<void> {
-      LinkWish wish;
+      LinkRequest wish;
       link = co_await pool.acquire(std::move(wish), deadlines, refusal, reason);
       done = true;
     };
@@ -395,7 +395,7 @@
     Reason reason;
     const TimePoint soon = runtime_->now() + milliseconds(1);
     const LinkDeadlines deadlines{soon, soon};
-    LinkWish wish;
+    LinkRequest wish;
     co_await pool.acquire(std::move(wish), deadlines, refusal, reason);
   }
   [[nodiscard]] bool is_primary_off_limits() const {
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -83,7 +83,7 @@
     auto choice = placement::choose_backend(true, group_->standing.facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
     CPPUNIT_ASSERT(choice.rejection == placement::RejectionReason::kOutsideRegions);
-    CPPUNIT_ASSERT(choice.back_in == placement::kRetryAfterOutsideRegions);
+    CPPUNIT_ASSERT(choice.retry_after == placement::kRetryAfterOutsideRegions);
     group_->remove_backend(BackendName("south"));
     need_.primary_only = false;
     choice = placement::choose_backend(false, group_->standing.facts({&need_, nullptr, &south_}));
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -126,7 +126,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), chosen(others));
     const auto facts = group().standing.facts_of(use("cold"), {});
     CPPUNIT_ASSERT(facts.cold_limit_reached);
-    CPPUNIT_ASSERT(facts.back_in == milliseconds(80));
+    CPPUNIT_ASSERT(facts.retry_after == milliseconds(80));
     world_->run_for(milliseconds(81));
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen(others));
     use("warm").cold_limit_reached_until = runtime_->now() + seconds(1);
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -79,7 +79,7 @@
   bool in_order = false;
 };
 
-Awaitable<void> take_for(runtime::Runtime& runtime, StatefulPool& pool, LinkWish wish, Taken& taken) {
+Awaitable<void> take_for(runtime::Runtime& runtime, StatefulPool& pool, LinkRequest wish, Taken& taken) {
   Reason reason;
   const TimePoint deadline = runtime.now() + milliseconds(100);
   const LinkDeadlines deadlines{deadline, deadline};
@@ -92,10 +92,11 @@
   Reason reason;
   const TimePoint deadline = runtime.now() + milliseconds(100);
   const LinkDeadlines deadlines{deadline, deadline};
-  LinkWish wish;
+  LinkRequest wish;
   wish.values = values;
   taken.link = co_await pool.acquire(std::move(wish), deadlines, taken.refusal, reason);
-  if (taken.link) taken.in_order = co_await taken.link->bring_in_order(values, prepared, deadline, reason);
+  if (taken.link)
+    taken.in_order = co_await taken.link->apply_session_state(values, prepared, deadline, reason);
   taken.finished = true;
 }
 
@@ -103,13 +104,13 @@
 
 class StatefulPoolTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatefulPoolTest);
-  CPPUNIT_TEST(a_link_is_brought_in_order);
+  CPPUNIT_TEST(session_state_is_applied_to_a_link);
   CPPUNIT_TEST(foreign_values_are_reset);
   CPPUNIT_TEST(a_link_with_the_same_values_is_preferred);
   CPPUNIT_TEST(the_limit_holds_and_returned_links_are_passed_on);
   CPPUNIT_TEST(closed_links_are_not_given_out);
   CPPUNIT_TEST(links_to_a_incarnation_that_is_over_are_closed);
-  CPPUNIT_TEST(a_link_that_can_not_be_brought_in_order_is_closed);
+  CPPUNIT_TEST(a_link_that_takes_no_session_state_is_closed);
   CPPUNIT_TEST(a_full_backend_is_told);
   CPPUNIT_TEST(a_full_backend_is_not_dialled_again_at_once);
   CPPUNIT_TEST(idle_links_but_one_are_closed_in_time);
@@ -135,7 +136,7 @@
     pool_.reset();
   }
 
-  void a_link_is_brought_in_order() {
+  void session_state_is_applied_to_a_link() {
     const PreparedShape shape{true, "q2c"};
     const Taken taken = take_one({{"tag", "a"}}, shape);
     CPPUNIT_ASSERT(taken.in_order);
@@ -168,7 +169,8 @@
   /// Takes a link of the tenant and gives it back.
   std::shared_ptr<StatefulLink> use(const std::string& tenant, bool any_tenant = false) {
     Taken taken;
-    runtime_->spawn("take", take_for(*runtime_, *pool_, LinkWish{TenantName(tenant), {}, any_tenant}, taken));
+    runtime_->spawn("take",
+                    take_for(*runtime_, *pool_, LinkRequest{TenantName(tenant), {}, any_tenant}, taken));
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT(taken.finished);
     if (taken.link) pool_->release(taken.link);
@@ -224,7 +226,7 @@
     const LinkDeadlines deadlines{now + milliseconds(8), now + milliseconds(100)};
     const auto acquire = [&]() -> Awaitable<void> {
       Reason reason;
-      LinkWish wish;
+      LinkRequest wish;
       taken.link = co_await pool_->acquire(std::move(wish), deadlines, taken.refusal, reason);
       taken.finished = true;
     };
@@ -266,7 +268,7 @@
     CPPUNIT_ASSERT(!dialer_->links[1]->open);
   }
 
-  void a_link_that_can_not_be_brought_in_order_is_closed() {
+  void a_link_that_takes_no_session_state_is_closed() {
     pool_->release(take_one({}).link);
     dialer_->links[0]->fails = true;
     const Taken taken = take_one({{"tag", "a"}});
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -68,7 +68,7 @@
   std::optional<Refusal> refusal;
   Reason reason;
   const TimePoint deadline = runtime.now() + seconds(1);
-  LinkWish wish{std::move(tenant), {}};
+  LinkRequest wish{std::move(tenant), {}};
   const LinkDeadlines deadlines{deadline, deadline};
   auto link = co_await pool.acquire(std::move(wish), deadlines, refusal, reason);
   if (!link) co_return;
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -299,8 +299,8 @@
   backend->gate.leave_unanswered();
 }
 
-RunOrder SessionStand::write(const std::string& id) {
-  RunOrder order;
+StatementRequest SessionStand::write(const std::string& id) {
+  StatementRequest order;
   order.route = route_of();
   order.group = group();
   order.key = ApiKey(kKey);
--- a/tests/registered/proxy/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -76,7 +76,7 @@
   [[nodiscard]] SessionMetrics& metrics() { return metrics_; }
   [[nodiscard]] SessionServices services();
   /// Of the tenant, with a value and something prepared to be put on its link.
-  [[nodiscard]] RunOrder write(const std::string& id);
+  [[nodiscard]] StatementRequest write(const std::string& id);
   /// One statement at its backend's gate goes before the next one until the event of kGate is over.
   void occupy_gate(const std::string& backend);
 
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -316,8 +316,8 @@
   Backend& backend() { return proxy_->backend; }
   std::shared_ptr<GroupAccess> group() { return proxy_->view.find_group(kGroup); }
 
-  RunOrder order(const std::string& value = "first") {
-    RunOrder order;
+  StatementRequest order(const std::string& value = "first") {
+    StatementRequest order;
     order.route = *proxy_->view.find_route(kDatabase);
     order.group = group();
     order.id = "id";
@@ -340,7 +340,7 @@
     return results_;
   }
   PinnedLink open_transaction() {
-    RunOrder opening = order();
+    StatementRequest opening = order();
     opening.opens_transaction = true;
     results_.clear();
     runtime_->spawn("open", keep(proxy_->runner.run(std::move(opening)), results_));
--- a/tests/registered/proxy/statement/last_look_test.cpp
+++ b/tests/registered/proxy/statement/last_look_test.cpp
@@ -14,7 +14,7 @@
   CPPUNIT_TEST(a_key_not_confirmed_any_more_runs_nothing);
   CPPUNIT_TEST(a_lease_lost_meanwhile_runs_nothing);
   CPPUNIT_TEST(a_primary_replaced_meanwhile_gets_nothing);
-  CPPUNIT_TEST(a_former_primarys_link_is_not_brought_in_order);
+  CPPUNIT_TEST(a_former_primarys_link_gets_no_session_state);
   CPPUNIT_TEST(a_former_primary_is_not_dialled);
   CPPUNIT_TEST(a_transaction_is_not_begun_without_lease);
   CPPUNIT_TEST(a_refusal_tells_what_each_backend_lacks);
@@ -66,7 +66,7 @@
     CPPUNIT_ASSERT_EQUAL(1, sent("two"));
   }
 
-  void a_former_primarys_link_is_not_brought_in_order() {
+  void a_former_primarys_link_gets_no_session_state() {
     backends().while_dialling = [this] { replace_primary(); };
     const RunResult result = run(order());
     CPPUNIT_ASSERT(result.answer.succeeded());
@@ -89,7 +89,7 @@
 
   void a_transaction_is_not_begun_without_lease() {
     lose_lease_after(milliseconds(50));
-    RunOrder opening = order();
+    StatementRequest opening = order();
     opening.opens_transaction = true;
     backends().takes = milliseconds(100);
     const RunResult result = run(opening);
@@ -121,7 +121,7 @@
 
   void what_runs_again_needs_a_token() {
     limit_tenant();
-    RunOrder again = order();
+    StatementRequest again = order();
     again.may_have_run = true;
     const RunResult result = run(again);
     CPPUNIT_ASSERT_MESSAGE("nobody counts for the tenant", result.answer.refusal == Refusal::kOverLimit);
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -213,8 +213,8 @@
     return std::stoi(text.substr(at + line.size()));
   }
 
-  RunOrder order(const std::string& value = "first") {
-    RunOrder order;
+  StatementRequest order(const std::string& value = "first") {
+    StatementRequest order;
     order.route = *proxy_->view.find_route(kDatabase);
     order.group = proxy_->view.find_group(kGroup);
     order.key = kKey;
@@ -227,7 +227,7 @@
     return order;
   }
 
-  RunResult run(RunOrder order) {
+  RunResult run(StatementRequest order) {
     RunResult result;
     runtime_->spawn("run", keep(proxy_->runner.run(std::move(order)), result));
     world_->run_for(std::chrono::milliseconds(1200));
--- a/tests/registered/proxy/statement/statement_outcomes_test.cpp
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -132,26 +132,26 @@
     tearDown();
     setUp();
   }
-  RunOrder write() { return order(); }
-  RunOrder read() {
-    RunOrder statement = order();
+  StatementRequest write() { return order(); }
+  StatementRequest read() {
+    StatementRequest statement = order();
     statement.writes = false;
     return statement;
   }
-  RunOrder opening() {
-    RunOrder statement = order();
+  StatementRequest opening() {
+    StatementRequest statement = order();
     statement.opens_transaction = true;
     return statement;
   }
-  RunOrder replica_read() {
-    RunOrder statement = read();
+  StatementRequest replica_read() {
+    StatementRequest statement = read();
     statement.route.reads = registry::ReadPolicy::kBoundedStaleness;
     statement.route.max_staleness_ms = 900;
     return statement;
   }
 
   /// Of a statement that meets this at the backend, on a proxy that was just started.
-  std::string after(const Mishap& mishap, const char* backend, RunOrder statement) {
+  std::string after(const Mishap& mishap, const char* backend, StatementRequest statement) {
     restart();
     statement.group = proxy_->view.find_group(kGroup);
     // What the primary showed so long ago is what a replica must hold.
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -213,7 +213,7 @@
   }
 
   void a_bounded_read_has_the_position_asked_for() {
-    RunOrder order = write_in({"south"}, {});
+    StatementRequest order = write_in({"south"}, {});
     order.writes = false;
     const RunResult result = run(order);
     CPPUNIT_ASSERT(result.answer.succeeded());
@@ -266,8 +266,9 @@
     proxy_->view.apply(delta);
   }
 
-  RunOrder write_in(const std::vector<std::string>& of_route, const std::vector<std::string>& of_tenant) {
-    RunOrder order;
+  StatementRequest write_in(const std::vector<std::string>& of_route,
+                            const std::vector<std::string>& of_tenant) {
+    StatementRequest order;
     order.route = *proxy_->view.find_route(DatabaseName("records"));
     order.group = group_;
     order.allowed = locality::PermittedRegions(map_, regions(of_route), regions(of_tenant));
@@ -280,20 +281,20 @@
   }
 
   /// The time that it takes goes to `took_`.
-  RunResult run(const RunOrder& order) {
+  RunResult run(const StatementRequest& order) {
     std::optional<RunResult> result;
     runtime_->spawn("run", keep(order, result));
     world_->run_until([&] { return result.has_value(); }, seconds(2));
     CPPUNIT_ASSERT(result);
     return *result;
   }
-  Awaitable<void> keep(RunOrder order, std::optional<RunResult>& result) {
+  Awaitable<void> keep(StatementRequest order, std::optional<RunResult>& result) {
     const TimePoint begun = runtime_->now();
     result = co_await proxy_->runner.run(std::move(order));
     took_ = runtime_->now() - begun;
   }
 
-  void check_refused(const RunOrder& order) {
+  void check_refused(const StatementRequest& order) {
     const RunResult result = run(order);
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(result.nothing_run);
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -135,7 +135,7 @@
       for (const Change& change : all_changes()) {
         start();
         prepare(change, step);
-        RunOrder order = stand_->write("w");
+        StatementRequest order = stand_->write("w");
         order.opens_transaction = true;
         const RunResult result = run(order);
         assert_no_statement(change, step);
@@ -170,7 +170,7 @@
       CPPUNIT_ASSERT_MESSAGE(change.name, stand_->dialled_for().empty());
       start();
       prepare(change, Step::kPrepare);
-      RunOrder first = stand_->write("w");
+      StatementRequest first = stand_->write("w");
       first.opens_transaction = true;
       run(first);
       CPPUNIT_ASSERT_MESSAGE("not even begun", sent(SessionStand::kPrimary).empty());
@@ -186,7 +186,7 @@
     const PinnedLink pinned = begin();
     stand_->change_primary();
     const int set_ups = stand_->set_ups();
-    RunOrder late = stand_->write("late");
+    StatementRequest late = stand_->write("late");
     late.values["tag"] = "b";
     const Answer answer = run_pinned(pinned, late, false);
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
@@ -197,7 +197,7 @@
 
   void a_read_only_transaction_needs_the_key_but_no_lease() {
     stand_->confirm(kShort, kLong);
-    RunOrder order = replica_read("r");
+    StatementRequest order = replica_read("r");
     order.opens_transaction = true;
     order.read_only_transaction = true;
     const RunResult opened = run(order);
@@ -244,7 +244,7 @@
   void a_read_at_the_primary_teaches_nothing_after_the_lease() {
     stand_->confirm(kShort, kLong);
     stand_->during(Step::kStatement, [] {});
-    RunOrder order = stand_->write("r");
+    StatementRequest order = stand_->write("r");
     order.writes = false;
     CPPUNIT_ASSERT(run(order).answer.succeeded());
     stand_->confirm(kLong, kLong);
@@ -257,7 +257,7 @@
     // Confirmed so long ago that this proxy may count for nobody.
     stand_->confirm(kLong, seconds(1));
     stand_->limit_tenant(1);
-    RunOrder order = stand_->write("r");
+    StatementRequest order = stand_->write("r");
     order.writes = false;
     order.may_have_run = true;
     const RunResult result = run(order);
@@ -269,7 +269,7 @@
 
   void a_public_route_needs_no_confirmation() {
     stand_->confirm(kLong, Duration(0));
-    RunOrder order = stand_->write("w");
+    StatementRequest order = stand_->write("w");
     CPPUNIT_ASSERT(run(order).answer.refusal == Refusal::kBusy);
     order.tenant = TenantName();
     order.key = ApiKey();
@@ -281,7 +281,7 @@
   void a_link_is_dialled_for_the_tenant() {
     stand_->confirm(kLong, kLong);
     run(stand_->write("w"));
-    RunOrder order = stand_->write("o");
+    StatementRequest order = stand_->write("o");
     order.key = ApiKey("others");
     order.tenant = TenantName("other");
     run(order);
@@ -324,7 +324,7 @@
         const PinnedLink pinned = begin();
         stand_->run_for(kLong - kShort / 2);
         prepare(change, step);
-        RunOrder order = commits ? commit() : stand_->write("late");
+        StatementRequest order = commits ? commit() : stand_->write("late");
         if (!commits) order.values["tag"] = "b";
         if (!commits) order.prepared = PreparedShape{true, "another"};
         const Answer answer = run_pinned(pinned, order, commits);
@@ -338,11 +338,11 @@
 
   [[nodiscard]] const std::vector<std::string>& sent(const char* backend) { return stand_->sent_to(backend); }
 
-  RunResult run(RunOrder order) {
+  RunResult run(StatementRequest order) {
     order.arrived = stand_->now();
     order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
     auto result = std::make_shared<RunResult>();
-    const auto task = [](StatementRunner& runner, RunOrder wanted,
+    const auto task = [](StatementRunner& runner, StatementRequest wanted,
                          std::shared_ptr<RunResult> told) -> Awaitable<void> {
       *told = co_await runner.run(std::move(wanted));
     };
@@ -350,11 +350,11 @@
     return *result;
   }
 
-  Answer run_pinned(PinnedLink pinned, RunOrder order, bool commits) {
+  Answer run_pinned(PinnedLink pinned, StatementRequest order, bool commits) {
     order.arrived = stand_->now();
     order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
     auto answer = std::make_shared<Answer>();
-    const auto task = [](StatementRunner& runner, PinnedLink link, RunOrder wanted, bool is_commit,
+    const auto task = [](StatementRunner& runner, PinnedLink link, StatementRequest wanted, bool is_commit,
                          std::shared_ptr<Answer> told) -> Awaitable<void> {
       *told = co_await runner.transactions().run(std::move(link), std::move(wanted), is_commit, true);
     };
@@ -363,15 +363,15 @@
   }
 
   PinnedLink begin() {
-    RunOrder order = stand_->write("first");
+    StatementRequest order = stand_->write("first");
     order.opens_transaction = true;
     const RunResult result = run(order);
     CPPUNIT_ASSERT(result.pinned && result.pinned->at_primary);
     return *result.pinned;
   }
 
-  RunOrder commit() {
-    RunOrder order = stand_->write("commit");
+  StatementRequest commit() {
+    StatementRequest order = stand_->write("commit");
     order.prepared.reset();
     order.text = "commit";
     order.writes = false;
@@ -379,11 +379,11 @@
   }
 
   /// One that a replica may serve: the primary's position was seen just now, and long enough ago.
-  RunOrder replica_read(const std::string& id) {
+  StatementRequest replica_read(const std::string& id) {
     GroupAccess& group = *stand_->group();
     group.positions.record(stand_->now() - seconds(1), Position{1, 5});
     group.positions.record(stand_->now(), Position{1, 6});
-    RunOrder order = stand_->write(id);
+    StatementRequest order = stand_->write(id);
     order.writes = false;
     order.route.reads = registry::ReadPolicy::kBoundedStaleness;
     order.route.max_staleness_ms = 900;
--- a/tests/registered/proxy/statement/transaction_look_test.cpp
+++ b/tests/registered/proxy/statement/transaction_look_test.cpp
@@ -66,7 +66,7 @@
 
  private:
   PinnedLink open_transaction() {
-    RunOrder opening = order();
+    StatementRequest opening = order();
     opening.opens_transaction = true;
     std::optional<RunResult> result;
     runtime_->spawn("open", open(opening, result));
@@ -75,14 +75,14 @@
     CPPUNIT_ASSERT_EQUAL(1, sent("one"));
     return *result->pinned;
   }
-  Awaitable<void> open(RunOrder order, std::optional<RunResult>& result) {
+  Awaitable<void> open(StatementRequest order, std::optional<RunResult>& result) {
     result = co_await proxy_->runner.run(std::move(order));
   }
 
   /// Its next statement, which needs its link brought in order, is not sent.
   void check_ended(const PinnedLink& pinned, const std::string& since) {
     Answer answer;
-    RunOrder further = order("second");
+    StatementRequest further = order("second");
     runtime_->spawn(
         "further", keep(proxy_->runner.transactions().run(pinned, std::move(further), false, false), answer));
     world_->run_for(milliseconds(1200));
--- a/tests/registered/proxy/statement/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -74,13 +74,13 @@
   }
 
   void a_forwarded_write_that_waited_stays() {
-    RunOrder forwarded_here = order();
+    StatementRequest forwarded_here = order();
     forwarded_here.is_forwarded = true;
     CPPUNIT_ASSERT(stays(std::move(forwarded_here), "two"));
   }
 
   void a_write_without_tenant_that_waited_stays() {
-    RunOrder of_nobody = order();
+    StatementRequest of_nobody = order();
     of_nobody.tenant = TenantName();
     of_nobody.key = ApiKey();
     of_nobody.route.is_public = true;
@@ -94,7 +94,7 @@
     delta.removed_proxies = {NodeName("near")};
     proxy_->view.apply(delta);
     backends().statement_takes = milliseconds(40);
-    RunOrder read = order();
+    StatementRequest read = order();
     read.writes = false;
     read.route.reads = registry::ReadPolicy::kPrimary;
     RunResult result;
@@ -130,7 +130,7 @@
     group->primary_health.begin_work(PrimaryWork{link, runtime_->now(), true});
     world_->run_for(seconds(1));
     for (const bool may_have_run : {false, true}) {
-      RunOrder again = order();
+      StatementRequest again = order();
       again.is_forwarded = true;
       again.may_have_run = may_have_run;
       const RunResult result = run(std::move(again));
@@ -171,13 +171,13 @@
     return at == std::string::npos ? 0 : std::stoi(text.substr(at + line.size()));
   }
   /// The order waits while the group is closed.
-  void wait_closed(RunOrder order, RunResult& result) {
+  void wait_closed(StatementRequest order, RunResult& result) {
     close_group();
     runtime_->spawn("run", keep(proxy_->runner.run(std::move(order)), result));
     world_->run_for(milliseconds(50));
   }
   /// Whether the order runs here once `primary` leads.
-  bool stays(RunOrder order, const std::string& primary) {
+  bool stays(StatementRequest order, const std::string& primary) {
     RunResult result;
     wait_closed(std::move(order), result);
     open_group(primary, 2);
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -136,7 +136,7 @@
   ProxyUpdate update;
   update.nonce = 3;
   update.lease = std::chrono::milliseconds(1500);
-  update.settled_revision = 11;
+  update.stable_revision = 11;
   add_with_tenants(samples, "proxy_update_with_settled_revision", update);
   registered::proxy::ForwardedOrder order;
   order.route = any_route();
