--- a/src/declared/proxy/knobs.h
+++ b/src/declared/proxy/knobs.h
@@ -67,7 +67,7 @@
 /// A group counts as served by this proxy for this long after its last read.
 inline constexpr Duration kGroupActivityTime = std::chrono::seconds(30);
 /// What one freshness probe costs the proxy of a core's time (cairnhollow-bench, freshness_probes, and a
-/// proxy's process: docs/capacity/control_slopes.md), and the probes' share of a core, one part in so many:
+/// proxy's process: docs/CAPACITY.md), and the probes' share of a core, one part in so many:
 /// 166 probes a second. Up to 13 groups of three are probed each interval; with more the period stretches.
 inline constexpr Duration kFreshnessProbeCost = std::chrono::microseconds(60);
 inline constexpr int kFreshnessProbeShare = 100;
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -1,21 +1,19 @@
 // Keeps one primary in each group of a registered fleet: finds the first one, and replaces dead and leaving
 // ones. Acts on the leader of the control nodes only.
 //
-// A change of primary goes through these phases, in this order. Each relies on what the one before hands on.
-//
-//   phase         class                  hands on                                              bound
-//   suspect       PrimarySuspicions      proxies say of this very term that it does not serve  lapses after
-//   600 ms confirm       PrimaryCheck           this node found the same; it may be wrong             660 ms;
-//   stalls 900 ms more (planned)     PlannedChange          takes the place of both: a successor has caught
-//   up    tried each 100 ms close         GroupTerms::close      proxies that hear of the epoch use the
-//   primary no more   800 ms wait          FenceWait              no proxy uses it under control's lease one
-//   serving lease compare logs  LogComparison::gather  where each log ends, what was acknowledged 300 ms
-//   choose        choose_promotion       who holds every acknowledged commit                   pure
-//   promote       Promotion::order       the order is given by who leads for certain           200 + 1,000 ms
-//   confirm       wait_until_leading     the chosen incarnation leads, with its log            3 s, then anew
-//   open          GroupTerms::open       proxies may use the new primary                       800 ms
-//   release       PauseRelease           members that were paused receive; the old primary     30 s
-//                 Promotion::step_down   steps down
+// A change of primary goes through these phases, in this order. Each names its class, what it hands on to the
+// next one, which relies on it, and its bound.
+// - suspect (PrimarySuspicions): proxies say of this very term that it does not serve. Lapses after 600 ms.
+// - confirm (PrimaryCheck): this node asked it and found the same. 660 ms; 900 ms more for stalled commits.
+// - planned change (PlannedChange), in place of both: a successor has caught up. Tried each 100 ms.
+// - close (GroupTerms::close): proxies that hear of the epoch use the primary no more. 800 ms.
+// - wait (FenceWait): no proxy uses it under control's lease. One serving lease.
+// - compare logs (LogComparison::gather): where each log ends, and what was acknowledged. 300 ms.
+// - choose (choose_promotion): who holds every acknowledged commit. Pure.
+// - promote (Promotion::order): the order is given by who leads for certain. 200 ms, and 1 s for the call.
+// - confirm (wait_until_leading): the chosen incarnation leads, with its log. 3 s, then anew.
+// - open (GroupTerms::open): proxies may use the new primary. 800 ms.
+// - release (PauseRelease, Promotion::step_down): paused members receive, the old primary steps down. 30 s.
 //
 // A group that is closed goes through "wait" and what follows again and again until it is open. So a leader
 // that is elected during a change goes on with it, and what is not certain is tried anew.
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -4,7 +4,6 @@
 
 #include <algorithm>
 
-#include "registered/proxy/knobs.h"
 #include "registered/proxy/statement/placement_facts.h"
 #include "registered/tenancy/tenant_limit.h"
 
@@ -14,6 +13,13 @@
 
 namespace {
 
+/// Longest wait for a caller's first line. Chosen, not measured.
+constexpr Duration kStartTimeout = std::chrono::seconds(5);
+/// A new session waits this long for a serving lease, e.g. while the fleet starts. Chosen, not measured.
+constexpr Duration kStartPatience = std::chrono::milliseconds(700);
+/// Values, or prepared statements, of one session. Chosen, not measured.
+constexpr std::size_t kMaxSessionEntries = 1024;
+
 constexpr const char* kEvacuated =
     "the zone of the transaction's backend is evacuated; nothing of it is kept";
 
--- a/src/registered/proxy/fleet/control_conversation.cpp
+++ b/src/registered/proxy/fleet/control_conversation.cpp
@@ -2,8 +2,6 @@
 
 #include <algorithm>
 
-#include "registered/proxy/knobs.h"
-
 namespace cairnhollow::registered::proxy {
 
 bool ControlConversation::is_stalled(TimePoint now) {
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -4,7 +4,6 @@
 #include <set>
 #include <utility>
 
-#include "registered/proxy/knobs.h"
 #include "registered/registry/division.h"
 #include "registered/registry/member_lease.h"
 #include "registered/tenancy/tenant_division.h"
--- a/src/registered/proxy/fleet/leader_search.cpp
+++ b/src/registered/proxy/fleet/leader_search.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "registered/proxy/knobs.h"
+#include "registered/proxy/watch_tick.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::registered::proxy {
--- a/src/registered/proxy/forwarding/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "registered/proxy/knobs.h"
 #include "wire/codec.h"
 
 namespace cairnhollow::registered::proxy {
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -1,7 +1,6 @@
 #include "registered/proxy/group/link_warming.h"
 
 #include "registered/placement/attempt_outcome.h"
-#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::registered::proxy {
 
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -5,7 +5,6 @@
 #include <utility>
 
 #include "registered/proxy/group/status_question.h"
-#include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
 
 namespace cairnhollow::registered::proxy {
--- a/src/registered/proxy/group/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -1,7 +1,7 @@
 #include "registered/proxy/group/position_keeper.h"
 
 #include "registered/proxy/group/status_question.h"
-#include "registered/proxy/knobs.h"
+#include "registered/proxy/watch_tick.h"
 
 namespace cairnhollow::registered::proxy {
 
--- a/src/registered/proxy/group/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -1,7 +1,6 @@
 #include "registered/proxy/group/position_question.h"
 
 #include "registered/proxy/group/status_question.h"
-#include "registered/proxy/knobs.h"
 
 namespace cairnhollow::registered::proxy {
 
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -4,7 +4,6 @@
 #include <utility>
 
 #include "registered/placement/retry_after.h"
-#include "registered/proxy/knobs.h"
 #include "registered/tenancy/tenant_limit.h"
 
 namespace cairnhollow::registered::proxy {
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -4,8 +4,6 @@
 
 #include <algorithm>
 
-#include "registered/proxy/knobs.h"
-
 namespace cairnhollow::registered::proxy {
 
 namespace {
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -11,12 +11,25 @@
 #include <vector>
 
 #include "registered/protocol/backend_link.h"
-#include "registered/proxy/knobs.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
 
 namespace cairnhollow::registered::proxy {
 
+/// Longest wait for a new connection to a backend. Chosen, not measured.
+inline constexpr Duration kDialTimeout = std::chrono::milliseconds(350);
+/// Longest wait for a link's own exchanges: values, prepared statements, begin. Chosen, not measured.
+inline constexpr Duration kLinkSetupTimeout = std::chrono::milliseconds(400);
+/// Prepared statements on one link; beyond that the link is reset. Chosen, not measured.
+inline constexpr std::size_t kMaxPreparedOnLink = 128;
+/// An idle link beyond the first is closed after this time: after a common loss of power the backends hold
+/// the connections of before for a while (3 s), and the fewer there were, the more new ones they take.
+/// Shorter serves no better since others are asked where a primary is full, and costs handshakes
+/// (docs/WORTH.md).
+inline constexpr Duration kIdleLinkLife = std::chrono::seconds(2);
+/// After a backend refused one more connection none is opened for this long. Chosen, not measured.
+inline constexpr Duration kFullPause = std::chrono::milliseconds(150);
+
 using SessionValues = std::map<std::string, std::string>;
 
 /// What a prepared statement is, whatever its name.
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -13,8 +13,8 @@
 #include "registered/proxy/group/link_warming.h"
 #include "registered/proxy/group/member_lease_keeper.h"
 #include "registered/proxy/group/position_keeper.h"
-#include "registered/proxy/knobs.h"
 #include "registered/proxy/session_metrics.h"
+#include "registered/proxy/watch_tick.h"
 
 namespace cairnhollow::registered::proxy {
 
--- a/tests/registered/proxy/fleet/leader_search_test.cpp
+++ b/tests/registered/proxy/fleet/leader_search_test.cpp
@@ -7,7 +7,6 @@
 #include <optional>
 #include <vector>
 
-#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/registered/proxy/forwarding/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -3,7 +3,6 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "registered/proxy/knobs.h"
 #include "simulation/world.h"
 #include "wire/codec.h"
 
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -4,7 +4,6 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "registered/proxy/knobs.h"
 #include "registered/registry/member_lease.h"
 #include "tests/registered/proxy/session_stand.h"
 
