--- a/src/registered/control/failover/evacuation_moves.h
+++ b/src/registered/control/failover/evacuation_moves.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "registered/control/failover/promotion.h"
+#include "registered/control/failover/promotion_steps.h"
 #include "registered/registry/state_machine.h"
 #include "runtime/runtime.h"
 
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -33,7 +33,7 @@
 #include "registered/control/failover/planned_change.h"
 #include "registered/control/failover/primary_check.h"
 #include "registered/control/failover/primary_suspicions.h"
-#include "registered/control/failover/promotion.h"
+#include "registered/control/failover/promotion_steps.h"
 #include "registered/control/failover/promotion_turns.h"
 #include "registered/control/failover/replication_pauses.h"
 #include "registered/registry/state_machine.h"
--- a/src/registered/control/failover/promotion.cpp
+++ b/src/registered/control/failover/promotion_steps.cpp
@@ -1,4 +1,4 @@
-#include "registered/control/failover/promotion.h"
+#include "registered/control/failover/promotion_steps.h"
 
 namespace cairnhollow::registered::control {
 
