--- a/src/registered/control/leases/lease_bounds.h
+++ b/src/registered/control/leases/lease_bounds.h
@@ -2,14 +2,15 @@
 // times. All times are of this node's clock, and every bound is late rather than early: whoever waits for it
 // acts only when the promise surely is over.
 //
-//   who promises what to whom          counted by the proxy from   control waits until            margin
-//   control: serve (serving lease)     its question                reception + serving lease      the
-//   question's way a leader before this one: serve    its question                election + serving lease
-//   the same a group's members: use the         its questions to them       pause + kMemberLeaseWait       a
-//   fifth
-//     primary (registry/member_lease.h)
-//   control: count operations          its question                reception + kBudgetAuthority-  a fiftieth
-//     (registry/budget_authority.h)                                  Wait
+// Each promise with what the proxy counts it from, what control waits for, and the margin between the two:
+// - Control lets a proxy serve (serving lease). Counted from its question; control waits until a serving
+//   lease after the reception. The margin is the question's way.
+// - A leader before this one let it serve. Counted from its question; control waits until a serving lease
+//   after its own election. The margin is the same.
+// - A group's members let it use the primary (registry/member_lease.h). Counted from its questions to them;
+//   control waits until the pause and kMemberLeaseWait. The margin is a fifth.
+// - Control lets it count operations (registry/budget_authority.h). Counted from its question; control waits
+//   until the reception of that and kBudgetAuthorityWait. The margin is a fiftieth.
 //
 // A serving lease needs no margin for clocks that do not run alike beyond the question's way: at 1.5 s, two
 // clocks that differ by 200 ppm are 0.3 ms apart at its end. The quorum round behind each lease begins after
