--- a/src/registered/control/failover/evacuation_moves.cpp
+++ b/src/registered/control/failover/evacuation_moves.cpp
@@ -10,7 +10,7 @@
   ready_.insert(group);
   co_await runtime_.sleep_for(kMoveGathering);
   const TimePoint now = runtime_.now();
-  // One that can't be opened again does not hold up the others.
+  // A group that cannot be reopened must not hold its slot indefinitely.
   std::erase_if(moving_, [now](const auto& entry) { return now - entry.second > kMoveLimit; });
   std::size_t free = kMostMoves - std::min(moving_.size(), kMostMoves);
   bool taken = false;
--- a/src/registered/control/failover/evacuation_moves.h
+++ b/src/registered/control/failover/evacuation_moves.h
@@ -1,5 +1,6 @@
-// Which groups are moved out of evacuated zones at once. Each move makes every proxy close and open its
-// statements of the group and takes one promotion, so that all at once would stop a whole zone's groups.
+// Limits how many groups are moved out of evacuated zones concurrently. Each move makes every proxy close and
+// reopen its statements of the group and costs one promotion, so moving all groups at once would interrupt a
+// whole zone.
 #pragma once
 
 #include <cstddef>
@@ -12,29 +13,29 @@
 
 namespace cairnhollow::registered::control {
 
-/// Groups that are moved at once. Chosen, not measured.
+/// Maximum number of concurrent moves.
 inline constexpr std::size_t kMostMoves = 3;
-/// Groups that become ready within this time go by urgency. Chosen, not measured.
+/// Delay before a slot is assigned. Groups that become ready within it are ordered by priority.
 inline constexpr Duration kMoveGathering = std::chrono::milliseconds(20);
-/// A move that has not ended by then holds up the others no longer: as long as a promotion is waited for.
+/// A move that has not finished after this time releases its slot. Equal to the time allowed for a promotion.
 inline constexpr Duration kMoveLimit = kPromotionLimit;
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class EvacuationMoves {
  public:
   EvacuationMoves(runtime::Runtime& runtime, const registry::FleetStateMachine& fleet)
       : runtime_(runtime), fleet_(fleet) {}
 
-  /// Whether the group has a place among those that are moved, after kMoveGathering. It keeps the place until
-  /// end().
+  /// Waits kMoveGathering, then returns true if the group got a slot. The group keeps the slot until end() or
+  /// kMoveLimit.
   Awaitable<bool> take(GroupName group);
   void end(const GroupName& group) { moving_.erase(group); }
 
  private:
   runtime::Runtime& runtime_;
   const registry::FleetStateMachine& fleet_;
-  std::map<GroupName, TimePoint> moving_;  ///< since when each has its place
-  std::set<GroupName> ready_;              ///< groups that could be moved and wait for a place
+  std::map<GroupName, TimePoint> moving_;  ///< start time of each move in progress
+  std::set<GroupName> ready_;              ///< groups that are ready to move and wait for a slot
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/fence_acknowledgements.cpp
+++ b/src/registered/control/failover/fence_acknowledgements.cpp
@@ -7,7 +7,7 @@
 void FenceAcknowledgements::set_proxies(const std::vector<registry::AdmittedProxy>& proxies) {
   proxies_.clear();
   for (const registry::AdmittedProxy& proxy : proxies) proxies_[proxy.node] = proxy.incarnation;
-  // Who has to answer may be others now: begun anew when they are asked for.
+  // The set of proxies that must answer may have changed; progress is rebuilt on the next query.
   closes_.clear();
 }
 
--- a/src/registered/control/failover/fence_acknowledgements.h
+++ b/src/registered/control/failover/fence_acknowledgements.h
@@ -1,9 +1,9 @@
-// The fence of a change of primary: which proxies have acknowledged the close of a group, and up to which
-// position they acknowledged commits before. Pure: no I/O, no clock of its own.
+// Tracks the fence of a failover: which proxies have acknowledged that a group was closed, and the highest
+// position up to which each acknowledged commits before that. Pure: no I/O and no clock.
 //
-// An answer costs a step for each group that it names, and a question one for each proxy that has not
-// answered yet: with 100 groups closed at once and 300 proxies, 30,000 steps altogether instead of 300 times
-// as many.
+// Recording an answer costs one step per group that it names, and querying progress one step per proxy that
+// has not answered yet. Closing many groups at once therefore takes groups times proxies steps, not groups
+// times proxies squared.
 #pragma once
 
 #include <cstdint>
@@ -17,44 +17,44 @@
 
 namespace cairnhollow::registered::control {
 
-/// What the proxies said of a group that was closed.
+/// Progress of the fence of one closed group.
 struct FenceProgress {
-  bool complete = false;      ///< each admitted proxy has answered, or its lease has surely run out
-  bool all_answered = false;  ///< each admitted proxy has answered
+  bool complete = false;      ///< every admitted proxy has answered, or its lease has certainly expired
+  bool all_answered = false;  ///< every admitted proxy has answered
   Position highest_acknowledged;
   std::size_t waiting_for = 0;
-  /// The least that a proxy without an answer was known to hold of the fleet, by its own reports to this
-  /// leader; 0: one has not reported to it.
+  /// Lowest fleet revision that an unanswered proxy has reported to this leader; 0 if one of them has not
+  /// reported any. The maximum value if all have answered.
   std::uint64_t silent_revision = std::numeric_limits<std::uint64_t>::max();
 };
 
 class FenceAcknowledgements {
  public:
-  /// What is known of a proxy that has not answered.
+  /// State of a proxy that has not answered.
   struct Silent {
     bool may_hold_lease = false;
-    std::uint64_t revision = 0;  ///< of the fleet, that it said it holds; 0: it said none
+    std::uint64_t revision = 0;  ///< fleet revision that it last reported; 0 if none
   };
   using DescribeSilent = std::function<Silent(const NodeName& node, std::uint64_t incarnation)>;
 
-  /// The incarnations of proxies that are admitted now. Answers of other incarnations do not count.
+  /// Sets the admitted proxies and their incarnations. Answers from other incarnations do not count.
   void set_proxies(const std::vector<registry::AdmittedProxy>& proxies);
-  /// A proxy's answer. True when it was the last one that its group waited for.
+  /// Records a proxy's answer. Returns true if it was the last one outstanding for its group.
   bool record(const NodeName& node, std::uint64_t incarnation, const registry::ClosedGroup& closed);
   [[nodiscard]] FenceProgress progress(const GroupName& group, std::uint64_t epoch,
                                        const DescribeSilent& describe_silent);
-  /// Forgets all answers, not the proxies.
+  /// Discards all answers; keeps the set of proxies.
   void clear();
 
  private:
   struct Reports {
     std::uint64_t incarnation = 0;
-    std::map<GroupName, registry::ClosedGroup> closed;  ///< its latest answers
+    std::map<GroupName, registry::ClosedGroup> closed;  ///< latest answer for each group
   };
-  /// One group's close, as far as somebody asked for it.
+  /// Fence of one group, created by the first progress() query for its epoch.
   struct Close {
     std::uint64_t epoch = 0;
-    std::map<NodeName, std::uint64_t> silent;  ///< incarnations without an answer
+    std::map<NodeName, std::uint64_t> silent;  ///< incarnations that have not answered
     Position highest_acknowledged;
   };
 
--- a/src/registered/control/failover/fence_wait.cpp
+++ b/src/registered/control/failover/fence_wait.cpp
@@ -31,7 +31,7 @@
   FenceProgress progress = leases_.fence_progress(closed.group, closed.epoch);
   if (progress.all_answered) co_return;
   co_await pauses_.pause(closed);
-  // Without any paused member nobody is promoted, but the old primary may be used again.
+  // If no member could be paused, none can be promoted, but the old primary may be reopened.
   const TimePoint quiet = pauses_.quiet_at(closed, progress.silent_revision);
   if (quiet == TimePoint::max()) co_return;
   while (terms_.leads() && !progress.all_answered && runtime_.now() < quiet) {
--- a/src/registered/control/failover/fence_wait.h
+++ b/src/registered/control/failover/fence_wait.h
@@ -1,13 +1,14 @@
-// Phase "wait for acknowledgements and leases" of a change of primary: from the close of a group until no
-// proxy uses the closed term's primary any more, or that can't be told.
+// Failover phase "wait": after a group was closed, waits until no proxy uses the closed term's primary any
+// more, or until that cannot be established.
 //
-// Each admitted proxy acknowledges the close, or its lease from control runs out: at most one serving lease
-// (RegisteredControlSettings::serving_lease) after its last report. A proxy that did not acknowledge may go
-// on by leases of the group's members (registry/member_lease.h). Those are ended by pausing the members, and
-// waited for: kMemberLeaseWait after the pause, as a rule within the same serving lease.
+// Each admitted proxy either acknowledges the close or loses its lease from control, at most one serving
+// lease (RegisteredControlSettings::serving_lease) after its last report. A proxy that did not acknowledge
+// may continue under leases from the group's members (registry/member_lease.h). To end those, the members are
+// paused and kMemberLeaseWait is waited for after the pause, which usually falls within the same serving
+// lease.
 //
-// Invariant handed on: no proxy uses the old primary under a lease from control. For leases of members the
-// choice asks ReplicationPauses::hold() of the very member that is promoted.
+// Postcondition: no proxy uses the old primary under a lease from control. For member leases, the next phases
+// check ReplicationPauses::hold() for the member that is to be promoted.
 #pragma once
 
 #include "registered/control/failover/group_terms.h"
@@ -17,19 +18,19 @@
 
 namespace cairnhollow::registered::control {
 
-/// A proxy that has not answered the close of a group for this long is taken to be out of reach: two rounds
-/// of a push that is gathered among some hundred proxies. Chosen, not measured.
+/// A proxy that has not acknowledged the close after this time is assumed unreachable. Covers two rounds of a
+/// batched push to several hundred proxies.
 inline constexpr Duration kSilentProxyAfter = std::chrono::milliseconds(120);
-/// Leases that run out notify nobody, so they are checked this often. Chosen, not measured.
+/// Polling interval for lease expiry, which sends no notification.
 inline constexpr Duration kFenceCheckInterval = std::chrono::milliseconds(60);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class FenceWait {
  public:
   FenceWait(runtime::Runtime& runtime, GroupTerms& terms, LeaseKeeper& leases, ReplicationPauses& pauses)
       : runtime_(runtime), terms_(terms), leases_(leases), pauses_(pauses) {}
 
-  /// False: this node does not lead any more.
+  /// Returns false if this node is no longer the leader.
   Awaitable<bool> wait(registry::GroupTerm closed);
 
  private:
--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -57,7 +57,7 @@
 void GroupKeeper::check_all() {
   const std::uint64_t revision = fleet_.revision();
   for (const auto& group : fleet_.groups()) check(group.name);
-  // Nothing to do, and nothing will be until the fleet changes or a proxy suspects a primary.
+  // The group checks can be skipped until the fleet changes or a proxy suspects a primary.
   quiet_revision_.reset();
   if (busy_.empty() && !members_.is_comparing()) quiet_revision_ = revision;
 }
@@ -148,7 +148,7 @@
   const bool at_once = co_await turns_.take(group_urgencies(fleet_.groups(), fleet_.routes())[closed.group]);
   if (!terms_.is_still_closed(closed)) co_return std::nullopt;
   if (at_once) co_return choice;
-  // A paused member that restarted meanwhile is not paused any more.
+  // A paused member that restarted while waiting for its turn is no longer paused.
   choice.facts = co_await logs_.gather(closed);
   choice.made = logs_.choose(choice.facts);
   co_return choice;
@@ -162,7 +162,7 @@
   terms_.log("promotion_chosen", chosen, choice->made.why);
   if (!terms_.leads()) co_return;
   if (choice->made.verdict == PromotionVerdict::kNotYet) {
-    // Whoever is behind can only catch up unpaused.
+    // Members that lag can catch up only after their pause ends.
     co_await release_.release(closed.group);
     co_await runtime_.sleep_for(kFailoverRetry);
     co_return;
@@ -171,7 +171,7 @@
   std::optional<std::uint64_t> term = choice->made.term;
   if (choice->made.verdict == PromotionVerdict::kPromote) term = co_await promote(closed, member);
   if (!term && !terms_.is_still_closed(closed)) co_return co_await release_.release(closed.group);
-  // The order may still take effect: the members stay paused.
+  // The promotion may still take effect, so the members stay paused.
   if (!term) co_return;
   co_await open(closed, *choice, member, *term);
 }
@@ -184,7 +184,7 @@
 
 Awaitable<void> GroupKeeper::open(GroupTerm closed, Choice choice, MemberFinding chosen, std::uint64_t term) {
   suspicions_.forget_unable_to_connect(closed.group);
-  // Its commits need a replica: these receive again while the group is opened.
+  // Commits on the new primary need a replica, so replicas resume while the group is being opened.
   runtime_.spawn("resume_members", release_.release(closed.group));
   const bool opened = co_await terms_.open(closed, chosen.entry.incarnation(), term, choice.made.why);
   if (opened && choice.made.is_unproved) record_unproved(choice.facts, chosen);
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -1,22 +1,24 @@
-// Keeps one primary in each group of a registered fleet: finds the first one, and replaces dead and leaving
-// ones. Acts on the leader of the control nodes only.
+// Maintains one primary in each group of a registered fleet: discovers the first primary, and replaces failed
+// and leaving ones. Acts only on the leader of the control nodes.
 //
-// A change of primary goes through these phases, in this order. Each names its class, what it hands on to the
-// next one, which relies on it, and its bound.
-// - suspect (PrimarySuspicions): proxies say of this very term that it does not serve. Lapses after 600 ms.
-// - confirm (PrimaryCheck): this node asked it and found the same. 660 ms; 900 ms more for stalled commits.
-// - planned change (PlannedChange), in place of both: a successor has caught up. Tried each 100 ms.
-// - close (GroupTerms::close): proxies that hear of the epoch use the primary no more. 800 ms.
-// - wait (FenceWait): no proxy uses it under control's lease. One serving lease.
-// - compare logs (LogComparison::gather): where each log ends, and what was acknowledged. 300 ms.
-// - choose (choose_promotion): who holds every acknowledged commit. Pure.
-// - promote (Promotion::order): the order is given by who leads for certain. 200 ms, and 1 s for the call.
-// - confirm (wait_until_leading): the chosen incarnation leads, with its log. 3 s, then anew.
+// A failover goes through the following phases, in this order. For each, the list names the class, the
+// postcondition on which the next phase relies, and the time limit.
+// - suspect (PrimarySuspicions): proxies report that the primary of this term does not serve. Expires after
+//   600 ms.
+// - confirm (PrimaryCheck): this node's own checks agree. 660 ms, and 900 ms more for stalled commits.
+// - planned change (PlannedChange), instead of both: a successor has caught up. Retried every 100 ms.
+// - close (GroupTerms::close): proxies that learn of the epoch stop using the primary. 800 ms.
+// - wait (FenceWait): no proxy uses the primary under a lease from control. One serving lease.
+// - compare logs (LogComparison::gather): the log ends and the acknowledged position are known. 300 ms.
+// - choose (choose_promotion): the chosen backend holds every acknowledged commit. Pure.
+// - promote (Promotion::order): a node that is certainly the leader has requested the promotion. 200 ms, and
+//   1 s for the call.
+// - confirm (wait_until_leading): the chosen incarnation is primary and still has its log. 3 s, then retried.
 // - open (GroupTerms::open): proxies may use the new primary. 800 ms.
-// - release (PauseRelease, Promotion::step_down): paused members receive, the old primary steps down. 30 s.
+// - release (PauseRelease, Promotion::step_down): paused members resume and the old primary steps down. 30 s.
 //
-// A group that is closed goes through "wait" and what follows again and again until it is open. So a leader
-// that is elected during a change goes on with it, and what is not certain is tried anew.
+// A closed group repeats "wait" and the following phases until it is open. A leader that is elected during a
+// failover therefore continues it, and a phase with an uncertain outcome is retried.
 #pragma once
 
 #include <cstdint>
@@ -42,16 +44,17 @@
 
 namespace cairnhollow::registered::control {
 
-/// How often groups are checked when nothing happens. Chosen, not measured.
+/// Interval between checks of all groups when no event triggers one.
 inline constexpr Duration kGroupTick = std::chrono::milliseconds(250);
 
 struct GroupKeeperSettings {
   NodeName node;
   locality::RegionMap regions{};
-  double promotion_rate = 0;  ///< calls a second that the platform takes from all nodes; 0: any number
+  double promotion_rate =
+      0;  ///< promotion calls per second that the platform accepts from all nodes; 0 means unlimited
 };
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class GroupKeeper {
  public:
   GroupKeeper(runtime::Runtime& runtime, consensus::Consensus& consensus, registry::FleetStateMachine& fleet,
@@ -60,38 +63,41 @@
 
   void start();
   void stop();
-  /// Promotions without proof, as the incarnations that held the newest commits were over.
+  /// Returns the number of promotions without proof that the backend holds every acknowledged commit, made
+  /// because the incarnations that held the newest commits had ended.
   [[nodiscard]] std::uint64_t unproved_promotions() const { return unproved_promotions_; }
-  /// `proxy` suspects a primary.
+  /// Records that `proxy` suspects a primary.
   void record_suspicion(const NodeName& proxy, const registry::PrimarySuspicion& suspicion);
 
  private:
   Awaitable<void> run();
   void check_all();
-  /// Begins what the group needs, if it needs anything and nothing goes on for it.
+  /// Starts the task that the group needs, unless one is already running for it.
   void check(const GroupName& group);
   void begin(const GroupName& group, Awaitable<void> task);
   Awaitable<void> run_task(GroupName group, Awaitable<void> task);
 
-  /// A group without a term: whoever leads already is the first primary.
+  /// For a group without a term: records the backend that already is primary as the first primary.
   Awaitable<void> discover(GroupName group);
-  /// Another incarnation of the primary has registered: the one that led is over.
+  /// Closes the group after another incarnation of its primary has registered, which means that the former
+  /// one ended.
   Awaitable<void> give_up_restarted(GroupName group);
   Awaitable<void> examine(GroupName group, PrimarySuspicions::Suspected suspected);
   Awaitable<void> change_as_planned(GroupName group);
-  /// The group is closed: one try to open it again.
+  /// Makes one attempt to reopen a closed group.
   Awaitable<void> fail_over(GroupName group);
   Awaitable<void> replace_primary(registry::GroupTerm closed);
-  /// The choice, repeated after the wait for a turn to promote, as what was found may have changed. Empty:
-  /// the close is past.
+  /// The choice and the facts behind it.
   struct Choice {
     PromotionFacts facts;
     PromotionChoice made;
   };
+  /// Chooses the next primary. Repeats the choice if it waited for a turn to promote, as the facts may have
+  /// changed. Returns std::nullopt if the close is no longer current.
   Awaitable<std::optional<Choice>> choose(registry::GroupTerm closed);
   Awaitable<std::optional<std::uint64_t>> promote(registry::GroupTerm closed, MemberFinding chosen);
   Awaitable<void> open(registry::GroupTerm closed, Choice choice, MemberFinding chosen, std::uint64_t term);
-  /// Acknowledged commits may be gone; counts and logs it.
+  /// Counts and logs a promotion after which acknowledged commits may be lost.
   void record_unproved(const PromotionFacts& facts, const MemberFinding& chosen);
 
   runtime::Runtime& runtime_;
@@ -111,7 +117,7 @@
   PauseRelease release_;
   std::set<GroupName> busy_;
   std::uint64_t unproved_promotions_ = 0;
-  std::optional<std::uint64_t> quiet_revision_;  ///< of the fleet, at which no group needed anything
+  std::optional<std::uint64_t> quiet_revision_;  ///< fleet revision at which no group needed a task
   bool stopping_ = false;
 };
 
--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -1,4 +1,5 @@
-// Asks the backends of a group what they are, over links that are kept.
+// Queries the status of a group's backends over reused connections, and sends them demote, pause and resume
+// requests.
 #pragma once
 
 #include <functional>
@@ -15,33 +16,34 @@
 
 namespace cairnhollow::registered::control {
 
-/// Longest wait for a backend's status. Chosen, not measured.
+/// Timeout of a backend's status query.
 inline constexpr Duration kStatusTimeout = std::chrono::milliseconds(300);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class GroupProber {
  public:
   GroupProber(runtime::Runtime& runtime, BackendDialer& dialer) : runtime_(runtime), dialer_(dialer) {}
 
-  /// Empty when it does not answer by `deadline`.
+  /// Returns std::nullopt if the backend does not answer by `deadline`.
   Awaitable<std::optional<BackendStatus>> ask(registry::BackendEntry entry, TimePoint deadline,
                                               Reason& reason);
-  /// As ask(), after telling it to step down from any term below `term`.
+  /// Makes the backend step down from any term below `term`, then returns as ask().
   Awaitable<std::optional<BackendStatus>> demote(registry::BackendEntry entry, std::uint64_t term,
                                                  TimePoint deadline, Reason& reason);
-  /// As ask(), after keeping it from receiving under `term`, or letting it receive again.
+  /// Pauses replication to the backend under `term`, or resumes it, then returns as ask().
   Awaitable<std::optional<BackendStatus>> pause(registry::BackendEntry entry, std::uint64_t term,
                                                 TimePoint deadline, Reason& reason);
   Awaitable<std::optional<BackendStatus>> resume(registry::BackendEntry entry, TimePoint deadline,
                                                  Reason& reason);
-  /// Whether a backend of another name answers at the entry's address. False when nobody answers clearly.
+  /// Returns true if a backend with another name answers at the entry's address, false if there is no
+  /// definite answer.
   Awaitable<bool> is_another(registry::BackendEntry entry, TimePoint deadline);
-  /// All at once; returns when all have answered or the time is over, or `enough` says that what came will
-  /// do.
+  /// Queries all members concurrently. Returns when all have answered or timed out, or as soon as `enough`
+  /// returns true for the findings so far.
   using Enough = std::function<bool(const std::vector<MemberFinding>&)>;
   Awaitable<std::vector<MemberFinding>> ask_all(std::vector<MemberFinding> members, Enough enough = nullptr);
   Awaitable<std::vector<MemberFinding>> ask_all(std::vector<registry::BackendEntry> entries);
-  /// Closes the connection that is kept for the next question, if there is one.
+  /// Closes the idle connection to the backend, if there is one.
   void close_idle(const BackendName& backend);
 
  private:
@@ -56,8 +58,8 @@
     registry::BackendIncarnation to;
     std::shared_ptr<BackendLink> link;
   };
-  /// An idle link to this incarnation of the backend; null: there is none. One to another incarnation is
-  /// closed.
+  /// Returns an idle connection to this incarnation of the backend, or null. Closes one to another
+  /// incarnation.
   std::shared_ptr<BackendLink> take_idle(const registry::BackendEntry& entry);
   std::map<BackendName, IdleLink> idle_;
 };
--- a/src/registered/control/failover/group_terms.h
+++ b/src/registered/control/failover/group_terms.h
@@ -1,7 +1,7 @@
-// The close and the opening of a group in the log, for all phases of a change of primary. Close is the fence:
-// from the moment in which a proxy knows of it, that proxy uses the old primary no more. Opening names the
-// next primary, or the same one again. Both carry the epoch that they follow on, so that what was decided for
-// an earlier close has no effect on a later one.
+// Closes and opens groups through the replicated log, for all failover phases. Closing is the fence: a proxy
+// that has learned of it no longer uses the old primary. Opening names the next primary, which may be the
+// same one. Both commands carry the epoch that they follow, so that a decision for an earlier close has no
+// effect on a later one.
 #pragma once
 
 #include <optional>
@@ -14,34 +14,36 @@
 
 namespace cairnhollow::registered::control {
 
-/// Pause between attempts at a group whose next primary can't be told yet. Chosen, not measured.
+/// Delay before the next attempt for a group whose next primary cannot be determined yet.
 inline constexpr Duration kFailoverRetry = std::chrono::milliseconds(100);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class GroupTerms {
  public:
   GroupTerms(runtime::Runtime& runtime, consensus::Consensus& consensus,
              const registry::FleetStateMachine& fleet, LeaderCalls& calls)
       : runtime_(runtime), consensus_(consensus), fleet_(fleet), calls_(calls) {}
 
-  /// From then on this node counts as one that does not lead.
+  /// Makes leads() return false from now on.
   void stop() { stopping_ = true; }
-  /// By what this node knows; another may lead since.
+  /// Whether this node is the leader as far as it knows; another one may have been elected since.
   [[nodiscard]] bool leads() const { return !stopping_ && consensus_.leads(); }
-  /// True when a quorum round that began after the call has ended within kCommitTimeout: if leads() holds
-  /// then as well, this node led at some moment since the call.
+  /// Completes a read barrier. Returns true if a quorum round that started after the call finished within
+  /// kCommitTimeout; if leads() also returns true then, this node was the leader at some point since the
+  /// call.
   Awaitable<bool> pass_quorum_round();
-  /// Of the group; empty: nobody was found to lead it yet.
+  /// Returns std::nullopt if no primary has been found for the group yet.
   [[nodiscard]] std::optional<registry::GroupTerm> find(const GroupName& group) const;
-  /// Whether the group is in that close: another leader may have opened it, or closed it again, since.
+  /// Whether the group is still in the given close. Another leader may have opened it, or closed it again,
+  /// since.
   [[nodiscard]] bool is_still_closed(const registry::GroupTerm& closed) const;
 
-  /// True once the close is in force. False: it was refused, or its outcome is not known.
+  /// Returns true once the close is committed, false if it was rejected or its outcome is unknown.
   Awaitable<bool> close(registry::GroupTerm term, std::string why);
-  /// The same for the opening; `term` is the one that `primary` leads.
+  /// Opens the group with `primary`, which is primary of `term`. Returns as close().
   Awaitable<bool> open(registry::GroupTerm closed, registry::BackendIncarnation primary, std::uint64_t term,
                        std::string why);
-  /// An event of the change of primary, with the term's fields.
+  /// Logs a failover event with the fields of the term.
   void log(const char* event, const registry::GroupTerm& term, const std::string& why);
 
  private:
--- a/src/registered/control/failover/group_urgency.h
+++ b/src/registered/control/failover/group_urgency.h
@@ -1,4 +1,4 @@
-// In which order groups are served when several change their primary at once. Pure.
+// Orders groups by the priority of their routes, for failovers of several groups at once. Pure.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace cairnhollow::registered::control {
 
-/// The most urgent priority of the routes that lead to each group, 0 first; the largest number where none
-/// does.
+/// Returns the most urgent (lowest) priority of the routes to each group, or the maximum value if no route
+/// leads to it.
 std::map<GroupName, std::uint64_t> group_urgencies(const std::vector<registry::GroupRule>& groups,
                                                    const std::vector<registry::RouteRule>& routes);
-/// The most urgent group first; those of the same urgency by name.
+/// Returns the groups in order of urgency, most urgent first, and by name where it is equal.
 std::vector<GroupName> groups_by_urgency(const std::map<GroupName, std::uint64_t>& urgencies);
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/log_comparison.cpp
+++ b/src/registered/control/failover/log_comparison.cpp
@@ -26,7 +26,7 @@
 std::vector<MemberFinding> LogComparison::members_to_ask(const GroupTerm& closed) const {
   std::vector<MemberFinding> members;
   for (registry::BackendEntry& entry : fleet_.backends_of(closed.group)) {
-    // What was gathered into one command has one revision.
+    // Commands committed in one batch share a revision, hence >=.
     const bool joined = entry.tells_birth() && fleet_.backend_revision(entry.name) >= closed.opened_at;
     members.push_back({std::move(entry), std::nullopt, joined});
   }
@@ -40,7 +40,7 @@
       });
   if (!all_replicas) return false;
   const PromotionChoice choice = choose_promotion(facts, false);
-  // One in an evacuated zone may follow only a primary that surely does not run.
+  // A replica in an evacuated zone may be chosen only if the old primary is known not to run.
   const registry::BackendEntry* chosen = fleet_.find_backend(choice.backend);
   const bool outside = chosen != nullptr && !fleet_.is_evacuated(chosen->zone);
   return choice.verdict == PromotionVerdict::kPromote && !choice.is_unproved && outside;
@@ -71,7 +71,8 @@
 
 Awaitable<bool> LogComparison::has_provable_successor(GroupTerm term) {
   PromotionFacts facts = co_await gather(term);
-  // Nobody has closed the term yet; the closed group is judged again, with what the proxies say.
+  // The term is still open, so proxies have not reported their positions; the choice is made again after the
+  // close.
   facts.all_acknowledgers_answered = false;
   const PromotionChoice choice = choose_promotion(facts, false);
   co_return choice.verdict == PromotionVerdict::kPromote && !choice.is_unproved;
--- a/src/registered/control/failover/log_comparison.h
+++ b/src/registered/control/failover/log_comparison.h
@@ -1,10 +1,10 @@
-// Phases "compare logs" and "choose" of a change of primary: asks the members of a closed group where their
-// logs end, puts that beside what the proxies acknowledged, and has promotion_choice.h decide.
+// Failover phases "compare logs" and "choose": queries the members of a closed group for the end of their
+// logs, combines it with what the proxies acknowledged, and lets promotion_choice.h decide.
 //
-// Invariant taken over: no proxy that holds control's lease uses the closed term's primary (fence_wait.h).
-// Invariant handed on: a backend that is chosen for promotion holds every acknowledged commit, but for a
-// choice that says `is_unproved`; and no proxy without an answer to the fence can use the old primary once
-// the chosen one is promoted.
+// Precondition: no proxy that holds a lease from control uses the closed term's primary (fence_wait.h).
+// Postcondition: a backend that is chosen for promotion holds every acknowledged commit, unless the choice is
+// marked `is_unproved`; and no proxy that did not answer the fence can use the old primary once the chosen
+// backend is promoted.
 #pragma once
 
 #include <vector>
@@ -20,7 +20,7 @@
 
 namespace cairnhollow::registered::control {
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class LogComparison {
  public:
   LogComparison(runtime::Runtime& runtime, const registry::FleetStateMachine& fleet, LeaseKeeper& leases,
@@ -34,19 +34,19 @@
         pauses_(pauses),
         regions_(fleet, std::move(regions)) {}
 
-  /// What is known of the group, for the choice of its next primary. Returns before all members have answered
-  /// when the replicas that have prove enough: a dead primary never answers, and to wait for it took 0.3 s of
-  /// a failover of 1.7 s.
+  /// Collects the facts for choosing the group's next primary. Returns before all members have answered if
+  /// the answers of the replicas suffice, so as not to wait for the timeout of a failed primary.
   Awaitable<PromotionFacts> gather(registry::GroupTerm closed);
-  /// kPromote only if no silent proxy can use the old primary.
+  /// Returns kPromote only if no proxy without an answer to the fence can use the old primary.
   [[nodiscard]] PromotionChoice choose(const PromotionFacts& facts) const;
-  /// Whether a replica could be shown to hold all that the open term's primary acknowledged.
+  /// Whether some replica provably holds everything that the open term's primary acknowledged.
   Awaitable<bool> has_provable_successor(registry::GroupTerm term);
 
  private:
   [[nodiscard]] PromotionFacts facts_without_members(const registry::GroupTerm& closed);
   [[nodiscard]] std::vector<MemberFinding> members_to_ask(const registry::GroupTerm& closed) const;
-  /// Whether the facts prove a replica outside evacuated zones, whatever the old primary would answer.
+  /// Whether the facts prove a replica outside evacuated zones, regardless of what the old primary would
+  /// answer.
   [[nodiscard]] bool is_enough(const PromotionFacts& facts) const;
   void mark_evacuated(std::vector<MemberFinding>& members) const;
 
--- a/src/registered/control/failover/membership_watch.cpp
+++ b/src/registered/control/failover/membership_watch.cpp
@@ -16,7 +16,7 @@
 
 void Membership::record(std::set<registry::BackendIncarnation> now_members, TimePoint now) {
   if (members == now_members) return;
-  // Incarnations that ended before this node began to watch are not known of.
+  // Incarnations that ended before this node started watching are unknown to it.
   if (members.empty() && any_tells_birth(now_members)) {
     left_at = now;
     is_unsettled = true;
@@ -28,7 +28,7 @@
     is_unsettled = true;
     const auto next = now_members.lower_bound({former.name, 0});
     const bool replaced = next != now_members.end() && next->name == former.name;
-    // Its next incarnation may register only after it was found gone.
+    // The next incarnation may register only after this removal was seen.
     was_replaced = was_replaced || replaced || former.born_ms != 0;
   }
   members = std::move(now_members);
@@ -69,7 +69,7 @@
 Awaitable<void> MembershipWatch::settle(GroupName group) {
   const bool is_settled = co_await compare(group);
   if (!terms_.leads()) {
-    // Links are kept for who asks again and again.
+    // Idle connections are kept only for the leader, which queries often.
     for (const registry::BackendEntry& member : fleet_.backends_of(group)) prober_.close_idle(member.name);
   }
   if (!is_settled) co_await runtime_.sleep_for(terms_.leads() ? kFailoverRetry : kFollowerSettleRetry);
@@ -92,7 +92,7 @@
            member.status->received >= leading->received;
   });
   const auto membership = memberships_.find(group);
-  // What left meanwhile is not covered by what was asked.
+  // A member that left during the queries is not covered by their answers.
   if (held && membership != memberships_.end() && membership->second.left_at == left_at)
     membership->second.settle();
   co_return held;
--- a/src/registered/control/failover/membership_watch.h
+++ b/src/registered/control/failover/membership_watch.h
@@ -1,10 +1,10 @@
-// Which incarnations of backends have left each group, and whether those who stayed hold what they held. The
-// phase "compare logs" asks it: while a member that left may have been the only one beside the primary to
-// hold acknowledged commits, the furthest log among those who stayed proves nothing.
+// Tracks which incarnations of backends have left each group, and whether the remaining members hold what
+// they held. Used by the phase "compare logs": while a departed member may have been the only one besides the
+// primary to hold acknowledged commits, the furthest log among the remaining members proves nothing.
 //
-// Every control node watches, also one that does not lead: one that is elected after the leader's death then
-// knows at once whether the replicas' word is enough, instead of after kMembersSettleTime. What it hears late
-// it takes to have happened late, which errs on the safe side.
+// Every control node tracks this, including followers: a newly elected leader then knows at once whether the
+// replicas' answers suffice, instead of after kMembersSettleTime. A departure that it learns of late counts
+// as having happened late, which is the safe direction.
 #pragma once
 
 #include <functional>
@@ -20,31 +20,32 @@
 
 namespace cairnhollow::registered::control {
 
-/// Whoever stays in a group has received within this time what one that left held. Chosen, not measured.
+/// Time within which the remaining members of a group have received what a departed member held.
 inline constexpr Duration kMembersSettleTime = std::chrono::seconds(3);
-/// Pause between comparisons at a node that follows: it needs the outcome only when it is elected, and each
-/// comparison asks every member. Chosen, not measured.
+/// Delay between comparisons on a follower. Longer than on a leader, as a follower needs the result only when
+/// it is elected and each comparison queries every member.
 inline constexpr Duration kFollowerSettleRetry = std::chrono::seconds(1);
 
-/// One group's members, as far as this node has seen them come and go. Pure.
+/// Membership of one group as observed by this node. Pure.
 struct Membership {
   std::set<registry::BackendIncarnation> members;
-  TimePoint left_at{};  ///< when a member was last found gone, or this node began to watch
-  /// A member left that may have been the only one to hold acknowledged commits beside the primary, and no
-  /// other was seen to hold as much as the primary since.
+  TimePoint left_at{};  ///< when a departure was last observed, or when this node started watching
+  /// A departed member may have been the only one besides the primary to hold acknowledged commits, and no
+  /// other member has been seen to hold as much as the primary since.
   bool is_unsettled = false;
-  /// While unsettled: such a member came back under its name, as another incarnation.
+  /// While unsettled: such a member was replaced by another incarnation with the same name, or may have been.
   bool was_replaced = false;
 
-  /// Members come and go as incarnations: one that started again has left with all that it held.
+  /// Records the current members. They are compared by incarnation: a restarted member has left with
+  /// everything it held.
   void record(std::set<registry::BackendIncarnation> now_members, TimePoint now);
-  /// A member that stayed holds what the primary held when the last one left.
+  /// Records that a remaining member holds what the primary held after the last departure.
   void settle();
-  /// Whether all who stayed surely hold what those who left held.
+  /// Whether the remaining members certainly hold what the departed ones held.
   [[nodiscard]] bool is_stable(TimePoint now) const;
 };
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class MembershipWatch {
  public:
   /// `settled` is notified after each comparison.
@@ -52,17 +53,17 @@
                   GroupProber& prober, runtime::Signal& settled)
       : runtime_(runtime), fleet_(fleet), terms_(terms), prober_(prober), settled_(settled) {}
 
-  /// Records the members of all groups, and begins to compare those of unsettled ones.
+  /// Records the members of all groups, and starts a comparison for each unsettled one.
   void watch_all();
-  /// The group's membership by the registrations that are in force now.
+  /// Records the members of the group according to the current registrations, and returns its membership.
   const Membership& watch(const GroupName& group);
-  /// Whether members of some group are being compared.
+  /// Whether a comparison is running for any group.
   [[nodiscard]] bool is_comparing() const { return !comparing_.empty(); }
 
  private:
   void record_all();
   Awaitable<void> settle(GroupName group);
-  /// Whether a member that stayed holds what the primary holds.
+  /// Whether a remaining member holds what the primary holds.
   Awaitable<bool> compare(GroupName group);
 
   runtime::Runtime& runtime_;
@@ -72,7 +73,7 @@
   runtime::Signal& settled_;
   std::map<GroupName, Membership> memberships_;
   std::set<GroupName> comparing_;
-  std::optional<std::uint64_t> watched_revision_;  ///< of the fleet, up to which members are recorded
+  std::optional<std::uint64_t> watched_revision_;  ///< fleet revision up to which members are recorded
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/pause_release.h
+++ b/src/registered/control/failover/pause_release.h
@@ -1,8 +1,8 @@
-// Phase "release" of a change of primary: members that were paused for the fence receive again, as soon as no
-// order that was given can take effect any more. Whoever was paused and lags can only catch up then, and a
-// primary's commits need a replica that receives.
+// Failover phase "release": resumes replication to members that were paused for the fence, as soon as no
+// promotion that was requested can take effect any more. Lagging members can catch up only then, and a
+// primary's commits need a replica that receives them.
 //
-// A quorum round comes first: an old leader must not end the pauses of its successor.
+// A read barrier precedes it, so that a former leader does not end the pauses of its successor.
 #pragma once
 
 #include "registered/control/failover/group_terms.h"
@@ -12,19 +12,19 @@
 
 namespace cairnhollow::registered::control {
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class PauseRelease {
  public:
   PauseRelease(runtime::Runtime& runtime, const registry::FleetStateMachine& fleet, GroupTerms& terms,
                ReplicationPauses& pauses)
       : runtime_(runtime), fleet_(fleet), terms_(terms), pauses_(pauses) {}
 
-  /// Lets paused members of the group receive again, as long as this node leads for certain.
+  /// Resumes the paused members of the group, provided that this node is certainly the leader.
   Awaitable<void> release(GroupName group);
-  /// Once after each election of this node: lets members of open groups receive again that an earlier leader
-  /// may have left paused. True when that was begun with this call.
+  /// Once per election of this node: starts resuming members of open groups that an earlier leader may have
+  /// left paused. Returns true if this call started it.
   bool release_left();
-  /// This node does not lead: what it paused is another's concern.
+  /// Drops the record of pauses when this node is not the leader; its successor takes care of them.
   void forget();
 
  private:
@@ -34,7 +34,7 @@
   const registry::FleetStateMachine& fleet_;
   GroupTerms& terms_;
   ReplicationPauses& pauses_;
-  bool released_left_ = false;  ///< since this node leads
+  bool released_left_ = false;  ///< whether it has been started since this node became leader
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/planned_change.cpp
+++ b/src/registered/control/failover/planned_change.cpp
@@ -11,7 +11,8 @@
                           const registry::FleetStateMachine& fleet) {
   if (entry.name == term.primary || entry.leaving) return false;
   if (!fleet.is_evacuated(entry.zone)) return true;
-  // Inside an evacuated zone it would serve nobody; neither does a primary that is inside, too, or gone.
+  // A successor inside an evacuated zone gains nothing unless the primary is inside one too and leaves, or is
+  // gone.
   const BackendEntry* primary = fleet.find_backend(term.primary);
   return primary == nullptr || (primary->leaving && fleet.is_evacuated(primary->zone));
 }
@@ -36,7 +37,7 @@
 Awaitable<bool> PlannedChange::is_ready(GroupTerm term) {
   const bool ready = co_await has_successor(term);
   const BackendEntry* primary = fleet_.find_backend(term.primary);
-  // One that leaves ends soon, and many leave one after the other by themselves.
+  // A leaving primary stops soon, and leaving primaries are already staggered, so it needs no slot.
   const bool moves = primary != nullptr && !primary->leaving;
   if (!ready || !moves) co_return ready;
   co_return co_await moves_.take(term.group);
--- a/src/registered/control/failover/planned_change.h
+++ b/src/registered/control/failover/planned_change.h
@@ -1,8 +1,8 @@
-// Planned changes of primary: a primary that leaves, or whose zone is evacuated, is replaced while it runs.
-// They take the place of the phases "suspect" and "confirm"; from the close on they share all others.
+// Planned switchover: replaces a running primary that leaves, or whose zone is evacuated. It takes the place
+// of the phases "suspect" and "confirm" and shares all others from the close on.
 //
-// Invariant handed on: a backend that may follow lacked at most kHandOverLag commits right before the close,
-// so that the group is closed for little longer than its proxies need to acknowledge the fence.
+// Postcondition: immediately before the close, a backend that may be promoted lacked at most kHandOverLag
+// commits, so that the group stays closed for little longer than its proxies take to acknowledge the fence.
 #pragma once
 
 #include <optional>
@@ -14,31 +14,31 @@
 
 namespace cairnhollow::registered::control {
 
-/// A primary that leaves is given up once another backend lacks at most this many commits. Chosen, not
-/// measured.
+/// A running primary is replaced once a successor lacks at most this many commits.
 inline constexpr std::uint64_t kHandOverLag = 8;
 
-/// Why the term's primary is to be replaced while it runs, for the log; empty: it is not, or nobody may
-/// follow it.
+/// Returns the reason, for the log, why the term's primary is to be replaced while it runs. Empty if it is
+/// not to be replaced or has no possible successor.
 std::string planned_change_cause(const registry::GroupTerm& term, const registry::FleetStateMachine& fleet);
-/// Whether the backend may follow the term's primary in a planned change: it stays, and is outside evacuated
-/// zones unless the primary leaves from such a zone or is gone.
+/// Whether the backend may succeed the term's primary in a planned change. It must not be leaving, and must
+/// be outside evacuated zones unless the primary leaves from such a zone or is gone.
 bool is_planned_successor(const registry::BackendEntry& entry, const registry::GroupTerm& term,
                           const registry::FleetStateMachine& fleet);
-/// `primary` and `successor`: how far each has received; empty: it does not answer. True with a successor
-/// that lacks at most kHandOverLag commits, or whose primary does not answer.
+/// `primary` and `successor` are the positions up to which each has received; empty if it did not answer.
+/// Returns true if the successor answered and lacks at most kHandOverLag commits, or if it answered and the
+/// primary did not.
 bool is_caught_up(const std::optional<Position>& primary, const std::optional<Position>& successor);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class PlannedChange {
  public:
   PlannedChange(runtime::Runtime& runtime, const registry::FleetStateMachine& fleet, GroupProber& prober)
       : fleet_(fleet), prober_(prober), moves_(runtime, fleet) {}
 
   /// Whether the group may be closed for its planned change now: a successor has caught up, and a move out of
-  /// an evacuated zone has a place among those that go on at once.
+  /// an evacuated zone has got one of the slots for concurrent moves.
   Awaitable<bool> is_ready(registry::GroupTerm term);
-  /// The group is open: its move, if there was one, has ended.
+  /// Releases the slot of the group's move, if any. Called when the group is open.
   void end(const GroupName& group) { moves_.end(group); }
 
  private:
--- a/src/registered/control/failover/primary_check.cpp
+++ b/src/registered/control/failover/primary_check.cpp
@@ -42,7 +42,7 @@
 Awaitable<bool> PrimaryCheck::is_dead(GroupTerm term, registry::BackendEntry primary,
                                       std::size_t suspecting_proxies, Reason& reason) {
   bool dead = true;
-  // Others may come to suspect it while this node checks.
+  // More proxies may report the primary while it is being checked.
   const auto needed = [&] {
     return dead_checks_needed(std::max(suspecting_proxies, suspicions_.suspecting(term)));
   };
--- a/src/registered/control/failover/primary_check.h
+++ b/src/registered/control/failover/primary_check.h
@@ -1,11 +1,11 @@
-// Phase "confirm" of a change of primary: whether a suspected primary is to be given up.
+// Failover phase "confirm": decides whether a suspected primary is to be replaced.
 //
-// The reasons, in this order: it does not show that it leads its term, in one or two checks in a row; most
-// proxies that serve the group can't use it; its commits reach no replica. The last two replace a primary
-// that answers, so they count only while a replica can be shown to hold all that was acknowledged.
+// The criteria, in this order: it does not report that it is primary of its term, in one or two consecutive
+// checks; most proxies that serve the group cannot use it; its commits reach no replica. The last two replace
+// a primary that answers, so they apply only if a replica provably holds everything that was acknowledged.
 //
-// Invariant handed on: none. A primary that is given up here may run on, and only the fence and the leases
-// that it waits for keep proxies from using it.
+// Postcondition: none. The replaced primary may still be running; only the fence and the leases that expire
+// after it keep proxies from using it.
 #pragma once
 
 #include <cstddef>
@@ -21,16 +21,16 @@
 
 namespace cairnhollow::registered::control {
 
-/// Pause between checks in a row: with kStatusTimeout each, a primary that answers nothing is given up after
-/// 660 ms at most. Chosen, not measured.
+/// Delay between consecutive checks. With kStatusTimeout each, a primary that does not answer at all is
+/// replaced after at most 660 ms.
 inline constexpr Duration kDeadCheckPause = std::chrono::milliseconds(60);
-/// A primary whose commits stall while replicas are behind for this long is given up. Chosen, not measured.
+/// A primary whose commits reach no replica for this long is replaced.
 inline constexpr Duration kStallLimit = std::chrono::milliseconds(900);
 
-/// Whether the status, empty without an answer, shows the primary of exactly this term.
+/// Whether the status shows the primary of exactly this term. False if there is no status.
 bool shows_lead_of(const std::optional<BackendStatus>& status, const registry::GroupTerm& term);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class PrimaryCheck {
  public:
   PrimaryCheck(runtime::Runtime& runtime, const registry::FleetStateMachine& fleet, GroupTerms& terms,
@@ -42,12 +42,13 @@
         logs_(logs),
         suspicions_(suspicions) {}
 
-  /// Why the term's primary is to be given up, for the log; empty: it is not, or this node does not lead.
+  /// Returns the reason for replacing the term's primary, for the log, or std::nullopt if it is not to be
+  /// replaced or this node is not the leader.
   Awaitable<std::optional<std::string>> confirm(registry::GroupTerm term,
                                                 PrimarySuspicions::Suspected suspected);
 
  private:
-  /// `reason`: of the last check, where it was not answered.
+  /// `reason` is set to the failure of the last check, if it got no answer.
   Awaitable<bool> is_dead(registry::GroupTerm term, registry::BackendEntry primary,
                           std::size_t suspecting_proxies, Reason& reason);
   Awaitable<bool> has_stalled_commits(registry::GroupTerm term);
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -21,15 +21,16 @@
   return member.status && member.status->is_primary && member.status->term == facts.closed.term;
 }
 
-/// Whether its status is that of the incarnation which led the closed term. One that tells its start may
-/// answer in its next incarnation before that one has registered.
+/// Whether the status is that of the incarnation that led the closed term. If the backend reports its start
+/// time, the answer may come from its next incarnation before that one has registered.
 bool shows_old_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || !is_old_primary(member, facts)) return false;
   if (!member.entry.tells_birth()) return true;
   return leads_closed_term(member, facts) && !is_blank(member, facts);
 }
 
-/// A primary of a term above the closed one: an order that was given before has taken effect.
+/// Returns the primary with the highest term above the closed one, or null. It exists if an earlier promotion
+/// request has taken effect.
 const MemberFinding* find_newer_primary(const PromotionFacts& facts) {
   const MemberFinding* newest = nullptr;
   for (const MemberFinding& member : facts.members) {
@@ -40,16 +41,16 @@
   return newest;
 }
 
-/// Whether it may follow: a replica, or the primary's next incarnation where that leads the closed term
-/// again.
+/// Whether the member is a candidate: a replica, or the primary's next incarnation if it leads the closed
+/// term again.
 bool may_follow(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || is_old_primary(member, facts)) return false;
   if (!member.status->is_primary) return true;
   return is_restarted_primary(member, facts) && leads_closed_term(member, facts);
 }
 
-/// The furthest log among those who may follow in evacuated zones, or among the others; of equal ones, a
-/// backend that stays.
+/// Returns the candidate with the furthest log, inside evacuated zones or outside them, or null. Prefers a
+/// backend that is not leaving where positions are equal.
 const MemberFinding* find_furthest(const PromotionFacts& facts, bool evacuated) {
   const MemberFinding* best = nullptr;
   for (const MemberFinding& member : facts.members) {
@@ -66,31 +67,32 @@
   return best;
 }
 
-/// Whether what it shows can be compared with: it answers, and has not lost what it held.
+/// Whether the member's position is usable for comparison: it answered, and has not lost its log.
 bool was_compared(const MemberFinding& member, const PromotionFacts& facts) {
   return member.status && !is_blank(member, facts);
 }
 
-/// Whether its log reaches the highest position that any proxy acknowledged in the closed term, all earlier
-/// commits included.
+/// Whether the log reaches the highest position that any proxy acknowledged in the closed term and holds all
+/// earlier commits.
 bool reaches_acknowledged(const MemberFinding& candidate, const PromotionFacts& facts) {
   if (!facts.all_acknowledgers_answered) return false;
   const Position& position = candidate.status->received;
-  // Proxies that started since the term opened know of no commits of earlier ones. Entries of this term say
-  // that a log has those; that of an incarnation which joined since may lack them.
+  // Proxies that started after the term opened do not know of commits in earlier terms. A log with entries of
+  // this term includes those; the log of an incarnation that joined since may lack them.
   const bool has_earlier = !candidate.joined_in_term || position.term >= facts.closed.term;
   return has_earlier && position >= facts.highest_acknowledged;
 }
 
-/// Whether the group never had a commit, for all that can be known: it had one term, and no proxy was lost
-/// that may have acknowledged anything in it.
+/// Whether the group provably never had a commit: it had only one term, and every proxy that may have
+/// acknowledged something in it has answered.
 bool is_unwritten(const PromotionFacts& facts) {
   constexpr std::uint64_t kEpochOfFirstClose = 2;
   return facts.closed.epoch <= kEpochOfFirstClose && facts.all_acknowledgers_answered &&
          facts.highest_acknowledged.index == 0;
 }
 
-/// Whether an empty log says nothing, as an incarnation that tells its start may have lost what it held.
+/// Whether the log is empty and this proves nothing, because a backend that reports its start time may have
+/// lost its log.
 bool is_empty_of_unknown(const MemberFinding& candidate, const PromotionFacts& facts) {
   return candidate.entry.tells_birth() && candidate.status->received.index == 0 && !is_unwritten(facts);
 }
@@ -103,7 +105,7 @@
 
 bool all_replicas_compared(const PromotionFacts& facts) {
   return std::all_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
-    // The primary's next incarnation was no replica of it.
+    // The primary's next incarnation was not a replica in that term.
     return member.entry.name == facts.closed.primary || was_compared(member, facts);
   });
 }
@@ -115,7 +117,7 @@
   return nullptr;
 }
 
-/// Whether nobody who may follow holds more.
+/// Whether no other candidate holds more.
 bool is_furthest_of_all(const MemberFinding& candidate, const PromotionFacts& facts) {
   return std::all_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
     return !may_follow(member, facts) || member.status->received <= candidate.status->received;
@@ -132,7 +134,7 @@
   std::string why;
 };
 
-/// By its own position, wherever other replicas are.
+/// Proof from the candidate's own position, independent of the other replicas.
 Proof prove_alone(const MemberFinding& candidate, const PromotionFacts& facts) {
   const Position& position = candidate.status->received;
   const std::string name = candidate.entry.name.value;
@@ -144,7 +146,7 @@
           fmt::format("{} at {}.{} may lack acknowledged commits", name, position.term, position.index)};
 }
 
-/// Also by comparison with all others.
+/// Proof from the candidate's own position or from a comparison with all other replicas.
 Proof prove(const MemberFinding& candidate, const PromotionFacts& facts) {
   Proof alone = prove_alone(candidate, facts);
   if (alone.holds_all || is_empty_of_unknown(candidate, facts)) return alone;
@@ -158,8 +160,8 @@
   return alone;
 }
 
-/// Whether nobody can be found any more who holds more: the primary's incarnation is over, and all answer.
-/// Its next incarnation is waited for, too: it may have come back with the whole log.
+/// Whether no member with more commits can appear any more: the primary's incarnation has ended, and all
+/// members answer. This includes the primary's next incarnation, which may have come back with the whole log.
 bool is_nothing_left(const PromotionFacts& facts) {
   bool primary_is_over = false;
   for (const MemberFinding& member : facts.members) {
@@ -175,7 +177,8 @@
   return {verdict, candidate.entry.name, leads ? candidate.status->term : 0, std::move(why)};
 }
 
-/// Whoever is left with the most, wherever it is: more of what was acknowledged cannot be had.
+/// Chooses the furthest log, inside or outside evacuated zones, as no member holds more of what was
+/// acknowledged.
 PromotionChoice follow_unproved(const MemberFinding* outside, const MemberFinding* inside,
                                 const PromotionFacts& facts) {
   const bool inside_has_more =
@@ -186,7 +189,8 @@
   return choice;
 }
 
-/// Where more of the group's routes may write than at the furthest, the furthest of those; null: nowhere.
+/// Among the proved candidates at which more of the group's routes may write than at `furthest`, returns the
+/// one with the most such routes, and of those the furthest. Null if there is none.
 const MemberFinding* find_preferred(const MemberFinding& furthest, const PromotionFacts& facts) {
   if (facts.allowing_routes.empty()) return nullptr;
   const MemberFinding* best = nullptr;
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -1,4 +1,4 @@
-// Which backend may follow a primary that was given up, by what is proved of the logs. Pure: no I/O.
+// Chooses which backend may succeed a replaced primary, from what is proved about the logs. Pure: no I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,69 +12,76 @@
 
 namespace cairnhollow::registered::control {
 
-/// One member of the group, as found after the group was closed.
+/// State of one member of the group, queried after the group was closed.
 struct MemberFinding {
   registry::BackendEntry entry;
-  std::optional<BackendStatus> status;  ///< empty: it did not answer
-  /// It was registered, or changed, since the closed term opened: it may be an incarnation that began since.
+  std::optional<BackendStatus> status;  ///< empty if it did not answer
+  /// It was registered or changed since the closed term opened, so its incarnation may have started since.
   bool joined_in_term = false;
-  bool evacuated = false;  ///< its zone is: as primary it would serve nobody
+  bool evacuated = false;  ///< its zone is evacuated, so it could not serve as primary
 };
 
 struct PromotionFacts {
-  registry::GroupTerm closed;  ///< the term that is given up
+  registry::GroupTerm closed;  ///< the term whose primary is replaced
   std::uint64_t synchronous_replicas = 0;
   std::vector<MemberFinding> members;
-  /// No incarnation of a backend has left the group for so long that whoever stayed has received all that it
+  /// No incarnation has left the group for long enough that the remaining members have received everything it
   /// held.
   bool members_are_stable = false;
-  /// An incarnation that was replaced under its name may have been the only one beside the primary to hold
-  /// acknowledged commits, and no other was seen to hold as much as the primary since.
+  /// An incarnation that was replaced under the same name may have been the only one besides the primary to
+  /// hold acknowledged commits, and no other member has been seen to hold as much as the primary since.
   bool replaced_incarnation_is_unsettled = false;
-  /// Every proxy that may have acknowledged anything in that term has said its highest position.
+  /// Every proxy that may have acknowledged commits in that term has reported its highest position.
   bool all_acknowledgers_answered = false;
-  /// Every admitted proxy has answered the close, so that none uses the closed term's primary.
+  /// Every admitted proxy has acknowledged the close, so none uses the closed term's primary.
   bool all_proxies_answered = false;
   std::uint64_t silent_revision = 0;  ///< see FenceProgress
-  /// Of those that answered. May be beyond the last acknowledged commit: a backend shows where its log is,
-  /// other commits under way included.
+  /// Maximum over the proxies that answered. May exceed the last acknowledged commit: a backend reports the
+  /// end of its log, which includes concurrent commits in progress.
   Position highest_acknowledged;
-  /// How many of the group's routes may write at each member; empty: all everywhere, or it is not known.
+  /// Number of the group's routes that may write at each member. Empty if all may write everywhere, or if it
+  /// is unknown.
   std::map<BackendName, std::size_t> allowing_routes;
 };
 
 enum class PromotionVerdict : std::uint8_t {
   kPromote,  ///< `backend` holds every acknowledged commit
-  kReopen,   ///< `backend`, the old primary, leads as before and nobody else may follow yet
-  kAdopt,    ///< `backend` leads a higher term already, and holds every acknowledged commit
-  kNotYet,   ///< nobody can be shown to hold every acknowledged commit
+  kReopen,   ///< `backend`, the old primary, still leads and has no proved successor yet
+  kAdopt,    ///< `backend` already leads a higher term, and holds every acknowledged commit
+  kNotYet,   ///< no candidate provably holds every acknowledged commit
 };
 
 struct PromotionChoice {
   PromotionVerdict verdict = PromotionVerdict::kNotYet;
   BackendName backend;
-  std::uint64_t term = 0;  ///< of kReopen and kAdopt
-  std::string why;         ///< for the log
-  /// Acknowledged commits may be gone with the incarnations that held them: nobody is left who could have
+  std::uint64_t term = 0;  ///< set for kReopen and kAdopt
+  std::string why;         ///< reason, for the log
+  /// Acknowledged commits may be lost with the incarnations that held them; no remaining member can hold
   /// more.
   bool is_unproved = false;
 };
 
-/// What is found of the backend; of nobody if it is not among the members.
+/// Returns the finding for the backend, or a default-constructed one if it is not among the members.
 MemberFinding find_member(const PromotionFacts& facts, const BackendName& backend);
 
-/// Whether the member tells its start and shows an empty log while others, or proxies, know of more: an
-/// incarnation that has lost what its name held, registered already or not. It proves nothing.
+/// Whether the member reports its start time and has an empty log while other members or proxies know of
+/// commits. Such an incarnation, registered or not, has lost its log, and its position proves nothing.
 bool is_blank(const MemberFinding& member, const PromotionFacts& facts);
 
-/// Invariant: with one synchronous replica an acknowledged commit is on the primary and on a replica, each in
-/// one incarnation. So the furthest log holds it when all replicas were compared, or the old primary was, or
-/// when it reaches the highest position that any proxy acknowledged. `reopen_allowed`: the old primary was
-/// not given up for good. One outside evacuated zones that can be shown to hold all of it comes first, also
-/// when it is not the furthest. One inside follows only a primary that does not answer: then no commit is
-/// lost, and the others catch up from it. While an old primary in an evacuated zone runs, one outside is
-/// waited for. One that is not the furthest is chosen, for a region that more of the group's routes allow,
-/// only where it is proved without being the furthest.
+/// Invariant: with one synchronous replica, an acknowledged commit is on the primary and on one replica, each
+/// in one incarnation. The furthest log therefore holds it if all replicas were compared, if the old primary
+/// was compared, or if the log reaches the highest position that any proxy acknowledged.
+///
+/// Rules:
+/// - A candidate outside evacuated zones that is proved to hold every acknowledged commit is preferred, even
+///   if it is not the furthest.
+/// - A candidate inside an evacuated zone succeeds only a primary that does not answer. No commit is lost
+///   then, and the others catch up from it.
+/// - While an old primary in an evacuated zone is running, the choice waits for a candidate outside.
+/// - A candidate that is not the furthest is chosen because more of the group's routes allow its region only
+///   if its own position proves it, without comparison to the others.
+///
+/// `reopen_allowed` means that the old primary may be opened again.
 PromotionChoice choose_promotion(const PromotionFacts& facts, bool reopen_allowed);
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/promotion_steps.cpp
+++ b/src/registered/control/failover/promotion_steps.cpp
@@ -19,7 +19,7 @@
   ordered.primary = chosen.name;
   terms_.log(taken ? "promotion_ordered" : "promotion_unclear", ordered,
              taken ? "taken" : reason.to_string());
-  // Without a clear answer it may have been taken: the backend's own status tells.
+  // Without a definite answer the promotion may have been accepted; the backend's status will show it.
   const bool refused =
       !taken && (reason.code == ReasonCode::kConflict || reason.code == ReasonCode::kOverloaded);
   if (refused) co_await runtime_.sleep_for(kFailoverRetry);
--- a/src/registered/control/failover/promotion_steps.h
+++ b/src/registered/control/failover/promotion_steps.h
@@ -1,9 +1,9 @@
-// Phases "promote" and "confirm" of a change of primary, and the old primary's way out of its role.
+// Failover phases "promote" and "confirm", and the demotion of the old primary.
 //
-// Invariant taken over: the chosen backend holds every acknowledged commit, and no proxy can use the old
-// primary once the chosen one is promoted (log_comparison.h).
-// Invariant handed on: a term that wait_until_leading() tells is led by the very incarnation that was chosen,
-// with no less of the log than it was chosen for. Only then is the group opened with it.
+// Precondition: the chosen backend holds every acknowledged commit, and no proxy can use the old primary once
+// the chosen backend is promoted (log_comparison.h).
+// Postcondition: a term returned by wait_until_leading() is led by the incarnation that was chosen, with at
+// least the log that it was chosen for. Only then is the group opened with it.
 #pragma once
 
 #include <optional>
@@ -17,23 +17,23 @@
 
 namespace cairnhollow::registered::control {
 
-/// An order is given only when the quorum round before it began at most this long ago: a control node that
-/// was frozen in between may have a successor that decided otherwise. Chosen, not measured.
+/// Maximum age of the read barrier when a promotion is requested. A control node that was suspended in
+/// between may have a successor that decided otherwise.
 inline constexpr Duration kPromotionFreshness = std::chrono::milliseconds(200);
-/// Longest wait for the platform's answer to an order. Chosen, not measured.
+/// Timeout of the platform's answer to a promotion request.
 inline constexpr Duration kPromotionCallTimeout = std::chrono::milliseconds(1000);
-/// Pause between questions whether a promoted backend leads. Chosen, not measured.
+/// Polling interval for the promoted backend's status.
 inline constexpr Duration kPromotionPoll = std::chrono::milliseconds(30);
-/// A promotion that is not seen by then is ordered again. Chosen, not measured.
+/// A promotion that has not taken effect after this time is requested again.
 inline constexpr Duration kPromotionLimit = std::chrono::seconds(3);
-/// An old primary is told to step down again and again for this long, with this pause. Chosen, not measured.
+/// Total time for which, and interval at which, the old primary is sent demote requests.
 inline constexpr Duration kDemoteLimit = std::chrono::seconds(30);
 inline constexpr Duration kDemotePause = std::chrono::milliseconds(500);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class Promotion {
  public:
-  /// `node`: this one, as the holder of the platform's duty.
+  /// `node` is this control node, which is passed to the platform as the holder of the leader duty.
   Promotion(runtime::Runtime& runtime, consensus::Consensus& consensus,
             const registry::FleetStateMachine& fleet, GroupTerms& terms, GroupProber& prober,
             registry::PromotionCaller& caller, NodeName node)
@@ -45,15 +45,17 @@
         caller_(caller),
         node_(std::move(node)) {}
 
-  /// True when the order was given, or may have been. False: it was refused, this node does not lead for
-  /// certain, another incarnation of the backend has registered, or the close is past.
+  /// Returns true if the promotion was requested or may have been. Returns false if it was rejected, this
+  /// node is not certainly the leader, another incarnation of the backend has registered, or the close is no
+  /// longer current.
   Awaitable<bool> order(registry::GroupTerm closed, registry::BackendIncarnation chosen);
-  /// The term that `chosen` leads. Empty after kPromotionLimit, without the lead, and when the chosen
-  /// incarnation is over or has less of the log than it was chosen for: it started again meanwhile.
+  /// Returns the term that `chosen` leads. Returns std::nullopt after kPromotionLimit, when this node is no
+  /// longer the leader, and when the chosen incarnation has ended or has less of the log than it was chosen
+  /// for because it restarted.
   Awaitable<std::optional<std::uint64_t>> wait_until_leading(registry::GroupTerm closed,
                                                              MemberFinding chosen);
-  /// Tells the old primary of the group to step down from any term below `term`, until it says that it has or
-  /// the group has another term.
+  /// Sends the group's old primary requests to step down from any term below `term`, until it is no longer
+  /// primary, the group has another term, or kDemoteLimit has passed.
   Awaitable<void> step_down(GroupName group, BackendName old_primary, std::uint64_t term);
 
  private:
--- a/src/registered/control/failover/promotion_turns.cpp
+++ b/src/registered/control/failover/promotion_turns.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-constexpr double kDepthPart = 0.2;        ///< of the rate; the refill is the rest
-constexpr double kLeastRefillPart = 0.5;  ///< of a rate that a depth of one call leaves less of
+constexpr double kDepthPart = 0.2;  ///< fraction of the rate; the refill is the remainder
+constexpr double kLeastRefillPart =
+    0.5;  ///< minimum refill, as a fraction of a rate of which a depth of one call leaves less
 
 double depth_of(double rate_per_s) { return std::max(1.0, std::floor(rate_per_s * kDepthPart)); }
 
--- a/src/registered/control/failover/promotion_turns.h
+++ b/src/registered/control/failover/promotion_turns.h
@@ -1,10 +1,12 @@
-// Spaces the calls that promote, so that the platform takes each of them: it takes so many a second from all
-// nodes and turns the rest away. When many groups lose their primaries at once, the most urgent go first.
+// Rate limiter for promotion calls, so that the platform, which accepts a fixed number of calls per second
+// from all nodes and rejects the rest, accepts each of them. When many groups lose their primaries at once,
+// the most urgent go first.
 //
-// A bucket of a fifth of the rate, in whole calls and at least one, refilled with the rest of the rate: in
-// any second at most the rate is called, and the primaries of a small fleet are replaced without any wait (50
-// a second: ten at once, then one each 25 ms). Below two a second the refill is half the rate, since one call
-// leaves less or nothing: at most one call in a second, and in the time that the rate allows for one.
+// Token bucket. Its depth is a fifth of the rate, rounded down to whole calls and at least one; it is
+// refilled with the rest of the rate. No second then has more calls than the rate, and the failovers of a
+// small fleet do not wait (at 50 calls a second: ten at once, then one every 25 ms). Below two calls a second
+// the refill is half the rate, since one call would leave less or nothing; that keeps to at most one call in
+// a second, and in the time that the rate allows for one.
 #pragma once
 
 #include <compare>
@@ -16,14 +18,14 @@
 
 namespace cairnhollow::registered::control {
 
-/// `runtime` outlives it; it lives until the process ends.
+/// `runtime` is not owned and must outlive this object, which must live until the process exits.
 class PromotionTurns {
  public:
-  /// `rate_per_s`: calls that the platform takes a second; 0: any number.
+  /// `rate_per_s`: calls a second that the platform accepts; 0 means unlimited.
   PromotionTurns(runtime::Runtime& runtime, double rate_per_s);
 
-  /// Returns when a call may be made; of those who wait, the one with the lowest `urgency` goes first, and of
-  /// equal ones the one that came first. True: without having waited.
+  /// Waits until a call may be made. The waiter with the lowest `urgency` value goes first, and among equal
+  /// ones the first to arrive. Returns true if it did not have to wait.
   Awaitable<bool> take(std::uint64_t urgency);
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
 
@@ -38,7 +40,7 @@
   runtime::Runtime& runtime_;
   double refill_per_s_;
   double depth_;
-  double calls_;  ///< that may be made now
+  double calls_;  ///< tokens: calls that may be made now
   TimePoint refilled_at_;
   std::set<Place> waiting_;
   std::uint64_t next_arrival_ = 0;
--- a/src/registered/control/failover/region_preference.h
+++ b/src/registered/control/failover/region_preference.h
@@ -1,4 +1,5 @@
-// How many of a group's routes may write at each of its members, by the regions that they allow.
+// Counts how many of a group's routes may write at each of its members, according to the regions that the
+// routes allow.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +12,14 @@
 
 namespace cairnhollow::registered::control {
 
-/// `fleet` outlives it. Goes through all routes once a document, not once a question.
+/// `fleet` is not owned and must outlive this object. The routes are indexed once per configuration document,
+/// not once per query.
 class RegionPreference {
  public:
   RegionPreference(const registry::FleetStateMachine& fleet, locality::RegionMap regions)
       : fleet_(fleet), regions_(std::move(regions)) {}
 
-  /// Empty where all of the group's routes may write anywhere.
+  /// Returns the number of routes by member; empty if all of the group's routes may write anywhere.
   [[nodiscard]] std::map<BackendName, std::size_t> allowing_routes(
       const GroupName& group, const std::vector<registry::BackendEntry>& members);
 
@@ -26,8 +28,8 @@
 
   const registry::FleetStateMachine& fleet_;
   locality::RegionMap regions_;
-  std::uint64_t version_ = 0;  ///< of the document that the routes are of
-  /// Of the groups of which some route names regions: all their routes.
+  std::uint64_t version_ = 0;  ///< of the configuration document from which `routes_` was built
+  /// All routes of each group that has a route restricted to regions.
   std::map<GroupName, std::vector<registry::RouteRule>> routes_;
 };
 
--- a/src/registered/control/failover/replication_pauses.cpp
+++ b/src/registered/control/failover/replication_pauses.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Above the term that is given up, below none that was ever led: the next one has the same number.
+/// Above the closed term and not above any later one: the next term has the same number.
 std::uint64_t pause_term(const GroupTerm& closed) { return closed.term + 1; }
 
 }  // namespace
@@ -55,7 +55,7 @@
   Reason reason;
   const TimePoint deadline = runtime_.now() + kStatusTimeout;
   auto status = co_await prober_.pause(member, pause_term(closed), deadline, reason);
-  // One that an earlier leader paused may refuse a pause that is no newer.
+  // A member that an earlier leader paused may reject a pause with the same term, so its status decides.
   if (!status) status = co_await prober_.ask(member, deadline, reason);
   const bool paused = status && status->pause_term >= pause_term(closed);
   GroupPauses& pauses = paused_[closed.group];
--- a/src/registered/control/failover/replication_pauses.h
+++ b/src/registered/control/failover/replication_pauses.h
@@ -1,6 +1,6 @@
-// Ends the leases that a group's members give to proxies out of control's reach (registry/member_lease.h),
-// before another backend is promoted: members are paused, which every later question shows, and the leases
-// that were given before are waited out.
+// Ends the leases that a group's members grant to proxies which control cannot reach
+// (registry/member_lease.h), before another backend is promoted. Members are paused, which every later query
+// shows, and the leases granted before that are left to expire.
 #pragma once
 
 #include <map>
@@ -14,44 +14,44 @@
 
 namespace cairnhollow::registered::control {
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class ReplicationPauses {
  public:
   ReplicationPauses(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, GroupProber& prober)
       : runtime_(runtime), fleet_(fleet), prober_(prober) {}
 
-  /// Records since when, and at which revision of the fleet, each incarnation of a backend is known here.
-  /// Called on every control node, so that a new leader knows it of the backends that it applied as a
-  /// follower: committed by then, they were told with every later lease.
+  /// Records when, and at which fleet revision, this node learned of each incarnation of a backend. Called on
+  /// every control node, so that a new leader has the times of backends it applied as a follower: these were
+  /// committed by then, so every later lease announced them.
   void record_members();
-  /// Pauses the members that may follow the closed group's primary and are not paused for it yet, all at
-  /// once.
+  /// Concurrently pauses the members that may succeed the closed group's primary and are not paused for it
+  /// yet.
   Awaitable<void> pause(registry::GroupTerm closed);
-  /// When a paused member may be promoted at the earliest; `TimePoint::max()` while none is paused.
-  /// Incarnations that are over count for nothing. `silent_revision`: what each proxy that may hold one knows
-  /// of the fleet, at least.
+  /// Returns the earliest time at which a paused member may be promoted, or `TimePoint::max()` if none is
+  /// paused. Ignores incarnations that have ended. `silent_revision`: lowest fleet revision known to the
+  /// proxies that may hold a member lease.
   [[nodiscard]] TimePoint quiet_at(const registry::GroupTerm& closed, std::uint64_t silent_revision) const;
-  /// Whether no silent proxy can use the closed term's primary once `candidate` is promoted: each of them
-  /// knows the candidate, whose pause and then whose new term shows to every question, and the candidate has
-  /// been paused for long enough and still is, by what it says in `findings` (it has not restarted
-  /// meanwhile). Another member's pause would not do: it ends after the promotion, and a proxy could join the
-  /// candidate's answer from before the promotion with the other's from after its pause.
+  /// Whether no proxy that has not answered the fence can use the closed term's primary once `candidate` is
+  /// promoted. Requires that each such proxy knows the candidate, so that its queries see the pause and then
+  /// the new term; and that the candidate has been paused for long enough and, according to `findings`, still
+  /// is (it has not restarted). Another member's pause does not suffice: it ends after the promotion, and a
+  /// proxy could combine the candidate's answer from before the promotion with the other member's answer from
+  /// after its pause.
   [[nodiscard]] bool hold(const registry::GroupTerm& closed, std::uint64_t silent_revision,
                           const std::vector<MemberFinding>& findings, const BackendName& candidate) const;
-  /// Lets all members receive again that were paused here. Those that do not answer are told again by
-  /// resume_left().
+  /// Resumes all members that this node paused. Those that do not answer are retried by resume_left().
   Awaitable<void> resume(GroupName group);
-  /// Lets members of an open group receive again that somebody left paused.
+  /// Resumes the members of an open group that are still paused, by whichever leader.
   Awaitable<void> resume_left(GroupName group);
-  /// Whether members of the group were paused here and not told to receive again.
+  /// Whether this node has paused members of the group and not resumed them.
   [[nodiscard]] bool any(const GroupName& group) const { return paused_.count(group) > 0; }
-  /// This node does not lead any more: what it paused is another's concern.
+  /// Drops the record of pauses when this node is no longer the leader; its successor takes care of them.
   void forget() { paused_.clear(); }
 
  private:
   struct GroupPauses {
     std::uint64_t epoch = 0;
-    /// When the member had answered the pause. Its next incarnation is not paused.
+    /// Time of each member's answer to the pause. The next incarnation of a member is not paused.
     std::map<registry::BackendIncarnation, TimePoint> since;
   };
   struct Answers;
@@ -59,7 +59,8 @@
   Awaitable<void> pause_one(std::shared_ptr<Answers> answers, registry::BackendEntry member,
                             registry::GroupTerm closed);
   Awaitable<void> resume_one(std::shared_ptr<Answers> answers, registry::BackendEntry member);
-  /// When leases that `member` gave before its pause are over, at proxies that may not know it as well.
+  /// Returns when the leases that `member` granted before its pause have expired, including at proxies that
+  /// may not know the member.
   [[nodiscard]] TimePoint quiet_at(const registry::BackendIncarnation& member, TimePoint paused_at,
                                    std::uint64_t silent_revision) const;
 
--- a/tests/registered/control/failover/fence_acknowledgements_test.cpp
+++ b/tests/registered/control/failover/fence_acknowledgements_test.cpp
@@ -1,4 +1,4 @@
-// Who still owes an answer to the close of a group, and what it costs to know.
+// Tests which proxies are still expected to acknowledge a close, and the cost of tracking it.
 #include "registered/control/failover/fence_acknowledgements.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -120,9 +120,9 @@
     CPPUNIT_ASSERT(!ask(4).all_answered);
   }
 
-  /// A zone is lost with the primaries of 100 groups; 300 proxies answer all closes, one after the other.
-  /// Looked at after each answer, all proxies of all groups would be 9,000,000 looks; the changes of primary
-  /// look each 60 ms while the answers come within half a second or so, here after each thirtieth.
+  /// Cost when a zone with the primaries of 100 groups fails and 300 proxies answer every close in turn.
+  /// Querying every proxy of every group after each answer would take 9,000,000 steps. Failovers poll every
+  /// 60 ms while the answers arrive over about half a second, modelled here as one poll per 30 proxies.
   void a_hundred_groups_cost_what_is_unanswered() {
     constexpr int kGroups = 100;
     constexpr int kProxies = 300;
--- a/tests/registered/control/failover/group_keeper_incarnations_test.cpp
+++ b/tests/registered/control/failover/group_keeper_incarnations_test.cpp
@@ -1,4 +1,4 @@
-// What the leader does when backends of a group start again under their names.
+// Tests failover when backends of a group restart under the same name.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kTerm = 3;
 const GroupName kGroup("records");
 
-/// What each backend answers now; who is not there does not answer.
+/// Status that each backend reports; a backend without an entry does not answer.
 using Statuses = std::map<BackendName, BackendStatus>;
 
 class StatusLink : public BackendLink {
@@ -64,7 +64,7 @@
   const Statuses& statuses_;
 };
 
-/// Promotes at once; the backend `forgets` has started again just before.
+/// Promotes immediately. The backend `forgets` loses its log just before its promotion.
 class Promotions : public registry::PromotionCaller {
  public:
   explicit Promotions(Statuses& statuses) : statuses_(statuses) {}
@@ -177,7 +177,7 @@
     CPPUNIT_ASSERT_EQUAL(1, leader_->promotions.orders);
   }
 
-  /// The platform takes a call each two seconds, and another group has just had one.
+  /// The platform accepts one call every two seconds, and another group has just used one.
   void who_lost_its_log_while_its_turn_was_awaited_is_not_ordered() {
     start(0.5);
     const GroupName other("other");
@@ -200,7 +200,7 @@
     CPPUNIT_ASSERT_EQUAL(2, leader_->promotions.orders);
   }
 
-  /// No proxy acknowledged anything in this term, and none is left of those that did before.
+  /// No proxy has acknowledged anything in this term, and none of the proxies of earlier terms is left.
   void who_joined_in_the_term_may_lack_earlier_commits() {
     leader_->statuses.erase(BackendName("p"));
     leader_->statuses.erase(BackendName("b"));
@@ -211,7 +211,7 @@
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
   }
 
-  /// The primary's next incarnation came back with the log, as primary: it answers last.
+  /// The primary's next incarnation returned with the log and as primary, and is the last to answer.
   void nobody_follows_without_proof_before_all_have_answered() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
@@ -224,7 +224,7 @@
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
   }
 
-  /// A proxy that may have acknowledged something is gone, too, and the primary does not answer.
+  /// A proxy that may have acknowledged commits is gone, and the primary does not answer.
   void a_replaced_incarnation_may_have_held_the_newest_commits() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
@@ -253,8 +253,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leader_->keeper.unproved_promotions());
   }
 
-  /// A control node starts after "a" did: the former incarnation may have been the only one with the newest
-  /// commits.
+  /// The control node starts after "a" restarted, whose former incarnation may have been the only replica
+  /// with the newest commits.
   void who_starts_to_look_may_have_missed_a_replaced_incarnation() {
     lose_a_proxy();
     leader_->statuses[BackendName("a")] = BackendStatus{false, kTerm, {kTerm, 4}};
@@ -270,7 +270,7 @@
     CPPUNIT_ASSERT_MESSAGE("only the primary holds them", term().open && term().primary.value == "p");
   }
 
-  /// Between the two the group was looked at without it.
+  /// The keeper observes the group without the member between its departure and its return.
   void a_incarnation_that_left_may_come_back_a_look_later() {
     lose_a_proxy();
     leader_->statuses.erase(BackendName("p"));
@@ -284,7 +284,7 @@
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
   }
 
-  /// Both were gathered into one command.
+  /// The registration and the opening are committed in one batch.
   void who_joined_in_the_revision_that_opened_the_term_joined_in_it() {
     apply(registry::CloseGroup{kGroup, term().epoch});
     registry::BackendEntry next = entry("a", 2, 2000);
@@ -301,12 +301,12 @@
   }
 
  private:
-  /// One that may have acknowledged something.
+  /// Admits and forgets a proxy that may have acknowledged commits.
   void lose_a_proxy() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
   }
-  /// In the place of the one that there was.
+  /// Replaces the running keeper.
   void start_another_keeper() {
     leader_->keeper.stop();
     next_ = std::make_unique<GroupKeeper>(*runtime_, leader_->log, leader_->fleet, leader_->calls,
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -1,5 +1,5 @@
-// The order of a change of primary: nobody is promoted before the old one is out of use, and only by a node
-// that leads at that moment.
+// Tests the order of failover phases: no backend is promoted before the old primary is out of use, and only a
+// node that is the leader at that moment promotes.
 #include "registered/control/failover/group_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -111,7 +111,7 @@
     CPPUNIT_ASSERT(stand_->first("promote") == nullptr);
   }
 
-  /// Another leader opened the group since, with another one.
+  /// Meanwhile another leader opened the group with another primary.
   void no_promotion_for_a_close_that_is_past() {
     close_group();
     stand_->consensus().during_barrier = [this] { open_with("replica-2"); };
@@ -121,7 +121,7 @@
   }
 
   void nothing_is_looked_at_for_a_close_that_ended_while_it_waited() {
-    constexpr double kRate = 0.1;  // the next turn is long in coming
+    constexpr double kRate = 0.1;  // the next turn is 10 s away
     begin(kRate);
     close_group();
     stand_->run_for(seconds(1));
@@ -152,8 +152,8 @@
     CPPUNIT_ASSERT(stand_->term().open);
   }
 
-  /// Incarnations are replaced while this node follows; it is elected once the primary, and a proxy, are
-  /// gone.
+  /// Incarnations are replaced while this node is a follower; it becomes leader after the primary and a proxy
+  /// are gone.
   void who_follows_compares_members_too() {
     stand_->consensus().is_leader = false;
     std::uint16_t port = 9001;
@@ -173,7 +173,8 @@
   }
 
  private:
-  /// A keeper that leads; what an earlier leader gave is over, and members have settled.
+  /// Starts a keeper on the leader, and waits until leases from before have expired and the members have
+  /// settled.
   void begin(double promotion_rate) {
     stand_.reset();
     stand_ = std::make_unique<ControlStand>();
--- a/tests/registered/control/failover/group_urgency_test.cpp
+++ b/tests/registered/control/failover/group_urgency_test.cpp
@@ -1,4 +1,4 @@
-// In which order groups are served when several change their primary at once.
+// Tests the order in which groups are served when several fail over at once.
 #include "registered/control/failover/group_urgency.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/control/failover/membership_watch_test.cpp
+++ b/tests/registered/control/failover/membership_watch_test.cpp
@@ -1,4 +1,4 @@
-// When those who stayed in a group are known to hold what those who left held.
+// Tests when the remaining members of a group are known to hold what departed members held.
 #include "registered/control/failover/membership_watch.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/control/failover/planned_change_test.cpp
+++ b/tests/registered/control/failover/planned_change_test.cpp
@@ -1,4 +1,4 @@
-// Which primaries are replaced while they run, by whom, and from when on.
+// Tests which running primaries are replaced, by which backends, and from what lag on.
 #include "registered/control/failover/planned_change.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,8 +15,8 @@
 const char* const kLeaves = "the primary leaves";
 const char* const kEvacuated = "the zone a is evacuated";
 
-/// Of the primary: gone, leaving; of its zone, and of the replicas' zone: evacuated; of the replicas:
-/// leaving.
+/// `gone` and `leaves` describe the primary, `evacuated` its zone, `others_evacuated` the zone of the
+/// replicas and `others_leave` the replicas.
 struct Case {
   bool gone = false;
   bool leaves = false;
@@ -32,11 +32,12 @@
     {false, false, true, false, false, kEvacuated},
     {false, true, true, false, false, kLeaves},
     {true, false, false, false, false, kLeaves},
-    // Nobody stays who could follow.
+    // Every possible successor is leaving.
     {false, true, false, false, true, ""},
     {false, false, true, false, true, ""},
     {true, false, false, false, true, ""},
-    // Those who stay are in an evacuated zone: they follow only one that leaves from such a zone, or is gone.
+    // The replicas are in an evacuated zone: they succeed only a primary that leaves from such a zone or is
+    // gone.
     {false, false, false, true, false, ""},
     {false, true, false, true, false, ""},
     {false, false, true, true, false, ""},
--- a/tests/registered/control/failover/primary_suspicions_test.cpp
+++ b/tests/registered/control/failover/primary_suspicions_test.cpp
@@ -1,4 +1,4 @@
-// When what proxies say of a primary calls for a check, and when it replaces one that answers.
+// Tests when proxies' reports about a primary require a check, and when they replace a primary that answers.
 #include "registered/control/failover/primary_suspicions.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -1,4 +1,4 @@
-// Who may follow a primary that was given up: only who provably holds every acknowledged commit.
+// Tests which backend may succeed a replaced primary: only one that provably holds every acknowledged commit.
 #include "registered/control/failover/promotion_choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -33,7 +33,7 @@
   return all;
 }
 
-/// "b" is the furthest; at "a" two more of the group's routes may write.
+/// "b" has the furthest log; two more of the group's routes may write at "a".
 PromotionFacts facts_with_regions() {
   auto known = facts({finding("old", std::nullopt), finding("a", replica(8)), finding("b", replica(9))});
   known.allowing_routes = {{BackendName("a"), 3}, {BackendName("b"), 1}, {BackendName("old"), 5}};
@@ -156,12 +156,13 @@
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 8};
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
-    // Also with all replicas there: the commit may be on one that was replaced meanwhile.
+    // Nor if all replicas answer: the commit may be on one that has been replaced.
     known.members.back().status = replica(6);
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  /// A proxy notes where the primary's log was after a commit: others' commits under way are in it.
+  /// A proxy records the end of the primary's log after a commit, which includes concurrent commits in
+  /// progress.
   void of_all_replicas_when_nobody_has_left_whatever_position_was_shown() {
     auto known = facts({finding("old", leading(9)), finding("a", replica(7)), finding("b", replica(6))});
     known.all_acknowledgers_answered = true;
@@ -209,7 +210,7 @@
   }
 
   void not_by_a_primary_that_answers_with_nothing() {
-    // It started again and has not registered yet: its former incarnation's position is not known.
+    // It restarted and has not registered yet, so its former incarnation's position is unknown.
     auto known = facts({incarnation("old", 1000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
@@ -233,7 +234,7 @@
     const auto choice = choose_promotion(known, true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kPromote && !choice.is_unproved);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), choice.backend.value);
-    // It came back with its log, as primary: then it may go on, as the incarnation that it is.
+    // It returned with its log and as primary, so it may be reopened as its new incarnation.
     known.members.front().status = leading(8);
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kReopen);
   }
@@ -260,7 +261,7 @@
   }
 
   void nothing_left_keeps_to_the_furthest() {
-    // Both that held the newest commits started again.
+    // Both backends that held the newest commits have restarted.
     auto known = facts({incarnation("old", 2000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(0))});
     known.closed.primary_born_ms = 1000;
@@ -297,7 +298,7 @@
   }
 
   void who_joined_in_the_term_needs_entries_of_it() {
-    // No proxy acknowledged anything in this term; those that did before have started again since.
+    // No proxy acknowledged anything in this term, and the proxies of earlier terms have restarted since.
     auto known = facts({incarnation("old", 1000, std::nullopt),
                         incarnation("a", 2000, BackendStatus{false, 3, {2, 5}}),
                         incarnation("b", 1000, std::nullopt)});
@@ -323,7 +324,7 @@
   }
 
   void a_primary_without_what_proxies_acknowledged_is_not_the_old_one() {
-    // Both answer in a next incarnation that has not registered; the other replica does not answer.
+    // Both answer as a next incarnation that has not registered; the other replica does not answer.
     auto known = facts({incarnation("old", 1000, leading(0)), incarnation("a", 1000, replica(0)),
                         incarnation("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
@@ -371,12 +372,12 @@
 
   void a_region_never_stands_in_for_the_proof() {
     auto known = facts_with_regions();
-    // Only the furthest of all replicas is proved: an acknowledged commit may be on it and not on the other.
+    // Only the furthest of all replicas is proved: it may hold an acknowledged commit that the other lacks.
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choose_promotion(known, true).backend.value);
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 9};
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choose_promotion(known, true).backend.value);
-    // The old primary answers, and holds what only the furthest has as well.
+    // The old primary answers and holds an entry that only the furthest replica has as well.
     known.all_acknowledgers_answered = false;
     known.members[0].status = leading(9);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choose_promotion(known, true).backend.value);
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -1,12 +1,12 @@
-// A small model of a change of primary, searched exhaustively with the real choose_promotion(): a primary P
-// and its replicas A and B, one proxy that acknowledges commits, and the leader that closes the group, looks,
-// promotes and opens. Any of the three may start again under its name between any two steps: with an empty
-// log, and in the registry some time later. The promise: whoever the group is opened with holds every
-// acknowledged commit, unless nobody's log has it any more, and somebody is opened once nothing better can
-// come.
+// Exhaustive search of a small failover model that uses the real choose_promotion(): a primary P, its
+// replicas A and B, one proxy that acknowledges commits, and the leader that closes the group, queries the
+// members, promotes and opens. Each backend may restart under its name between any two steps, with an empty
+// log, and registers some time later. Safety: the backend that the group is opened with holds every
+// acknowledged commit, unless no log has it any more. Liveness: a backend is opened once no further event can
+// improve the choice.
 //
-// Assumed, as the design does: until it has registered, an incarnation that starts again gets the primary's
-// log whole or not at all.
+// Assumption of the design: until it has registered, a restarted incarnation receives the primary's log
+// completely or not at all.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -30,31 +30,32 @@
 constexpr std::uint64_t kClosedTerm = 2;
 const std::array<std::string, kMembers> kNames{"P", "A", "B"};
 
-/// One guard left out each; all true is the design.
+/// The guards of the design. each_guard_is_needed() disables one at a time.
 struct Guards {
-  bool backends_tell_incarnations = true;       ///< and who shows an empty log has lost it
+  bool backends_tell_incarnations = true;       ///< a backend with an empty log is known to have lost it
   bool term_tells_primarys_incarnation = true;  ///< another incarnation of the primary is not the old one
-  bool replaced_incarnation_unsettles = true;   ///< a reborn member left with all it held
-  bool left_incarnation_unsettles = true;       ///< and is not stable until compared
+  bool replaced_incarnation_unsettles =
+      true;                                ///< a restarted member counts as departed with everything it held
+  bool left_incarnation_unsettles = true;  ///< after a departure the group is not stable until compared
   bool joined_incarnation_needs_entries = true;
   bool opened_with_what_was_chosen = true;
 };
 
 struct Member {
-  std::uint64_t length = 0;  ///< commits that it holds
+  std::uint64_t length = 0;  ///< number of commits that it holds
   bool answers = true;
   int incarnation = 1;
-  int registered = 1;  ///< the incarnation that the registry has
+  int registered = 1;  ///< incarnation according to the registry
   bool joined = false;
   auto operator<=>(const Member&) const = default;
 };
 
 struct State {
   std::array<Member, kMembers> members{};
-  std::uint64_t earlier = 0;     ///< commits of the term before
-  std::uint64_t replicated = 0;  ///< that some replica has received
+  std::uint64_t earlier = 0;     ///< commits of the previous term
+  std::uint64_t replicated = 0;  ///< commits that some replica has received
   std::uint64_t acknowledged = 0;
-  std::uint64_t told = 0;  ///< the highest that the proxy knows of
+  std::uint64_t told = 0;  ///< highest commit that the proxy knows of
   bool proxy_started_again = false;
   bool unsettled = false;
   bool replaced = false;
@@ -71,7 +72,7 @@
 
   bool finds_violation() {
     visit(State{});
-    // Commits of the term before, acknowledged by proxies that have started again since.
+    // Starts with commits of the previous term, acknowledged by proxies that have restarted since.
     State later;
     later.earlier = later.replicated = later.acknowledged = kMostCommits;
     for (Member& member : later.members) member.length = kMostCommits;
@@ -112,7 +113,7 @@
     violation_ += why;
   }
 
-  /// Whether P leads the term: not once it has started again.
+  /// Whether P leads the term, which ends when it restarts.
   static bool leads(const State& state) { return state.members[kPrimary].incarnation == 1; }
 
   void expand(const State& state) {
@@ -143,7 +144,7 @@
     State next = state;
     Member& member = next.members[place];
     if (member.length >= primary.length) return;
-    // Entry by entry, or all at once.
+    // One entry at a time, or the whole log for an unregistered incarnation.
     member.length = member.registered == member.incarnation ? member.length + 1 : primary.length;
     next.replicated = std::max(next.replicated, member.length);
     visit(next);
@@ -183,7 +184,7 @@
     next.replaced = true;
     visit(next);
   }
-  /// The leader finds another member with all that the primary holds.
+  /// The leader finds another member that holds everything the primary holds.
   void settle(const State& state) {
     const Member& primary = state.members[kPrimary];
     if (!leads(state) || !primary.answers || state.closed || !state.unsettled) return;
@@ -247,13 +248,14 @@
     visit(next);
   }
 
-  /// Whether some log, reachable or not, has every acknowledged commit.
+  /// Whether some log, of a member that answers or not, has every acknowledged commit.
   static bool can_be_found(const State& state) {
     return std::any_of(state.members.begin(), state.members.end(),
                        [&](const Member& member) { return member.length >= state.acknowledged; });
   }
 
-  /// Nobody is chosen: somebody silent, or unregistered, may still change that.
+  /// If no backend is chosen, a member that does not answer or has not registered must still be able to
+  /// change that.
   void expect_hope(const State& state) {
     const bool all_known = std::all_of(state.members.begin(), state.members.end(), [](const Member& member) {
       return member.answers && member.registered == member.incarnation;
--- a/tests/registered/control/failover/promotion_turns_test.cpp
+++ b/tests/registered/control/failover/promotion_turns_test.cpp
@@ -1,4 +1,4 @@
-// Promotions stay within what the platform takes, and the most urgent come first.
+// Tests that promotions stay within the platform's rate limit and that the most urgent go first.
 #include "registered/control/failover/promotion_turns.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT(std::all_of(calls_.begin(), calls_.end(), [](const Call& call) { return call.at_once; }));
   }
 
-  /// The primaries of 100 groups, at a platform that takes 50 calls a second.
+  /// 100 primaries fail at once on a platform that accepts 50 calls a second.
   void a_lost_zone_stays_within_the_rate_in_each_second() {
     constexpr std::size_t kRate = 50;
     begin(kRate);
--- a/tests/registered/control/failover/region_preference_test.cpp
+++ b/tests/registered/control/failover/region_preference_test.cpp
@@ -1,4 +1,4 @@
-// How many of a group's routes may write at each of its members.
+// Tests how many of a group's routes may write at each of its members.
 #include "registered/control/failover/region_preference.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/control/failover/replication_pauses_test.cpp
+++ b/tests/registered/control/failover/replication_pauses_test.cpp
@@ -1,5 +1,5 @@
-// A pause is of one incarnation of a member: the next one under its name is not paused, and not known as
-// long.
+// Tests that a pause applies to one incarnation of a member: the next incarnation under the same name is
+// neither paused nor as long known.
 #include "registered/control/failover/replication_pauses.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,7 +17,7 @@
 constexpr std::uint64_t kTerm = 3;
 constexpr std::uint64_t kKnowsAll = 1'000'000;
 
-/// Every member answers as a replica that is paused.
+/// Every member answers as a paused replica.
 class PausedLink : public BackendLink {
  public:
   Awaitable<std::optional<Answer>> run(BackendRequest /*request*/, TimePoint /*deadline*/,
