--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -97,7 +97,7 @@
   if (leader != nullptr) {
     GroupTerm none;
     none.group = group;
-    std::string why = "it leads already";
+    std::string why = "backend is already primary";
     co_await terms_.open(none, leader->entry.incarnation(), leader->status->term, std::move(why));
   } else {
     co_await runtime_.sleep_for(kFailoverRetry);
@@ -108,8 +108,9 @@
   const auto term = terms_.find(group);
   const registry::BackendEntry* next = term ? fleet_.find_backend(term->primary) : nullptr;
   if (next == nullptr || !terms_.leads()) co_return;
-  std::string why = fmt::format("the primary born at {} is over, one born at {} has its name",
-                                term->primary_born_ms, next->born_ms);
+  std::string why =
+      fmt::format("the primary incarnation started at {} (Unix ms) was replaced by the one started at {}",
+                  term->primary_born_ms, next->born_ms);
   const bool closed = co_await terms_.close(*term, std::move(why));
   if (!closed) co_await runtime_.sleep_for(kFailoverRetry);
 }
--- a/src/registered/control/failover/log_comparison.cpp
+++ b/src/registered/control/failover/log_comparison.cpp
@@ -66,7 +66,10 @@
   PromotionChoice choice = choose_promotion(facts, true);
   if (choice.verdict != PromotionVerdict::kPromote || facts.all_proxies_answered) return choice;
   if (pauses_.hold(facts.closed, facts.silent_revision, facts.members, choice.backend)) return choice;
-  return {PromotionVerdict::kNotYet, {}, 0, "a proxy that did not answer may still use the old primary"};
+  return {PromotionVerdict::kNotYet,
+          {},
+          0,
+          "a proxy that did not acknowledge the close may still use the old primary"};
 }
 
 Awaitable<bool> LogComparison::has_provable_successor(GroupTerm term) {
--- a/src/registered/control/failover/planned_change.cpp
+++ b/src/registered/control/failover/planned_change.cpp
@@ -27,7 +27,8 @@
     return is_planned_successor(entry, term, fleet);
   });
   if (!any) return {};
-  return leaves ? "the primary leaves" : "the zone " + primary->zone.value + " is evacuated";
+  return leaves ? "the primary is leaving or has been deregistered"
+                : "the primary's zone " + primary->zone.value + " is evacuated";
 }
 
 bool is_caught_up(const std::optional<Position>& primary, const std::optional<Position>& successor) {
--- a/src/registered/control/failover/primary_check.cpp
+++ b/src/registered/control/failover/primary_check.cpp
@@ -21,22 +21,26 @@
   bool dead = co_await is_dead(term, *primary, suspected.proxies, reason);
   if (!dead && is_out_of_reach(suspicions_.unable_to_connect(term.group), serving_proxies(term.group))) {
     dead = co_await logs_.has_provable_successor(term);
-    reason = Reason{ReasonCode::kUnreachable, "use_primary", "", "most proxies that serve it can't use it"};
+    reason = Reason{ReasonCode::kUnreachable, "use_primary", "",
+                    "most proxies serving the group cannot connect to the primary"};
   }
   if (!dead && suspected.commits_stall) {
     const bool stalled = co_await has_stalled_commits(term);
     if (stalled) dead = co_await logs_.has_provable_successor(term);
     if (stalled && !dead) {
-      terms_.log("primary_examined", term, "its commits reach no replica, and none may follow it");
+      terms_.log("primary_examined", term,
+                 "commits reach no replica, but no replica provably holds every acknowledged commit; keeping "
+                 "the primary");
       co_return std::nullopt;
     }
-    if (dead) reason = Reason{ReasonCode::kDeadlineExceeded, "replicate", "", "its commits reach no replica"};
+    if (dead) reason = Reason{ReasonCode::kDeadlineExceeded, "replicate", "", "commits reach no replica"};
   }
   if (!dead || !terms_.leads()) {
-    terms_.log("primary_examined", term, "it answers as primary");
+    terms_.log("primary_examined", term,
+               "not replaced: it answers as primary, or this node is no longer the leader");
     co_return std::nullopt;
   }
-  co_return reason.failed() ? reason.to_string() : "it does not lead this term any more";
+  co_return reason.failed() ? reason.to_string() : "it is no longer primary of this term";
 }
 
 Awaitable<bool> PrimaryCheck::is_dead(GroupTerm term, registry::BackendEntry primary,
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -138,10 +138,10 @@
 Proof prove_alone(const MemberFinding& candidate, const PromotionFacts& facts) {
   const Position& position = candidate.status->received;
   const std::string name = candidate.entry.name.value;
-  if (reaches_old_primary(candidate, facts)) return {true, "it reaches the old primary's position"};
+  if (reaches_old_primary(candidate, facts)) return {true, "its log reaches the old primary's position"};
   if (is_empty_of_unknown(candidate, facts)) return {false, name + " may have lost its log"};
   if (reaches_acknowledged(candidate, facts))
-    return {true, "it reaches the highest position that any proxy acknowledged"};
+    return {true, "its log reaches the highest position that any proxy acknowledged"};
   return {false,
           fmt::format("{} at {}.{} may lack acknowledged commits", name, position.term, position.index)};
 }
@@ -156,7 +156,7 @@
   const bool nobody_left = facts.members_are_stable || reaches_known;
   const bool is_furthest = is_furthest_of_all(candidate, facts);
   if (is_furthest && all_replicas_compared(facts) && facts.synchronous_replicas > 0 && nobody_left)
-    return {true, "it is the furthest of all replicas"};
+    return {true, "its log is the furthest of all replicas"};
   return alone;
 }
 
@@ -183,8 +183,8 @@
                                 const PromotionFacts& facts) {
   const bool inside_has_more =
       inside != nullptr && (outside == nullptr || inside->status->received > outside->status->received);
-  PromotionChoice choice =
-      follow_with(inside_has_more ? *inside : *outside, facts, "it is the furthest that is left");
+  PromotionChoice choice = follow_with(inside_has_more ? *inside : *outside, facts,
+                                       "its log is the furthest remaining; acknowledged commits may be lost");
   choice.is_unproved = true;
   return choice;
 }
@@ -236,24 +236,28 @@
 PromotionChoice choose_promotion(const PromotionFacts& facts, bool reopen_allowed) {
   if (const MemberFinding* newer = find_newer_primary(facts))
     return {PromotionVerdict::kAdopt, newer->entry.name, newer->status->term,
-            "it leads a higher term already"};
+            "it is already primary of a higher term"};
   const MemberFinding* outside = find_furthest(facts, false);
   const MemberFinding* inside = find_furthest(facts, true);
   const MemberFinding* old = find_old_primary(facts);
   const bool old_leads = old != nullptr && shows_old_log(*old, facts) && old->status->is_primary;
-  Proof proof{false, "no replica answers"};
+  Proof proof{false, "no replica answered"};
   if (outside != nullptr) proof = prove(*outside, facts);
   if (proof.holds_all) return follow_preferred(*outside, proof, facts);
   if (inside != nullptr && !old_leads) {
     const Proof of_inside = prove(*inside, facts);
     if (of_inside.holds_all)
       return follow_with(*inside, facts,
-                         of_inside.why + "; its zone is evacuated, and nobody outside may follow yet");
+                         of_inside.why + "; its zone is evacuated, but no candidate outside is proved yet");
   }
   if (old_leads && old->evacuated && outside != nullptr)
-    return {PromotionVerdict::kNotYet, {}, 0, "its zone is evacuated, and " + proof.why};
+    return {PromotionVerdict::kNotYet,
+            {},
+            0,
+            "the old primary's zone is evacuated, waiting for a successor outside: " + proof.why};
   if (old_leads && reopen_allowed && !old->entry.leaving)
-    return {PromotionVerdict::kReopen, old->entry.name, old->status->term, "it answers as before"};
+    return {PromotionVerdict::kReopen, old->entry.name, old->status->term,
+            "the old primary still answers as primary"};
   if ((outside != nullptr || inside != nullptr) && is_nothing_left(facts))
     return follow_unproved(outside, inside, facts);
   return {PromotionVerdict::kNotYet, {}, 0, proof.why};
--- a/src/registered/control/failover/promotion_steps.cpp
+++ b/src/registered/control/failover/promotion_steps.cpp
@@ -18,7 +18,7 @@
   GroupTerm ordered = closed;
   ordered.primary = chosen.name;
   terms_.log(taken ? "promotion_ordered" : "promotion_unclear", ordered,
-             taken ? "taken" : reason.to_string());
+             taken ? "accepted by the platform" : reason.to_string());
   // Without a definite answer the promotion may have been accepted; the backend's status will show it.
   const bool refused =
       !taken && (reason.code == ReasonCode::kConflict || reason.code == ReasonCode::kOverloaded);
@@ -39,7 +39,8 @@
       const bool has_log = !asked.tells_birth() || status->received >= chosen.status->received;
       if (has_log) co_return status->term;
       closed.primary = chosen.entry.name;
-      terms_.log("promoted_without_its_log", closed, "it started again before it led");
+      terms_.log("promoted_without_its_log", closed,
+                 "it restarted before it became primary and lost part of its log; choosing again");
       co_return std::nullopt;
     }
     co_await runtime_.sleep_for(kPromotionPoll);
--- a/tests/registered/control/failover/fence_acknowledgements_test.cpp
+++ b/tests/registered/control/failover/fence_acknowledgements_test.cpp
@@ -48,7 +48,8 @@
     CPPUNIT_ASSERT(answers_.record(node(2), 1, answer(1, 4, 9)));
     CPPUNIT_ASSERT(ask(4).complete && ask(4).all_answered);
     CPPUNIT_ASSERT(ask(4).highest_acknowledged == (Position{1, 9}));
-    CPPUNIT_ASSERT_MESSAGE("the same again ends nothing", !answers_.record(node(2), 1, answer(1, 4, 9)));
+    CPPUNIT_ASSERT_MESSAGE("a repeated answer completes nothing",
+                           !answers_.record(node(2), 1, answer(1, 4, 9)));
   }
 
   void an_answer_to_an_earlier_close_does_not_count() {
@@ -58,7 +59,7 @@
     answers_.record(node(1), 1, answer(1, 4, 7));
     answers_.record(node(2), 1, answer(1, 4, 7));
     CPPUNIT_ASSERT(ask(4).complete);
-    CPPUNIT_ASSERT_MESSAGE("of the next close nothing is known", !ask(6).complete);
+    CPPUNIT_ASSERT_MESSAGE("no answer to the next close yet", !ask(6).complete);
   }
 
   void an_answer_that_came_before_anybody_asked_counts() {
@@ -83,7 +84,7 @@
     answers_.set_proxies({proxy(1), proxy(2, 2)});
     CPPUNIT_ASSERT(!ask(4).all_answered);
     answers_.record(node(2), 1, answer(1, 4, 7));
-    CPPUNIT_ASSERT_MESSAGE("an answer of the incarnation before", !ask(4).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("answer of the previous incarnation", !ask(4).all_answered);
     answers_.record(node(2), 2, answer(1, 4, 0));
     CPPUNIT_ASSERT(ask(4).all_answered);
   }
@@ -144,7 +145,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kGroups}, ends);
     constexpr std::size_t kMostLooks = 170'000;  // 100 x (300 + 270 + ... + 30)
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} looks", looks), looks <= kMostLooks);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} lookups", looks), looks <= kMostLooks);
   }
 
  private:
--- a/tests/registered/control/failover/group_keeper_incarnations_test.cpp
+++ b/tests/registered/control/failover/group_keeper_incarnations_test.cpp
@@ -166,7 +166,7 @@
     world_->run_for(seconds(2));
     CPPUNIT_ASSERT_EQUAL(2, leader_->promotions.orders);
     CPPUNIT_ASSERT(term().open);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the next one", std::string("b"), term().primary.value);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the next candidate", std::string("b"), term().primary.value);
   }
 
   void who_started_again_after_the_look_is_not_ordered() {
@@ -193,7 +193,7 @@
     CPPUNIT_ASSERT(world_->run_until([&] { return leader_->promotions.orders == 1; }, seconds(1)));
     put("p", 1, 2000, BackendStatus{false, 1, {1, 0}});
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("it waits", !term().open && leader_->promotions.orders == 1);
+    CPPUNIT_ASSERT_MESSAGE("waits for its turn", !term().open && leader_->promotions.orders == 1);
     leader_->statuses[BackendName("a")] = BackendStatus{false, 1, {1, 0}};
     world_->run_for(seconds(4));
     CPPUNIT_ASSERT(term().open && term().primary.value == "b");
@@ -237,7 +237,8 @@
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
     leader_->statuses[BackendName("p")] = BackendStatus{true, kTerm, {kTerm, 9}};
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("only the primary holds them", term().open && term().primary.value == "p");
+    CPPUNIT_ASSERT_MESSAGE("only the primary holds the newest commits",
+                           term().open && term().primary.value == "p");
   }
 
   void a_promotion_without_proof_is_counted() {
@@ -249,7 +250,7 @@
     put("p", 1, 2000, BackendStatus{false, 1, {1, 0}});
     world_->run_for(seconds(2));
     CPPUNIT_ASSERT(term().open);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the furthest that is left", std::string("b"), term().primary.value);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("furthest remaining log", std::string("b"), term().primary.value);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leader_->keeper.unproved_promotions());
   }
 
@@ -267,7 +268,8 @@
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
     leader_->statuses[BackendName("p")] = BackendStatus{true, kTerm, {kTerm, 9}};
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("only the primary holds them", term().open && term().primary.value == "p");
+    CPPUNIT_ASSERT_MESSAGE("only the primary holds the newest commits",
+                           term().open && term().primary.value == "p");
   }
 
   /// The keeper observes the group without the member between its departure and its return.
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -43,7 +43,7 @@
     CPPUNIT_ASSERT(stand_->first("promote") != nullptr);
     CPPUNIT_ASSERT(stand_->term().open);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, stand_->term().term);
-    CPPUNIT_ASSERT_MESSAGE("nobody is silent", stand_->first("pause") == nullptr);
+    CPPUNIT_ASSERT_MESSAGE("every proxy answered, so no member is paused", stand_->first("pause") == nullptr);
   }
 
   void a_proxy_with_a_lease_is_waited_for() {
@@ -86,7 +86,7 @@
     close_group();
     stand_->consensus().has_quorum = false;
     stand_->run_for(seconds(3));
-    CPPUNIT_ASSERT_MESSAGE("it asks", stand_->consensus().barriers > 0);
+    CPPUNIT_ASSERT_MESSAGE("requests a read barrier", stand_->consensus().barriers > 0);
     CPPUNIT_ASSERT(stand_->first("promote") == nullptr);
     stand_->consensus().has_quorum = true;
     stand_->run_for(seconds(2));
@@ -125,7 +125,7 @@
     begin(kRate);
     close_group();
     stand_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("the first turn is taken", stand_->first("promote") != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("the first turn is used", stand_->first("promote") != nullptr);
     CPPUNIT_ASSERT(stand_->term().open);
     stand_->events.clear();
     stand_->members[stand_->term().primary.value].answers = false;
@@ -145,7 +145,7 @@
     close_group();
     stand_->run_for(seconds(2));
     const auto orders = static_cast<Duration::rep>(stand_->events.size());
-    CPPUNIT_ASSERT_MESSAGE("again and again", orders > 2);
+    CPPUNIT_ASSERT_MESSAGE("retried", orders > 2);
     CPPUNIT_ASSERT(orders <= seconds(2) / kFailoverRetry);
     stand_->refuses_promotions = false;
     stand_->run_for(seconds(1));
--- a/tests/registered/control/failover/group_urgency_test.cpp
+++ b/tests/registered/control/failover/group_urgency_test.cpp
@@ -36,7 +36,7 @@
     const auto found = urgencies();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, found.at(GroupName("a")));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, found.at(GroupName("c")));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("no route leads there", std::numeric_limits<std::uint64_t>::max(),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no route to the group", std::numeric_limits<std::uint64_t>::max(),
                                  found.at(GroupName("d")));
   }
 
--- a/tests/registered/control/failover/membership_watch_test.cpp
+++ b/tests/registered/control/failover/membership_watch_test.cpp
@@ -30,14 +30,14 @@
 
 std::vector<Case> cases() {
   return {
-      {"the same", {member("a", 1), member("b", 1)}, {member("a", 1), member("b", 1)}, false, false},
-      {"one joined", {member("a", 1)}, {member("a", 1), member("b", 1)}, false, false},
-      {"one that tells its start left", {member("a", 1), member("b", 1)}, {member("a", 1)}, true, true},
-      {"one that tells none left", {member("a", 0), member("b", 0)}, {member("a", 0)}, true, false},
-      {"one started again", {member("a", 1)}, {member("a", 2)}, true, true},
-      {"one tells its start now", {member("a", 0)}, {member("a", 2)}, true, true},
-      {"the first that are seen tell none", {}, {member("a", 0)}, false, false},
-      {"the first that are seen tell it", {}, {member("a", 0), member("b", 1)}, true, true},
+      {"no change", {member("a", 1), member("b", 1)}, {member("a", 1), member("b", 1)}, false, false},
+      {"a member joined", {member("a", 1)}, {member("a", 1), member("b", 1)}, false, false},
+      {"a member with a start time left", {member("a", 1), member("b", 1)}, {member("a", 1)}, true, true},
+      {"a member without a start time left", {member("a", 0), member("b", 0)}, {member("a", 0)}, true, false},
+      {"a member restarted", {member("a", 1)}, {member("a", 2)}, true, true},
+      {"a member started to report its start time", {member("a", 0)}, {member("a", 2)}, true, true},
+      {"first observation, no start times", {}, {member("a", 0)}, false, false},
+      {"first observation, with a start time", {}, {member("a", 0), member("b", 1)}, true, true},
   };
 }
 
@@ -71,7 +71,7 @@
     for (const auto& [age, stable] : {std::pair{0, false}, std::pair{3000, false}, std::pair{3001, true}})
       CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} ms", age), stable, membership.is_stable(at(age)));
     membership.record({member("a", 0)}, at(4000));
-    CPPUNIT_ASSERT_MESSAGE("not by time alone", !membership.is_stable(at(9000)));
+    CPPUNIT_ASSERT_MESSAGE("departed member needs a comparison", !membership.is_stable(at(9000)));
     membership.settle();
     CPPUNIT_ASSERT(!membership.is_stable(at(7000)));
     CPPUNIT_ASSERT(membership.is_stable(at(7001)));
--- a/tests/registered/control/failover/planned_change_test.cpp
+++ b/tests/registered/control/failover/planned_change_test.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-const char* const kLeaves = "the primary leaves";
-const char* const kEvacuated = "the zone a is evacuated";
+const char* const kLeaves = "the primary is leaving or has been deregistered";
+const char* const kEvacuated = "the primary's zone a is evacuated";
 
 /// `gone` and `leaves` describe the primary, `evacuated` its zone, `others_evacuated` the zone of the
 /// replicas and `others_leave` the replicas.
@@ -46,7 +46,7 @@
 };
 
 std::string name_of(const Case& one) {
-  return fmt::format("primary gone {} leaves {} evacuated {}, others evacuated {} leave {}", one.gone,
+  return fmt::format("primary gone {} leaving {} evacuated {}, replicas evacuated {} leaving {}", one.gone,
                      one.leaves, one.evacuated, one.others_evacuated, one.others_leave);
 }
 
--- a/tests/registered/control/failover/primary_suspicions_test.cpp
+++ b/tests/registered/control/failover/primary_suspicions_test.cpp
@@ -82,7 +82,7 @@
       suspicions.record(NodeName("one"), suspicion, at(0));
       CPPUNIT_ASSERT_EQUAL(std::size_t{applies ? 1U : 0U}, suspicions.suspecting(term(1, "primary")));
       CPPUNIT_ASSERT_EQUAL(applies, suspicions.take(term(1, "primary"), at(1)).has_value());
-      CPPUNIT_ASSERT_MESSAGE("forgotten all the same", !suspicions.any());
+      CPPUNIT_ASSERT_MESSAGE("removed even if it does not apply", !suspicions.any());
     }
   }
 
@@ -114,10 +114,10 @@
     suspicions.record(NodeName("three"), said(), at(600));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, suspicions.suspecting(term(1, "primary")));
     suspicions.record(NodeName("four"), said(), at(601));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the first lapsed", std::size_t{3},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the first one expired", std::size_t{3},
                                  suspicions.suspecting(term(1, "primary")));
     suspicions.record(NodeName("one"), said(2, "replica-1"), at(602));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("of another primary", std::size_t{1},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("suspicion of another primary", std::size_t{1},
                                  suspicions.suspecting(term(2, "replica-1")));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.suspecting(term(1, "primary")));
     const auto taken = suspicions.take(term(2, "replica-1"), at(602));
@@ -139,13 +139,15 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.unable_to_connect(kGroup));
     suspicions.record(NodeName("one"), said(1, "primary", true), at(0));
     suspicions.record(NodeName("two"), said(1, "primary", false), at(1));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it connects", std::size_t{1}, suspicions.unable_to_connect(kGroup));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the second proxy can connect", std::size_t{1},
+                                 suspicions.unable_to_connect(kGroup));
     suspicions.record(NodeName("two"), said(1, "primary", true), at(1500));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, suspicions.unable_to_connect(kGroup));
     suspicions.record(NodeName("three"), said(1, "primary", true), at(1501));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the first lapsed", std::size_t{2}, suspicions.unable_to_connect(kGroup));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the first one expired", std::size_t{2},
+                                 suspicions.unable_to_connect(kGroup));
     CPPUNIT_ASSERT(suspicions.take(term(1, "primary"), at(1501)));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("a check takes nothing from it", std::size_t{2},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("not consumed by take()", std::size_t{2},
                                  suspicions.unable_to_connect(kGroup));
   }
 
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -93,8 +93,7 @@
     known.highest_acknowledged = {3, 7};
     const auto behind = choose_promotion(known, true);
     CPPUNIT_ASSERT(behind.verdict == PromotionVerdict::kPromote);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it holds all that was acknowledged", std::string("b"),
-                                 behind.backend.value);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("holds every acknowledged commit", std::string("b"), behind.backend.value);
   }
 
   void one_outside_that_is_behind_proves_nothing_by_being_the_furthest_there() {
@@ -216,7 +215,7 @@
     known.closed.primary_born_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = leading(0);
-    CPPUNIT_ASSERT_MESSAGE("nor used again",
+    CPPUNIT_ASSERT_MESSAGE("not reopened either",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = leading(7);
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
@@ -245,7 +244,7 @@
     known.members_are_stable = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     for (MemberFinding& member : known.members) member.entry.born_ms = 0;
-    CPPUNIT_ASSERT_MESSAGE("who tells no start loses no log",
+    CPPUNIT_ASSERT_MESSAGE("a backend without a start time keeps its log",
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
@@ -271,11 +270,11 @@
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kPromote && choice.is_unproved);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), choice.backend.value);
     known.members.back().status.reset();
-    CPPUNIT_ASSERT_MESSAGE("one that does not answer may hold them",
+    CPPUNIT_ASSERT_MESSAGE("a member that does not answer may hold newer commits",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.back().status = replica(0);
     known.members.front().entry.born_ms = 1000;
-    CPPUNIT_ASSERT_MESSAGE("so may the old primary's incarnation",
+    CPPUNIT_ASSERT_MESSAGE("the old primary's incarnation may hold newer commits",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
@@ -285,7 +284,7 @@
     known.closed.primary_born_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
-    CPPUNIT_ASSERT_MESSAGE("it has not said what it holds",
+    CPPUNIT_ASSERT_MESSAGE("its log position is unknown",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = replica(9);
     const auto with_log = choose_promotion(known, true);
@@ -311,7 +310,7 @@
     known.members[1].joined_in_term = false;
     known.members[1].status = replica(0);
     known.closed.epoch = 4;
-    CPPUNIT_ASSERT_MESSAGE("it may have joined unregistered",
+    CPPUNIT_ASSERT_MESSAGE("it may have joined before it registered",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
@@ -342,14 +341,14 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.members.back().status = replica(0);
     known.all_acknowledgers_answered = false;
-    CPPUNIT_ASSERT_MESSAGE("a proxy was lost that may know better",
+    CPPUNIT_ASSERT_MESSAGE("a lost proxy may have acknowledged commits",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.all_acknowledgers_answered = true;
     known.closed.epoch = 4;
     CPPUNIT_ASSERT_MESSAGE("there may be commits of an earlier term",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = leading(0);
-    CPPUNIT_ASSERT_MESSAGE("the primary shows that there is none",
+    CPPUNIT_ASSERT_MESSAGE("the primary's empty log shows that there are none",
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
@@ -360,9 +359,10 @@
     const auto choice = choose_promotion(known, true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kPromote);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), choice.backend.value);
-    CPPUNIT_ASSERT_EQUAL(std::string("it reaches the highest position that any proxy acknowledged; 3 of the "
-                                     "group's routes may write there, 1 at b"),
-                         choice.why);
+    CPPUNIT_ASSERT_EQUAL(
+        std::string("its log reaches the highest position that any proxy acknowledged; 3 of the "
+                    "group's routes may write there, 1 at b"),
+        choice.why);
     known.members[1].entry.leaving = true;
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choose_promotion(known, true).backend.value);
     known.members[1].entry.leaving = false;
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -98,10 +98,10 @@
     for (std::size_t place = 0; place < kMembers; ++place) {
       const Member& member = state.members[place];
       text += fmt::format("{} holds {}{} incarnation {} registered {}{}, ", kNames[place], member.length,
-                          member.answers ? "" : " silent", member.incarnation, member.registered,
+                          member.answers ? "" : " unreachable", member.incarnation, member.registered,
                           member.joined ? " joined" : "");
     }
-    return text + fmt::format("acknowledged {} told {} closed {} unsettled {} replaced {} ordered {}\n",
+    return text + fmt::format("acknowledged {} known {} closed {} unsettled {} replaced {} ordered {}\n",
                               state.acknowledged, state.told, state.closed, state.unsettled, state.replaced,
                               state.ordered);
   }
@@ -260,7 +260,7 @@
     const bool all_known = std::all_of(state.members.begin(), state.members.end(), [](const Member& member) {
       return member.answers && member.registered == member.incarnation;
     });
-    if (all_known) violate(state, "nobody is chosen, and nothing will change that");
+    if (all_known) violate(state, "no backend is chosen and no event can change that");
   }
 
   void take_effect(const State& state) {
@@ -273,7 +273,7 @@
   void opened(const State& state, std::size_t place) {
     const bool holds_all = state.members[place].length >= state.acknowledged;
     if (!holds_all && can_be_found(state))
-      violate(state, kNames[place] + " leads without an acknowledged commit");
+      violate(state, kNames[place] + " is opened without an acknowledged commit");
   }
 
   Guards guards_;
@@ -296,7 +296,7 @@
     Model model{Guards{}};
     const bool violated = model.finds_violation();
     CPPUNIT_ASSERT_MESSAGE(model.violation(), !violated);
-    CPPUNIT_ASSERT_MESSAGE("the search went somewhere", model.states() > 10'000);
+    CPPUNIT_ASSERT_MESSAGE("more than 10,000 states are searched", model.states() > 10'000);
   }
 
   void each_guard_is_needed() {
--- a/tests/registered/control/failover/promotion_turns_test.cpp
+++ b/tests/registered/control/failover/promotion_turns_test.cpp
@@ -48,7 +48,7 @@
     begin(kRate);
     for (int call = 0; call < 100; ++call) ask(1);
     world_->run_for(milliseconds(2500));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("(100 - 10) / 40 s and the time of the last", std::size_t{100},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("(100 - 10) / 40 s = 2.25 s after the burst", std::size_t{100},
                                  calls_.size());
     for (const Call& first : calls_) {
       const auto within = std::count_if(calls_.begin(), calls_.end(), [&](const Call& call) {
@@ -65,9 +65,10 @@
       calls_.clear();
       for (int call = 0; call < 20; ++call) ask(1);
       world_->run_for(seconds(60));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("at {} a second", rate), std::size_t{20}, calls_.size());
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("{} within a second at {}", most_within_a_second(), rate),
-                             static_cast<double>(most_within_a_second()) <= rate);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("at {} calls a second", rate), std::size_t{20}, calls_.size());
+      CPPUNIT_ASSERT_MESSAGE(
+          fmt::format("{} calls within a second at a rate of {}", most_within_a_second(), rate),
+          static_cast<double>(most_within_a_second()) <= rate);
     }
   }
 
--- a/tests/registered/control/failover/replication_pauses_test.cpp
+++ b/tests/registered/control/failover/replication_pauses_test.cpp
@@ -88,11 +88,11 @@
     CPPUNIT_ASSERT(hold("a", kKnowsAll));
     const auto former = dialer_.links.back();
     put("a", 2, 2000);
-    CPPUNIT_ASSERT_MESSAGE("another was paused", !hold("a", kKnowsAll));
+    CPPUNIT_ASSERT_MESSAGE("only the former incarnation was paused", !hold("a", kKnowsAll));
     CPPUNIT_ASSERT(pauses_->quiet_at(closed_, kKnowsAll) == TimePoint::max());
     pause();
-    CPPUNIT_ASSERT_MESSAGE("asked over a link of its own", !former->is_open());
-    CPPUNIT_ASSERT_MESSAGE("paused just now", !hold("a", kKnowsAll));
+    CPPUNIT_ASSERT_MESSAGE("connection to the former incarnation is closed", !former->is_open());
+    CPPUNIT_ASSERT_MESSAGE("paused too recently", !hold("a", kKnowsAll));
     world_->run_for(registry::kMemberLeaseWait);
     CPPUNIT_ASSERT(hold("a", kKnowsAll));
   }
