--- a/src/registered/control/failover/fence_acknowledgements.cpp
+++ b/src/registered/control/failover/fence_acknowledgements.cpp
@@ -8,68 +8,69 @@
   proxies_.clear();
   for (const registry::AdmittedProxy& proxy : proxies) proxies_[proxy.node] = proxy.incarnation;
   // The set of proxies that must answer may have changed; progress is rebuilt on the next query.
-  closes_.clear();
+  fences_.clear();
 }
 
 void FenceAcknowledgements::clear() {
-  reports_.clear();
-  closes_.clear();
+  answers_.clear();
+  fences_.clear();
 }
 
 bool FenceAcknowledgements::record(const NodeName& node, std::uint64_t incarnation,
                                    const registry::ClosedGroup& closed) {
-  Reports& reports = reports_[node];
-  if (reports.incarnation != incarnation) reports = Reports{incarnation, {}};
-  registry::ClosedGroup& held = reports.closed[closed.group];
-  if (closed.epoch < held.epoch) return false;
-  held = closed;
-  const auto found = closes_.find(closed.group);
-  if (found == closes_.end() || closed.epoch < found->second.epoch) return false;
-  Close& close = found->second;
-  const auto silent = close.silent.find(node);
-  const bool counts = silent != close.silent.end() && silent->second == incarnation;
+  ProxyAnswers& answers = answers_[node];
+  if (answers.incarnation != incarnation) answers = ProxyAnswers{incarnation, {}};
+  registry::ClosedGroup& latest = answers.closed[closed.group];
+  if (closed.epoch < latest.epoch) return false;
+  latest = closed;
+  const auto found = fences_.find(closed.group);
+  if (found == fences_.end() || closed.epoch < found->second.epoch) return false;
+  GroupFence& fence = found->second;
+  const auto unresponsive = fence.unresponsive.find(node);
+  const bool is_expected = unresponsive != fence.unresponsive.end() && unresponsive->second == incarnation;
   const auto admitted = proxies_.find(node);
   const bool is_admitted = admitted != proxies_.end() && admitted->second == incarnation;
   if (is_admitted)
-    close.highest_acknowledged = std::max(close.highest_acknowledged, closed.highest_acknowledged);
-  if (counts) close.silent.erase(silent);
-  return counts && close.silent.empty();
+    fence.highest_acknowledged = std::max(fence.highest_acknowledged, closed.highest_acknowledged);
+  if (is_expected) fence.unresponsive.erase(unresponsive);
+  return is_expected && fence.unresponsive.empty();
 }
 
-FenceAcknowledgements::Close FenceAcknowledgements::begin(const GroupName& group, std::uint64_t epoch) const {
-  Close close;
-  close.epoch = epoch;
+FenceAcknowledgements::GroupFence FenceAcknowledgements::start_fence(const GroupName& group,
+                                                                     std::uint64_t epoch) const {
+  GroupFence fence;
+  fence.epoch = epoch;
   for (const auto& [node, incarnation] : proxies_) {
-    const auto reports = reports_.find(node);
+    const auto answers = answers_.find(node);
     const registry::ClosedGroup* answer = nullptr;
-    if (reports != reports_.end() && reports->second.incarnation == incarnation) {
-      const auto closed = reports->second.closed.find(group);
-      if (closed != reports->second.closed.end() && closed->second.epoch >= epoch) answer = &closed->second;
+    if (answers != answers_.end() && answers->second.incarnation == incarnation) {
+      const auto closed = answers->second.closed.find(group);
+      if (closed != answers->second.closed.end() && closed->second.epoch >= epoch) answer = &closed->second;
     }
     if (answer == nullptr) {
-      close.silent.emplace(node, incarnation);
+      fence.unresponsive.emplace(node, incarnation);
     } else {
-      close.highest_acknowledged = std::max(close.highest_acknowledged, answer->highest_acknowledged);
+      fence.highest_acknowledged = std::max(fence.highest_acknowledged, answer->highest_acknowledged);
     }
   }
-  return close;
+  return fence;
 }
 
 FenceProgress FenceAcknowledgements::progress(const GroupName& group, std::uint64_t epoch,
-                                              const DescribeSilent& describe_silent) {
-  auto found = closes_.find(group);
-  if (found == closes_.end() || found->second.epoch != epoch)
-    found = closes_.insert_or_assign(group, begin(group, epoch)).first;
-  const Close& close = found->second;
+                                              const DescribeUnresponsive& describe_unresponsive) {
+  auto found = fences_.find(group);
+  if (found == fences_.end() || found->second.epoch != epoch)
+    found = fences_.insert_or_assign(group, start_fence(group, epoch)).first;
+  const GroupFence& fence = found->second;
   FenceProgress progress;
-  progress.highest_acknowledged = close.highest_acknowledged;
-  progress.all_answered = close.silent.empty();
-  for (const auto& [node, incarnation] : close.silent) {
-    const Silent silent = describe_silent(node, incarnation);
-    progress.silent_revision = std::min(progress.silent_revision, silent.revision);
-    if (silent.may_hold_lease) ++progress.waiting_for;
+  progress.highest_acknowledged = fence.highest_acknowledged;
+  progress.all_answered = fence.unresponsive.empty();
+  for (const auto& [node, incarnation] : fence.unresponsive) {
+    const UnresponsiveProxy unresponsive = describe_unresponsive(node, incarnation);
+    progress.min_unresponsive_revision = std::min(progress.min_unresponsive_revision, unresponsive.revision);
+    if (unresponsive.may_hold_lease) ++progress.possible_leaseholders;
   }
-  progress.complete = progress.waiting_for == 0;
+  progress.complete = progress.possible_leaseholders == 0;
   return progress;
 }
 
--- a/src/registered/control/failover/fence_acknowledgements.h
+++ b/src/registered/control/failover/fence_acknowledgements.h
@@ -22,47 +22,48 @@
   bool complete = false;      ///< every admitted proxy has answered, or its lease has certainly expired
   bool all_answered = false;  ///< every admitted proxy has answered
   Position highest_acknowledged;
-  std::size_t waiting_for = 0;
+  std::size_t possible_leaseholders = 0;
   /// Lowest fleet revision that an unanswered proxy has reported to this leader; 0 if one of them has not
   /// reported any. The maximum value if all have answered.
-  std::uint64_t silent_revision = std::numeric_limits<std::uint64_t>::max();
+  std::uint64_t min_unresponsive_revision = std::numeric_limits<std::uint64_t>::max();
 };
 
 class FenceAcknowledgements {
  public:
   /// State of a proxy that has not answered.
-  struct Silent {
+  struct UnresponsiveProxy {
     bool may_hold_lease = false;
     std::uint64_t revision = 0;  ///< fleet revision that it last reported; 0 if none
   };
-  using DescribeSilent = std::function<Silent(const NodeName& node, std::uint64_t incarnation)>;
+  using DescribeUnresponsive =
+      std::function<UnresponsiveProxy(const NodeName& node, std::uint64_t incarnation)>;
 
   /// Sets the admitted proxies and their incarnations. Answers from other incarnations do not count.
   void set_proxies(const std::vector<registry::AdmittedProxy>& proxies);
   /// Records a proxy's answer. Returns true if it was the last one outstanding for its group.
   bool record(const NodeName& node, std::uint64_t incarnation, const registry::ClosedGroup& closed);
   [[nodiscard]] FenceProgress progress(const GroupName& group, std::uint64_t epoch,
-                                       const DescribeSilent& describe_silent);
+                                       const DescribeUnresponsive& describe_unresponsive);
   /// Discards all answers; keeps the set of proxies.
   void clear();
 
  private:
-  struct Reports {
+  struct ProxyAnswers {
     std::uint64_t incarnation = 0;
     std::map<GroupName, registry::ClosedGroup> closed;  ///< latest answer for each group
   };
   /// Fence of one group, created by the first progress() query for its epoch.
-  struct Close {
+  struct GroupFence {
     std::uint64_t epoch = 0;
-    std::map<NodeName, std::uint64_t> silent;  ///< incarnations that have not answered
+    std::map<NodeName, std::uint64_t> unresponsive;  ///< incarnations that have not answered
     Position highest_acknowledged;
   };
 
-  Close begin(const GroupName& group, std::uint64_t epoch) const;
+  GroupFence start_fence(const GroupName& group, std::uint64_t epoch) const;
 
   std::map<NodeName, std::uint64_t> proxies_;
-  std::map<NodeName, Reports> reports_;
-  std::map<GroupName, Close> closes_;
+  std::map<NodeName, ProxyAnswers> answers_;
+  std::map<GroupName, GroupFence> fences_;
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/fence_wait.h
+++ b/src/registered/control/failover/fence_wait.h
@@ -20,7 +20,7 @@
 
 /// A proxy that has not acknowledged the close after this time is assumed unreachable. Covers two rounds of a
 /// batched push to several hundred proxies.
-inline constexpr Duration kSilentProxyAfter = std::chrono::milliseconds(120);
+inline constexpr Duration kUnresponsiveProxyTimeout = std::chrono::milliseconds(120);
 /// Polling interval for lease expiry, which sends no notification.
 inline constexpr Duration kFenceCheckInterval = std::chrono::milliseconds(60);
 
@@ -34,8 +34,8 @@
   Awaitable<bool> wait(registry::GroupTerm closed);
 
  private:
-  Awaitable<bool> wait_leases(registry::GroupTerm closed);
-  Awaitable<void> wait_member_leases(registry::GroupTerm closed);
+  Awaitable<bool> wait_for_control_leases(registry::GroupTerm closed);
+  Awaitable<void> wait_for_member_leases(registry::GroupTerm closed);
 
   runtime::Runtime& runtime_;
   GroupTerms& terms_;
--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -19,11 +19,11 @@
       terms_(runtime, consensus, fleet, calls),
       pauses_(runtime, fleet, prober),
       members_(runtime, fleet, terms_, prober, wake_),
-      logs_(runtime, fleet, leases, prober, members_, pauses_, std::move(settings.regions)),
-      primary_check_(runtime, fleet, terms_, prober, logs_, suspicions_),
-      planned_(runtime, fleet, prober),
+      log_comparison_(runtime, fleet, leases, prober, members_, pauses_, std::move(settings.regions)),
+      primary_check_(runtime, fleet, terms_, prober, log_comparison_, suspicions_),
+      planned_change_(runtime, fleet, prober),
       fence_wait_(runtime, terms_, leases, pauses_),
-      turns_(runtime, settings.promotion_rate),
+      promotion_turns_(runtime, settings.promotion_rate),
       promotion_(runtime, consensus, fleet, terms_, prober, promotions, std::move(settings.node)),
       release_(runtime, fleet, terms_, pauses_) {}
 
@@ -43,14 +43,14 @@
 Awaitable<void> GroupKeeper::run() {
   while (!stopping_) {
     pauses_.record_members();
-    members_.watch_all();
+    members_.update_all();
     if (!terms_.leads()) {
-      quiet_revision_.reset();
-      release_.forget();
-    } else if (!release_.release_left() && (quiet_revision_ != fleet_.revision() || suspicions_.any())) {
+      idle_revision_.reset();
+      release_.clear();
+    } else if (!release_.release_leftover() && (idle_revision_ != fleet_.revision() || suspicions_.any())) {
       check_all();
     }
-    co_await wake_.wait_until(runtime_.now() + kGroupTick);
+    co_await wake_.wait_until(runtime_.now() + kGroupCheckInterval);
   }
 }
 
@@ -58,25 +58,25 @@
   const std::uint64_t revision = fleet_.revision();
   for (const auto& group : fleet_.groups()) check(group.name);
   // The group checks can be skipped until the fleet changes or a proxy suspects a primary.
-  quiet_revision_.reset();
-  if (busy_.empty() && !members_.is_comparing()) quiet_revision_ = revision;
+  idle_revision_.reset();
+  if (busy_.empty() && !members_.is_comparing()) idle_revision_ = revision;
 }
 
 void GroupKeeper::check(const GroupName& group) {
   if (busy_.count(group) > 0) return;
   const auto term = terms_.find(group);
-  if (!term) return begin(group, discover(group));
-  if (!term->open) return begin(group, fail_over(group));
-  planned_.end(group);
+  if (!term) return start_task(group, discover(group));
+  if (!term->open) return start_task(group, fail_over(group));
+  planned_change_.finish(group);
   const registry::BackendEntry* primary = fleet_.find_backend(term->primary);
   if (primary != nullptr && term->is_restarted_primary(*primary))
-    return begin(group, give_up_restarted(group));
-  if (!planned_change_cause(*term, fleet_).empty()) return begin(group, change_as_planned(group));
+    return start_task(group, close_restarted(group));
+  if (!planned_change_cause(*term, fleet_).empty()) return start_task(group, switch_over(group));
   const auto suspected = suspicions_.take(*term, runtime_.now());
-  if (suspected) begin(group, examine(group, *suspected));
+  if (suspected) start_task(group, check_primary(group, *suspected));
 }
 
-void GroupKeeper::begin(const GroupName& group, Awaitable<void> task) {
+void GroupKeeper::start_task(const GroupName& group, Awaitable<void> task) {
   busy_.insert(group);
   runtime_.spawn("group_task", run_task(group, std::move(task)));
 }
@@ -88,7 +88,7 @@
 }
 
 Awaitable<void> GroupKeeper::discover(GroupName group) {
-  const auto findings = co_await prober_.ask_all(fleet_.backends_of(group));
+  const auto findings = co_await prober_.query_all(fleet_.backends_of(group));
   const MemberFinding* leader = nullptr;
   for (const MemberFinding& member : findings) {
     if (!member.status || !member.status->is_primary) continue;
@@ -100,11 +100,11 @@
     std::string why = "backend is already primary";
     co_await terms_.open(none, leader->entry.incarnation(), leader->status->term, std::move(why));
   } else {
-    co_await runtime_.sleep_for(kFailoverRetry);
+    co_await runtime_.sleep_for(kFailoverRetryDelay);
   }
 }
 
-Awaitable<void> GroupKeeper::give_up_restarted(GroupName group) {
+Awaitable<void> GroupKeeper::close_restarted(GroupName group) {
   const auto term = terms_.find(group);
   const registry::BackendEntry* next = term ? fleet_.find_backend(term->primary) : nullptr;
   if (next == nullptr || !terms_.leads()) co_return;
@@ -112,69 +112,70 @@
       fmt::format("the primary incarnation started at {} (Unix ms) was replaced by the one started at {}",
                   term->primary_born_ms, next->born_ms);
   const bool closed = co_await terms_.close(*term, std::move(why));
-  if (!closed) co_await runtime_.sleep_for(kFailoverRetry);
+  if (!closed) co_await runtime_.sleep_for(kFailoverRetryDelay);
 }
 
-Awaitable<void> GroupKeeper::examine(GroupName group, PrimarySuspicions::Suspected suspected) {
+Awaitable<void> GroupKeeper::check_primary(GroupName group, PrimarySuspicions::Suspected suspected) {
   const auto term = terms_.find(group);
   if (!term) co_return;
   auto why = co_await primary_check_.confirm(*term, suspected);
   if (why) co_await terms_.close(*term, std::move(*why));
 }
 
-Awaitable<void> GroupKeeper::change_as_planned(GroupName group) {
+Awaitable<void> GroupKeeper::switch_over(GroupName group) {
   const auto term = terms_.find(group);
   if (!term) co_return;
-  const bool ready = co_await planned_.is_ready(*term);
+  const bool ready = co_await planned_change_.is_ready(*term);
   std::string why = planned_change_cause(*term, fleet_);
   if (ready && terms_.leads() && !why.empty()) {
     co_await terms_.close(*term, std::move(why));
   } else {
-    co_await runtime_.sleep_for(kFailoverRetry);
+    co_await runtime_.sleep_for(kFailoverRetryDelay);
   }
 }
 
 Awaitable<void> GroupKeeper::fail_over(GroupName group) {
   const auto closed = terms_.find(group);
   if (!closed || closed->open) co_return;
-  const bool quiet = co_await fence_wait_.wait(*closed);
-  if (quiet) co_await replace_primary(*closed);
+  const bool still_leads = co_await fence_wait_.wait(*closed);
+  if (still_leads) co_await replace_primary(*closed);
 }
 
-Awaitable<std::optional<GroupKeeper::Choice>> GroupKeeper::choose(GroupTerm closed) {
-  Choice choice;
-  choice.facts = co_await logs_.gather(closed);
-  choice.made = logs_.choose(choice.facts);
-  if (choice.made.verdict != PromotionVerdict::kPromote) co_return choice;
-  const bool at_once = co_await turns_.take(group_urgencies(fleet_.groups(), fleet_.routes())[closed.group]);
+Awaitable<std::optional<GroupKeeper::Decision>> GroupKeeper::choose(GroupTerm closed) {
+  Decision decision;
+  decision.facts = co_await log_comparison_.gather_facts(closed);
+  decision.choice = log_comparison_.choose(decision.facts);
+  if (decision.choice.verdict != PromotionVerdict::kPromote) co_return decision;
+  const bool immediate =
+      co_await promotion_turns_.acquire(group_urgencies(fleet_.groups(), fleet_.routes())[closed.group]);
   if (!terms_.is_still_closed(closed)) co_return std::nullopt;
-  if (at_once) co_return choice;
+  if (immediate) co_return decision;
   // A paused member that restarted while waiting for its turn is no longer paused.
-  choice.facts = co_await logs_.gather(closed);
-  choice.made = logs_.choose(choice.facts);
-  co_return choice;
+  decision.facts = co_await log_comparison_.gather_facts(closed);
+  decision.choice = log_comparison_.choose(decision.facts);
+  co_return decision;
 }
 
 Awaitable<void> GroupKeeper::replace_primary(GroupTerm closed) {
-  const std::optional<Choice> choice = co_await choose(closed);
-  if (!choice) co_return co_await release_.release(closed.group);
+  const std::optional<Decision> decision = co_await choose(closed);
+  if (!decision) co_return co_await release_.release(closed.group);
   GroupTerm chosen = closed;
-  chosen.primary = choice->made.backend;
-  terms_.log("promotion_chosen", chosen, choice->made.why);
+  chosen.primary = decision->choice.backend;
+  terms_.log("promotion_chosen", chosen, decision->choice.why);
   if (!terms_.leads()) co_return;
-  if (choice->made.verdict == PromotionVerdict::kNotYet) {
+  if (decision->choice.verdict == PromotionVerdict::kNotYet) {
     // Members that lag can catch up only after their pause ends.
     co_await release_.release(closed.group);
-    co_await runtime_.sleep_for(kFailoverRetry);
+    co_await runtime_.sleep_for(kFailoverRetryDelay);
     co_return;
   }
-  const MemberFinding member = find_member(choice->facts, choice->made.backend);
-  std::optional<std::uint64_t> term = choice->made.term;
-  if (choice->made.verdict == PromotionVerdict::kPromote) term = co_await promote(closed, member);
+  const MemberFinding member = find_member(decision->facts, decision->choice.backend);
+  std::optional<std::uint64_t> term = decision->choice.term;
+  if (decision->choice.verdict == PromotionVerdict::kPromote) term = co_await promote(closed, member);
   if (!term && !terms_.is_still_closed(closed)) co_return co_await release_.release(closed.group);
   // The promotion may still take effect, so the members stay paused.
   if (!term) co_return;
-  co_await open(closed, *choice, member, *term);
+  co_await open(closed, *decision, member, *term);
 }
 
 Awaitable<std::optional<std::uint64_t>> GroupKeeper::promote(GroupTerm closed, MemberFinding chosen) {
@@ -183,17 +184,18 @@
   co_return co_await promotion_.wait_until_leading(closed, chosen);
 }
 
-Awaitable<void> GroupKeeper::open(GroupTerm closed, Choice choice, MemberFinding chosen, std::uint64_t term) {
-  suspicions_.forget_unable_to_connect(closed.group);
+Awaitable<void> GroupKeeper::open(GroupTerm closed, Decision decision, MemberFinding chosen,
+                                  std::uint64_t term) {
+  suspicions_.clear_unable_to_connect(closed.group);
   // Commits on the new primary need a replica, so replicas resume while the group is being opened.
   runtime_.spawn("resume_members", release_.release(closed.group));
-  const bool opened = co_await terms_.open(closed, chosen.entry.incarnation(), term, choice.made.why);
-  if (opened && choice.made.is_unproved) record_unproved(choice.facts, chosen);
-  if (opened && choice.made.backend != closed.primary)
+  const bool opened = co_await terms_.open(closed, chosen.entry.incarnation(), term, decision.choice.why);
+  if (opened && decision.choice.is_unproved) report_unproved(decision.facts, chosen);
+  if (opened && decision.choice.backend != closed.primary)
     runtime_.spawn("step_down", promotion_.step_down(closed.group, closed.primary, term));
 }
 
-void GroupKeeper::record_unproved(const PromotionFacts& facts, const MemberFinding& chosen) {
+void GroupKeeper::report_unproved(const PromotionFacts& facts, const MemberFinding& chosen) {
   ++unproved_promotions_;
   const Position& kept = chosen.status->received;
   const Position& known = facts.highest_acknowledged;
--- a/src/registered/control/failover/group_keeper.h
+++ b/src/registered/control/failover/group_keeper.h
@@ -45,7 +45,7 @@
 namespace cairnhollow::registered::control {
 
 /// Interval between checks of all groups when no event triggers one.
-inline constexpr Duration kGroupTick = std::chrono::milliseconds(250);
+inline constexpr Duration kGroupCheckInterval = std::chrono::milliseconds(250);
 
 struct GroupKeeperSettings {
   NodeName node;
@@ -74,31 +74,32 @@
   void check_all();
   /// Starts the task that the group needs, unless one is already running for it.
   void check(const GroupName& group);
-  void begin(const GroupName& group, Awaitable<void> task);
+  void start_task(const GroupName& group, Awaitable<void> task);
   Awaitable<void> run_task(GroupName group, Awaitable<void> task);
 
   /// For a group without a term: records the backend that already is primary as the first primary.
   Awaitable<void> discover(GroupName group);
   /// Closes the group after another incarnation of its primary has registered, which means that the former
   /// one ended.
-  Awaitable<void> give_up_restarted(GroupName group);
-  Awaitable<void> examine(GroupName group, PrimarySuspicions::Suspected suspected);
-  Awaitable<void> change_as_planned(GroupName group);
+  Awaitable<void> close_restarted(GroupName group);
+  Awaitable<void> check_primary(GroupName group, PrimarySuspicions::Suspected suspected);
+  Awaitable<void> switch_over(GroupName group);
   /// Makes one attempt to reopen a closed group.
   Awaitable<void> fail_over(GroupName group);
   Awaitable<void> replace_primary(registry::GroupTerm closed);
   /// The choice and the facts behind it.
-  struct Choice {
+  struct Decision {
     PromotionFacts facts;
-    PromotionChoice made;
+    PromotionChoice choice;
   };
   /// Chooses the next primary. Repeats the choice if it waited for a turn to promote, as the facts may have
   /// changed. Returns std::nullopt if the close is no longer current.
-  Awaitable<std::optional<Choice>> choose(registry::GroupTerm closed);
+  Awaitable<std::optional<Decision>> choose(registry::GroupTerm closed);
   Awaitable<std::optional<std::uint64_t>> promote(registry::GroupTerm closed, MemberFinding chosen);
-  Awaitable<void> open(registry::GroupTerm closed, Choice choice, MemberFinding chosen, std::uint64_t term);
+  Awaitable<void> open(registry::GroupTerm closed, Decision decision, MemberFinding chosen,
+                       std::uint64_t term);
   /// Counts and logs a promotion after which acknowledged commits may be lost.
-  void record_unproved(const PromotionFacts& facts, const MemberFinding& chosen);
+  void report_unproved(const PromotionFacts& facts, const MemberFinding& chosen);
 
   runtime::Runtime& runtime_;
   registry::FleetStateMachine& fleet_;
@@ -108,16 +109,16 @@
   PrimarySuspicions suspicions_;
   ReplicationPauses pauses_;
   MembershipWatch members_;
-  LogComparison logs_;
+  LogComparison log_comparison_;
   PrimaryCheck primary_check_;
-  PlannedChange planned_;
+  PlannedChange planned_change_;
   FenceWait fence_wait_;
-  PromotionTurns turns_;
+  PromotionTurns promotion_turns_;
   Promotion promotion_;
   PauseRelease release_;
   std::set<GroupName> busy_;
   std::uint64_t unproved_promotions_ = 0;
-  std::optional<std::uint64_t> quiet_revision_;  ///< fleet revision at which no group needed a task
+  std::optional<std::uint64_t> idle_revision_;  ///< fleet revision at which no group needed a task
   bool stopping_ = false;
 };
 
--- a/src/registered/control/failover/group_prober.cpp
+++ b/src/registered/control/failover/group_prober.cpp
@@ -2,15 +2,15 @@
 
 namespace cairnhollow::registered::control {
 
-struct GroupProber::Survey {
-  explicit Survey(runtime::Runtime& runtime) : answered(runtime) {}
+struct GroupProber::GroupQuery {
+  explicit GroupQuery(runtime::Runtime& runtime) : answered(runtime) {}
   std::vector<MemberFinding> findings;
   std::size_t unanswered = 0;
   runtime::Signal answered;
 };
 
-Awaitable<std::optional<BackendStatus>> GroupProber::ask(registry::BackendEntry entry, TimePoint deadline,
-                                                         Reason& reason) {
+Awaitable<std::optional<BackendStatus>> GroupProber::query(registry::BackendEntry entry, TimePoint deadline,
+                                                           Reason& reason) {
   BackendRequest request = AskStatus{};
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
@@ -33,7 +33,7 @@
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
 
-Awaitable<bool> GroupProber::is_another(registry::BackendEntry entry, TimePoint deadline) {
+Awaitable<bool> GroupProber::is_address_reused(registry::BackendEntry entry, TimePoint deadline) {
   Reason reason;
   std::optional<Refusal> refusal;
   const BackendAddress address{entry.endpoint, entry.group, entry.name};
@@ -45,19 +45,19 @@
 std::shared_ptr<BackendLink> GroupProber::take_idle(const registry::BackendEntry& entry) {
   const auto idle = idle_.find(entry.name);
   if (idle == idle_.end()) return nullptr;
-  const IdleLink held = std::move(idle->second);
+  const IdleLink cached = std::move(idle->second);
   idle_.erase(idle);
-  if (held.to == entry.incarnation()) return held.link;
-  held.link->close();
+  if (cached.incarnation == entry.incarnation()) return cached.link;
+  cached.link->close();
   return nullptr;
 }
 
 void GroupProber::close_idle(const BackendName& backend) {
   const auto idle = idle_.find(backend);
   if (idle == idle_.end()) return;
-  const IdleLink held = std::move(idle->second);
+  const IdleLink cached = std::move(idle->second);
   idle_.erase(idle);
-  held.link->close();
+  cached.link->close();
 }
 
 Awaitable<std::optional<BackendStatus>> GroupProber::run(registry::BackendEntry entry, BackendRequest request,
@@ -80,32 +80,33 @@
   co_return link->read_status(*answer, reason);
 }
 
-Awaitable<void> GroupProber::ask_one(std::shared_ptr<Survey> survey, std::size_t place) {
+Awaitable<void> GroupProber::query_one(std::shared_ptr<GroupQuery> group_query, std::size_t index) {
   Reason reason;
-  const registry::BackendEntry entry = survey->findings[place].entry;
+  const registry::BackendEntry entry = group_query->findings[index].entry;
   const TimePoint deadline = runtime_.now() + kStatusTimeout;
-  const auto status = co_await ask(entry, deadline, reason);
-  survey->findings[place].status = status;
-  --survey->unanswered;
-  survey->answered.notify_all();
+  const auto status = co_await query(entry, deadline, reason);
+  group_query->findings[index].status = status;
+  --group_query->unanswered;
+  group_query->answered.notify_all();
 }
 
-Awaitable<std::vector<MemberFinding>> GroupProber::ask_all(std::vector<MemberFinding> members,
-                                                           Enough enough) {
-  const auto survey = std::make_shared<Survey>(runtime_);
-  survey->findings = std::move(members);
-  survey->unanswered = survey->findings.size();
-  for (std::size_t place = 0; place < survey->findings.size(); ++place)
-    runtime_.spawn("group_probe", ask_one(survey, place));
-  while (survey->unanswered > 0 && !(enough && enough(survey->findings))) co_await survey->answered.wait();
-  co_return survey->findings;
+Awaitable<std::vector<MemberFinding>> GroupProber::query_all(std::vector<MemberFinding> members,
+                                                             StopCondition stop_early) {
+  const auto group_query = std::make_shared<GroupQuery>(runtime_);
+  group_query->findings = std::move(members);
+  group_query->unanswered = group_query->findings.size();
+  for (std::size_t index = 0; index < group_query->findings.size(); ++index)
+    runtime_.spawn("group_probe", query_one(group_query, index));
+  while (group_query->unanswered > 0 && !(stop_early && stop_early(group_query->findings)))
+    co_await group_query->answered.wait();
+  co_return group_query->findings;
 }
 
-Awaitable<std::vector<MemberFinding>> GroupProber::ask_all(std::vector<registry::BackendEntry> entries) {
+Awaitable<std::vector<MemberFinding>> GroupProber::query_all(std::vector<registry::BackendEntry> entries) {
   std::vector<MemberFinding> members;
   members.reserve(entries.size());
   for (registry::BackendEntry& entry : entries) members.push_back({std::move(entry), std::nullopt, false});
-  co_return co_await ask_all(std::move(members));
+  co_return co_await query_all(std::move(members));
 }
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -25,37 +25,38 @@
   GroupProber(runtime::Runtime& runtime, BackendDialer& dialer) : runtime_(runtime), dialer_(dialer) {}
 
   /// Returns std::nullopt if the backend does not answer by `deadline`.
-  Awaitable<std::optional<BackendStatus>> ask(registry::BackendEntry entry, TimePoint deadline,
-                                              Reason& reason);
-  /// Makes the backend step down from any term below `term`, then returns as ask().
+  Awaitable<std::optional<BackendStatus>> query(registry::BackendEntry entry, TimePoint deadline,
+                                                Reason& reason);
+  /// Makes the backend step down from any term below `term`, then returns as query().
   Awaitable<std::optional<BackendStatus>> demote(registry::BackendEntry entry, std::uint64_t term,
                                                  TimePoint deadline, Reason& reason);
-  /// Pauses replication to the backend under `term`, or resumes it, then returns as ask().
+  /// Pauses replication to the backend under `term`, or resumes it, then returns as query().
   Awaitable<std::optional<BackendStatus>> pause(registry::BackendEntry entry, std::uint64_t term,
                                                 TimePoint deadline, Reason& reason);
   Awaitable<std::optional<BackendStatus>> resume(registry::BackendEntry entry, TimePoint deadline,
                                                  Reason& reason);
   /// Returns true if a backend with another name answers at the entry's address, false if there is no
   /// definite answer.
-  Awaitable<bool> is_another(registry::BackendEntry entry, TimePoint deadline);
-  /// Queries all members concurrently. Returns when all have answered or timed out, or as soon as `enough`
-  /// returns true for the findings so far.
-  using Enough = std::function<bool(const std::vector<MemberFinding>&)>;
-  Awaitable<std::vector<MemberFinding>> ask_all(std::vector<MemberFinding> members, Enough enough = nullptr);
-  Awaitable<std::vector<MemberFinding>> ask_all(std::vector<registry::BackendEntry> entries);
+  Awaitable<bool> is_address_reused(registry::BackendEntry entry, TimePoint deadline);
+  /// Queries all members concurrently. Returns when all have answered or timed out, or as soon as
+  /// `stop_early` returns true for the findings so far.
+  using StopCondition = std::function<bool(const std::vector<MemberFinding>&)>;
+  Awaitable<std::vector<MemberFinding>> query_all(std::vector<MemberFinding> members,
+                                                  StopCondition stop_early = nullptr);
+  Awaitable<std::vector<MemberFinding>> query_all(std::vector<registry::BackendEntry> entries);
   /// Closes the idle connection to the backend, if there is one.
   void close_idle(const BackendName& backend);
 
  private:
-  struct Survey;
+  struct GroupQuery;
   Awaitable<std::optional<BackendStatus>> run(registry::BackendEntry entry, BackendRequest request,
                                               TimePoint deadline, Reason& reason);
-  Awaitable<void> ask_one(std::shared_ptr<Survey> survey, std::size_t place);
+  Awaitable<void> query_one(std::shared_ptr<GroupQuery> group_query, std::size_t index);
 
   runtime::Runtime& runtime_;
   BackendDialer& dialer_;
   struct IdleLink {
-    registry::BackendIncarnation to;
+    registry::BackendIncarnation incarnation;
     std::shared_ptr<BackendLink> link;
   };
   /// Returns an idle connection to this incarnation of the backend, or null. Closes one to another
--- a/src/registered/control/failover/group_terms.cpp
+++ b/src/registered/control/failover/group_terms.cpp
@@ -4,7 +4,7 @@
 
 using registry::GroupTerm;
 
-Awaitable<bool> GroupTerms::pass_quorum_round() {
+Awaitable<bool> GroupTerms::complete_read_barrier() {
   Reason reason;
   const auto confirmed = co_await consensus_.read_barrier(runtime_.now() + kCommitTimeout, reason);
   co_return confirmed.has_value();
--- a/src/registered/control/failover/group_terms.h
+++ b/src/registered/control/failover/group_terms.h
@@ -15,7 +15,7 @@
 namespace cairnhollow::registered::control {
 
 /// Delay before the next attempt for a group whose next primary cannot be determined yet.
-inline constexpr Duration kFailoverRetry = std::chrono::milliseconds(100);
+inline constexpr Duration kFailoverRetryDelay = std::chrono::milliseconds(100);
 
 /// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class GroupTerms {
@@ -31,7 +31,7 @@
   /// Completes a read barrier. Returns true if a quorum round that started after the call finished within
   /// kCommitTimeout; if leads() also returns true then, this node was the leader at some point since the
   /// call.
-  Awaitable<bool> pass_quorum_round();
+  Awaitable<bool> complete_read_barrier();
   /// Returns std::nullopt if no primary has been found for the group yet.
   [[nodiscard]] std::optional<registry::GroupTerm> find(const GroupName& group) const;
   /// Whether the group is still in the given close. Another leader may have opened it, or closed it again,
--- a/src/registered/control/failover/log_comparison.cpp
+++ b/src/registered/control/failover/log_comparison.cpp
@@ -14,26 +14,27 @@
   const FenceProgress progress = leases_.fence_progress(closed.group, closed.epoch);
   facts.all_acknowledgers_answered = progress.all_answered && fleet_.knows_all_acknowledgers(closed);
   facts.all_proxies_answered = progress.all_answered;
-  facts.silent_revision = progress.silent_revision;
+  facts.min_unresponsive_revision = progress.min_unresponsive_revision;
   facts.highest_acknowledged = progress.highest_acknowledged;
   facts.allowing_routes = regions_.allowing_routes(closed.group, fleet_.backends_of(closed.group));
-  const Membership& membership = members_.watch(closed.group);
+  const Membership& membership = members_.update(closed.group);
   facts.members_are_stable = membership.is_stable(runtime_.now());
   facts.replaced_incarnation_is_unsettled = membership.is_unsettled && membership.was_replaced;
   return facts;
 }
 
-std::vector<MemberFinding> LogComparison::members_to_ask(const GroupTerm& closed) const {
+std::vector<MemberFinding> LogComparison::members_to_query(const GroupTerm& closed) const {
   std::vector<MemberFinding> members;
   for (registry::BackendEntry& entry : fleet_.backends_of(closed.group)) {
     // Commands committed in one batch share a revision, hence >=.
-    const bool joined = entry.tells_birth() && fleet_.backend_revision(entry.name) >= closed.opened_at;
-    members.push_back({std::move(entry), std::nullopt, joined});
+    const bool joined_in_term =
+        entry.tells_birth() && fleet_.backend_revision(entry.name) >= closed.opened_at;
+    members.push_back({std::move(entry), std::nullopt, joined_in_term});
   }
   return members;
 }
 
-bool LogComparison::is_enough(const PromotionFacts& facts) const {
+bool LogComparison::facts_suffice(const PromotionFacts& facts) const {
   const bool all_replicas =
       std::all_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
         return member.status || member.entry.name == facts.closed.primary;
@@ -42,18 +43,18 @@
   const PromotionChoice choice = choose_promotion(facts, false);
   // A replica in an evacuated zone may be chosen only if the old primary is known not to run.
   const registry::BackendEntry* chosen = fleet_.find_backend(choice.backend);
-  const bool outside = chosen != nullptr && !fleet_.is_evacuated(chosen->zone);
-  return choice.verdict == PromotionVerdict::kPromote && !choice.is_unproved && outside;
+  const bool is_outside_evacuated_zones = chosen != nullptr && !fleet_.is_evacuated(chosen->zone);
+  return choice.verdict == PromotionVerdict::kPromote && !choice.is_unproved && is_outside_evacuated_zones;
 }
 
-Awaitable<PromotionFacts> LogComparison::gather(GroupTerm closed) {
+Awaitable<PromotionFacts> LogComparison::gather_facts(GroupTerm closed) {
   PromotionFacts facts = facts_without_members(closed);
-  const auto enough = [this, facts](const std::vector<MemberFinding>& findings) mutable {
+  const auto suffices = [this, facts](const std::vector<MemberFinding>& findings) mutable {
     facts.members = findings;
     mark_evacuated(facts.members);
-    return is_enough(facts);
+    return facts_suffice(facts);
   };
-  facts.members = co_await prober_.ask_all(members_to_ask(closed), enough);
+  facts.members = co_await prober_.query_all(members_to_query(closed), suffices);
   mark_evacuated(facts.members);
   co_return facts;
 }
@@ -65,7 +66,9 @@
 PromotionChoice LogComparison::choose(const PromotionFacts& facts) const {
   PromotionChoice choice = choose_promotion(facts, true);
   if (choice.verdict != PromotionVerdict::kPromote || facts.all_proxies_answered) return choice;
-  if (pauses_.hold(facts.closed, facts.silent_revision, facts.members, choice.backend)) return choice;
+  if (pauses_.fences_old_primary(facts.closed, facts.min_unresponsive_revision, facts.members,
+                                 choice.backend))
+    return choice;
   return {PromotionVerdict::kNotYet,
           {},
           0,
@@ -73,7 +76,7 @@
 }
 
 Awaitable<bool> LogComparison::has_provable_successor(GroupTerm term) {
-  PromotionFacts facts = co_await gather(term);
+  PromotionFacts facts = co_await gather_facts(term);
   // The term is still open, so proxies have not reported their positions; the choice is made again after the
   // close.
   facts.all_acknowledgers_answered = false;
--- a/src/registered/control/failover/log_comparison.h
+++ b/src/registered/control/failover/log_comparison.h
@@ -36,7 +36,7 @@
 
   /// Collects the facts for choosing the group's next primary. Returns before all members have answered if
   /// the answers of the replicas suffice, so as not to wait for the timeout of a failed primary.
-  Awaitable<PromotionFacts> gather(registry::GroupTerm closed);
+  Awaitable<PromotionFacts> gather_facts(registry::GroupTerm closed);
   /// Returns kPromote only if no proxy without an answer to the fence can use the old primary.
   [[nodiscard]] PromotionChoice choose(const PromotionFacts& facts) const;
   /// Whether some replica provably holds everything that the open term's primary acknowledged.
@@ -44,10 +44,10 @@
 
  private:
   [[nodiscard]] PromotionFacts facts_without_members(const registry::GroupTerm& closed);
-  [[nodiscard]] std::vector<MemberFinding> members_to_ask(const registry::GroupTerm& closed) const;
+  [[nodiscard]] std::vector<MemberFinding> members_to_query(const registry::GroupTerm& closed) const;
   /// Whether the facts prove a replica outside evacuated zones, regardless of what the old primary would
   /// answer.
-  [[nodiscard]] bool is_enough(const PromotionFacts& facts) const;
+  [[nodiscard]] bool facts_suffice(const PromotionFacts& facts) const;
   void mark_evacuated(std::vector<MemberFinding>& members) const;
 
   runtime::Runtime& runtime_;
--- a/src/registered/control/failover/membership_watch.cpp
+++ b/src/registered/control/failover/membership_watch.cpp
@@ -8,30 +8,30 @@
 
 namespace {
 
-bool any_tells_birth(const std::set<registry::BackendIncarnation>& members) {
+bool any_reports_start_time(const std::set<registry::BackendIncarnation>& members) {
   return std::any_of(members.begin(), members.end(), [](const auto& member) { return member.born_ms != 0; });
 }
 
 }  // namespace
 
-void Membership::record(std::set<registry::BackendIncarnation> now_members, TimePoint now) {
-  if (members == now_members) return;
+void Membership::record(std::set<registry::BackendIncarnation> current_members, TimePoint now) {
+  if (members == current_members) return;
   // Incarnations that ended before this node started watching are unknown to it.
-  if (members.empty() && any_tells_birth(now_members)) {
-    left_at = now;
+  if (members.empty() && any_reports_start_time(current_members)) {
+    last_departure = now;
     is_unsettled = true;
     was_replaced = true;
   }
   for (const registry::BackendIncarnation& former : members) {
-    if (now_members.count(former) > 0) continue;
-    left_at = now;
+    if (current_members.count(former) > 0) continue;
+    last_departure = now;
     is_unsettled = true;
-    const auto next = now_members.lower_bound({former.name, 0});
-    const bool replaced = next != now_members.end() && next->name == former.name;
+    const auto next = current_members.lower_bound({former.name, 0});
+    const bool replaced = next != current_members.end() && next->name == former.name;
     // The next incarnation may register only after this removal was seen.
     was_replaced = was_replaced || replaced || former.born_ms != 0;
   }
-  members = std::move(now_members);
+  members = std::move(current_members);
 }
 
 void Membership::settle() {
@@ -40,10 +40,10 @@
 }
 
 bool Membership::is_stable(TimePoint now) const {
-  return !is_unsettled && now - left_at > kMembersSettleTime;
+  return !is_unsettled && now - last_departure > kMembersSettleTime;
 }
 
-void MembershipWatch::watch_all() {
+void MembershipWatch::update_all() {
   record_all();
   for (const auto& [group, membership] : memberships_) {
     if (membership.is_unsettled && comparing_.insert(group).second)
@@ -54,14 +54,14 @@
 void MembershipWatch::record_all() {
   if (watched_revision_ == fleet_.revision()) return;
   watched_revision_ = fleet_.revision();
-  for (const auto& group : fleet_.groups()) watch(group.name);
+  for (const auto& group : fleet_.groups()) update(group.name);
   std::erase_if(memberships_,
                 [this](const auto& entry) { return fleet_.find_group(entry.first) == nullptr; });
 }
 
-const Membership& MembershipWatch::watch(const GroupName& group) {
+const Membership& MembershipWatch::update(const GroupName& group) {
   const auto [membership, is_new] = memberships_.try_emplace(group);
-  if (is_new) membership->second.left_at = runtime_.now();
+  if (is_new) membership->second.last_departure = runtime_.now();
   membership->second.record(fleet_.incarnations_of(group), runtime_.now());
   return membership->second;
 }
@@ -72,7 +72,8 @@
     // Idle connections are kept only for the leader, which queries often.
     for (const registry::BackendEntry& member : fleet_.backends_of(group)) prober_.close_idle(member.name);
   }
-  if (!is_settled) co_await runtime_.sleep_for(terms_.leads() ? kFailoverRetry : kFollowerSettleRetry);
+  if (!is_settled)
+    co_await runtime_.sleep_for(terms_.leads() ? kFailoverRetryDelay : kFollowerComparisonInterval);
   comparing_.erase(group);
   settled_.notify_all();
 }
@@ -80,22 +81,22 @@
 Awaitable<bool> MembershipWatch::compare(GroupName group) {
   const auto term = terms_.find(group);
   const registry::BackendEntry* primary = term ? fleet_.find_backend(term->primary) : nullptr;
-  const TimePoint left_at = memberships_[group].left_at;
+  const TimePoint last_departure = memberships_[group].last_departure;
   if (primary == nullptr) co_return false;
   const registry::BackendEntry entry = *primary;
   Reason reason;
-  const auto leading = co_await prober_.ask(entry, runtime_.now() + kStatusTimeout, reason);
-  if (term->is_restarted_primary(entry) || !shows_lead_of(leading, *term)) co_return false;
-  const auto findings = co_await prober_.ask_all(fleet_.backends_of(group));
-  const bool held = std::any_of(findings.begin(), findings.end(), [&](const MemberFinding& member) {
+  const auto leading = co_await prober_.query(entry, runtime_.now() + kStatusTimeout, reason);
+  if (term->is_restarted_primary(entry) || !is_primary_of(leading, *term)) co_return false;
+  const auto findings = co_await prober_.query_all(fleet_.backends_of(group));
+  const bool caught_up = std::any_of(findings.begin(), findings.end(), [&](const MemberFinding& member) {
     return member.entry.name != term->primary && !member.entry.leaving && member.status &&
            member.status->received >= leading->received;
   });
   const auto membership = memberships_.find(group);
   // A member that left during the queries is not covered by their answers.
-  if (held && membership != memberships_.end() && membership->second.left_at == left_at)
+  if (caught_up && membership != memberships_.end() && membership->second.last_departure == last_departure)
     membership->second.settle();
-  co_return held;
+  co_return caught_up;
 }
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/membership_watch.h
+++ b/src/registered/control/failover/membership_watch.h
@@ -24,12 +24,12 @@
 inline constexpr Duration kMembersSettleTime = std::chrono::seconds(3);
 /// Delay between comparisons on a follower. Longer than on a leader, as a follower needs the result only when
 /// it is elected and each comparison queries every member.
-inline constexpr Duration kFollowerSettleRetry = std::chrono::seconds(1);
+inline constexpr Duration kFollowerComparisonInterval = std::chrono::seconds(1);
 
 /// Membership of one group as observed by this node. Pure.
 struct Membership {
   std::set<registry::BackendIncarnation> members;
-  TimePoint left_at{};  ///< when a departure was last observed, or when this node started watching
+  TimePoint last_departure{};  ///< when a departure was last observed, or when this node started watching
   /// A departed member may have been the only one besides the primary to hold acknowledged commits, and no
   /// other member has been seen to hold as much as the primary since.
   bool is_unsettled = false;
@@ -38,7 +38,7 @@
 
   /// Records the current members. They are compared by incarnation: a restarted member has left with
   /// everything it held.
-  void record(std::set<registry::BackendIncarnation> now_members, TimePoint now);
+  void record(std::set<registry::BackendIncarnation> current_members, TimePoint now);
   /// Records that a remaining member holds what the primary held after the last departure.
   void settle();
   /// Whether the remaining members certainly hold what the departed ones held.
@@ -54,9 +54,9 @@
       : runtime_(runtime), fleet_(fleet), terms_(terms), prober_(prober), settled_(settled) {}
 
   /// Records the members of all groups, and starts a comparison for each unsettled one.
-  void watch_all();
+  void update_all();
   /// Records the members of the group according to the current registrations, and returns its membership.
-  const Membership& watch(const GroupName& group);
+  const Membership& update(const GroupName& group);
   /// Whether a comparison is running for any group.
   [[nodiscard]] bool is_comparing() const { return !comparing_.empty(); }
 
--- a/src/registered/control/failover/pause_release.h
+++ b/src/registered/control/failover/pause_release.h
@@ -23,18 +23,18 @@
   Awaitable<void> release(GroupName group);
   /// Once per election of this node: starts resuming members of open groups that an earlier leader may have
   /// left paused. Returns true if this call started it.
-  bool release_left();
+  bool release_leftover();
   /// Drops the record of pauses when this node is not the leader; its successor takes care of them.
-  void forget();
+  void clear();
 
  private:
-  Awaitable<void> release_left_members();
+  Awaitable<void> release_leftover_members();
 
   runtime::Runtime& runtime_;
   const registry::FleetStateMachine& fleet_;
   GroupTerms& terms_;
   ReplicationPauses& pauses_;
-  bool released_left_ = false;  ///< whether it has been started since this node became leader
+  bool leftover_released_ = false;  ///< whether it has been started since this node became leader
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/planned_change.cpp
+++ b/src/registered/control/failover/planned_change.cpp
@@ -23,29 +23,29 @@
   const bool evacuated = primary != nullptr && fleet.is_evacuated(primary->zone);
   if (!leaves && !evacuated) return {};
   const auto members = fleet.backends_of(term.group);
-  const bool any = std::any_of(members.begin(), members.end(), [&](const BackendEntry& entry) {
+  const bool has_candidate = std::any_of(members.begin(), members.end(), [&](const BackendEntry& entry) {
     return is_planned_successor(entry, term, fleet);
   });
-  if (!any) return {};
+  if (!has_candidate) return {};
   return leaves ? "the primary is leaving or has been deregistered"
                 : "the primary's zone " + primary->zone.value + " is evacuated";
 }
 
 bool is_caught_up(const std::optional<Position>& primary, const std::optional<Position>& successor) {
-  return successor && (!primary || successor->index + kHandOverLag >= primary->index);
+  return successor && (!primary || successor->index + kMaxSuccessorLag >= primary->index);
 }
 
 Awaitable<bool> PlannedChange::is_ready(GroupTerm term) {
   const bool ready = co_await has_successor(term);
   const BackendEntry* primary = fleet_.find_backend(term.primary);
   // A leaving primary stops soon, and leaving primaries are already staggered, so it needs no slot.
-  const bool moves = primary != nullptr && !primary->leaving;
-  if (!ready || !moves) co_return ready;
-  co_return co_await moves_.take(term.group);
+  const bool needs_slot = primary != nullptr && !primary->leaving;
+  if (!ready || !needs_slot) co_return ready;
+  co_return co_await moves_.acquire_slot(term.group);
 }
 
 Awaitable<bool> PlannedChange::has_successor(GroupTerm term) {
-  const auto findings = co_await prober_.ask_all(fleet_.backends_of(term.group));
+  const auto findings = co_await prober_.query_all(fleet_.backends_of(term.group));
   std::optional<Position> primary;
   std::optional<Position> successor;
   for (const MemberFinding& member : findings) {
--- a/src/registered/control/failover/primary_check.cpp
+++ b/src/registered/control/failover/primary_check.cpp
@@ -9,7 +9,7 @@
 
 using registry::GroupTerm;
 
-bool shows_lead_of(const std::optional<BackendStatus>& status, const GroupTerm& term) {
+bool is_primary_of(const std::optional<BackendStatus>& status, const GroupTerm& term) {
   return status && status->is_primary && status->term == term.term;
 }
 
@@ -18,24 +18,25 @@
   const registry::BackendEntry* primary = fleet_.find_backend(term.primary);
   if (primary == nullptr) co_return std::nullopt;
   Reason reason;
-  bool dead = co_await is_dead(term, *primary, suspected.proxies, reason);
-  if (!dead && is_out_of_reach(suspicions_.unable_to_connect(term.group), serving_proxies(term.group))) {
-    dead = co_await logs_.has_provable_successor(term);
+  bool failed = co_await has_failed(term, *primary, suspected.proxies, reason);
+  if (!failed && is_unreachable_for_proxies(suspicions_.count_unable_to_connect(term.group),
+                                            serving_proxies(term.group))) {
+    failed = co_await log_comparison_.has_provable_successor(term);
     reason = Reason{ReasonCode::kUnreachable, "use_primary", "",
                     "most proxies serving the group cannot connect to the primary"};
   }
-  if (!dead && suspected.commits_stall) {
+  if (!failed && suspected.commits_stall) {
     const bool stalled = co_await has_stalled_commits(term);
-    if (stalled) dead = co_await logs_.has_provable_successor(term);
-    if (stalled && !dead) {
+    if (stalled) failed = co_await log_comparison_.has_provable_successor(term);
+    if (stalled && !failed) {
       terms_.log("primary_examined", term,
                  "commits reach no replica, but no replica provably holds every acknowledged commit; keeping "
                  "the primary");
       co_return std::nullopt;
     }
-    if (dead) reason = Reason{ReasonCode::kDeadlineExceeded, "replicate", "", "commits reach no replica"};
+    if (failed) reason = Reason{ReasonCode::kDeadlineExceeded, "replicate", "", "commits reach no replica"};
   }
-  if (!dead || !terms_.leads()) {
+  if (!failed || !terms_.leads()) {
     terms_.log("primary_examined", term,
                "not replaced: it answers as primary, or this node is no longer the leader");
     co_return std::nullopt;
@@ -43,28 +44,28 @@
   co_return reason.failed() ? reason.to_string() : "it is no longer primary of this term";
 }
 
-Awaitable<bool> PrimaryCheck::is_dead(GroupTerm term, registry::BackendEntry primary,
-                                      std::size_t suspecting_proxies, Reason& reason) {
-  bool dead = true;
+Awaitable<bool> PrimaryCheck::has_failed(GroupTerm term, registry::BackendEntry primary,
+                                         std::size_t suspecting_proxies, Reason& reason) {
+  bool failed = true;
   // More proxies may report the primary while it is being checked.
   const auto needed = [&] {
-    return dead_checks_needed(std::max(suspecting_proxies, suspicions_.suspecting(term)));
+    return failed_checks_needed(std::max(suspecting_proxies, suspicions_.count_suspecting(term)));
   };
-  for (int check = 0; dead && check < needed(); ++check) {
-    if (check > 0) co_await runtime_.sleep_for(kDeadCheckPause);
+  for (int check = 0; failed && check < needed(); ++check) {
+    if (check > 0) co_await runtime_.sleep_for(kFailedCheckDelay);
     const TimePoint deadline = runtime_.now() + kStatusTimeout;
-    const auto status = co_await prober_.ask(primary, deadline, reason);
+    const auto status = co_await prober_.query(primary, deadline, reason);
     const bool busy = !status && reason.code == ReasonCode::kOverloaded;
-    dead = !busy && !shows_lead_of(status, term);
+    failed = !busy && !is_primary_of(status, term);
   }
-  co_return dead;
+  co_return failed;
 }
 
 Awaitable<bool> PrimaryCheck::has_stalled_commits(GroupTerm term) {
-  const TimePoint begun = runtime_.now();
+  const TimePoint started_at = runtime_.now();
   std::optional<Position> first;
-  while (runtime_.now() - begun < kStallLimit) {
-    const auto findings = co_await prober_.ask_all(fleet_.backends_of(term.group));
+  while (runtime_.now() - started_at < kCommitStallTimeout) {
+    const auto findings = co_await prober_.query_all(fleet_.backends_of(term.group));
     Position primary;
     Position furthest;
     for (const MemberFinding& member : findings) {
@@ -74,7 +75,7 @@
     }
     if (!first) first = primary;
     if (furthest >= *first) co_return false;
-    co_await runtime_.sleep_for(kFailoverRetry);
+    co_await runtime_.sleep_for(kFailoverRetryDelay);
   }
   co_return true;
 }
--- a/src/registered/control/failover/primary_check.h
+++ b/src/registered/control/failover/primary_check.h
@@ -23,23 +23,23 @@
 
 /// Delay between consecutive checks. With kStatusTimeout each, a primary that does not answer at all is
 /// replaced after at most 660 ms.
-inline constexpr Duration kDeadCheckPause = std::chrono::milliseconds(60);
+inline constexpr Duration kFailedCheckDelay = std::chrono::milliseconds(60);
 /// A primary whose commits reach no replica for this long is replaced.
-inline constexpr Duration kStallLimit = std::chrono::milliseconds(900);
+inline constexpr Duration kCommitStallTimeout = std::chrono::milliseconds(900);
 
 /// Whether the status shows the primary of exactly this term. False if there is no status.
-bool shows_lead_of(const std::optional<BackendStatus>& status, const registry::GroupTerm& term);
+bool is_primary_of(const std::optional<BackendStatus>& status, const registry::GroupTerm& term);
 
 /// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class PrimaryCheck {
  public:
   PrimaryCheck(runtime::Runtime& runtime, const registry::FleetStateMachine& fleet, GroupTerms& terms,
-               GroupProber& prober, LogComparison& logs, const PrimarySuspicions& suspicions)
+               GroupProber& prober, LogComparison& log_comparison, const PrimarySuspicions& suspicions)
       : runtime_(runtime),
         fleet_(fleet),
         terms_(terms),
         prober_(prober),
-        logs_(logs),
+        log_comparison_(log_comparison),
         suspicions_(suspicions) {}
 
   /// Returns the reason for replacing the term's primary, for the log, or std::nullopt if it is not to be
@@ -49,8 +49,8 @@
 
  private:
   /// `reason` is set to the failure of the last check, if it got no answer.
-  Awaitable<bool> is_dead(registry::GroupTerm term, registry::BackendEntry primary,
-                          std::size_t suspecting_proxies, Reason& reason);
+  Awaitable<bool> has_failed(registry::GroupTerm term, registry::BackendEntry primary,
+                             std::size_t suspecting_proxies, Reason& reason);
   Awaitable<bool> has_stalled_commits(registry::GroupTerm term);
   [[nodiscard]] std::size_t serving_proxies(const GroupName& group) const;
 
@@ -58,7 +58,7 @@
   const registry::FleetStateMachine& fleet_;
   GroupTerms& terms_;
   GroupProber& prober_;
-  LogComparison& logs_;
+  LogComparison& log_comparison_;
   const PrimarySuspicions& suspicions_;
 };
 
--- a/src/registered/control/failover/primary_suspicions.h
+++ b/src/registered/control/failover/primary_suspicions.h
@@ -17,53 +17,53 @@
 namespace cairnhollow::registered::control {
 
 /// A suspicion expires this long after it was last reported.
-inline constexpr Duration kSuspicionLapse = std::chrono::milliseconds(600);
+inline constexpr Duration kSuspicionExpiry = std::chrono::milliseconds(600);
 /// Number of proxies suspecting the same primary that replaces one of the two checks.
-inline constexpr std::size_t kSuspectingProxies = 2;
+inline constexpr std::size_t kCorroboratingProxies = 2;
 /// Consecutive failed checks needed to replace a primary that fewer proxies suspect.
-inline constexpr int kDeadChecks = 2;
-/// A primary that at least kOutOfReachPart of kOutOfReachWhole of the proxies serving its group cannot use is
-/// replaced, even if it answers control.
-inline constexpr std::size_t kOutOfReachPart = 3;
-inline constexpr std::size_t kOutOfReachWhole = 5;
+inline constexpr int kRequiredFailedChecks = 2;
+/// A primary that at least kUnreachableShareNumerator of kUnreachableShareDenominator of the proxies serving
+/// its group cannot use is replaced, even if it answers control.
+inline constexpr std::size_t kUnreachableShareNumerator = 3;
+inline constexpr std::size_t kUnreachableShareDenominator = 5;
 /// A proxy's report that it cannot open connections expires after this time.
-inline constexpr Duration kOutOfReachLapse = std::chrono::milliseconds(1500);
+inline constexpr Duration kUnreachableReportExpiry = std::chrono::milliseconds(1500);
 
 /// Returns the number of consecutive failed checks needed to replace the primary.
-int dead_checks_needed(std::size_t suspecting_proxies);
-/// Whether `saying` of `serving` proxies suffice to replace a primary that answers control.
-bool is_out_of_reach(std::size_t saying, std::size_t serving);
+int failed_checks_needed(std::size_t suspecting_proxies);
+/// Whether `reporting` of `serving` proxies suffice to replace a primary that answers control.
+bool is_unreachable_for_proxies(std::size_t reporting, std::size_t serving);
 
 class PrimarySuspicions {
  public:
   /// The suspicion that triggers a check.
   struct Suspected {
     bool commits_stall = false;
-    std::size_t proxies = 0;  ///< number that reported the same within kSuspicionLapse
+    std::size_t proxies = 0;  ///< number that reported the same within kSuspicionExpiry
   };
 
-  void record(const NodeName& proxy, const registry::PrimarySuspicion& said, TimePoint now);
+  void record(const NodeName& proxy, const registry::PrimarySuspicion& report, TimePoint now);
   /// Removes and returns the suspicion of the term's primary. Returns std::nullopt if there is none, it
   /// concerns another primary or term, or it has expired.
   std::optional<Suspected> take(const registry::GroupTerm& term, TimePoint now);
   [[nodiscard]] bool any() const { return !suspicions_.empty(); }
   /// Returns the number of proxies that have suspected the term's primary since the last take().
-  [[nodiscard]] std::size_t suspecting(const registry::GroupTerm& term) const;
+  [[nodiscard]] std::size_t count_suspecting(const registry::GroupTerm& term) const;
   /// Returns the number of proxies that reported that they cannot open connections to the group's primary.
-  [[nodiscard]] std::size_t unable_to_connect(const GroupName& group) const;
+  [[nodiscard]] std::size_t count_unable_to_connect(const GroupName& group) const;
   /// Discards reports on connections to the former primary. Called when the group gets another primary.
-  void forget_unable_to_connect(const GroupName& group) { unable_.erase(group); }
+  void clear_unable_to_connect(const GroupName& group) { unable_.erase(group); }
 
  private:
-  using LastSaid = std::map<NodeName, TimePoint>;
+  using LastReports = std::map<NodeName, TimePoint>;
   struct Suspicion {
-    registry::PrimarySuspicion said;
+    registry::PrimarySuspicion report;
     TimePoint at{};
-    LastSaid proxies;  ///< proxies that reported the same
+    LastReports proxies;  ///< proxies that reported the same
   };
   struct UnableToConnect {
     std::uint64_t term = 0;
-    LastSaid proxies;
+    LastReports proxies;
   };
 
   std::map<GroupName, Suspicion> suspicions_;
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -23,10 +23,10 @@
 
 /// Whether the status is that of the incarnation that led the closed term. If the backend reports its start
 /// time, the answer may come from its next incarnation before that one has registered.
-bool shows_old_log(const MemberFinding& member, const PromotionFacts& facts) {
+bool reports_old_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || !is_old_primary(member, facts)) return false;
   if (!member.entry.tells_birth()) return true;
-  return leads_closed_term(member, facts) && !is_blank(member, facts);
+  return leads_closed_term(member, facts) && !has_lost_log(member, facts);
 }
 
 /// Returns the primary with the highest term above the closed one, or null. It exists if an earlier promotion
@@ -35,7 +35,7 @@
   const MemberFinding* newest = nullptr;
   for (const MemberFinding& member : facts.members) {
     if (!member.status || !member.status->is_primary || member.status->term <= facts.closed.term) continue;
-    if (is_blank(member, facts)) continue;
+    if (has_lost_log(member, facts)) continue;
     if (newest == nullptr || member.status->term > newest->status->term) newest = &member;
   }
   return newest;
@@ -43,7 +43,7 @@
 
 /// Whether the member is a candidate: a replica, or the primary's next incarnation if it leads the closed
 /// term again.
-bool may_follow(const MemberFinding& member, const PromotionFacts& facts) {
+bool is_candidate(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || is_old_primary(member, facts)) return false;
   if (!member.status->is_primary) return true;
   return is_restarted_primary(member, facts) && leads_closed_term(member, facts);
@@ -54,7 +54,7 @@
 const MemberFinding* find_furthest(const PromotionFacts& facts, bool evacuated) {
   const MemberFinding* best = nullptr;
   for (const MemberFinding& member : facts.members) {
-    if (!may_follow(member, facts) || member.evacuated != evacuated) continue;
+    if (!is_candidate(member, facts) || member.evacuated != evacuated) continue;
     if (best == nullptr) {
       best = &member;
       continue;
@@ -68,8 +68,8 @@
 }
 
 /// Whether the member's position is usable for comparison: it answered, and has not lost its log.
-bool was_compared(const MemberFinding& member, const PromotionFacts& facts) {
-  return member.status && !is_blank(member, facts);
+bool is_comparable(const MemberFinding& member, const PromotionFacts& facts) {
+  return member.status && !has_lost_log(member, facts);
 }
 
 /// Whether the log reaches the highest position that any proxy acknowledged in the closed term and holds all
@@ -85,28 +85,28 @@
 
 /// Whether the group provably never had a commit: it had only one term, and every proxy that may have
 /// acknowledged something in it has answered.
-bool is_unwritten(const PromotionFacts& facts) {
-  constexpr std::uint64_t kEpochOfFirstClose = 2;
-  return facts.closed.epoch <= kEpochOfFirstClose && facts.all_acknowledgers_answered &&
+bool never_had_commits(const PromotionFacts& facts) {
+  constexpr std::uint64_t kFirstCloseEpoch = 2;
+  return facts.closed.epoch <= kFirstCloseEpoch && facts.all_acknowledgers_answered &&
          facts.highest_acknowledged.index == 0;
 }
 
 /// Whether the log is empty and this proves nothing, because a backend that reports its start time may have
 /// lost its log.
-bool is_empty_of_unknown(const MemberFinding& candidate, const PromotionFacts& facts) {
-  return candidate.entry.tells_birth() && candidate.status->received.index == 0 && !is_unwritten(facts);
+bool may_have_lost_log(const MemberFinding& candidate, const PromotionFacts& facts) {
+  return candidate.entry.tells_birth() && candidate.status->received.index == 0 && !never_had_commits(facts);
 }
 
 bool reaches_old_primary(const MemberFinding& candidate, const PromotionFacts& facts) {
   return std::any_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
-    return shows_old_log(member, facts) && candidate.status->received >= member.status->received;
+    return reports_old_log(member, facts) && candidate.status->received >= member.status->received;
   });
 }
 
 bool all_replicas_compared(const PromotionFacts& facts) {
   return std::all_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
     // The primary's next incarnation was not a replica in that term.
-    return member.entry.name == facts.closed.primary || was_compared(member, facts);
+    return member.entry.name == facts.closed.primary || is_comparable(member, facts);
   });
 }
 
@@ -120,11 +120,11 @@
 /// Whether no other candidate holds more.
 bool is_furthest_of_all(const MemberFinding& candidate, const PromotionFacts& facts) {
   return std::all_of(facts.members.begin(), facts.members.end(), [&](const MemberFinding& member) {
-    return !may_follow(member, facts) || member.status->received <= candidate.status->received;
+    return !is_candidate(member, facts) || member.status->received <= candidate.status->received;
   });
 }
 
-std::size_t routes_at(const MemberFinding& member, const PromotionFacts& facts) {
+std::size_t count_allowing_routes(const MemberFinding& member, const PromotionFacts& facts) {
   const auto found = facts.allowing_routes.find(member.entry.name);
   return found == facts.allowing_routes.end() ? 0 : found->second;
 }
@@ -135,11 +135,11 @@
 };
 
 /// Proof from the candidate's own position, independent of the other replicas.
-Proof prove_alone(const MemberFinding& candidate, const PromotionFacts& facts) {
+Proof prove_by_position(const MemberFinding& candidate, const PromotionFacts& facts) {
   const Position& position = candidate.status->received;
   const std::string name = candidate.entry.name.value;
   if (reaches_old_primary(candidate, facts)) return {true, "its log reaches the old primary's position"};
-  if (is_empty_of_unknown(candidate, facts)) return {false, name + " may have lost its log"};
+  if (may_have_lost_log(candidate, facts)) return {false, name + " may have lost its log"};
   if (reaches_acknowledged(candidate, facts))
     return {true, "its log reaches the highest position that any proxy acknowledged"};
   return {false,
@@ -148,21 +148,21 @@
 
 /// Proof from the candidate's own position or from a comparison with all other replicas.
 Proof prove(const MemberFinding& candidate, const PromotionFacts& facts) {
-  Proof alone = prove_alone(candidate, facts);
-  if (alone.holds_all || is_empty_of_unknown(candidate, facts)) return alone;
+  Proof by_position = prove_by_position(candidate, facts);
+  if (by_position.holds_all || may_have_lost_log(candidate, facts)) return by_position;
   const Position& position = candidate.status->received;
-  const bool reaches_known =
+  const bool reaches_highest_known =
       !facts.replaced_incarnation_is_unsettled && position >= facts.highest_acknowledged;
-  const bool nobody_left = facts.members_are_stable || reaches_known;
+  const bool departed_held_no_more = facts.members_are_stable || reaches_highest_known;
   const bool is_furthest = is_furthest_of_all(candidate, facts);
-  if (is_furthest && all_replicas_compared(facts) && facts.synchronous_replicas > 0 && nobody_left)
+  if (is_furthest && all_replicas_compared(facts) && facts.synchronous_replicas > 0 && departed_held_no_more)
     return {true, "its log is the furthest of all replicas"};
-  return alone;
+  return by_position;
 }
 
 /// Whether no member with more commits can appear any more: the primary's incarnation has ended, and all
 /// members answer. This includes the primary's next incarnation, which may have come back with the whole log.
-bool is_nothing_left(const PromotionFacts& facts) {
+bool no_better_log_can_appear(const PromotionFacts& facts) {
   bool primary_is_over = false;
   for (const MemberFinding& member : facts.members) {
     if (!member.status) return false;
@@ -171,7 +171,8 @@
   return primary_is_over;
 }
 
-PromotionChoice follow_with(const MemberFinding& candidate, const PromotionFacts& facts, std::string why) {
+PromotionChoice choose_candidate(const MemberFinding& candidate, const PromotionFacts& facts,
+                                 std::string why) {
   const bool leads = leads_closed_term(candidate, facts);
   const PromotionVerdict verdict = leads ? PromotionVerdict::kReopen : PromotionVerdict::kPromote;
   return {verdict, candidate.entry.name, leads ? candidate.status->term : 0, std::move(why)};
@@ -179,12 +180,13 @@
 
 /// Chooses the furthest log, inside or outside evacuated zones, as no member holds more of what was
 /// acknowledged.
-PromotionChoice follow_unproved(const MemberFinding* outside, const MemberFinding* inside,
+PromotionChoice choose_unproved(const MemberFinding* outside, const MemberFinding* inside,
                                 const PromotionFacts& facts) {
   const bool inside_has_more =
       inside != nullptr && (outside == nullptr || inside->status->received > outside->status->received);
-  PromotionChoice choice = follow_with(inside_has_more ? *inside : *outside, facts,
-                                       "its log is the furthest remaining; acknowledged commits may be lost");
+  PromotionChoice choice =
+      choose_candidate(inside_has_more ? *inside : *outside, facts,
+                       "its log is the furthest remaining; acknowledged commits may be lost");
   choice.is_unproved = true;
   return choice;
 }
@@ -195,25 +197,26 @@
   if (facts.allowing_routes.empty()) return nullptr;
   const MemberFinding* best = nullptr;
   for (const MemberFinding& member : facts.members) {
-    if (!may_follow(member, facts) || member.evacuated != furthest.evacuated) continue;
-    if (member.entry.leaving || !prove_alone(member, facts).holds_all) continue;
-    const std::size_t routes = routes_at(member, facts);
-    if (routes <= routes_at(furthest, facts)) continue;
-    const std::size_t best_routes = best == nullptr ? 0 : routes_at(*best, facts);
+    if (!is_candidate(member, facts) || member.evacuated != furthest.evacuated) continue;
+    if (member.entry.leaving || !prove_by_position(member, facts).holds_all) continue;
+    const std::size_t routes = count_allowing_routes(member, facts);
+    if (routes <= count_allowing_routes(furthest, facts)) continue;
+    const std::size_t best_routes = best == nullptr ? 0 : count_allowing_routes(*best, facts);
     const bool further = best != nullptr && member.status->received > best->status->received;
     if (routes > best_routes || (routes == best_routes && further)) best = &member;
   }
   return best;
 }
 
-PromotionChoice follow_preferred(const MemberFinding& furthest, const Proof& proof,
+PromotionChoice choose_preferred(const MemberFinding& furthest, const Proof& proof,
                                  const PromotionFacts& facts) {
   const MemberFinding* preferred = find_preferred(furthest, facts);
-  if (preferred == nullptr) return follow_with(furthest, facts, proof.why);
-  return follow_with(*preferred, facts,
-                     fmt::format("{}; {} of the group's routes may write there, {} at {}",
-                                 prove_alone(*preferred, facts).why, routes_at(*preferred, facts),
-                                 routes_at(furthest, facts), furthest.entry.name.value));
+  if (preferred == nullptr) return choose_candidate(furthest, facts, proof.why);
+  return choose_candidate(
+      *preferred, facts,
+      fmt::format("{}; {} of the group's routes may write there, {} at {}",
+                  prove_by_position(*preferred, facts).why, count_allowing_routes(*preferred, facts),
+                  count_allowing_routes(furthest, facts), furthest.entry.name.value));
 }
 
 }  // namespace
@@ -225,7 +228,7 @@
   return {};
 }
 
-bool is_blank(const MemberFinding& member, const PromotionFacts& facts) {
+bool has_lost_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.entry.tells_birth() || !member.status || member.status->received.index > 0) return false;
   if (facts.highest_acknowledged.index > 0) return true;
   return std::any_of(facts.members.begin(), facts.members.end(), [](const MemberFinding& other) {
@@ -240,15 +243,16 @@
   const MemberFinding* outside = find_furthest(facts, false);
   const MemberFinding* inside = find_furthest(facts, true);
   const MemberFinding* old = find_old_primary(facts);
-  const bool old_leads = old != nullptr && shows_old_log(*old, facts) && old->status->is_primary;
+  const bool old_leads = old != nullptr && reports_old_log(*old, facts) && old->status->is_primary;
   Proof proof{false, "no replica answered"};
   if (outside != nullptr) proof = prove(*outside, facts);
-  if (proof.holds_all) return follow_preferred(*outside, proof, facts);
+  if (proof.holds_all) return choose_preferred(*outside, proof, facts);
   if (inside != nullptr && !old_leads) {
-    const Proof of_inside = prove(*inside, facts);
-    if (of_inside.holds_all)
-      return follow_with(*inside, facts,
-                         of_inside.why + "; its zone is evacuated, but no candidate outside is proved yet");
+    const Proof inside_proof = prove(*inside, facts);
+    if (inside_proof.holds_all)
+      return choose_candidate(
+          *inside, facts,
+          inside_proof.why + "; its zone is evacuated, but no candidate outside is proved yet");
   }
   if (old_leads && old->evacuated && outside != nullptr)
     return {PromotionVerdict::kNotYet,
@@ -258,8 +262,8 @@
   if (old_leads && reopen_allowed && !old->entry.leaving)
     return {PromotionVerdict::kReopen, old->entry.name, old->status->term,
             "the old primary still answers as primary"};
-  if ((outside != nullptr || inside != nullptr) && is_nothing_left(facts))
-    return follow_unproved(outside, inside, facts);
+  if ((outside != nullptr || inside != nullptr) && no_better_log_can_appear(facts))
+    return choose_unproved(outside, inside, facts);
   return {PromotionVerdict::kNotYet, {}, 0, proof.why};
 }
 
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -35,7 +35,7 @@
   bool all_acknowledgers_answered = false;
   /// Every admitted proxy has acknowledged the close, so none uses the closed term's primary.
   bool all_proxies_answered = false;
-  std::uint64_t silent_revision = 0;  ///< see FenceProgress
+  std::uint64_t min_unresponsive_revision = 0;  ///< see FenceProgress
   /// Maximum over the proxies that answered. May exceed the last acknowledged commit: a backend reports the
   /// end of its log, which includes concurrent commits in progress.
   Position highest_acknowledged;
@@ -66,7 +66,7 @@
 
 /// Whether the member reports its start time and has an empty log while other members or proxies know of
 /// commits. Such an incarnation, registered or not, has lost its log, and its position proves nothing.
-bool is_blank(const MemberFinding& member, const PromotionFacts& facts);
+bool has_lost_log(const MemberFinding& member, const PromotionFacts& facts);
 
 /// Invariant: with one synchronous replica, an acknowledged commit is on the primary and on one replica, each
 /// in one incarnation. The furthest log therefore holds it if all replicas were compared, if the old primary
--- a/src/registered/control/failover/promotion_steps.cpp
+++ b/src/registered/control/failover/promotion_steps.cpp
@@ -5,9 +5,10 @@
 using registry::GroupTerm;
 
 Awaitable<bool> Promotion::order(GroupTerm closed, registry::BackendIncarnation chosen) {
-  const TimePoint asked = runtime_.now();
-  const bool confirmed = co_await terms_.pass_quorum_round();
-  if (!confirmed || !terms_.leads() || runtime_.now() - asked > kPromotionFreshness) co_return false;
+  const TimePoint barrier_started_at = runtime_.now();
+  const bool confirmed = co_await terms_.complete_read_barrier();
+  if (!confirmed || !terms_.leads() || runtime_.now() - barrier_started_at > kMaxReadBarrierAge)
+    co_return false;
   if (!terms_.is_still_closed(closed)) co_return false;
   const registry::BackendEntry* entry = fleet_.find_backend(chosen.name);
   if (entry == nullptr || entry->incarnation() != chosen) co_return false;
@@ -22,43 +23,43 @@
   // Without a definite answer the promotion may have been accepted; the backend's status will show it.
   const bool refused =
       !taken && (reason.code == ReasonCode::kConflict || reason.code == ReasonCode::kOverloaded);
-  if (refused) co_await runtime_.sleep_for(kFailoverRetry);
+  if (refused) co_await runtime_.sleep_for(kFailoverRetryDelay);
   co_return !refused;
 }
 
 Awaitable<std::optional<std::uint64_t>> Promotion::wait_until_leading(GroupTerm closed,
                                                                       MemberFinding chosen) {
-  const TimePoint limit = runtime_.now() + kPromotionLimit;
+  const TimePoint give_up_at = runtime_.now() + kPromotionTimeout;
   Reason reason;
-  while (terms_.leads() && runtime_.now() < limit) {
+  while (terms_.leads() && runtime_.now() < give_up_at) {
     const registry::BackendEntry* entry = fleet_.find_backend(chosen.entry.name);
     if (entry == nullptr || entry->incarnation() != chosen.entry.incarnation()) co_return std::nullopt;
-    const registry::BackendEntry asked = *entry;
-    const auto status = co_await prober_.ask(asked, runtime_.now() + kStatusTimeout, reason);
+    const registry::BackendEntry queried = *entry;
+    const auto status = co_await prober_.query(queried, runtime_.now() + kStatusTimeout, reason);
     if (status && status->is_primary && status->term > closed.term) {
-      const bool has_log = !asked.tells_birth() || status->received >= chosen.status->received;
+      const bool has_log = !queried.tells_birth() || status->received >= chosen.status->received;
       if (has_log) co_return status->term;
       closed.primary = chosen.entry.name;
       terms_.log("promoted_without_its_log", closed,
                  "it restarted before it became primary and lost part of its log; choosing again");
       co_return std::nullopt;
     }
-    co_await runtime_.sleep_for(kPromotionPoll);
+    co_await runtime_.sleep_for(kPromotionPollInterval);
   }
   co_return std::nullopt;
 }
 
 Awaitable<void> Promotion::step_down(GroupName group, BackendName old_primary, std::uint64_t term) {
-  const TimePoint limit = runtime_.now() + kDemoteLimit;
-  while (terms_.leads() && runtime_.now() < limit) {
+  const TimePoint give_up_at = runtime_.now() + kDemoteTimeout;
+  while (terms_.leads() && runtime_.now() < give_up_at) {
     const auto current = terms_.find(group);
     const registry::BackendEntry* entry = fleet_.find_backend(old_primary);
     if (entry == nullptr || !current || current->term != term) co_return;
-    const registry::BackendEntry asked = *entry;
+    const registry::BackendEntry queried = *entry;
     Reason reason;
-    const auto status = co_await prober_.demote(asked, term, runtime_.now() + kStatusTimeout, reason);
+    const auto status = co_await prober_.demote(queried, term, runtime_.now() + kStatusTimeout, reason);
     if (status && !status->is_primary) co_return;
-    co_await runtime_.sleep_for(kDemotePause);
+    co_await runtime_.sleep_for(kDemoteInterval);
   }
 }
 
--- a/src/registered/control/failover/promotion_steps.h
+++ b/src/registered/control/failover/promotion_steps.h
@@ -19,16 +19,16 @@
 
 /// Maximum age of the read barrier when a promotion is requested. A control node that was suspended in
 /// between may have a successor that decided otherwise.
-inline constexpr Duration kPromotionFreshness = std::chrono::milliseconds(200);
+inline constexpr Duration kMaxReadBarrierAge = std::chrono::milliseconds(200);
 /// Timeout of the platform's answer to a promotion request.
 inline constexpr Duration kPromotionCallTimeout = std::chrono::milliseconds(1000);
 /// Polling interval for the promoted backend's status.
-inline constexpr Duration kPromotionPoll = std::chrono::milliseconds(30);
+inline constexpr Duration kPromotionPollInterval = std::chrono::milliseconds(30);
 /// A promotion that has not taken effect after this time is requested again.
-inline constexpr Duration kPromotionLimit = std::chrono::seconds(3);
+inline constexpr Duration kPromotionTimeout = std::chrono::seconds(3);
 /// Total time for which, and interval at which, the old primary is sent demote requests.
-inline constexpr Duration kDemoteLimit = std::chrono::seconds(30);
-inline constexpr Duration kDemotePause = std::chrono::milliseconds(500);
+inline constexpr Duration kDemoteTimeout = std::chrono::seconds(30);
+inline constexpr Duration kDemoteInterval = std::chrono::milliseconds(500);
 
 /// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class Promotion {
@@ -49,13 +49,13 @@
   /// node is not certainly the leader, another incarnation of the backend has registered, or the close is no
   /// longer current.
   Awaitable<bool> order(registry::GroupTerm closed, registry::BackendIncarnation chosen);
-  /// Returns the term that `chosen` leads. Returns std::nullopt after kPromotionLimit, when this node is no
+  /// Returns the term that `chosen` leads. Returns std::nullopt after kPromotionTimeout, when this node is no
   /// longer the leader, and when the chosen incarnation has ended or has less of the log than it was chosen
   /// for because it restarted.
   Awaitable<std::optional<std::uint64_t>> wait_until_leading(registry::GroupTerm closed,
                                                              MemberFinding chosen);
   /// Sends the group's old primary requests to step down from any term below `term`, until it is no longer
-  /// primary, the group has another term, or kDemoteLimit has passed.
+  /// primary, the group has another term, or kDemoteTimeout has passed.
   Awaitable<void> step_down(GroupName group, BackendName old_primary, std::uint64_t term);
 
  private:
--- a/src/registered/control/failover/promotion_turns.cpp
+++ b/src/registered/control/failover/promotion_turns.cpp
@@ -8,56 +8,56 @@
 
 namespace {
 
-constexpr double kDepthPart = 0.2;  ///< fraction of the rate; the refill is the remainder
-constexpr double kLeastRefillPart =
-    0.5;  ///< minimum refill, as a fraction of a rate of which a depth of one call leaves less
+constexpr double kDepthFraction = 0.2;  ///< fraction of the rate; the refill is the remainder
+/// Minimum refill as a fraction of the rate. Applies to rates of which a depth of one call leaves less.
+constexpr double kMinRefillFraction = 0.5;
 
-double depth_of(double rate_per_s) { return std::max(1.0, std::floor(rate_per_s * kDepthPart)); }
+double bucket_depth(double rate_per_s) { return std::max(1.0, std::floor(rate_per_s * kDepthFraction)); }
 
-double refill_of(double rate_per_s) {
-  return std::max(rate_per_s - depth_of(rate_per_s), rate_per_s * kLeastRefillPart);
+double refill_rate(double rate_per_s) {
+  return std::max(rate_per_s - bucket_depth(rate_per_s), rate_per_s * kMinRefillFraction);
 }
 
 }  // namespace
 
 PromotionTurns::PromotionTurns(runtime::Runtime& runtime, double rate_per_s)
     : runtime_(runtime),
-      refill_per_s_(refill_of(rate_per_s)),
-      depth_(depth_of(rate_per_s)),
-      calls_(depth_),
+      refill_per_s_(refill_rate(rate_per_s)),
+      depth_(bucket_depth(rate_per_s)),
+      tokens_(depth_),
       refilled_at_(runtime.now()),
-      taken_(runtime) {}
+      acquired_(runtime) {}
 
 void PromotionTurns::refill() {
   const TimePoint now = runtime_.now();
   const double seconds = std::chrono::duration<double>(now - refilled_at_).count();
-  calls_ = std::min(depth_, calls_ + seconds * refill_per_s_);
+  tokens_ = std::min(depth_, tokens_ + seconds * refill_per_s_);
   refilled_at_ = now;
 }
 
-Awaitable<bool> PromotionTurns::take(std::uint64_t urgency) {
+Awaitable<bool> PromotionTurns::acquire(std::uint64_t urgency) {
   if (refill_per_s_ <= 0) co_return true;
-  const Place place{urgency, next_arrival_++};
-  waiting_.insert(place);
-  bool at_once = true;
+  const Waiter self{urgency, next_arrival_++};
+  waiting_.insert(self);
+  bool immediate = true;
   while (true) {
     refill();
-    const bool is_first = *waiting_.begin() == place;
-    if (is_first && calls_ >= 1) break;
-    at_once = false;
+    const bool is_first = *waiting_.begin() == self;
+    if (is_first && tokens_ >= 1) break;
+    immediate = false;
     if (!is_first) {
-      co_await taken_.wait();
+      co_await acquired_.wait();
       continue;
     }
-    const double missing = std::max(0.0, 1 - calls_);
+    const double missing = std::max(0.0, 1 - tokens_);
     const auto pause =
         std::chrono::ceil<std::chrono::milliseconds>(std::chrono::duration<double>(missing / refill_per_s_));
-    co_await taken_.wait_until(runtime_.now() + std::max<Duration>(pause, std::chrono::milliseconds(1)));
+    co_await acquired_.wait_until(runtime_.now() + std::max<Duration>(pause, std::chrono::milliseconds(1)));
   }
-  calls_ -= 1;
-  waiting_.erase(place);
-  taken_.notify_all();
-  co_return at_once;
+  tokens_ -= 1;
+  waiting_.erase(self);
+  acquired_.notify_all();
+  co_return immediate;
 }
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/promotion_turns.h
+++ b/src/registered/control/failover/promotion_turns.h
@@ -26,25 +26,25 @@
 
   /// Waits until a call may be made. The waiter with the lowest `urgency` value goes first, and among equal
   /// ones the first to arrive. Returns true if it did not have to wait.
-  Awaitable<bool> take(std::uint64_t urgency);
+  Awaitable<bool> acquire(std::uint64_t urgency);
   [[nodiscard]] std::size_t waiting() const { return waiting_.size(); }
 
  private:
-  struct Place {
+  struct Waiter {
     std::uint64_t urgency = 0;
     std::uint64_t arrival = 0;
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const Waiter&) const = default;
   };
   void refill();
 
   runtime::Runtime& runtime_;
   double refill_per_s_;
   double depth_;
-  double calls_;  ///< tokens: calls that may be made now
+  double tokens_;  ///< calls that may be made now
   TimePoint refilled_at_;
-  std::set<Place> waiting_;
+  std::set<Waiter> waiting_;
   std::uint64_t next_arrival_ = 0;
-  runtime::Signal taken_;
+  runtime::Signal acquired_;
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/failover/region_preference.cpp
+++ b/src/registered/control/failover/region_preference.cpp
@@ -4,25 +4,25 @@
 
 namespace cairnhollow::registered::control {
 
-void RegionPreference::follow_document() {
-  if (version_ == fleet_.document_version()) return;
-  version_ = fleet_.document_version();
+void RegionPreference::update_routes() {
+  if (document_version_ == fleet_.document_version()) return;
+  document_version_ = fleet_.document_version();
   routes_.clear();
-  std::map<GroupName, std::vector<registry::RouteRule>> all;
-  std::map<GroupName, bool> bound;
+  std::map<GroupName, std::vector<registry::RouteRule>> by_group;
+  std::map<GroupName, bool> is_restricted;
   for (registry::RouteRule& route : fleet_.routes()) {
-    bound[route.group] = bound[route.group] || !route.allowed_regions.empty();
+    is_restricted[route.group] = is_restricted[route.group] || !route.allowed_regions.empty();
     const GroupName group = route.group;
-    all[group].push_back(std::move(route));
+    by_group[group].push_back(std::move(route));
   }
-  for (auto& [group, routes] : all) {
-    if (bound[group]) routes_[group] = std::move(routes);
+  for (auto& [group, routes] : by_group) {
+    if (is_restricted[group]) routes_[group] = std::move(routes);
   }
 }
 
 std::map<BackendName, std::size_t> RegionPreference::allowing_routes(
     const GroupName& group, const std::vector<registry::BackendEntry>& members) {
-  follow_document();
+  update_routes();
   std::map<BackendName, std::size_t> counts;
   const auto routes = routes_.find(group);
   if (routes == routes_.end()) return counts;
--- a/src/registered/control/failover/region_preference.h
+++ b/src/registered/control/failover/region_preference.h
@@ -24,11 +24,11 @@
       const GroupName& group, const std::vector<registry::BackendEntry>& members);
 
  private:
-  void follow_document();
+  void update_routes();
 
   const registry::FleetStateMachine& fleet_;
   locality::RegionMap regions_;
-  std::uint64_t version_ = 0;  ///< of the configuration document from which `routes_` was built
+  std::uint64_t document_version_ = 0;  ///< of the configuration document from which `routes_` was built
   /// All routes of each group that has a route restricted to regions.
   std::map<GroupName, std::vector<registry::RouteRule>> routes_;
 };
--- a/src/registered/control/failover/replication_pauses.cpp
+++ b/src/registered/control/failover/replication_pauses.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-struct ReplicationPauses::Answers {
-  explicit Answers(runtime::Runtime& runtime) : changed(runtime) {}
+struct ReplicationPauses::PendingAnswers {
+  explicit PendingAnswers(runtime::Runtime& runtime) : changed(runtime) {}
   std::size_t missing = 0;
   runtime::Signal changed;
 };
@@ -27,21 +27,21 @@
 void ReplicationPauses::record_members() {
   if (recorded_revision_ == fleet_.revision()) return;
   recorded_revision_ = fleet_.revision();
-  std::map<BackendIncarnation, Known> known;
+  std::map<BackendIncarnation, FirstSeen> known;
   for (const auto& group : fleet_.groups()) {
     for (const BackendIncarnation& member : fleet_.incarnations_of(group.name)) {
-      const auto before = known_.find(member);
-      const Known now{runtime_.now(), fleet_.backend_revision(member.name)};
-      known.emplace(member, before == known_.end() ? now : before->second);
+      const auto before = first_seen_.find(member);
+      const FirstSeen now{runtime_.now(), fleet_.backend_revision(member.name)};
+      known.emplace(member, before == first_seen_.end() ? now : before->second);
     }
   }
-  known_ = std::move(known);
+  first_seen_ = std::move(known);
 }
 
 Awaitable<void> ReplicationPauses::pause(GroupTerm closed) {
   GroupPauses& pauses = paused_[closed.group];
   if (pauses.epoch != closed.epoch) pauses = GroupPauses{closed.epoch, {}};
-  const auto answers = std::make_shared<Answers>(runtime_);
+  const auto answers = std::make_shared<PendingAnswers>(runtime_);
   for (const BackendEntry& member : fleet_.backends_of(closed.group)) {
     if (closed.is_led_by(member) || pauses.since.count(member.incarnation()) > 0) continue;
     ++answers->missing;
@@ -50,13 +50,13 @@
   while (answers->missing > 0) co_await answers->changed.wait();
 }
 
-Awaitable<void> ReplicationPauses::pause_one(std::shared_ptr<Answers> answers, BackendEntry member,
+Awaitable<void> ReplicationPauses::pause_one(std::shared_ptr<PendingAnswers> answers, BackendEntry member,
                                              GroupTerm closed) {
   Reason reason;
   const TimePoint deadline = runtime_.now() + kStatusTimeout;
   auto status = co_await prober_.pause(member, pause_term(closed), deadline, reason);
   // A member that an earlier leader paused may reject a pause with the same term, so its status decides.
-  if (!status) status = co_await prober_.ask(member, deadline, reason);
+  if (!status) status = co_await prober_.query(member, deadline, reason);
   const bool paused = status && status->pause_term >= pause_term(closed);
   GroupPauses& pauses = paused_[closed.group];
   if (paused && pauses.epoch == closed.epoch) pauses.since[member.incarnation()] = runtime_.now();
@@ -72,27 +72,31 @@
   answers->changed.notify_all();
 }
 
-TimePoint ReplicationPauses::quiet_at(const BackendIncarnation& member, TimePoint paused_at,
-                                      std::uint64_t silent_revision) const {
-  const auto found = known_.find(member);
-  const Known known = found == known_.end() ? Known{runtime_.now(), fleet_.revision()} : found->second;
-  return member_lease_end(paused_at, asked_by_all_from(known.since, known.revision, silent_revision));
+TimePoint ReplicationPauses::earliest_promotion(const BackendIncarnation& member, TimePoint paused_at,
+                                                std::uint64_t min_unresponsive_revision) const {
+  const auto found = first_seen_.find(member);
+  const FirstSeen known =
+      found == first_seen_.end() ? FirstSeen{runtime_.now(), fleet_.revision()} : found->second;
+  return member_lease_end(paused_at,
+                          asked_by_all_from(known.since, known.revision, min_unresponsive_revision));
 }
 
-TimePoint ReplicationPauses::quiet_at(const GroupTerm& closed, std::uint64_t silent_revision) const {
-  TimePoint quiet = TimePoint::max();
+TimePoint ReplicationPauses::earliest_promotion(const GroupTerm& closed,
+                                                std::uint64_t min_unresponsive_revision) const {
+  TimePoint earliest = TimePoint::max();
   const auto found = paused_.find(closed.group);
-  if (found == paused_.end() || found->second.epoch != closed.epoch) return quiet;
+  if (found == paused_.end() || found->second.epoch != closed.epoch) return earliest;
   for (const auto& [member, since] : found->second.since) {
     const BackendEntry* entry = fleet_.find_backend(member.name);
     if (entry == nullptr || entry->incarnation() != member) continue;
-    quiet = std::min(quiet, quiet_at(member, since, silent_revision));
+    earliest = std::min(earliest, earliest_promotion(member, since, min_unresponsive_revision));
   }
-  return quiet;
+  return earliest;
 }
 
-bool ReplicationPauses::hold(const GroupTerm& closed, std::uint64_t silent_revision,
-                             const std::vector<MemberFinding>& findings, const BackendName& candidate) const {
+bool ReplicationPauses::fences_old_primary(const GroupTerm& closed, std::uint64_t min_unresponsive_revision,
+                                           const std::vector<MemberFinding>& findings,
+                                           const BackendName& candidate) const {
   const auto found = paused_.find(closed.group);
   if (found == paused_.end() || found->second.epoch != closed.epoch) return false;
   const auto still_paused = std::find_if(findings.begin(), findings.end(), [&](const MemberFinding& member) {
@@ -102,7 +106,7 @@
   const BackendIncarnation paused_member = still_paused->entry.incarnation();
   const auto since = found->second.since.find(paused_member);
   if (since == found->second.since.end()) return false;
-  return runtime_.now() >= quiet_at(paused_member, since->second, silent_revision);
+  return runtime_.now() >= earliest_promotion(paused_member, since->second, min_unresponsive_revision);
 }
 
 Awaitable<void> ReplicationPauses::resume(GroupName group) {
@@ -110,7 +114,7 @@
   if (found == paused_.end()) co_return;
   const std::map<BackendIncarnation, TimePoint> since = std::move(found->second.since);
   paused_.erase(found);
-  const auto answers = std::make_shared<Answers>(runtime_);
+  const auto answers = std::make_shared<PendingAnswers>(runtime_);
   for (const BackendEntry& member : fleet_.backends_of(group)) {
     if (since.count(member.incarnation()) == 0) continue;
     ++answers->missing;
@@ -119,7 +123,7 @@
   while (answers->missing > 0) co_await answers->changed.wait();
 }
 
-Awaitable<void> ReplicationPauses::resume_one(std::shared_ptr<Answers> answers, BackendEntry member) {
+Awaitable<void> ReplicationPauses::resume_one(std::shared_ptr<PendingAnswers> answers, BackendEntry member) {
   Reason reason;
   const TimePoint deadline = runtime_.now() + kStatusTimeout;
   const auto status = co_await prober_.resume(member, deadline, reason);
@@ -131,11 +135,11 @@
   answers->changed.notify_all();
 }
 
-Awaitable<void> ReplicationPauses::resume_left(GroupName group) {
-  const auto findings = co_await prober_.ask_all(fleet_.backends_of(group));
+Awaitable<void> ReplicationPauses::resume_leftover(GroupName group) {
+  const auto findings = co_await prober_.query_all(fleet_.backends_of(group));
   const GroupTerm* term = fleet_.find_term(group);
   if (term == nullptr || !term->open || paused_.count(group) > 0) co_return;
-  const auto answers = std::make_shared<Answers>(runtime_);
+  const auto answers = std::make_shared<PendingAnswers>(runtime_);
   for (const MemberFinding& member : findings) {
     if (!member.status || member.status->pause_term == 0) continue;
     ++answers->missing;
--- a/src/registered/control/failover/replication_pauses.h
+++ b/src/registered/control/failover/replication_pauses.h
@@ -28,25 +28,28 @@
   /// yet.
   Awaitable<void> pause(registry::GroupTerm closed);
   /// Returns the earliest time at which a paused member may be promoted, or `TimePoint::max()` if none is
-  /// paused. Ignores incarnations that have ended. `silent_revision`: lowest fleet revision known to the
-  /// proxies that may hold a member lease.
-  [[nodiscard]] TimePoint quiet_at(const registry::GroupTerm& closed, std::uint64_t silent_revision) const;
+  /// paused. Ignores incarnations that have ended. `min_unresponsive_revision`: lowest fleet revision known
+  /// to the proxies that may hold a member lease.
+  [[nodiscard]] TimePoint earliest_promotion(const registry::GroupTerm& closed,
+                                             std::uint64_t min_unresponsive_revision) const;
   /// Whether no proxy that has not answered the fence can use the closed term's primary once `candidate` is
   /// promoted. Requires that each such proxy knows the candidate, so that its queries see the pause and then
   /// the new term; and that the candidate has been paused for long enough and, according to `findings`, still
   /// is (it has not restarted). Another member's pause does not suffice: it ends after the promotion, and a
   /// proxy could combine the candidate's answer from before the promotion with the other member's answer from
   /// after its pause.
-  [[nodiscard]] bool hold(const registry::GroupTerm& closed, std::uint64_t silent_revision,
-                          const std::vector<MemberFinding>& findings, const BackendName& candidate) const;
-  /// Resumes all members that this node paused. Those that do not answer are retried by resume_left().
+  [[nodiscard]] bool fences_old_primary(const registry::GroupTerm& closed,
+                                        std::uint64_t min_unresponsive_revision,
+                                        const std::vector<MemberFinding>& findings,
+                                        const BackendName& candidate) const;
+  /// Resumes all members that this node paused. Those that do not answer are retried by resume_leftover().
   Awaitable<void> resume(GroupName group);
   /// Resumes the members of an open group that are still paused, by whichever leader.
-  Awaitable<void> resume_left(GroupName group);
+  Awaitable<void> resume_leftover(GroupName group);
   /// Whether this node has paused members of the group and not resumed them.
-  [[nodiscard]] bool any(const GroupName& group) const { return paused_.count(group) > 0; }
+  [[nodiscard]] bool has_paused(const GroupName& group) const { return paused_.count(group) > 0; }
   /// Drops the record of pauses when this node is no longer the leader; its successor takes care of them.
-  void forget() { paused_.clear(); }
+  void clear() { paused_.clear(); }
 
  private:
   struct GroupPauses {
@@ -54,24 +57,24 @@
     /// Time of each member's answer to the pause. The next incarnation of a member is not paused.
     std::map<registry::BackendIncarnation, TimePoint> since;
   };
-  struct Answers;
+  struct PendingAnswers;
 
-  Awaitable<void> pause_one(std::shared_ptr<Answers> answers, registry::BackendEntry member,
+  Awaitable<void> pause_one(std::shared_ptr<PendingAnswers> answers, registry::BackendEntry member,
                             registry::GroupTerm closed);
-  Awaitable<void> resume_one(std::shared_ptr<Answers> answers, registry::BackendEntry member);
+  Awaitable<void> resume_one(std::shared_ptr<PendingAnswers> answers, registry::BackendEntry member);
   /// Returns when the leases that `member` granted before its pause have expired, including at proxies that
   /// may not know the member.
-  [[nodiscard]] TimePoint quiet_at(const registry::BackendIncarnation& member, TimePoint paused_at,
-                                   std::uint64_t silent_revision) const;
+  [[nodiscard]] TimePoint earliest_promotion(const registry::BackendIncarnation& member, TimePoint paused_at,
+                                             std::uint64_t min_unresponsive_revision) const;
 
   runtime::Runtime& runtime_;
   registry::FleetStateMachine& fleet_;
   GroupProber& prober_;
-  struct Known {
+  struct FirstSeen {
     TimePoint since{};
     std::uint64_t revision = 0;
   };
-  std::map<registry::BackendIncarnation, Known> known_;
+  std::map<registry::BackendIncarnation, FirstSeen> first_seen_;
   std::uint64_t recorded_revision_ = 0;
   std::map<GroupName, GroupPauses> paused_;
 };
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -135,11 +135,11 @@
 FenceProgress LeaseKeeper::fence_progress(const GroupName& group, std::uint64_t epoch) {
   refresh_acknowledging();
   const TimePoint now = runtime_.now();
-  const auto describe_silent = [this, now](const NodeName& node, std::uint64_t incarnation) {
-    return FenceAcknowledgements::Silent{now <= leases_.end_of(node, incarnation),
-                                         leases_.revision_of(node, incarnation)};
+  const auto describe_unresponsive = [this, now](const NodeName& node, std::uint64_t incarnation) {
+    return FenceAcknowledgements::UnresponsiveProxy{now <= leases_.end_of(node, incarnation),
+                                                    leases_.revision_of(node, incarnation)};
   };
-  return acknowledgements_.progress(group, epoch, describe_silent);
+  return acknowledgements_.progress(group, epoch, describe_unresponsive);
 }
 
 Awaitable<void> LeaseKeeper::watch_lapsed() {
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -120,7 +120,7 @@
 Awaitable<bool> RegistrationService::is_outdated(registry::BackendEntry entry) {
   const registry::BackendEntry* neighbour = fleet_.find_backend_at(entry.endpoint);
   if (neighbour == nullptr || neighbour->name == entry.name) co_return false;
-  co_return co_await prober_.is_another(std::move(entry), runtime_.now() + kStatusTimeout);
+  co_return co_await prober_.is_address_reused(std::move(entry), runtime_.now() + kStatusTimeout);
 }
 
 bool RegistrationService::is_of_former_incarnation(const registry::BackendEntry& entry) const {
--- a/tests/registered/control/failover/group_keeper_incarnations_test.cpp
+++ b/tests/registered/control/failover/group_keeper_incarnations_test.cpp
@@ -23,12 +23,12 @@
 
 class StatusLink : public BackendLink {
  public:
-  StatusLink(runtime::Runtime& runtime, const Statuses& statuses, BackendName backend, Duration takes)
-      : runtime_(runtime), statuses_(statuses), backend_(std::move(backend)), takes_(takes) {}
+  StatusLink(runtime::Runtime& runtime, const Statuses& statuses, BackendName backend, Duration answer_delay)
+      : runtime_(runtime), statuses_(statuses), backend_(std::move(backend)), answer_delay_(answer_delay) {}
   Awaitable<std::optional<Answer>> run(BackendRequest /*request*/, TimePoint /*deadline*/,
                                        runtime::SendState& /*sent*/, Reason& /*reason*/) override {
     std::optional<Answer> answer;
-    co_await runtime_.sleep_for(takes_);
+    co_await runtime_.sleep_for(answer_delay_);
     if (statuses_.count(backend_) > 0) answer.emplace();
     co_return answer;
   }
@@ -43,7 +43,7 @@
   runtime::Runtime& runtime_;
   const Statuses& statuses_;
   BackendName backend_;
-  Duration takes_;
+  Duration answer_delay_;
   bool open_ = true;
 };
 
@@ -54,8 +54,8 @@
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress address, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/,
                                                Reason& /*reason*/) override {
-    const Duration takes = milliseconds(address.backend == slow ? 100 : 1);
-    co_return std::make_shared<StatusLink>(runtime_, statuses_, address.backend, takes);
+    const Duration answer_delay = milliseconds(address.backend == slow ? 100 : 1);
+    co_return std::make_shared<StatusLink>(runtime_, statuses_, address.backend, answer_delay);
   }
   BackendName slow;
 
@@ -64,21 +64,21 @@
   const Statuses& statuses_;
 };
 
-/// Promotes immediately. The backend `forgets` loses its log just before its promotion.
-class Promotions : public registry::PromotionCaller {
+/// Promotes immediately. The backend `loses_log` loses its log just before its promotion.
+class FakePromotionCaller : public registry::PromotionCaller {
  public:
-  explicit Promotions(Statuses& statuses) : statuses_(statuses) {}
+  explicit FakePromotionCaller(Statuses& statuses) : statuses_(statuses) {}
   Awaitable<bool> promote(registry::PromotionOrder order, TimePoint /*deadline*/,
                           Reason& /*reason*/) override {
     ++orders;
     BackendStatus& status = statuses_[order.backend];
     status.is_primary = true;
     status.term = kTerm + 1;
-    if (order.backend == forgets) status.received = {1, 0};
+    if (order.backend == loses_log) status.received = {1, 0};
     co_return true;
   }
   int orders = 0;
-  BackendName forgets;
+  BackendName loses_log;
 
  private:
   Statuses& statuses_;
@@ -105,7 +105,7 @@
   LeaseKeeper leases;
   StatusDialer dialer;
   GroupProber prober;
-  Promotions promotions;
+  FakePromotionCaller promotions;
   GroupKeeper keeper;
 };
 
@@ -113,17 +113,17 @@
 
 class GroupKeeperIncarnationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupKeeperIncarnationsTest);
-  CPPUNIT_TEST(another_incarnation_of_the_primary_is_given_up_at_once);
-  CPPUNIT_TEST(who_leads_with_less_than_it_had_is_not_opened);
-  CPPUNIT_TEST(who_started_again_after_the_look_is_not_ordered);
-  CPPUNIT_TEST(who_lost_its_log_while_its_turn_was_awaited_is_not_ordered);
-  CPPUNIT_TEST(who_joined_in_the_term_may_lack_earlier_commits);
-  CPPUNIT_TEST(nobody_follows_without_proof_before_all_have_answered);
-  CPPUNIT_TEST(a_replaced_incarnation_may_have_held_the_newest_commits);
-  CPPUNIT_TEST(a_promotion_without_proof_is_counted);
-  CPPUNIT_TEST(who_starts_to_look_may_have_missed_a_replaced_incarnation);
-  CPPUNIT_TEST(a_incarnation_that_left_may_come_back_a_look_later);
-  CPPUNIT_TEST(who_joined_in_the_revision_that_opened_the_term_joined_in_it);
+  CPPUNIT_TEST(replaces_a_restarted_primary_immediately);
+  CPPUNIT_TEST(does_not_open_with_a_promoted_backend_that_lost_its_log);
+  CPPUNIT_TEST(does_not_promote_a_backend_that_restarted_after_the_choice);
+  CPPUNIT_TEST(does_not_promote_a_backend_that_lost_its_log_while_waiting);
+  CPPUNIT_TEST(does_not_promote_a_member_that_may_lack_earlier_commits);
+  CPPUNIT_TEST(makes_no_unproved_choice_before_all_members_answer);
+  CPPUNIT_TEST(waits_for_the_primary_after_a_replica_was_replaced);
+  CPPUNIT_TEST(counts_unproved_promotions);
+  CPPUNIT_TEST(new_keeper_assumes_an_unseen_replacement);
+  CPPUNIT_TEST(treats_a_returning_member_as_replaced);
+  CPPUNIT_TEST(counts_a_member_registered_in_the_opening_batch_as_joined);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -151,7 +151,7 @@
     world_->run_for(seconds(4));
   }
 
-  void another_incarnation_of_the_primary_is_given_up_at_once() {
+  void replaces_a_restarted_primary_immediately() {
     put("p", 1, 2000, BackendStatus{false, 1, {1, 0}});
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT(term().open);
@@ -160,8 +160,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, leader_->keeper.unproved_promotions());
   }
 
-  void who_leads_with_less_than_it_had_is_not_opened() {
-    leader_->promotions.forgets = BackendName("a");
+  void does_not_open_with_a_promoted_backend_that_lost_its_log() {
+    leader_->promotions.loses_log = BackendName("a");
     put("p", 1, 2000, BackendStatus{false, 1, {1, 0}});
     world_->run_for(seconds(2));
     CPPUNIT_ASSERT_EQUAL(2, leader_->promotions.orders);
@@ -169,7 +169,7 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the next candidate", std::string("b"), term().primary.value);
   }
 
-  void who_started_again_after_the_look_is_not_ordered() {
+  void does_not_promote_a_backend_that_restarted_after_the_choice() {
     leader_->log.during_barrier = [this] { put("a", 2, 2000, BackendStatus{false, 1, {1, 0}}); };
     put("p", 1, 2000, BackendStatus{false, 1, {1, 0}});
     world_->run_for(seconds(2));
@@ -178,7 +178,7 @@
   }
 
   /// The platform accepts one call every two seconds, and another group has just used one.
-  void who_lost_its_log_while_its_turn_was_awaited_is_not_ordered() {
+  void does_not_promote_a_backend_that_lost_its_log_while_waiting() {
     start(0.5);
     const GroupName other("other");
     registry::ConfigurationDocument document;
@@ -201,7 +201,7 @@
   }
 
   /// No proxy has acknowledged anything in this term, and none of the proxies of earlier terms is left.
-  void who_joined_in_the_term_may_lack_earlier_commits() {
+  void does_not_promote_a_member_that_may_lack_earlier_commits() {
     leader_->statuses.erase(BackendName("p"));
     leader_->statuses.erase(BackendName("b"));
     put("a", 2, 2000, BackendStatus{false, kTerm, {kTerm - 1, 4}});
@@ -212,7 +212,7 @@
   }
 
   /// The primary's next incarnation returned with the log and as primary, and is the last to answer.
-  void nobody_follows_without_proof_before_all_have_answered() {
+  void makes_no_unproved_choice_before_all_members_answer() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
     leader_->dialer.slow = BackendName("p");
@@ -225,7 +225,7 @@
   }
 
   /// A proxy that may have acknowledged commits is gone, and the primary does not answer.
-  void a_replaced_incarnation_may_have_held_the_newest_commits() {
+  void waits_for_the_primary_after_a_replica_was_replaced() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
     leader_->statuses.erase(BackendName("p"));
@@ -241,7 +241,7 @@
                            term().open && term().primary.value == "p");
   }
 
-  void a_promotion_without_proof_is_counted() {
+  void counts_unproved_promotions() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
     leader_->statuses.erase(BackendName("p"));
@@ -256,10 +256,10 @@
 
   /// The control node starts after "a" restarted, whose former incarnation may have been the only replica
   /// with the newest commits.
-  void who_starts_to_look_may_have_missed_a_replaced_incarnation() {
-    lose_a_proxy();
+  void new_keeper_assumes_an_unseen_replacement() {
+    admit_and_forget_proxy();
     leader_->statuses[BackendName("a")] = BackendStatus{false, kTerm, {kTerm, 4}};
-    start_another_keeper();
+    replace_keeper();
     world_->run_for(seconds(4));
     leader_->statuses.erase(BackendName("p"));
     apply(registry::CloseGroup{kGroup, term().epoch});
@@ -273,8 +273,8 @@
   }
 
   /// The keeper observes the group without the member between its departure and its return.
-  void a_incarnation_that_left_may_come_back_a_look_later() {
-    lose_a_proxy();
+  void treats_a_returning_member_as_replaced() {
+    admit_and_forget_proxy();
     leader_->statuses.erase(BackendName("p"));
     apply(registry::DeregisterBackend{BackendName("a")});
     world_->run_for(seconds(1));
@@ -287,7 +287,7 @@
   }
 
   /// The registration and the opening are committed in one batch.
-  void who_joined_in_the_revision_that_opened_the_term_joined_in_it() {
+  void counts_a_member_registered_in_the_opening_batch_as_joined() {
     apply(registry::CloseGroup{kGroup, term().epoch});
     registry::BackendEntry next = entry("a", 2, 2000);
     leader_->statuses[next.name] = BackendStatus{false, kTerm, {kTerm - 1, 4}};
@@ -304,12 +304,12 @@
 
  private:
   /// Admits and forgets a proxy that may have acknowledged commits.
-  void lose_a_proxy() {
+  void admit_and_forget_proxy() {
     apply(registry::AdmitProxy{{NodeName("proxy"), 1, ZoneName("a"), {}, false}});
     apply(registry::ForgetProxy{NodeName("proxy"), 1});
   }
   /// Replaces the running keeper.
-  void start_another_keeper() {
+  void replace_keeper() {
     leader_->keeper.stop();
     next_ = std::make_unique<GroupKeeper>(*runtime_, leader_->log, leader_->fleet, leader_->calls,
                                           leader_->leases, leader_->prober, leader_->promotions,
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -20,24 +20,24 @@
 
 class GroupKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupKeeperTest);
-  CPPUNIT_TEST(a_dead_primary_is_replaced);
-  CPPUNIT_TEST(a_proxy_with_a_lease_is_waited_for);
-  CPPUNIT_TEST(a_silent_proxys_member_leases_are_waited_for);
-  CPPUNIT_TEST(a_member_that_is_not_paused_is_not_promoted);
-  CPPUNIT_TEST(no_promotion_without_a_quorum);
-  CPPUNIT_TEST(no_promotion_by_who_was_held_up);
-  CPPUNIT_TEST(no_promotion_by_who_leads_no_more);
-  CPPUNIT_TEST(no_promotion_for_a_close_that_is_past);
-  CPPUNIT_TEST(nothing_is_looked_at_for_a_close_that_ended_while_it_waited);
-  CPPUNIT_TEST(an_order_that_was_refused_is_given_again_after_a_pause);
-  CPPUNIT_TEST(who_follows_compares_members_too);
+  CPPUNIT_TEST(replaces_a_failed_primary);
+  CPPUNIT_TEST(waits_for_leases_from_control);
+  CPPUNIT_TEST(waits_for_member_leases_of_an_unresponsive_proxy);
+  CPPUNIT_TEST(does_not_promote_an_unpaused_member);
+  CPPUNIT_TEST(does_not_promote_without_a_quorum);
+  CPPUNIT_TEST(does_not_promote_after_a_stale_read_barrier);
+  CPPUNIT_TEST(does_not_promote_after_losing_leadership);
+  CPPUNIT_TEST(does_not_promote_for_a_superseded_close);
+  CPPUNIT_TEST(does_not_query_members_for_a_close_that_ended_while_waiting);
+  CPPUNIT_TEST(retries_a_rejected_promotion_after_a_delay);
+  CPPUNIT_TEST(follower_compares_members);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void setUp() override { begin(0); }
+  void setUp() override { start_keeper(0); }
   void tearDown() override { stand_.reset(); }
 
-  void a_dead_primary_is_replaced() {
+  void replaces_a_failed_primary() {
     kill_primary();
     stand_->run_for(seconds(2));
     CPPUNIT_ASSERT(stand_->first("promote") != nullptr);
@@ -46,7 +46,7 @@
     CPPUNIT_ASSERT_MESSAGE("every proxy answered, so no member is paused", stand_->first("pause") == nullptr);
   }
 
-  void a_proxy_with_a_lease_is_waited_for() {
+  void waits_for_leases_from_control() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy);
     const TimePoint reported = stand_->now();
@@ -57,7 +57,7 @@
     CPPUNIT_ASSERT(promoted->at >= reported + ControlStand::kLease - milliseconds(50));
   }
 
-  void a_silent_proxys_member_leases_are_waited_for() {
+  void waits_for_member_leases_of_an_unresponsive_proxy() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy, stand_->fleet().revision());
     report(*proxy, stand_->fleet().revision());
@@ -70,7 +70,7 @@
     CPPUNIT_ASSERT(promoted->at - paused->at >= registry::kMemberLeaseWait);
   }
 
-  void a_member_that_is_not_paused_is_not_promoted() {
+  void does_not_promote_an_unpaused_member() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy, stand_->fleet().revision());
     report(*proxy, stand_->fleet().revision());
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT(stand_->first("promote") == nullptr);
   }
 
-  void no_promotion_without_a_quorum() {
+  void does_not_promote_without_a_quorum() {
     close_group();
     stand_->consensus().has_quorum = false;
     stand_->run_for(seconds(3));
@@ -93,9 +93,9 @@
     CPPUNIT_ASSERT(stand_->first("promote") != nullptr);
   }
 
-  void no_promotion_by_who_was_held_up() {
+  void does_not_promote_after_a_stale_read_barrier() {
     close_group();
-    stand_->consensus().barrier_takes = kPromotionFreshness + milliseconds(10);
+    stand_->consensus().barrier_takes = kMaxReadBarrierAge + milliseconds(10);
     stand_->run_for(seconds(3));
     CPPUNIT_ASSERT(stand_->first("promote") == nullptr);
     stand_->consensus().barrier_takes = milliseconds(1);
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT(stand_->first("promote") != nullptr);
   }
 
-  void no_promotion_by_who_leads_no_more() {
+  void does_not_promote_after_losing_leadership() {
     close_group();
     stand_->consensus().barrier_takes = milliseconds(20);
     stand_->consensus().during_barrier = [this] { stand_->consensus().is_leader = false; };
@@ -112,7 +112,7 @@
   }
 
   /// Meanwhile another leader opened the group with another primary.
-  void no_promotion_for_a_close_that_is_past() {
+  void does_not_promote_for_a_superseded_close() {
     close_group();
     stand_->consensus().during_barrier = [this] { open_with("replica-2"); };
     stand_->run_for(seconds(2));
@@ -120,9 +120,9 @@
     CPPUNIT_ASSERT(stand_->term().open && stand_->term().primary.value == "replica-2");
   }
 
-  void nothing_is_looked_at_for_a_close_that_ended_while_it_waited() {
+  void does_not_query_members_for_a_close_that_ended_while_waiting() {
     constexpr double kRate = 0.1;  // the next turn is 10 s away
-    begin(kRate);
+    start_keeper(kRate);
     close_group();
     stand_->run_for(seconds(1));
     CPPUNIT_ASSERT_MESSAGE("the first turn is used", stand_->first("promote") != nullptr);
@@ -140,13 +140,13 @@
     CPPUNIT_ASSERT(stand_->term().open && stand_->term().primary.value == "replica-2");
   }
 
-  void an_order_that_was_refused_is_given_again_after_a_pause() {
+  void retries_a_rejected_promotion_after_a_delay() {
     stand_->refuses_promotions = true;
     close_group();
     stand_->run_for(seconds(2));
     const auto orders = static_cast<Duration::rep>(stand_->events.size());
     CPPUNIT_ASSERT_MESSAGE("retried", orders > 2);
-    CPPUNIT_ASSERT(orders <= seconds(2) / kFailoverRetry);
+    CPPUNIT_ASSERT(orders <= seconds(2) / kFailoverRetryDelay);
     stand_->refuses_promotions = false;
     stand_->run_for(seconds(1));
     CPPUNIT_ASSERT(stand_->term().open);
@@ -154,7 +154,7 @@
 
   /// Incarnations are replaced while this node is a follower; it becomes leader after the primary and a proxy
   /// are gone.
-  void who_follows_compares_members_too() {
+  void follower_compares_members() {
     stand_->consensus().is_leader = false;
     std::uint16_t port = 9001;
     for (const char* name : {"primary", "replica-1", "replica-2"}) {
@@ -175,7 +175,7 @@
  private:
   /// Starts a keeper on the leader, and waits until leases from before have expired and the members have
   /// settled.
-  void begin(double promotion_rate) {
+  void start_keeper(double promotion_rate) {
     stand_.reset();
     stand_ = std::make_unique<ControlStand>();
     stand_->leases().start();
--- a/tests/registered/control/failover/group_urgency_test.cpp
+++ b/tests/registered/control/failover/group_urgency_test.cpp
@@ -27,12 +27,12 @@
 
 class GroupUrgencyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupUrgencyTest);
-  CPPUNIT_TEST(the_most_urgent_route_counts);
-  CPPUNIT_TEST(the_most_urgent_group_is_first_and_then_its_name);
+  CPPUNIT_TEST(uses_the_most_urgent_route_of_a_group);
+  CPPUNIT_TEST(orders_groups_by_urgency_and_name);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_most_urgent_route_counts() {
+  void uses_the_most_urgent_route_of_a_group() {
     const auto found = urgencies();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, found.at(GroupName("a")));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, found.at(GroupName("c")));
@@ -40,7 +40,7 @@
                                  found.at(GroupName("d")));
   }
 
-  void the_most_urgent_group_is_first_and_then_its_name() {
+  void orders_groups_by_urgency_and_name() {
     const std::vector<GroupName> expected{GroupName("c"), GroupName("a"), GroupName("b"), GroupName("d")};
     CPPUNIT_ASSERT(groups_by_urgency(urgencies()) == expected);
   }
--- a/tests/registered/control/failover/membership_watch_test.cpp
+++ b/tests/registered/control/failover/membership_watch_test.cpp
@@ -21,10 +21,10 @@
 }
 
 struct Case {
-  const char* what;
+  const char* description;
   Members before;
   Members after;
-  bool left;
+  bool departed;
   bool was_replaced;
 };
 
@@ -45,28 +45,29 @@
 
 class MembershipWatchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipWatchTest);
-  CPPUNIT_TEST(each_change_of_members);
-  CPPUNIT_TEST(members_are_stable_after_a_time);
-  CPPUNIT_TEST(what_was_settled_stays_so);
+  CPPUNIT_TEST(detects_departed_and_replaced_members);
+  CPPUNIT_TEST(becomes_stable_after_the_settle_time);
+  CPPUNIT_TEST(stays_settled_when_a_member_joins);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void each_change_of_members() {
-    for (const Case& one : cases()) {
+  void detects_departed_and_replaced_members() {
+    for (const Case& test_case : cases()) {
       Membership membership;
-      membership.left_at = at(0);
-      membership.members = one.before;
-      membership.record(one.after, at(100));
-      CPPUNIT_ASSERT_MESSAGE(one.what, membership.members == one.after);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(one.what, one.left, membership.is_unsettled);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(one.what, one.was_replaced, membership.was_replaced);
-      CPPUNIT_ASSERT_MESSAGE(one.what, membership.left_at == at(one.left ? 100 : 0));
+      membership.last_departure = at(0);
+      membership.members = test_case.before;
+      membership.record(test_case.after, at(100));
+      CPPUNIT_ASSERT_MESSAGE(test_case.description, membership.members == test_case.after);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test_case.description, test_case.departed, membership.is_unsettled);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(test_case.description, test_case.was_replaced, membership.was_replaced);
+      CPPUNIT_ASSERT_MESSAGE(test_case.description,
+                             membership.last_departure == at(test_case.departed ? 100 : 0));
     }
   }
 
-  void members_are_stable_after_a_time() {
+  void becomes_stable_after_the_settle_time() {
     Membership membership;
-    membership.left_at = at(0);
+    membership.last_departure = at(0);
     membership.record({member("a", 0), member("b", 0)}, at(0));
     for (const auto& [age, stable] : {std::pair{0, false}, std::pair{3000, false}, std::pair{3001, true}})
       CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} ms", age), stable, membership.is_stable(at(age)));
@@ -77,14 +78,14 @@
     CPPUNIT_ASSERT(membership.is_stable(at(7001)));
   }
 
-  void what_was_settled_stays_so() {
+  void stays_settled_when_a_member_joins() {
     Membership membership;
     membership.record({member("a", 1)}, at(0));
     membership.record({member("a", 2)}, at(100));
     membership.settle();
     membership.record({member("a", 2), member("b", 2)}, at(200));
     CPPUNIT_ASSERT(!membership.is_unsettled && !membership.was_replaced);
-    CPPUNIT_ASSERT(membership.left_at == at(100));
+    CPPUNIT_ASSERT(membership.last_departure == at(100));
   }
 };
 
--- a/tests/registered/control/failover/planned_change_test.cpp
+++ b/tests/registered/control/failover/planned_change_test.cpp
@@ -12,26 +12,26 @@
 
 namespace {
 
-const char* const kLeaves = "the primary is leaving or has been deregistered";
-const char* const kEvacuated = "the primary's zone a is evacuated";
+const char* const kPrimaryLeaving = "the primary is leaving or has been deregistered";
+const char* const kZoneEvacuated = "the primary's zone a is evacuated";
 
-/// `gone` and `leaves` describe the primary, `evacuated` its zone, `others_evacuated` the zone of the
-/// replicas and `others_leave` the replicas.
+/// `gone` and `leaving` describe the primary, `evacuated` its zone, `replicas_evacuated` the zone of the
+/// replicas and `replicas_leaving` the replicas.
 struct Case {
   bool gone = false;
-  bool leaves = false;
+  bool leaving = false;
   bool evacuated = false;
-  bool others_evacuated = false;
-  bool others_leave = false;
+  bool replicas_evacuated = false;
+  bool replicas_leaving = false;
   const char* cause = "";
 };
 
 const std::vector<Case> kCases{
     {false, false, false, false, false, ""},
-    {false, true, false, false, false, kLeaves},
-    {false, false, true, false, false, kEvacuated},
-    {false, true, true, false, false, kLeaves},
-    {true, false, false, false, false, kLeaves},
+    {false, true, false, false, false, kPrimaryLeaving},
+    {false, false, true, false, false, kZoneEvacuated},
+    {false, true, true, false, false, kPrimaryLeaving},
+    {true, false, false, false, false, kPrimaryLeaving},
     // Every possible successor is leaving.
     {false, true, false, false, true, ""},
     {false, false, true, false, true, ""},
@@ -41,46 +41,47 @@
     {false, false, false, true, false, ""},
     {false, true, false, true, false, ""},
     {false, false, true, true, false, ""},
-    {false, true, true, true, false, kLeaves},
-    {true, false, false, true, false, kLeaves},
+    {false, true, true, true, false, kPrimaryLeaving},
+    {true, false, false, true, false, kPrimaryLeaving},
 };
 
-std::string name_of(const Case& one) {
-  return fmt::format("primary gone {} leaving {} evacuated {}, replicas evacuated {} leaving {}", one.gone,
-                     one.leaves, one.evacuated, one.others_evacuated, one.others_leave);
+std::string name_of(const Case& test_case) {
+  return fmt::format("primary gone {} leaving {} evacuated {}, replicas evacuated {} leaving {}",
+                     test_case.gone, test_case.leaving, test_case.evacuated, test_case.replicas_evacuated,
+                     test_case.replicas_leaving);
 }
 
 }  // namespace
 
 class PlannedChangeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlannedChangeTest);
-  CPPUNIT_TEST(each_cause);
-  CPPUNIT_TEST(the_primary_itself_never_follows);
-  CPPUNIT_TEST(a_successor_lacks_few_commits);
+  CPPUNIT_TEST(reports_the_cause_of_a_planned_change);
+  CPPUNIT_TEST(the_primary_never_succeeds_itself);
+  CPPUNIT_TEST(accepts_successors_within_the_lag_limit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void each_cause() {
-    for (const Case& one : kCases) {
+  void reports_the_cause_of_a_planned_change() {
+    for (const Case& test_case : kCases) {
       ControlStand stand;
-      play(stand, one);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(one), std::string(one.cause),
+      set_up_fleet(stand, test_case);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(test_case), std::string(test_case.cause),
                                    planned_change_cause(stand.term(), stand.fleet()));
     }
   }
 
-  void the_primary_itself_never_follows() {
+  void the_primary_never_succeeds_itself() {
     ControlStand stand;
     stand.open_group();
-    const auto follows = [&](const char* backend) {
+    const auto may_succeed = [&](const char* backend) {
       return is_planned_successor(*stand.fleet().find_backend(BackendName(backend)), stand.term(),
                                   stand.fleet());
     };
-    CPPUNIT_ASSERT(!follows("primary"));
-    CPPUNIT_ASSERT(follows("replica-1") && follows("replica-2"));
+    CPPUNIT_ASSERT(!may_succeed("primary"));
+    CPPUNIT_ASSERT(may_succeed("replica-1") && may_succeed("replica-2"));
   }
 
-  void a_successor_lacks_few_commits() {
+  void accepts_successors_within_the_lag_limit() {
     using Received = std::optional<Position>;
     struct Lag {
       Received primary;
@@ -88,11 +89,11 @@
       bool caught_up;
     };
     const Received none;
-    for (const Lag& one :
+    for (const Lag& test_case :
          {Lag{none, none, false}, Lag{Position{1, 10}, none, false}, Lag{none, Position{1, 0}, true},
           Lag{Position{1, 10}, Position{1, 10}, true}, Lag{Position{1, 10}, Position{1, 2}, true},
           Lag{Position{1, 10}, Position{1, 1}, false}, Lag{Position{1, 10}, Position{1, 12}, true}})
-      CPPUNIT_ASSERT_EQUAL(one.caught_up, is_caught_up(one.primary, one.successor));
+      CPPUNIT_ASSERT_EQUAL(test_case.caught_up, is_caught_up(test_case.primary, test_case.successor));
   }
 
  private:
@@ -104,14 +105,14 @@
     stand.consensus().commit(registry::RegisterBackend{entry});
   }
 
-  static void play(ControlStand& stand, const Case& one) {
+  static void set_up_fleet(ControlStand& stand, const Case& test_case) {
     stand.open_group();
-    put(stand, "primary", 9001, "a", one.leaves);
-    put(stand, "replica-1", 9002, "b", one.others_leave);
-    put(stand, "replica-2", 9003, "b", one.others_leave);
-    if (one.gone) stand.consensus().commit(registry::DeregisterBackend{BackendName("primary"), 0});
-    if (one.evacuated) stand.consensus().commit(registry::BeginEvacuation{ZoneName("a")});
-    if (one.others_evacuated) stand.consensus().commit(registry::BeginEvacuation{ZoneName("b")});
+    put(stand, "primary", 9001, "a", test_case.leaving);
+    put(stand, "replica-1", 9002, "b", test_case.replicas_leaving);
+    put(stand, "replica-2", 9003, "b", test_case.replicas_leaving);
+    if (test_case.gone) stand.consensus().commit(registry::DeregisterBackend{BackendName("primary"), 0});
+    if (test_case.evacuated) stand.consensus().commit(registry::BeginEvacuation{ZoneName("a")});
+    if (test_case.replicas_evacuated) stand.consensus().commit(registry::BeginEvacuation{ZoneName("b")});
   }
 };
 
--- a/tests/registered/control/failover/primary_suspicions_test.cpp
+++ b/tests/registered/control/failover/primary_suspicions_test.cpp
@@ -17,16 +17,16 @@
 }
 
 registry::GroupTerm term(std::uint64_t number, const std::string& primary) {
-  registry::GroupTerm led;
-  led.group = kGroup;
-  led.term = number;
-  led.primary = BackendName(primary);
-  led.open = true;
-  return led;
+  registry::GroupTerm result;
+  result.group = kGroup;
+  result.term = number;
+  result.primary = BackendName(primary);
+  result.open = true;
+  return result;
 }
 
-registry::PrimarySuspicion said(std::uint64_t number = 1, const std::string& primary = "primary",
-                                bool unreachable = false) {
+registry::PrimarySuspicion make_suspicion(std::uint64_t number = 1, const std::string& primary = "primary",
+                                          bool unreachable = false) {
   registry::PrimarySuspicion suspicion;
   suspicion.group = kGroup;
   suspicion.backend = BackendName(primary);
@@ -39,125 +39,126 @@
 
 class PrimarySuspicionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PrimarySuspicionsTest);
-  CPPUNIT_TEST(two_proxies_stand_for_a_check);
-  CPPUNIT_TEST(three_fifths_of_the_serving_proxies_replace_a_primary);
-  CPPUNIT_TEST(a_suspicion_is_of_one_primary_in_one_term);
-  CPPUNIT_TEST(a_suspicion_lapses);
-  CPPUNIT_TEST(a_suspicion_is_taken_once);
-  CPPUNIT_TEST(proxies_that_said_the_same_lately_are_counted);
-  CPPUNIT_TEST(stalled_commits_are_as_said_last);
-  CPPUNIT_TEST(connections_are_counted_longer);
-  CPPUNIT_TEST(connections_are_counted_of_one_term);
+  CPPUNIT_TEST(two_suspecting_proxies_replace_one_check);
+  CPPUNIT_TEST(three_fifths_of_serving_proxies_make_a_primary_unreachable);
+  CPPUNIT_TEST(applies_to_one_primary_in_one_term);
+  CPPUNIT_TEST(suspicions_expire);
+  CPPUNIT_TEST(take_consumes_the_suspicion);
+  CPPUNIT_TEST(counts_proxies_with_the_same_recent_suspicion);
+  CPPUNIT_TEST(uses_the_latest_report_of_stalled_commits);
+  CPPUNIT_TEST(connection_reports_outlast_suspicions);
+  CPPUNIT_TEST(counts_connection_reports_of_one_term);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void two_proxies_stand_for_a_check() {
+  void two_suspecting_proxies_replace_one_check() {
     struct Case {
       std::size_t suspecting;
       int checks;
     };
-    for (const Case& one : {Case{0, 2}, Case{1, 2}, Case{2, 1}, Case{7, 1}})
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} proxies", one.suspecting), one.checks,
-                                   dead_checks_needed(one.suspecting));
+    for (const Case& test_case : {Case{0, 2}, Case{1, 2}, Case{2, 1}, Case{7, 1}})
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} proxies", test_case.suspecting), test_case.checks,
+                                   failed_checks_needed(test_case.suspecting));
   }
 
-  void three_fifths_of_the_serving_proxies_replace_a_primary() {
+  void three_fifths_of_serving_proxies_make_a_primary_unreachable() {
     struct Case {
-      std::size_t saying;
+      std::size_t reporting;
       std::size_t serving;
-      bool out_of_reach;
+      bool unreachable_for_proxies;
     };
-    for (const Case& one :
+    for (const Case& test_case :
          {Case{0, 0, false}, Case{1, 0, false}, Case{1, 1, false}, Case{2, 0, true}, Case{2, 3, true},
           Case{2, 4, false}, Case{3, 5, true}, Case{5, 10, false}, Case{6, 10, true}, Case{6, 11, false}})
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} of {}", one.saying, one.serving), one.out_of_reach,
-                                   is_out_of_reach(one.saying, one.serving));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} of {}", test_case.reporting, test_case.serving),
+                                   test_case.unreachable_for_proxies,
+                                   is_unreachable_for_proxies(test_case.reporting, test_case.serving));
   }
 
-  void a_suspicion_is_of_one_primary_in_one_term() {
+  void applies_to_one_primary_in_one_term() {
     for (const auto& [suspicion, applies] :
-         {std::pair{said(1, "primary"), true}, std::pair{said(2, "primary"), false},
-          std::pair{said(1, "replica-1"), false}}) {
+         {std::pair{make_suspicion(1, "primary"), true}, std::pair{make_suspicion(2, "primary"), false},
+          std::pair{make_suspicion(1, "replica-1"), false}}) {
       PrimarySuspicions suspicions;
       suspicions.record(NodeName("one"), suspicion, at(0));
-      CPPUNIT_ASSERT_EQUAL(std::size_t{applies ? 1U : 0U}, suspicions.suspecting(term(1, "primary")));
+      CPPUNIT_ASSERT_EQUAL(std::size_t{applies ? 1U : 0U}, suspicions.count_suspecting(term(1, "primary")));
       CPPUNIT_ASSERT_EQUAL(applies, suspicions.take(term(1, "primary"), at(1)).has_value());
       CPPUNIT_ASSERT_MESSAGE("removed even if it does not apply", !suspicions.any());
     }
   }
 
-  void a_suspicion_lapses() {
+  void suspicions_expire() {
     for (const auto& [age, counts] : {std::pair{0, true}, std::pair{599, true}, std::pair{600, false}}) {
       PrimarySuspicions suspicions;
-      suspicions.record(NodeName("one"), said(), at(0));
+      suspicions.record(NodeName("one"), make_suspicion(), at(0));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("{} ms", age), counts,
                                    suspicions.take(term(1, "primary"), at(age)).has_value());
     }
   }
 
-  void a_suspicion_is_taken_once() {
+  void take_consumes_the_suspicion() {
     PrimarySuspicions suspicions;
     CPPUNIT_ASSERT(!suspicions.take(term(1, "primary"), at(0)));
-    suspicions.record(NodeName("one"), said(), at(0));
+    suspicions.record(NodeName("one"), make_suspicion(), at(0));
     CPPUNIT_ASSERT(suspicions.any());
     CPPUNIT_ASSERT(suspicions.take(term(1, "primary"), at(1)));
     CPPUNIT_ASSERT(!suspicions.any());
     CPPUNIT_ASSERT(!suspicions.take(term(1, "primary"), at(1)));
   }
 
-  void proxies_that_said_the_same_lately_are_counted() {
+  void counts_proxies_with_the_same_recent_suspicion() {
     PrimarySuspicions suspicions;
-    suspicions.record(NodeName("one"), said(), at(0));
-    suspicions.record(NodeName("two"), said(), at(100));
-    suspicions.record(NodeName("two"), said(), at(200));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, suspicions.suspecting(term(1, "primary")));
-    suspicions.record(NodeName("three"), said(), at(600));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, suspicions.suspecting(term(1, "primary")));
-    suspicions.record(NodeName("four"), said(), at(601));
+    suspicions.record(NodeName("one"), make_suspicion(), at(0));
+    suspicions.record(NodeName("two"), make_suspicion(), at(100));
+    suspicions.record(NodeName("two"), make_suspicion(), at(200));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, suspicions.count_suspecting(term(1, "primary")));
+    suspicions.record(NodeName("three"), make_suspicion(), at(600));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, suspicions.count_suspecting(term(1, "primary")));
+    suspicions.record(NodeName("four"), make_suspicion(), at(601));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the first one expired", std::size_t{3},
-                                 suspicions.suspecting(term(1, "primary")));
-    suspicions.record(NodeName("one"), said(2, "replica-1"), at(602));
+                                 suspicions.count_suspecting(term(1, "primary")));
+    suspicions.record(NodeName("one"), make_suspicion(2, "replica-1"), at(602));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("suspicion of another primary", std::size_t{1},
-                                 suspicions.suspecting(term(2, "replica-1")));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.suspecting(term(1, "primary")));
+                                 suspicions.count_suspecting(term(2, "replica-1")));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.count_suspecting(term(1, "primary")));
     const auto taken = suspicions.take(term(2, "replica-1"), at(602));
     CPPUNIT_ASSERT(taken && taken->proxies == 1);
   }
 
-  void stalled_commits_are_as_said_last() {
+  void uses_the_latest_report_of_stalled_commits() {
     PrimarySuspicions suspicions;
-    registry::PrimarySuspicion stalls = said();
-    stalls.commits_stall = true;
-    suspicions.record(NodeName("one"), said(), at(0));
-    suspicions.record(NodeName("two"), stalls, at(1));
+    registry::PrimarySuspicion stalled = make_suspicion();
+    stalled.commits_stall = true;
+    suspicions.record(NodeName("one"), make_suspicion(), at(0));
+    suspicions.record(NodeName("two"), stalled, at(1));
     const auto taken = suspicions.take(term(1, "primary"), at(2));
     CPPUNIT_ASSERT(taken && taken->commits_stall && taken->proxies == 2);
   }
 
-  void connections_are_counted_longer() {
+  void connection_reports_outlast_suspicions() {
     PrimarySuspicions suspicions;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.unable_to_connect(kGroup));
-    suspicions.record(NodeName("one"), said(1, "primary", true), at(0));
-    suspicions.record(NodeName("two"), said(1, "primary", false), at(1));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.count_unable_to_connect(kGroup));
+    suspicions.record(NodeName("one"), make_suspicion(1, "primary", true), at(0));
+    suspicions.record(NodeName("two"), make_suspicion(1, "primary", false), at(1));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the second proxy can connect", std::size_t{1},
-                                 suspicions.unable_to_connect(kGroup));
-    suspicions.record(NodeName("two"), said(1, "primary", true), at(1500));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, suspicions.unable_to_connect(kGroup));
-    suspicions.record(NodeName("three"), said(1, "primary", true), at(1501));
+                                 suspicions.count_unable_to_connect(kGroup));
+    suspicions.record(NodeName("two"), make_suspicion(1, "primary", true), at(1500));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, suspicions.count_unable_to_connect(kGroup));
+    suspicions.record(NodeName("three"), make_suspicion(1, "primary", true), at(1501));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the first one expired", std::size_t{2},
-                                 suspicions.unable_to_connect(kGroup));
+                                 suspicions.count_unable_to_connect(kGroup));
     CPPUNIT_ASSERT(suspicions.take(term(1, "primary"), at(1501)));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("not consumed by take()", std::size_t{2},
-                                 suspicions.unable_to_connect(kGroup));
+                                 suspicions.count_unable_to_connect(kGroup));
   }
 
-  void connections_are_counted_of_one_term() {
+  void counts_connection_reports_of_one_term() {
     PrimarySuspicions suspicions;
-    suspicions.record(NodeName("one"), said(1, "primary", true), at(0));
-    suspicions.record(NodeName("two"), said(2, "replica-1", true), at(1));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspicions.unable_to_connect(kGroup));
-    suspicions.forget_unable_to_connect(kGroup);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.unable_to_connect(kGroup));
+    suspicions.record(NodeName("one"), make_suspicion(1, "primary", true), at(0));
+    suspicions.record(NodeName("two"), make_suspicion(2, "replica-1", true), at(1));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, suspicions.count_unable_to_connect(kGroup));
+    suspicions.clear_unable_to_connect(kGroup);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, suspicions.count_unable_to_connect(kGroup));
   }
 };
 
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -44,45 +44,45 @@
 
 class PromotionChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PromotionChoiceTest);
-  CPPUNIT_TEST(the_furthest_of_all_replicas);
-  CPPUNIT_TEST(not_with_a_replica_missing);
-  CPPUNIT_TEST(with_a_replica_missing_by_what_proxies_acknowledged);
-  CPPUNIT_TEST(not_when_a_proxy_acknowledged_more);
-  CPPUNIT_TEST(of_all_replicas_when_nobody_has_left_whatever_position_was_shown);
-  CPPUNIT_TEST(by_the_old_primary_itself);
-  CPPUNIT_TEST(the_old_primary_is_used_again_while_nobody_may_follow);
-  CPPUNIT_TEST(a_primary_of_a_newer_term_is_adopted);
-  CPPUNIT_TEST(of_equal_ones_who_stays);
-  CPPUNIT_TEST(not_without_a_synchronous_replica);
-  CPPUNIT_TEST(not_by_a_primary_that_answers_with_nothing);
-  CPPUNIT_TEST(a_restarted_primary_is_not_the_old_one);
-  CPPUNIT_TEST(a_replica_without_its_log_was_not_compared);
-  CPPUNIT_TEST(a_replaced_incarnation_may_have_been_the_only_one_to_hold_a_commit);
-  CPPUNIT_TEST(nothing_left_keeps_to_the_furthest);
-  CPPUNIT_TEST(the_primarys_next_incarnation_may_have_its_log);
-  CPPUNIT_TEST(who_joined_in_the_term_needs_entries_of_it);
-  CPPUNIT_TEST(a_newer_primary_without_a_log_is_not_adopted);
-  CPPUNIT_TEST(a_primary_without_what_proxies_acknowledged_is_not_the_old_one);
-  CPPUNIT_TEST(a_group_without_commits_gets_a_primary);
-  CPPUNIT_TEST(one_outside_evacuated_zones_comes_first);
-  CPPUNIT_TEST(one_outside_that_is_behind_proves_nothing_by_being_the_furthest_there);
-  CPPUNIT_TEST(one_inside_follows_a_dead_primary_when_nobody_outside_is_proved);
-  CPPUNIT_TEST(nobody_inside_follows_a_primary_that_runs);
-  CPPUNIT_TEST(an_evacuated_primary_that_runs_is_not_used_again_while_one_outside_catches_up);
-  CPPUNIT_TEST(an_evacuated_primary_leads_on_where_nobody_is_outside);
-  CPPUNIT_TEST(of_proved_ones_where_most_routes_may_write);
-  CPPUNIT_TEST(a_region_never_stands_in_for_the_proof);
+  CPPUNIT_TEST(promotes_the_furthest_of_all_replicas);
+  CPPUNIT_TEST(does_not_promote_with_an_unreachable_replica);
+  CPPUNIT_TEST(promotes_at_the_acknowledged_position_with_an_unreachable_replica);
+  CPPUNIT_TEST(does_not_promote_below_the_acknowledged_position);
+  CPPUNIT_TEST(promotes_the_furthest_of_stable_members_below_the_reported_position);
+  CPPUNIT_TEST(promotes_a_replica_that_reaches_the_old_primary);
+  CPPUNIT_TEST(reopens_the_old_primary_without_a_successor);
+  CPPUNIT_TEST(adopts_a_primary_of_a_newer_term);
+  CPPUNIT_TEST(prefers_a_backend_that_is_not_leaving);
+  CPPUNIT_TEST(does_not_promote_without_synchronous_replication);
+  CPPUNIT_TEST(ignores_an_old_primary_with_an_empty_log);
+  CPPUNIT_TEST(does_not_take_a_restarted_primary_for_the_old_one);
+  CPPUNIT_TEST(does_not_compare_a_replica_that_lost_its_log);
+  CPPUNIT_TEST(does_not_promote_the_furthest_after_an_unsettled_replacement);
+  CPPUNIT_TEST(promotes_the_furthest_unproved_when_no_better_log_can_appear);
+  CPPUNIT_TEST(waits_for_the_log_of_a_restarted_primary);
+  CPPUNIT_TEST(requires_entries_of_the_term_from_members_that_joined_in_it);
+  CPPUNIT_TEST(does_not_adopt_a_newer_primary_without_a_log);
+  CPPUNIT_TEST(does_not_compare_with_an_old_primary_that_lost_its_log);
+  CPPUNIT_TEST(promotes_in_a_group_without_commits);
+  CPPUNIT_TEST(prefers_candidates_outside_evacuated_zones);
+  CPPUNIT_TEST(does_not_promote_a_lagging_candidate_outside_evacuated_zones);
+  CPPUNIT_TEST(promotes_inside_an_evacuated_zone_after_a_primary_failure);
+  CPPUNIT_TEST(does_not_promote_inside_an_evacuated_zone_while_the_primary_runs);
+  CPPUNIT_TEST(does_not_reopen_an_evacuated_primary_while_a_successor_catches_up);
+  CPPUNIT_TEST(reopens_an_evacuated_primary_without_members_outside);
+  CPPUNIT_TEST(prefers_proved_candidates_that_more_routes_allow);
+  CPPUNIT_TEST(region_preference_requires_proof);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_furthest_of_all_replicas() {
+  void promotes_the_furthest_of_all_replicas() {
     const auto choice = choose_promotion(
         facts({finding("old", std::nullopt), finding("a", replica(7)), finding("b", replica(9))}), true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kPromote);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choice.backend.value);
   }
 
-  void one_outside_evacuated_zones_comes_first() {
+  void prefers_candidates_outside_evacuated_zones() {
     const auto equal = choose_promotion(
         facts({finding("old", std::nullopt), evacuated(finding("a", replica(9))), finding("b", replica(9))}),
         true);
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("holds every acknowledged commit", std::string("b"), behind.backend.value);
   }
 
-  void one_outside_that_is_behind_proves_nothing_by_being_the_furthest_there() {
+  void does_not_promote_a_lagging_candidate_outside_evacuated_zones() {
     auto known =
         facts({finding("old", leading(9)), evacuated(finding("a", replica(9))), finding("b", replica(7))});
     known.members_are_stable = true;
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kNotYet);
   }
 
-  void one_inside_follows_a_dead_primary_when_nobody_outside_is_proved() {
+  void promotes_inside_an_evacuated_zone_after_a_primary_failure() {
     auto known =
         facts({finding("old", std::nullopt), evacuated(finding("a", replica(9))), finding("b", replica(7))});
     known.members_are_stable = true;
@@ -113,14 +113,14 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("no commit is lost", std::string("a"), choice.backend.value);
   }
 
-  void nobody_inside_follows_a_primary_that_runs() {
+  void does_not_promote_inside_an_evacuated_zone_while_the_primary_runs() {
     const auto choice = choose_promotion(
         facts({finding("old", leading(9)), evacuated(finding("a", replica(9))), finding("b", replica(7))}),
         true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kReopen);
   }
 
-  void an_evacuated_primary_that_runs_is_not_used_again_while_one_outside_catches_up() {
+  void does_not_reopen_an_evacuated_primary_while_a_successor_catches_up() {
     auto known =
         facts({evacuated(finding("old", leading(9))), finding("a", replica(8)), finding("b", replica(7))});
     known.highest_acknowledged = {3, 9};
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kReopen);
   }
 
-  void an_evacuated_primary_leads_on_where_nobody_is_outside() {
+  void reopens_an_evacuated_primary_without_members_outside() {
     const auto choice =
         choose_promotion(facts({evacuated(finding("old", leading(9))), evacuated(finding("a", replica(9))),
                                 evacuated(finding("b", replica(7)))}),
@@ -137,20 +137,20 @@
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kReopen);
   }
 
-  void not_with_a_replica_missing() {
+  void does_not_promote_with_an_unreachable_replica() {
     const auto choice = choose_promotion(
         facts({finding("old", std::nullopt), finding("a", replica(7)), finding("b", std::nullopt)}), true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kNotYet);
   }
 
-  void with_a_replica_missing_by_what_proxies_acknowledged() {
+  void promotes_at_the_acknowledged_position_with_an_unreachable_replica() {
     auto known = facts({finding("old", std::nullopt), finding("a", replica(7)), finding("b", std::nullopt)});
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 7};
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
-  void not_when_a_proxy_acknowledged_more() {
+  void does_not_promote_below_the_acknowledged_position() {
     auto known = facts({finding("old", std::nullopt), finding("a", replica(7)), finding("b", std::nullopt)});
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 8};
@@ -162,7 +162,7 @@
 
   /// A proxy records the end of the primary's log after a commit, which includes concurrent commits in
   /// progress.
-  void of_all_replicas_when_nobody_has_left_whatever_position_was_shown() {
+  void promotes_the_furthest_of_stable_members_below_the_reported_position() {
     auto known = facts({finding("old", leading(9)), finding("a", replica(7)), finding("b", replica(6))});
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 8};
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kReopen);
   }
 
-  void by_the_old_primary_itself() {
+  void promotes_a_replica_that_reaches_the_old_primary() {
     const auto reaches =
         facts({finding("old", leading(7), true), finding("a", replica(7)), finding("b", std::nullopt)});
     CPPUNIT_ASSERT(choose_promotion(reaches, true).verdict == PromotionVerdict::kPromote);
@@ -181,34 +181,35 @@
     CPPUNIT_ASSERT(choose_promotion(lacks, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  void the_old_primary_is_used_again_while_nobody_may_follow() {
+  void reopens_the_old_primary_without_a_successor() {
     const auto again =
         facts({finding("old", leading(8)), finding("a", replica(7)), finding("b", std::nullopt)});
     CPPUNIT_ASSERT(choose_promotion(again, true).verdict == PromotionVerdict::kReopen);
     CPPUNIT_ASSERT(choose_promotion(again, false).verdict == PromotionVerdict::kNotYet);
   }
 
-  void a_primary_of_a_newer_term_is_adopted() {
+  void adopts_a_primary_of_a_newer_term() {
     const auto choice = choose_promotion(
         facts({finding("old", leading(9)), finding("a", leading(7, 4)), finding("b", replica(7))}), true);
     CPPUNIT_ASSERT(choice.verdict == PromotionVerdict::kAdopt);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, choice.term);
   }
 
-  void of_equal_ones_who_stays() {
+  void prefers_a_backend_that_is_not_leaving() {
     const auto choice = choose_promotion(
         facts({finding("old", std::nullopt), finding("a", replica(7), true), finding("b", replica(7))}),
         true);
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choice.backend.value);
   }
 
-  void not_without_a_synchronous_replica() {
-    auto loose = facts({finding("old", std::nullopt), finding("a", replica(7)), finding("b", replica(9))});
-    loose.synchronous_replicas = 0;
-    CPPUNIT_ASSERT(choose_promotion(loose, true).verdict == PromotionVerdict::kNotYet);
+  void does_not_promote_without_synchronous_replication() {
+    auto asynchronous =
+        facts({finding("old", std::nullopt), finding("a", replica(7)), finding("b", replica(9))});
+    asynchronous.synchronous_replicas = 0;
+    CPPUNIT_ASSERT(choose_promotion(asynchronous, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  void not_by_a_primary_that_answers_with_nothing() {
+  void ignores_an_old_primary_with_an_empty_log() {
     // It restarted and has not registered yet, so its former incarnation's position is unknown.
     auto known = facts({incarnation("old", 1000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
@@ -223,7 +224,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kReopen);
   }
 
-  void a_restarted_primary_is_not_the_old_one() {
+  void does_not_take_a_restarted_primary_for_the_old_one() {
     auto known = facts({incarnation("old", 2000, leading(3)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
     known.closed.primary_born_ms = 1000;
@@ -238,7 +239,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kReopen);
   }
 
-  void a_replica_without_its_log_was_not_compared() {
+  void does_not_compare_a_replica_that_lost_its_log() {
     auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, replica(0))});
     known.members_are_stable = true;
@@ -248,7 +249,7 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
-  void a_replaced_incarnation_may_have_been_the_only_one_to_hold_a_commit() {
+  void does_not_promote_the_furthest_after_an_unsettled_replacement() {
     auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(5))});
     known.highest_acknowledged = {3, 6};  // a proxy did not answer
@@ -259,7 +260,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
-  void nothing_left_keeps_to_the_furthest() {
+  void promotes_the_furthest_unproved_when_no_better_log_can_appear() {
     // Both backends that held the newest commits have restarted.
     auto known = facts({incarnation("old", 2000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(0))});
@@ -278,7 +279,7 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  void the_primarys_next_incarnation_may_have_its_log() {
+  void waits_for_the_log_of_a_restarted_primary() {
     auto known = facts({incarnation("old", 2000, std::nullopt), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(5))});
     known.closed.primary_born_ms = 1000;
@@ -296,7 +297,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), without_log.backend.value);
   }
 
-  void who_joined_in_the_term_needs_entries_of_it() {
+  void requires_entries_of_the_term_from_members_that_joined_in_it() {
     // No proxy acknowledged anything in this term, and the proxies of earlier terms have restarted since.
     auto known = facts({incarnation("old", 1000, std::nullopt),
                         incarnation("a", 2000, BackendStatus{false, 3, {2, 5}}),
@@ -314,7 +315,7 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  void a_newer_primary_without_a_log_is_not_adopted() {
+  void does_not_adopt_a_newer_primary_without_a_log() {
     auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, leading(0, 4)),
                         incarnation("b", 1000, replica(7))});
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
@@ -322,7 +323,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kAdopt);
   }
 
-  void a_primary_without_what_proxies_acknowledged_is_not_the_old_one() {
+  void does_not_compare_with_an_old_primary_that_lost_its_log() {
     // Both answer as a next incarnation that has not registered; the other replica does not answer.
     auto known = facts({incarnation("old", 1000, leading(0)), incarnation("a", 1000, replica(0)),
                         incarnation("b", 1000, std::nullopt)});
@@ -332,7 +333,7 @@
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
 
-  void a_group_without_commits_gets_a_primary() {
+  void promotes_in_a_group_without_commits() {
     auto known = facts({incarnation("old", 1000, std::nullopt), incarnation("a", 1000, replica(0)),
                         incarnation("b", 1000, std::nullopt)});
     known.members_are_stable = true;
@@ -352,7 +353,7 @@
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
 
-  void of_proved_ones_where_most_routes_may_write() {
+  void prefers_proved_candidates_that_more_routes_allow() {
     auto known = facts_with_regions();
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 8};
@@ -370,7 +371,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choose_promotion(known, true).backend.value);
   }
 
-  void a_region_never_stands_in_for_the_proof() {
+  void region_preference_requires_proof() {
     auto known = facts_with_regions();
     // Only the furthest of all replicas is proved: it may hold an acknowledged commit that the other lacks.
     CPPUNIT_ASSERT_EQUAL(std::string("b"), choose_promotion(known, true).backend.value);
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -25,20 +25,20 @@
 
 constexpr std::size_t kMembers = 3;  ///< P, A and B
 constexpr std::size_t kPrimary = 0;
-constexpr std::uint64_t kMostCommits = 2;
-constexpr int kMostRestarts = 2;
+constexpr std::uint64_t kMaxCommits = 2;
+constexpr int kMaxRestarts = 2;
 constexpr std::uint64_t kClosedTerm = 2;
 const std::array<std::string, kMembers> kNames{"P", "A", "B"};
 
 /// The guards of the design. each_guard_is_needed() disables one at a time.
 struct Guards {
-  bool backends_tell_incarnations = true;       ///< a backend with an empty log is known to have lost it
-  bool term_tells_primarys_incarnation = true;  ///< another incarnation of the primary is not the old one
+  bool backends_report_incarnations = true;      ///< a backend with an empty log is known to have lost it
+  bool term_records_primary_incarnation = true;  ///< another incarnation of the primary is not the old one
   bool replaced_incarnation_unsettles =
       true;                                ///< a restarted member counts as departed with everything it held
   bool left_incarnation_unsettles = true;  ///< after a departure the group is not stable until compared
   bool joined_incarnation_needs_entries = true;
-  bool opened_with_what_was_chosen = true;
+  bool opens_only_with_chosen_log = true;
 };
 
 struct Member {
@@ -52,16 +52,16 @@
 
 struct State {
   std::array<Member, kMembers> members{};
-  std::uint64_t earlier = 0;     ///< commits of the previous term
-  std::uint64_t replicated = 0;  ///< commits that some replica has received
+  std::uint64_t previous_term_commits = 0;  ///< commits of the previous term
+  std::uint64_t replicated = 0;             ///< commits that some replica has received
   std::uint64_t acknowledged = 0;
-  std::uint64_t told = 0;  ///< highest commit that the proxy knows of
-  bool proxy_started_again = false;
+  std::uint64_t known_to_proxy = 0;  ///< highest commit that the proxy knows of
+  bool proxy_restarted = false;
   bool unsettled = false;
   bool replaced = false;
   bool closed = false;
   int restarts = 0;
-  int ordered = -1;
+  int promotion_target = -1;
   std::uint64_t chosen_length = 0;
   auto operator<=>(const State&) const = default;
 };
@@ -74,41 +74,41 @@
     visit(State{});
     // Starts with commits of the previous term, acknowledged by proxies that have restarted since.
     State later;
-    later.earlier = later.replicated = later.acknowledged = kMostCommits;
-    for (Member& member : later.members) member.length = kMostCommits;
+    later.previous_term_commits = later.replicated = later.acknowledged = kMaxCommits;
+    for (Member& member : later.members) member.length = kMaxCommits;
     visit(later);
-    while (!open_.empty() && violation_.empty()) {
-      const State state = open_.front();
-      open_.pop_front();
+    while (!frontier_.empty() && violation_.empty()) {
+      const State state = frontier_.front();
+      frontier_.pop_front();
       current_ = state;
       expand(state);
     }
     return !violation_.empty();
   }
-  [[nodiscard]] std::size_t states() const { return reached_from_.size(); }
+  [[nodiscard]] std::size_t states() const { return predecessors_.size(); }
   [[nodiscard]] const std::string& violation() const { return violation_; }
 
  private:
   void visit(const State& state) {
-    if (reached_from_.emplace(state, current_).second) open_.push_back(state);
+    if (predecessors_.emplace(state, current_).second) frontier_.push_back(state);
   }
 
   static std::string describe(const State& state) {
     std::string text;
-    for (std::size_t place = 0; place < kMembers; ++place) {
-      const Member& member = state.members[place];
-      text += fmt::format("{} holds {}{} incarnation {} registered {}{}, ", kNames[place], member.length,
+    for (std::size_t index = 0; index < kMembers; ++index) {
+      const Member& member = state.members[index];
+      text += fmt::format("{} holds {}{} incarnation {} registered {}{}, ", kNames[index], member.length,
                           member.answers ? "" : " unreachable", member.incarnation, member.registered,
                           member.joined ? " joined" : "");
     }
     return text + fmt::format("acknowledged {} known {} closed {} unsettled {} replaced {} ordered {}\n",
-                              state.acknowledged, state.told, state.closed, state.unsettled, state.replaced,
-                              state.ordered);
+                              state.acknowledged, state.known_to_proxy, state.closed, state.unsettled,
+                              state.replaced, state.promotion_target);
   }
 
-  void violate(const State& state, const std::string& why) {
+  void report_violation(const State& state, const std::string& why) {
     if (!violation_.empty()) return;
-    for (std::optional<State> step = state; step; step = reached_from_.at(*step))
+    for (std::optional<State> step = state; step; step = predecessors_.at(*step))
       violation_ = describe(*step) + violation_;
     violation_ += why;
   }
@@ -117,32 +117,32 @@
   static bool leads(const State& state) { return state.members[kPrimary].incarnation == 1; }
 
   void expand(const State& state) {
-    for (std::size_t place = 0; place < kMembers; ++place) {
-      replicate(state, place);
-      fall_silent(state, place);
-      restart(state, place);
-      register_incarnation(state, place);
+    for (std::size_t index = 0; index < kMembers; ++index) {
+      replicate(state, index);
+      toggle_reachability(state, index);
+      restart(state, index);
+      register_incarnation(state, index);
     }
     commit(state);
     acknowledge(state);
     restart_proxy(state);
     settle(state);
     close(state);
-    look(state);
+    choose(state);
     take_effect(state);
   }
 
   void commit(const State& state) {
-    if (state.closed || !leads(state) || state.members[kPrimary].length >= kMostCommits) return;
+    if (state.closed || !leads(state) || state.members[kPrimary].length >= kMaxCommits) return;
     State next = state;
     ++next.members[kPrimary].length;
     visit(next);
   }
-  void replicate(const State& state, std::size_t place) {
-    if (place == kPrimary || !leads(state) || state.ordered >= 0) return;
+  void replicate(const State& state, std::size_t index) {
+    if (index == kPrimary || !leads(state) || state.promotion_target >= 0) return;
     const Member& primary = state.members[kPrimary];
     State next = state;
-    Member& member = next.members[place];
+    Member& member = next.members[index];
     if (member.length >= primary.length) return;
     // One entry at a time, or the whole log for an unregistered incarnation.
     member.length = member.registered == member.incarnation ? member.length + 1 : primary.length;
@@ -150,36 +150,36 @@
     visit(next);
   }
   void acknowledge(const State& state) {
-    if (state.closed || !leads(state) || state.replicated <= state.earlier) return;
+    if (state.closed || !leads(state) || state.replicated <= state.previous_term_commits) return;
     State next = state;
     next.acknowledged = std::max(next.acknowledged, state.replicated);
-    next.told = std::max(next.told, state.replicated);
+    next.known_to_proxy = std::max(next.known_to_proxy, state.replicated);
     visit(next);
   }
   void restart_proxy(const State& state) {
     State next = state;
-    next.proxy_started_again = true;
-    next.told = 0;
+    next.proxy_restarted = true;
+    next.known_to_proxy = 0;
     visit(next);
   }
-  void fall_silent(const State& state, std::size_t place) {
+  void toggle_reachability(const State& state, std::size_t index) {
     State next = state;
-    next.members[place].answers = !next.members[place].answers;
+    next.members[index].answers = !next.members[index].answers;
     visit(next);
   }
-  void restart(const State& state, std::size_t place) {
-    if (state.restarts >= kMostRestarts) return;
+  void restart(const State& state, std::size_t index) {
+    if (state.restarts >= kMaxRestarts) return;
     State next = state;
     ++next.restarts;
-    ++next.members[place].incarnation;
-    next.members[place].length = 0;
+    ++next.members[index].incarnation;
+    next.members[index].length = 0;
     visit(next);
   }
-  void register_incarnation(const State& state, std::size_t place) {
+  void register_incarnation(const State& state, std::size_t index) {
     State next = state;
-    if (next.members[place].registered == next.members[place].incarnation) return;
-    next.members[place].registered = next.members[place].incarnation;
-    next.members[place].joined = true;
+    if (next.members[index].registered == next.members[index].incarnation) return;
+    next.members[index].registered = next.members[index].incarnation;
+    next.members[index].joined = true;
     next.unsettled = true;
     next.replaced = true;
     visit(next);
@@ -188,10 +188,10 @@
   void settle(const State& state) {
     const Member& primary = state.members[kPrimary];
     if (!leads(state) || !primary.answers || state.closed || !state.unsettled) return;
-    const bool held = std::any_of(state.members.begin() + 1, state.members.end(), [&](const Member& member) {
-      return member.answers && member.length >= primary.length;
-    });
-    if (!held) return;
+    const bool caught_up =
+        std::any_of(state.members.begin() + 1, state.members.end(),
+                    [&](const Member& member) { return member.answers && member.length >= primary.length; });
+    if (!caught_up) return;
     State next = state;
     next.unsettled = false;
     next.replaced = false;
@@ -204,30 +204,31 @@
   }
 
   static Position position_of(const State& state, std::uint64_t length) {
-    return {length <= state.earlier ? kClosedTerm - 1 : kClosedTerm, length};
+    return {length <= state.previous_term_commits ? kClosedTerm - 1 : kClosedTerm, length};
   }
 
   [[nodiscard]] PromotionFacts facts_of(const State& state) const {
     PromotionFacts facts;
     facts.closed.term = kClosedTerm;
-    facts.closed.epoch = state.earlier == 0 ? 2 : 4;
+    facts.closed.epoch = state.previous_term_commits == 0 ? 2 : 4;
     facts.closed.primary = BackendName(kNames[kPrimary]);
     facts.closed.primary_born_ms =
-        guards_.term_tells_primarys_incarnation && guards_.backends_tell_incarnations ? 1 : 0;
+        guards_.term_records_primary_incarnation && guards_.backends_report_incarnations ? 1 : 0;
     facts.synchronous_replicas = 1;
-    facts.all_acknowledgers_answered = !state.proxy_started_again;
-    facts.highest_acknowledged = state.told == 0 ? Position{} : position_of(state, state.told);
+    facts.all_acknowledgers_answered = !state.proxy_restarted;
+    facts.highest_acknowledged =
+        state.known_to_proxy == 0 ? Position{} : position_of(state, state.known_to_proxy);
     facts.members_are_stable = !(state.unsettled && guards_.left_incarnation_unsettles);
     facts.replaced_incarnation_is_unsettled =
         state.unsettled && state.replaced && guards_.replaced_incarnation_unsettles;
-    for (std::size_t place = 0; place < kMembers; ++place) {
-      const Member& member = state.members[place];
+    for (std::size_t index = 0; index < kMembers; ++index) {
+      const Member& member = state.members[index];
       MemberFinding finding;
-      finding.entry.name = BackendName(kNames[place]);
-      if (guards_.backends_tell_incarnations)
+      finding.entry.name = BackendName(kNames[index]);
+      if (guards_.backends_report_incarnations)
         finding.entry.born_ms = static_cast<std::uint64_t>(member.registered);
       finding.joined_in_term = member.joined && guards_.joined_incarnation_needs_entries;
-      const bool is_primary = place == kPrimary && leads(state);
+      const bool is_primary = index == kPrimary && leads(state);
       if (member.answers)
         finding.status = BackendStatus{is_primary, kClosedTerm, position_of(state, member.length)};
       facts.members.push_back(std::move(finding));
@@ -235,64 +236,64 @@
     return facts;
   }
 
-  void look(const State& state) {
-    if (!state.closed || state.ordered >= 0) return;
+  void choose(const State& state) {
+    if (!state.closed || state.promotion_target >= 0) return;
     const PromotionChoice choice = choose_promotion(facts_of(state), true);
-    if (choice.verdict == PromotionVerdict::kNotYet) return expect_hope(state);
+    if (choice.verdict == PromotionVerdict::kNotYet) return expect_progress_possible(state);
     const auto found = std::find(kNames.begin(), kNames.end(), choice.backend.value);
-    const auto place = static_cast<std::size_t>(found - kNames.begin());
-    if (choice.verdict == PromotionVerdict::kReopen) return opened(state, place);
+    const auto index = static_cast<std::size_t>(found - kNames.begin());
+    if (choice.verdict == PromotionVerdict::kReopen) return check_opened(state, index);
     State next = state;
-    next.ordered = static_cast<int>(place);
-    next.chosen_length = state.members[place].length;
+    next.promotion_target = static_cast<int>(index);
+    next.chosen_length = state.members[index].length;
     visit(next);
   }
 
   /// Whether some log, of a member that answers or not, has every acknowledged commit.
-  static bool can_be_found(const State& state) {
+  static bool is_recoverable(const State& state) {
     return std::any_of(state.members.begin(), state.members.end(),
                        [&](const Member& member) { return member.length >= state.acknowledged; });
   }
 
   /// If no backend is chosen, a member that does not answer or has not registered must still be able to
   /// change that.
-  void expect_hope(const State& state) {
+  void expect_progress_possible(const State& state) {
     const bool all_known = std::all_of(state.members.begin(), state.members.end(), [](const Member& member) {
       return member.answers && member.registered == member.incarnation;
     });
-    if (all_known) violate(state, "no backend is chosen and no event can change that");
+    if (all_known) report_violation(state, "no backend is chosen and no event can change that");
   }
 
   void take_effect(const State& state) {
-    if (state.ordered < 0) return;
-    const auto place = static_cast<std::size_t>(state.ordered);
-    const bool same = state.members[place].length >= state.chosen_length;
-    if (same || !guards_.opened_with_what_was_chosen) opened(state, place);
+    if (state.promotion_target < 0) return;
+    const auto index = static_cast<std::size_t>(state.promotion_target);
+    const bool has_chosen_log = state.members[index].length >= state.chosen_length;
+    if (has_chosen_log || !guards_.opens_only_with_chosen_log) check_opened(state, index);
   }
 
-  void opened(const State& state, std::size_t place) {
-    const bool holds_all = state.members[place].length >= state.acknowledged;
-    if (!holds_all && can_be_found(state))
-      violate(state, kNames[place] + " is opened without an acknowledged commit");
+  void check_opened(const State& state, std::size_t index) {
+    const bool holds_all = state.members[index].length >= state.acknowledged;
+    if (!holds_all && is_recoverable(state))
+      report_violation(state, kNames[index] + " is opened without an acknowledged commit");
   }
 
   Guards guards_;
   std::string violation_;
-  std::map<State, std::optional<State>> reached_from_;
+  std::map<State, std::optional<State>> predecessors_;
   std::optional<State> current_;
-  std::deque<State> open_;
+  std::deque<State> frontier_;
 };
 
 }  // namespace
 
 class PromotionModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PromotionModelTest);
-  CPPUNIT_TEST(the_design_keeps_its_promise);
+  CPPUNIT_TEST(design_is_safe_and_live);
   CPPUNIT_TEST(each_guard_is_needed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_design_keeps_its_promise() {
+  void design_is_safe_and_live() {
     Model model{Guards{}};
     const bool violated = model.finds_violation();
     CPPUNIT_ASSERT_MESSAGE(model.violation(), !violated);
@@ -300,19 +301,19 @@
   }
 
   void each_guard_is_needed() {
-    expect_violation("incarnations", [](Guards& guards) { guards.backends_tell_incarnations = false; });
+    expect_violation("incarnations", [](Guards& guards) { guards.backends_report_incarnations = false; });
     expect_violation("primary's incarnation",
-                     [](Guards& guards) { guards.term_tells_primarys_incarnation = false; });
+                     [](Guards& guards) { guards.term_records_primary_incarnation = false; });
     expect_violation("replaced", [](Guards& guards) { guards.replaced_incarnation_unsettles = false; });
     expect_violation("left", [](Guards& guards) { guards.left_incarnation_unsettles = false; });
     expect_violation("joined", [](Guards& guards) { guards.joined_incarnation_needs_entries = false; });
-    expect_violation("chosen", [](Guards& guards) { guards.opened_with_what_was_chosen = false; });
+    expect_violation("chosen", [](Guards& guards) { guards.opens_only_with_chosen_log = false; });
   }
 
  private:
-  static void expect_violation(const std::string& guard, const std::function<void(Guards&)>& leave_out) {
+  static void expect_violation(const std::string& guard, const std::function<void(Guards&)>& disable) {
     Guards guards;
-    leave_out(guards);
+    disable(guards);
     CPPUNIT_ASSERT_MESSAGE(guard, Model(guards).finds_violation());
   }
 };
--- a/tests/registered/control/failover/promotion_turns_test.cpp
+++ b/tests/registered/control/failover/promotion_turns_test.cpp
@@ -17,11 +17,11 @@
 
 class PromotionTurnsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PromotionTurnsTest);
-  CPPUNIT_TEST(a_few_go_at_once);
-  CPPUNIT_TEST(a_lost_zone_stays_within_the_rate_in_each_second);
-  CPPUNIT_TEST(low_rates_hold_in_each_second);
-  CPPUNIT_TEST(the_most_urgent_go_first);
-  CPPUNIT_TEST(without_a_rate_nobody_waits);
+  CPPUNIT_TEST(allows_a_burst);
+  CPPUNIT_TEST(keeps_the_rate_when_a_zone_fails);
+  CPPUNIT_TEST(keeps_low_rates);
+  CPPUNIT_TEST(serves_the_most_urgent_first);
+  CPPUNIT_TEST(does_not_wait_without_a_rate);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -34,19 +34,20 @@
     world_.reset();
   }
 
-  void a_few_go_at_once() {
-    begin(50);
-    for (int call = 0; call < 10; ++call) ask(1);
+  void allows_a_burst() {
+    start_limiter(50);
+    for (int call = 0; call < 10; ++call) request_call(1);
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, calls_.size());
-    CPPUNIT_ASSERT(std::all_of(calls_.begin(), calls_.end(), [](const Call& call) { return call.at_once; }));
+    CPPUNIT_ASSERT(
+        std::all_of(calls_.begin(), calls_.end(), [](const Call& call) { return call.immediate; }));
   }
 
   /// 100 primaries fail at once on a platform that accepts 50 calls a second.
-  void a_lost_zone_stays_within_the_rate_in_each_second() {
+  void keeps_the_rate_when_a_zone_fails() {
     constexpr std::size_t kRate = 50;
-    begin(kRate);
-    for (int call = 0; call < 100; ++call) ask(1);
+    start_limiter(kRate);
+    for (int call = 0; call < 100; ++call) request_call(1);
     world_->run_for(milliseconds(2500));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("(100 - 10) / 40 s = 2.25 s after the burst", std::size_t{100},
                                  calls_.size());
@@ -59,43 +60,43 @@
     }
   }
 
-  void low_rates_hold_in_each_second() {
+  void keeps_low_rates() {
     for (const double rate : {1.0, 1.5, 2.6, 4.0, 7.0}) {
-      begin(rate);
+      start_limiter(rate);
       calls_.clear();
-      for (int call = 0; call < 20; ++call) ask(1);
+      for (int call = 0; call < 20; ++call) request_call(1);
       world_->run_for(seconds(60));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("at {} calls a second", rate), std::size_t{20}, calls_.size());
       CPPUNIT_ASSERT_MESSAGE(
-          fmt::format("{} calls within a second at a rate of {}", most_within_a_second(), rate),
-          static_cast<double>(most_within_a_second()) <= rate);
+          fmt::format("{} calls within a second at a rate of {}", max_calls_within_a_second(), rate),
+          static_cast<double>(max_calls_within_a_second()) <= rate);
     }
   }
 
-  void the_most_urgent_go_first() {
-    begin(5);
-    ask(9);
+  void serves_the_most_urgent_first() {
+    start_limiter(5);
+    request_call(9);
     world_->run_for(milliseconds(1));
-    ask(3);
-    ask(2);
-    ask(1);
-    ask(2);
+    request_call(3);
+    request_call(2);
+    request_call(1);
+    request_call(2);
     world_->run_for(seconds(2));
     std::vector<std::uint64_t> order;
     for (const Call& call : calls_) order.push_back(call.urgency);
     CPPUNIT_ASSERT(order == (std::vector<std::uint64_t>{9, 1, 2, 2, 3}));
-    CPPUNIT_ASSERT(!calls_.back().at_once);
+    CPPUNIT_ASSERT(!calls_.back().immediate);
   }
 
-  void without_a_rate_nobody_waits() {
-    begin(0);
-    for (int call = 0; call < 200; ++call) ask(1);
+  void does_not_wait_without_a_rate() {
+    start_limiter(0);
+    for (int call = 0; call < 200; ++call) request_call(1);
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{200}, calls_.size());
   }
 
  private:
-  [[nodiscard]] std::ptrdiff_t most_within_a_second() const {
+  [[nodiscard]] std::ptrdiff_t max_calls_within_a_second() const {
     std::ptrdiff_t most = 0;
     for (const Call& first : calls_) {
       const auto within = std::count_if(calls_.begin(), calls_.end(), [&](const Call& call) {
@@ -109,14 +110,14 @@
   struct Call {
     std::uint64_t urgency = 0;
     TimePoint at{};
-    bool at_once = false;
+    bool immediate = false;
   };
 
-  void begin(double rate) { turns_ = std::make_unique<PromotionTurns>(*runtime_, rate); }
-  void ask(std::uint64_t urgency) { runtime_->spawn("ask", take(urgency)); }
-  Awaitable<void> take(std::uint64_t urgency) {
-    const bool at_once = co_await turns_->take(urgency);
-    calls_.push_back({urgency, runtime_->now(), at_once});
+  void start_limiter(double rate) { turns_ = std::make_unique<PromotionTurns>(*runtime_, rate); }
+  void request_call(std::uint64_t urgency) { runtime_->spawn("ask", acquire(urgency)); }
+  Awaitable<void> acquire(std::uint64_t urgency) {
+    const bool immediate = co_await turns_->acquire(urgency);
+    calls_.push_back({urgency, runtime_->now(), immediate});
   }
 
   std::unique_ptr<simulation::World> world_;
--- a/tests/registered/control/failover/region_preference_test.cpp
+++ b/tests/registered/control/failover/region_preference_test.cpp
@@ -33,9 +33,9 @@
 
 class RegionPreferenceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegionPreferenceTest);
-  CPPUNIT_TEST(routes_count_where_they_allow_the_region);
-  CPPUNIT_TEST(a_group_without_lists_prefers_nothing);
-  CPPUNIT_TEST(the_newest_document_counts);
+  CPPUNIT_TEST(counts_routes_that_allow_the_region);
+  CPPUNIT_TEST(is_empty_for_groups_without_restricted_routes);
+  CPPUNIT_TEST(follows_the_newest_document);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -54,25 +54,25 @@
     world_.reset();
   }
 
-  void routes_count_where_they_allow_the_region() {
+  void counts_routes_that_allow_the_region() {
     put(1, {route("a", "records", {"north"}), route("b", "records", {"north", "south"}),
             route("c", "records", {}), route("d", "others", {"south"})});
     const Counts expected{{BackendName("n"), 3}, {BackendName("s"), 2}, {BackendName("dark"), 1}};
     CPPUNIT_ASSERT(expected == preference_->allowing_routes(GroupName("records"), members_));
   }
 
-  void a_group_without_lists_prefers_nothing() {
+  void is_empty_for_groups_without_restricted_routes() {
     put(1, {route("a", "records", {}), route("d", "others", {"south"})});
     CPPUNIT_ASSERT(preference_->allowing_routes(GroupName("records"), members_).empty());
     CPPUNIT_ASSERT(preference_->allowing_routes(GroupName("nobody"), members_).empty());
   }
 
-  void the_newest_document_counts() {
+  void follows_the_newest_document() {
     put(1, {route("a", "records", {"north"})});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, at("n"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, routes_at("n"));
     put(2, {route("a", "records", {"south"})});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, at("n"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, at("s"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, routes_at("n"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, routes_at("s"));
   }
 
  private:
@@ -84,7 +84,7 @@
     fleet_->apply(version,
                   wire::encode(registry::LoggedCommand{registry::Command{command}}, wire::kPlacesFormat));
   }
-  std::size_t at(const std::string& name) {
+  std::size_t routes_at(const std::string& name) {
     return preference_->allowing_routes(GroupName("records"), members_)[BackendName(name)];
   }
 
--- a/tests/registered/control/failover/replication_pauses_test.cpp
+++ b/tests/registered/control/failover/replication_pauses_test.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint64_t kTerm = 3;
-constexpr std::uint64_t kKnowsAll = 1'000'000;
+constexpr std::uint64_t kLatestRevision = 1'000'000;
 
 /// Every member answers as a paused replica.
 class PausedLink : public BackendLink {
@@ -50,9 +50,9 @@
 
 class ReplicationPausesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicationPausesTest);
-  CPPUNIT_TEST(a_pause_ends_with_the_incarnation_that_was_paused);
-  CPPUNIT_TEST(a_next_incarnation_is_new_to_silent_proxies);
-  CPPUNIT_TEST(the_next_incarnation_of_the_primary_is_paused_as_well);
+  CPPUNIT_TEST(pause_ends_with_the_paused_incarnation);
+  CPPUNIT_TEST(a_new_incarnation_is_unknown_to_unresponsive_proxies);
+  CPPUNIT_TEST(pauses_a_new_incarnation_of_the_primary);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -82,42 +82,43 @@
     world_.reset();
   }
 
-  void a_pause_ends_with_the_incarnation_that_was_paused() {
+  void pause_ends_with_the_paused_incarnation() {
     pause();
     world_->run_for(registry::kMemberLeaseWait);
-    CPPUNIT_ASSERT(hold("a", kKnowsAll));
+    CPPUNIT_ASSERT(fences_old_primary("a", kLatestRevision));
     const auto former = dialer_.links.back();
     put("a", 2, 2000);
-    CPPUNIT_ASSERT_MESSAGE("only the former incarnation was paused", !hold("a", kKnowsAll));
-    CPPUNIT_ASSERT(pauses_->quiet_at(closed_, kKnowsAll) == TimePoint::max());
+    CPPUNIT_ASSERT_MESSAGE("only the former incarnation was paused",
+                           !fences_old_primary("a", kLatestRevision));
+    CPPUNIT_ASSERT(pauses_->earliest_promotion(closed_, kLatestRevision) == TimePoint::max());
     pause();
     CPPUNIT_ASSERT_MESSAGE("connection to the former incarnation is closed", !former->is_open());
-    CPPUNIT_ASSERT_MESSAGE("paused too recently", !hold("a", kKnowsAll));
+    CPPUNIT_ASSERT_MESSAGE("paused too recently", !fences_old_primary("a", kLatestRevision));
     world_->run_for(registry::kMemberLeaseWait);
-    CPPUNIT_ASSERT(hold("a", kKnowsAll));
+    CPPUNIT_ASSERT(fences_old_primary("a", kLatestRevision));
   }
 
-  void a_next_incarnation_is_new_to_silent_proxies() {
+  void a_new_incarnation_is_unknown_to_unresponsive_proxies() {
     world_->run_for(registry::kServeWithoutControl + registry::kMemberLease);
     pause();
     world_->run_for(registry::kMemberLeaseWait);
-    CPPUNIT_ASSERT(hold("a", 0));
+    CPPUNIT_ASSERT(fences_old_primary("a", 0));
     put("a", 2, 2000);
     pause();
     world_->run_for(registry::kMemberLeaseWait);
-    CPPUNIT_ASSERT(!hold("a", 0));
+    CPPUNIT_ASSERT(!fences_old_primary("a", 0));
     world_->run_for(registry::kServeWithoutControl + registry::kMemberLease);
-    CPPUNIT_ASSERT(hold("a", 0));
+    CPPUNIT_ASSERT(fences_old_primary("a", 0));
   }
 
-  void the_next_incarnation_of_the_primary_is_paused_as_well() {
+  void pauses_a_new_incarnation_of_the_primary() {
     pause();
     world_->run_for(registry::kMemberLeaseWait);
-    CPPUNIT_ASSERT(!hold("old", kKnowsAll));
+    CPPUNIT_ASSERT(!fences_old_primary("old", kLatestRevision));
     put("old", 1, 2000);
     pause();
     world_->run_for(registry::kMemberLeaseWait);
-    CPPUNIT_ASSERT(hold("old", kKnowsAll));
+    CPPUNIT_ASSERT(fences_old_primary("old", kLatestRevision));
   }
 
  private:
@@ -139,11 +140,11 @@
     runtime_->spawn("pause", pauses_->pause(closed_));
     world_->run_for(milliseconds(50));
   }
-  bool hold(const std::string& name, std::uint64_t silent_revision) {
+  bool fences_old_primary(const std::string& name, std::uint64_t min_unresponsive_revision) {
     const BackendStatus paused{false, kTerm, {kTerm, 7}, kTerm + 1};
     std::vector<MemberFinding> findings;
     for (const auto& entry : fleet_->backends()) findings.push_back({entry, paused, false});
-    return pauses_->hold(closed_, silent_revision, findings, BackendName(name));
+    return pauses_->fences_old_primary(closed_, min_unresponsive_revision, findings, BackendName(name));
   }
 
   std::unique_ptr<simulation::World> world_;
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -101,25 +101,26 @@
     const auto proxy = stand_->connect("proxy");
     report(*proxy);
     const TimePoint reported = stand_->now();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).possible_leaseholders);
     stand_->run_for(ControlStand::kLease - milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).possible_leaseholders);
     stand_->run_for(reported + ControlStand::kLease + milliseconds(1) - stand_->now());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).possible_leaseholders);
     CPPUNIT_ASSERT_MESSAGE("it may have acknowledged something", !progress(5).all_answered);
   }
 
   void a_lease_of_the_leader_before_is_waited_out() {
     stand_->admit("proxy");
     stand_->run_for(ControlStand::kLease * 2);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).possible_leaseholders);
     stand_->consensus().led_term += 2;
     stand_->run_for(kLapsedTick);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nobody knows what it was given", std::size_t{1}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("nobody knows what it was given", std::size_t{1},
+                                 progress(5).possible_leaseholders);
     stand_->run_for(ControlStand::kLease - kLapsedTick - milliseconds(10));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).possible_leaseholders);
     stand_->run_for(kLapsedTick);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).possible_leaseholders);
   }
 
   void an_answer_to_this_close_of_this_incarnation_counts() {
