--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -121,7 +121,7 @@
   }
 
   void does_not_query_members_for_a_close_that_ended_while_waiting() {
-    constexpr double kRate = 0.1;  // the next turn is 10 s away
+    constexpr double kRate = 0.1;  // the next turn is 20 s away
     start_keeper(kRate);
     close_group();
     stand_->run_for(seconds(1));
