--- a/src/registered/control/failover/group_prober.h
+++ b/src/registered/control/failover/group_prober.h
@@ -1,4 +1,5 @@
-// Asks the backends of a group what they are, over links that are kept.
+// Queries the status of a group's backends over reused connections, and sends them demote, pause and resume
+// requests.
 #pragma once
 
 #include <functional>
@@ -15,49 +16,51 @@
 
 namespace cairnhollow::registered::control {
 
-/// Longest wait for a backend's status. Chosen, not measured.
+/// Timeout of a backend's status query.
 inline constexpr Duration kStatusTimeout = std::chrono::milliseconds(300);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class GroupProber {
  public:
   GroupProber(runtime::Runtime& runtime, BackendDialer& dialer) : runtime_(runtime), dialer_(dialer) {}
 
-  /// Empty when it does not answer by `deadline`.
-  Awaitable<std::optional<BackendStatus>> ask(registry::BackendEntry entry, TimePoint deadline,
-                                              Reason& reason);
-  /// As ask(), after telling it to step down from any term below `term`.
+  /// Returns std::nullopt if the backend does not answer by `deadline`.
+  Awaitable<std::optional<BackendStatus>> query(registry::BackendEntry entry, TimePoint deadline,
+                                                Reason& reason);
+  /// Makes the backend step down from any term below `term`, then returns as query().
   Awaitable<std::optional<BackendStatus>> demote(registry::BackendEntry entry, std::uint64_t term,
                                                  TimePoint deadline, Reason& reason);
-  /// As ask(), after keeping it from receiving under `term`, or letting it receive again.
+  /// Pauses replication to the backend under `term`, or resumes it, then returns as query().
   Awaitable<std::optional<BackendStatus>> pause(registry::BackendEntry entry, std::uint64_t term,
                                                 TimePoint deadline, Reason& reason);
   Awaitable<std::optional<BackendStatus>> resume(registry::BackendEntry entry, TimePoint deadline,
                                                  Reason& reason);
-  /// Whether a backend of another name answers at the entry's address. False when nobody answers clearly.
-  Awaitable<bool> is_another(registry::BackendEntry entry, TimePoint deadline);
-  /// All at once; returns when all have answered or the time is over, or `enough` says that what came will
-  /// do.
-  using Enough = std::function<bool(const std::vector<MemberFinding>&)>;
-  Awaitable<std::vector<MemberFinding>> ask_all(std::vector<MemberFinding> members, Enough enough = nullptr);
-  Awaitable<std::vector<MemberFinding>> ask_all(std::vector<registry::BackendEntry> entries);
-  /// Closes the connection that is kept for the next question, if there is one.
+  /// Returns true if a backend with another name answers at the entry's address, false if there is no
+  /// definite answer.
+  Awaitable<bool> is_address_reused(registry::BackendEntry entry, TimePoint deadline);
+  /// Queries all members concurrently. Returns when all have answered or timed out, or as soon as
+  /// `stop_early` returns true for the findings so far.
+  using StopCondition = std::function<bool(const std::vector<MemberFinding>&)>;
+  Awaitable<std::vector<MemberFinding>> query_all(std::vector<MemberFinding> members,
+                                                  StopCondition stop_early = nullptr);
+  Awaitable<std::vector<MemberFinding>> query_all(std::vector<registry::BackendEntry> entries);
+  /// Closes the idle connection to the backend, if there is one.
   void close_idle(const BackendName& backend);
 
  private:
-  struct Survey;
+  struct GroupQuery;
   Awaitable<std::optional<BackendStatus>> run(registry::BackendEntry entry, BackendRequest request,
                                               TimePoint deadline, Reason& reason);
-  Awaitable<void> ask_one(std::shared_ptr<Survey> survey, std::size_t place);
+  Awaitable<void> query_one(std::shared_ptr<GroupQuery> group_query, std::size_t index);
 
   runtime::Runtime& runtime_;
   BackendDialer& dialer_;
   struct IdleLink {
-    registry::BackendIncarnation to;
+    registry::BackendIncarnation incarnation;
     std::shared_ptr<BackendLink> link;
   };
-  /// An idle link to this incarnation of the backend; null: there is none. One to another incarnation is
-  /// closed.
+  /// Returns an idle connection to this incarnation of the backend, or null. Closes one to another
+  /// incarnation.
   std::shared_ptr<BackendLink> take_idle(const registry::BackendEntry& entry);
   std::map<BackendName, IdleLink> idle_;
 };
--- a/tests/registered/control/failover/group_urgency_test.cpp
+++ b/tests/registered/control/failover/group_urgency_test.cpp
@@ -1,4 +1,4 @@
-// In which order groups are served when several change their primary at once.
+// Tests the order in which groups are served when several fail over at once.
 #include "registered/control/failover/group_urgency.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -27,20 +27,20 @@
 
 class GroupUrgencyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupUrgencyTest);
-  CPPUNIT_TEST(the_most_urgent_route_counts);
-  CPPUNIT_TEST(the_most_urgent_group_is_first_and_then_its_name);
+  CPPUNIT_TEST(uses_the_most_urgent_route_of_a_group);
+  CPPUNIT_TEST(orders_groups_by_urgency_and_name);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_most_urgent_route_counts() {
+  void uses_the_most_urgent_route_of_a_group() {
     const auto found = urgencies();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, found.at(GroupName("a")));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, found.at(GroupName("c")));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("no route leads there", std::numeric_limits<std::uint64_t>::max(),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no route to the group", std::numeric_limits<std::uint64_t>::max(),
                                  found.at(GroupName("d")));
   }
 
-  void the_most_urgent_group_is_first_and_then_its_name() {
+  void orders_groups_by_urgency_and_name() {
     const std::vector<GroupName> expected{GroupName("c"), GroupName("a"), GroupName("b"), GroupName("d")};
     CPPUNIT_ASSERT(groups_by_urgency(urgencies()) == expected);
   }
