--- a/src/registered/proxy/group/backend_latency.h
+++ b/src/registered/proxy/group/backend_latency.h
@@ -1,4 +1,4 @@
-// How long statements take at the backends of a group, as this proxy saw it.
+// Smoothed statement latency of a group's backends, as observed by this proxy.
 #pragma once
 
 #include <chrono>
@@ -8,16 +8,16 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What a backend is thought to take before anything is known. Chosen, not measured.
+/// Latency assumed for a backend before its first answer.
 inline constexpr double kFirstLatencyMs = 15.0;
-/// Without news a backend's latency goes back to the group's usual one, by a factor of e in this time: a
-/// backend that is passed over for its latency tells no better one. Chosen, not measured.
+/// Time constant with which a backend's estimate decays towards the group's average while it gets no
+/// statements, so that a backend avoided for its latency is tried again.
 inline constexpr Duration kLatencyMemory = std::chrono::seconds(1);
-/// Parts of the way that the two smoothed values go with each answer. Chosen, not measured.
+/// Weights of a new sample in the moving averages of one backend and of the whole group.
 inline constexpr double kLatencyWeight = 0.15;
 inline constexpr double kUsualLatencyWeight = 0.02;
 
-/// Of one backend, smoothed.
+/// Exponential moving average of one backend's latency.
 class BackendLatency {
  public:
   void record(double took_ms, double usual_ms, TimePoint now) {
@@ -25,7 +25,7 @@
     latency_ms_ = before + kLatencyWeight * (took_ms - before);
     recorded_at_ = now;
   }
-  /// In milliseconds.
+  /// The estimate at `now` in milliseconds, decayed towards `usual_ms`.
   [[nodiscard]] double at(TimePoint now, double usual_ms) const {
     const double faded = std::chrono::duration<double>(now - recorded_at_) / kLatencyMemory;
     return usual_ms + (latency_ms_ - usual_ms) * std::exp(-faded);
@@ -36,7 +36,7 @@
   TimePoint recorded_at_{};
 };
 
-/// Of all backends of a group, over a longer time.
+/// Exponential moving average over all backends of a group, with a longer memory.
 class UsualLatency {
  public:
   void record(double took_ms) { latency_ms_ += kUsualLatencyWeight * (took_ms - latency_ms_); }
--- a/src/registered/proxy/group/backend_standing.cpp
+++ b/src/registered/proxy/group/backend_standing.cpp
@@ -17,7 +17,8 @@
   facts.of_closed_term = facts.is_primary && (!term.open || backends_.is_primary_restarted());
   facts.leaving = backend.entry.leaving;
   facts.leaving_grace_over = leaving_since && now - *leaving_since > kLeavingPrimaryUse;
-  // A primary goes on for a while, so that it is followed while it runs.
+  // A primary in an evacuated zone stays in use for a grace period, so that control can fail over while it
+  // still runs.
   facts.transaction_grace_over = backend.is_off_limits(now);
   facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
   if (facts.zone_evacuated) facts.retry_after = placement::kRetryAfterEvacuation;
--- a/src/registered/proxy/group/backend_standing.h
+++ b/src/registered/proxy/group/backend_standing.h
@@ -1,5 +1,5 @@
-// How each backend of a group stands to a statement now: makes the facts that src/registered/placement
-// decides by, from the parts that own them. Decides nothing itself.
+// Builds the facts about each backend of a group from which src/registered/placement chooses one for a
+// statement. Makes no decision itself.
 #pragma once
 
 #include <boost/container/small_vector.hpp>
@@ -15,29 +15,29 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A backend that leaves as primary is used no longer than this. Chosen, not measured.
+/// Longest time for which a leaving primary is still used.
 inline constexpr Duration kLeavingPrimaryUse = std::chrono::seconds(5);
-/// A read goes to another zone when the backends of its own are slower by this. Bytes between zones cost
-/// money and a round trip there 2 ms. With 8, 100 proxies and 60 backends sent an eighth more bytes between
-/// zones at the same latencies (0.018 against 0.016 GB in 50 s); 100 saves no more.
+/// Cost in milliseconds added to a backend in another zone: traffic between zones is billed and takes a
+/// longer round trip.
 inline constexpr double kOtherZoneCostMs = 30.0;
-/// A read goes to the primary when the replicas are slower by this. Chosen, not measured.
+/// Cost in milliseconds added to the primary, so that reads go to replicas unless these are slower by more
+/// than this.
 inline constexpr double kPrimaryReadCostMs = 12.0;
 
-/// The statement of which the facts of a backend are asked. What it does not name plays no part in them.
+/// The statement for which facts are built. Members that are not set do not affect them.
 struct PlacementRequest {
   const ReadNeed* need = nullptr;
   const std::set<BackendName>* tried = nullptr;
-  const locality::PermittedRegions* allowed = nullptr;  ///< null: anywhere
+  const locality::PermittedRegions* allowed = nullptr;  ///< null: no restriction
 };
 
-/// Of the backends of one group, by name. Most groups have fewer than eight.
+/// Facts about the backends of one group, ordered by name. Most groups have fewer than eight.
 using GroupFacts = boost::container::small_vector<placement::BackendFacts, 8>;
 
-/// What is named outlives it.
+/// References are not owned and must outlive this object.
 class BackendStanding {
  public:
-  /// `zone`: this proxy's.
+  /// `zone`: zone of this proxy.
   BackendStanding(runtime::Runtime& runtime, const Leadership& leadership, const GroupBackends& backends,
                   const ColdLimit& cold, ZoneName zone)
       : runtime_(runtime),
@@ -46,21 +46,21 @@
         cold_(cold),
         zone_(std::move(zone)) {}
 
-  /// A backend as it stands to the statement now.
+  /// Current facts about `backend` for this request.
   [[nodiscard]] placement::BackendFacts facts_of(const BackendUse& backend,
                                                  const PlacementRequest& question) const;
-  /// The same of all, in the order of the group's backends.
+  /// Current facts about all backends, in the order of GroupBackends::all().
   [[nodiscard]] GroupFacts facts(const PlacementRequest& question) const;
-  /// The open term's primary; null while there is none that may be used, as when another incarnation has its
-  /// name.
+  /// Returns the open term's primary, or null if there is none that may be used, for example because another
+  /// incarnation has registered under its name.
   [[nodiscard]] std::shared_ptr<BackendUse> primary() const;
-  /// Whether a backend beside `backend` is likely to serve such a read now.
+  /// Whether a backend other than `backend` is likely to serve this read now.
   [[nodiscard]] bool has_other_reader(const ReadNeed& need, const BackendUse& backend) const;
-  /// A statement of this group took so long at a backend.
+  /// Records that a statement of this group took `took` at `backend`.
   void record_latency(BackendUse& backend, Duration took);
 
  private:
-  /// Of a read there, in milliseconds.
+  /// Cost of a read at `backend`, in milliseconds.
   [[nodiscard]] double cost_of(const BackendUse& backend) const;
 
   runtime::Runtime& runtime_;
--- a/src/registered/proxy/group/backend_use.h
+++ b/src/registered/proxy/group/backend_use.h
@@ -1,4 +1,4 @@
-// One backend of a group as a proxy uses it: its registration, links, and what is known of how it does.
+// State that a proxy keeps for one backend of a group: its registration, links and observed health.
 #pragma once
 
 #include <memory>
@@ -16,8 +16,8 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Of one incarnation at one address: the next one gets a new object, so that nothing known of the former one
-/// is said of it.
+/// Covers one incarnation at one address. The next incarnation gets a new object, so that nothing observed of
+/// the previous one is attributed to it.
 struct BackendUse {
   BackendUse(runtime::Runtime& runtime, BackendDialer& dialer, const registry::BackendEntry& backend,
              std::shared_ptr<const EvacuatedZones> evacuated)
@@ -26,20 +26,21 @@
         gate(runtime),
         evacuated_(std::move(evacuated)) {}
 
-  /// Its zone is to be left: nothing new goes there, but for a primary that nobody follows yet.
+  /// Whether its zone is being evacuated: nothing new is sent there, except to a primary that has no
+  /// successor yet.
   [[nodiscard]] bool is_evacuated() const { return evacuated_->is_evacuated(entry.zone); }
-  /// Its zone is left: nothing at all may be sent there.
+  /// Whether the grace period of its zone's evacuation is over: nothing at all may be sent there.
   [[nodiscard]] bool is_off_limits(TimePoint now) const { return evacuated_->is_off_limits(entry.zone, now); }
   [[nodiscard]] bool takes_reads() const { return !entry.leaving && !is_evacuated(); }
 
   registry::BackendEntry entry;
   StatefulPool pool;
   StatementGate gate;
-  TimePoint avoid_until{};                 ///< it failed a moment ago
-  std::optional<TimePoint> leaving_since;  ///< when this proxy heard of it
+  TimePoint avoid_until{};                 ///< set after a failure
+  std::optional<TimePoint> leaving_since;  ///< when this proxy learned that it is leaving
   RebirthWatch rebirth;
-  TimePoint cold_until{};                ///< whatever it says, since its zone was evacuated
-  TimePoint cold_limit_reached_until{};  ///< no token for it before
+  TimePoint cold_until{};                ///< after its zone's evacuation, whatever it reports
+  TimePoint cold_limit_reached_until{};  ///< no token is available before then
   BackendLatency latency;
   ReplicaLag lag;
   ShownLog shown_log;
--- a/src/registered/proxy/group/connection_shares.h
+++ b/src/registered/proxy/group/connection_shares.h
@@ -1,5 +1,4 @@
-// How many of a backend's connections and slots this proxy may use: its share among the proxies that serve
-// the group.
+// Computes this proxy's share of a backend's connections and slots among the proxies that serve the group.
 #pragma once
 
 #include <chrono>
@@ -13,28 +12,26 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Connections to one backend that a proxy has at least and at most, whatever its share is. Chosen, not
-/// measured.
+/// Bounds on the connections of a proxy to one backend, whatever its share.
 inline constexpr std::uint64_t kLeastConnections = 2;
 inline constexpr std::uint64_t kMostConnections = 12;
-/// At most where links are of one tenant each, at a proxy of the backend's zone: most of them rest. Chosen,
-/// not measured.
+/// Upper bound at a proxy in the backend's zone when each link is dedicated to one tenant. Most of these
+/// links are idle.
 inline constexpr std::uint64_t kMostNearConnections = 24;
-/// How long an idle link is kept at the proxies of the backend's zone, which have most links where each is of
-/// one tenant: a small tenant comes back to a backend after some seconds. Elsewhere: kIdleLinkLife. Chosen,
-/// not measured.
+/// Idle timeout of links at proxies in the backend's zone when each link is dedicated to one tenant: a small
+/// tenant uses the same backend again after some seconds. Elsewhere, kIdleLinkLife applies.
 inline constexpr Duration kNearIdleLinkLife = std::chrono::seconds(20);
 
 class ConnectionShares {
  public:
-  /// `rule`: of the group as it is now; it outlives this. `zone`: this proxy's.
+  /// `rule`: the group's current rule; not owned, must outlive this object. `zone`: zone of this proxy.
   ConnectionShares(const registry::GroupRule& rule, ZoneName zone) : rule_(rule), zone_(std::move(zone)) {}
 
-  /// Each backend's connections are divided evenly among so many proxies.
+  /// Divides each backend's connections evenly among this number of proxies.
   void divide(std::uint64_t proxies);
-  /// The same where links are of one tenant each: most go to the proxies of the backend's zone.
+  /// Divides them for links dedicated to one tenant each: most go to the proxies in the backend's zone.
   void divide(tenancy::ServingProxies serving);
-  /// Bounds the backend's links and running statements by this proxy's share.
+  /// Limits the backend's links and concurrent statements to this proxy's share.
   void apply_to(BackendUse& backend) const;
 
  private:
--- a/src/registered/proxy/group/evacuated_zones.h
+++ b/src/registered/proxy/group/evacuated_zones.h
@@ -1,4 +1,4 @@
-// Which zones' backends a proxy is to leave, and since when it knows.
+// Tracks the zones being evacuated, and since when this proxy knows of each evacuation.
 #pragma once
 
 #include <algorithm>
@@ -11,34 +11,34 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Of the time in which an evacuated zone must be left, what passes until a proxy with a lease has heard
-/// (control's lease, of which deployments have 1.5 s), and what is kept for a process that stands still
-/// between its last check and the sending. Chosen, not measured.
+/// Parts of the evacuation bound that are reserved: the longest time until a proxy with a lease learns of the
+/// order (control's lease), and a margin for a process that is paused between its last check and the send.
 inline constexpr Duration kLongestServingLease = std::chrono::milliseconds(1500);
 inline constexpr Duration kEvacuationMargin = std::chrono::milliseconds(500);
-/// Where the settings name no bound: that of the one deployment that has such orders.
+/// Bound that applies if the settings name none.
 inline constexpr Duration kUsualEvacuationBound = std::chrono::seconds(5);
 
-/// Two moments count. From the first, when this proxy heard, nothing new goes to a replica of the zone; its
-/// primaries and open transactions go on, so that control can hand over while they run. From the second on
-/// nothing goes there at all. Whoever holds control's lease heard at most one lease after operators were told
-/// that the order holds, so the second moment lies within the bound that they were promised. Who had lost it
-/// counts from the end of its last one, and so keeps the bound, too.
+/// An evacuation has two stages. From the time when this proxy learns of it, nothing new goes to a replica in
+/// the zone; its primaries and open transactions continue, so that control can fail over while they run.
+/// After the grace period, nothing is sent there at all. A holder of control's lease learns of an order at
+/// most one lease after operators got its acknowledgement, so the second stage begins within the promised
+/// bound. A proxy whose lease had expired counts from the end of that lease, and so keeps the bound as well.
 class EvacuatedZones {
  public:
-  /// `bound`: so long after an order's acknowledgement nothing more is sent to the zone; 0: the usual one.
+  /// `bound`: time after an order's acknowledgement from which nothing more is sent to the zone; 0:
+  /// kUsualEvacuationBound.
   explicit EvacuatedZones(Duration bound = Duration(0)) {
     if (bound == Duration(0)) bound = kUsualEvacuationBound;
     const Duration left = bound - kLongestServingLease - kEvacuationMargin;
     grace_ = std::clamp(left, Duration(0), bound / 2);
   }
 
-  /// `since`: no later than now, and at most one lease after operators were told that the order holds. True
-  /// when it was not known. One that is known keeps its moment.
+  /// `since`: not later than now, and at most one lease after operators got the acknowledgement. Returns
+  /// false, and keeps the earlier time, if the evacuation was already known.
   bool begin(const ZoneName& zone, TimePoint since) { return since_.emplace(zone, since).second; }
-  /// True when it was known.
+  /// Returns false if the evacuation was not known.
   bool end(const ZoneName& zone) { return since_.erase(zone) > 0; }
-  /// Those that are not in `kept`.
+  /// Returns the zones being evacuated that are not in `kept`.
   [[nodiscard]] std::vector<ZoneName> others_than(const std::set<ZoneName>& kept) const {
     std::vector<ZoneName> others;
     for (const auto& [zone, since] : since_) {
@@ -48,7 +48,7 @@
   }
   [[nodiscard]] std::size_t size() const { return since_.size(); }
   [[nodiscard]] bool is_evacuated(const ZoneName& zone) const { return since_.count(zone) > 0; }
-  /// Whether nothing at all may be sent there any more.
+  /// Whether the grace period is over, so that nothing at all may be sent there.
   [[nodiscard]] bool is_off_limits(const ZoneName& zone, TimePoint now) const {
     const auto found = since_.find(zone);
     return found != since_.end() && now - grace_ >= found->second;
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -29,7 +29,8 @@
 void GroupAccess::put_backend(const registry::BackendEntry& entry) {
   const BackendChange change = backends.put(entry);
   if (change == BackendChange::kOtherIncarnation && entry.name == term().primary) {
-    // What the former incarnation was sent is in doubt, and what it showed says nothing of the next one.
+    // The outcome of statements sent to the previous incarnation is unknown, and the positions that it showed
+    // do not apply to the new one.
     primary_health.break_off_work();
     positions.forget();
   }
@@ -63,8 +64,8 @@
   const TimePoint now = runtime.now();
   const Duration staleness = std::chrono::milliseconds(route.max_staleness_ms);
   positions.record_wanted(staleness);
-  // While the group is open the next read renews what is known, before it is too old; not one that may not go
-  // to the primary, or would be refused there.
+  // While the group is open, the next read refreshes the known position at the primary before it is too old,
+  // unless the read may not run there or would be refused.
   if (may_read_at_primary(allowed) && positions.wants_newer(staleness)) return need;
   need.required = positions.history().covering(now - staleness);
   if (!need.required) return need;
@@ -88,7 +89,7 @@
   const TimePoint now = runtime.now();
   if (!shown) return backend.lag.record(now - need.required_since, false, now);
   const auto first_seen = positions.history().first_seen(*shown);
-  // What it shows is newer than all that the primary was seen to have.
+  // Newer than any position recorded for the primary: no lag.
   backend.lag.record(first_seen ? now - *first_seen : Duration(0), true, now);
 }
 
--- a/src/registered/proxy/group/group_access.h
+++ b/src/registered/proxy/group/group_access.h
@@ -1,5 +1,5 @@
-// What a proxy knows of one database group, each part with the state that it owns. Here is only what concerns
-// several of them. Whoever needs one part takes that.
+// State that a proxy keeps for one database group. Each part owns its own state and is used directly; only
+// operations that involve several parts are defined here.
 #pragma once
 
 #include <memory>
@@ -15,37 +15,39 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What is named outlives it. The parts refer to each other, so that it is neither copied nor moved.
+/// References are not owned and must outlive this object. Neither copyable nor movable, since its parts refer
+/// to each other.
 struct GroupAccess {
-  /// `evacuated`: as the proxy knows them; it may change at any time. `confirmation`: control's, of the copy
-  /// that this is a part of; null: cold backends are not limited.
+  /// `evacuated`: the zones that the proxy is to leave; may change at any time. `confirmation`: control's
+  /// confirmation of the fleet snapshot that this object belongs to; null: cold backends are not limited.
   GroupAccess(runtime::Runtime& proxy_runtime, BackendDialer& dialer, GroupName group, const ZoneName& zone,
               std::shared_ptr<const EvacuatedZones> evacuated,
               const tenancy::KeyConfirmation* confirmation = nullptr);
 
   [[nodiscard]] const registry::GroupTerm& term() const { return leadership.term(); }
-  /// Where an epoch ends by it, whoever waits for an answer of that primary is told at once.
+  /// If the term ends an epoch, callers that wait for answers of its primary fail at once.
   void set_term(const registry::GroupTerm& term);
   void put_backend(const registry::BackendEntry& entry);
   void remove_backend(const BackendName& name);
 
-  /// A primary leads, and is in a region where what is bound to these may not run.
+  /// Whether the group has an open primary that is outside the `allowed` regions.
   [[nodiscard]] bool is_primary_outside(const locality::PermittedRegions& allowed) const;
-  /// What a read must see under these rules; primary_only when a replica can't be shown to have it.
+  /// Returns what a read under this route must see; primary_only if no replica can be shown to have it.
   [[nodiscard]] ReadNeed need_of(const registry::RouteRule& route, const SessionCommit& committed,
                                  const locality::PermittedRegions* allowed = nullptr);
-  /// What `backend` must show to hold before it runs a read with this need, or begins a transaction; empty:
-  /// nothing. A primary that tells its start may have started again, and then lacks what it showed before.
+  /// Returns the position that `backend` must show before it runs a read with this need or begins a
+  /// transaction, or std::nullopt if none is required. A primary that reports its start time may have
+  /// restarted, and then lacks what it showed before.
   [[nodiscard]] std::optional<Position> required_of(const BackendUse& backend, const ReadNeed& need) const;
-  /// A replica answered a read that needed a position, and showed where its log is; or it lacked the
-  /// position.
+  /// Records a replica's answer to a read that required a position: the log position that it showed, or
+  /// std::nullopt if it lacked the required one.
   void record_replica(BackendUse& backend, const ReadNeed& need, std::optional<Position> shown) const;
 
   runtime::Runtime& runtime;
   const GroupName name;
   registry::GroupRule rule;
-  /// Notified when the term, the backends, the members' lease or the evacuated zones have changed, and when
-  /// the primary was asked for its position.
+  /// Notified when the term, the backends, the member lease or the evacuated zones change, and when a
+  /// position query to the primary ends.
   runtime::Signal changed;
   Leadership leadership;
   PrimaryHealth primary_health;
@@ -55,7 +57,8 @@
   BackendStanding standing;
 
  private:
-  /// Whether a read could run at the open primary, as far as its zone, its tokens and these regions allow.
+  /// Whether a read could run at the open primary, as far as its zone, its tokens and the `allowed` regions
+  /// are concerned.
   [[nodiscard]] bool may_read_at_primary(const locality::PermittedRegions* allowed) const;
 };
 
--- a/src/registered/proxy/group/group_backends.cpp
+++ b/src/registered/proxy/group/group_backends.cpp
@@ -26,7 +26,7 @@
 bool GroupBackends::remove(const BackendName& name) {
   const auto found = backends_.find(name);
   if (found == backends_.end()) return false;
-  // Whoever holds it still opens nothing there, and gives no link back to it.
+  // Holders of this object can no longer open links to the backend, and links that they release are closed.
   found->second->pool.retire();
   backends_.erase(found);
   return true;
--- a/src/registered/proxy/group/group_backends.h
+++ b/src/registered/proxy/group/group_backends.h
@@ -1,5 +1,5 @@
-// The backends of one group that are registered, and what concerns all of them: their links' shares, their
-// zones, and which of them has the primary's name. Whether a statement may go to one: backend_standing.h.
+// The registered backends of one group and what concerns all of them: connection shares, zones, and which one
+// has the primary's name. backend_standing.h tells whether a statement may go to one.
 #pragma once
 
 #include <map>
@@ -13,17 +13,17 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What a registration says of the backend that had its name.
+/// How a registration differs from the previous one under the same name.
 enum class BackendChange : std::uint8_t {
   kSame,
-  kJoined,            ///< there was none, or at another address
-  kOtherIncarnation,  ///< nothing that is known of the former one is said of it
+  kJoined,            ///< there was none, or it had another address
+  kOtherIncarnation,  ///< nothing known of the previous incarnation applies to it
 };
 
-/// What is named outlives it.
+/// References are not owned and must outlive this object.
 class GroupBackends {
  public:
-  /// `evacuated`: as the proxy knows them; it may change at any time.
+  /// `evacuated`: the zones that the proxy is to leave; may change at any time.
   GroupBackends(runtime::Runtime& runtime, BackendDialer& dialer, const Leadership& leadership,
                 ConnectionShares shares, std::shared_ptr<const EvacuatedZones> evacuated)
       : runtime_(runtime),
@@ -33,35 +33,36 @@
         evacuated_(std::move(evacuated)) {}
 
   BackendChange put(const registry::BackendEntry& entry);
-  /// False when there is none of the name.
+  /// Returns false if there is no backend of this name.
   bool remove(const BackendName& name);
   [[nodiscard]] const std::map<BackendName, std::shared_ptr<BackendUse>>& all() const { return backends_; }
-  /// The one at this place in all(), as long as nothing has changed since.
+  /// Returns the backend at this place in all(). Valid only while the set of backends is unchanged.
   [[nodiscard]] std::shared_ptr<BackendUse> at(std::size_t place) const;
 
-  /// The backend registered under the primary's name, also while the group is closed; null: there is none.
+  /// Returns the backend registered under the primary's name, even while the group is closed; null if there
+  /// is none.
   [[nodiscard]] std::shared_ptr<BackendUse> named_primary() const;
-  /// The same while the term is open, else null.
+  /// Returns named_primary() while the term is open, otherwise null.
   [[nodiscard]] std::shared_ptr<BackendUse> open_primary() const {
     return leadership_.term().open ? named_primary() : nullptr;
   }
-  /// Another incarnation has registered under the primary's name.
+  /// Whether another incarnation has registered under the primary's name.
   [[nodiscard]] bool is_primary_restarted() const;
 
-  /// Divides each backend's connections evenly among so many proxies.
+  /// Divides each backend's connections evenly among this number of proxies.
   void share_connections(std::uint64_t proxies);
-  /// The same where links are of one tenant each: most go to the proxies of the backend's zone.
+  /// Divides them for links dedicated to one tenant each: most go to the proxies in the backend's zone.
   void share_connections(tenancy::ServingProxies serving);
-  /// What each backend can run at once.
+  /// Number of statements that each backend can run concurrently, in the order of all().
   [[nodiscard]] std::vector<std::uint64_t> slots() const;
 
-  /// Whether a backend of the zone takes reads.
+  /// Whether a backend in the zone takes reads.
   [[nodiscard]] bool reads_in(const ZoneName& zone) const;
-  /// Zones with backends that take reads, each once.
+  /// The distinct zones of the backends that take reads.
   [[nodiscard]] std::vector<ZoneName> reading_zones() const;
-  /// Closes what is not in use of links to evacuated zones.
+  /// Closes idle links to evacuated zones, and those to the open primary once its grace period is over.
   void close_evacuated_links();
-  /// The zone is given back: its backends may have turned cold meanwhile.
+  /// Treats the zone's backends as cold for kColdAfterEvacuation: they may have become cold while unused.
   void record_evacuation_ended(const ZoneName& zone);
 
  private:
--- a/src/registered/proxy/group/leadership.h
+++ b/src/registered/proxy/group/leadership.h
@@ -1,5 +1,6 @@
-// Who leads a group, and whether this proxy may use it: the term in force, the lease that the group's members
-// gave, and whether the primary is in reach. Control's lease, which is for all groups, is FleetView's.
+// Leadership of a group, and whether this proxy may use its primary: the term in force, the lease granted by
+// the group's members, and whether the primary is reachable. Control's lease, which covers all groups, is in
+// FleetView.
 #pragma once
 
 #include <algorithm>
@@ -12,31 +13,29 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// So soon after the close of a group its next primary is expected, and statements wait for it. Chosen, not
-/// measured.
+/// Time after a group closes within which its next primary is expected; statements wait for it.
 inline constexpr Duration kPrimaryExpectedWithin = std::chrono::seconds(3);
-/// After this proxy could not reach a primary that leads, statements for it go through other proxies for this
-/// long. Chosen, not measured.
+/// Time for which statements go through other proxies after this proxy could not reach a leading primary.
 inline constexpr Duration kRelayPeriod = std::chrono::milliseconds(1500);
 
-/// What was said of the primary that led before and holds no longer.
+/// What a new term invalidates about the previous primary.
 struct TermChange {
-  bool other_primary = false;  ///< another one, another incarnation of it, or another term
-  bool given_up = false;       ///< the open epoch is over
+  bool other_primary = false;  ///< another backend, another incarnation, or another term
+  bool given_up = false;       ///< the previously open epoch has ended
 };
 
-/// What is named outlives it.
+/// References are not owned and must outlive this object.
 class Leadership {
  public:
-  /// `changed`: notified when a member lease was given.
+  /// `changed`: notified when a member lease is granted.
   Leadership(runtime::Runtime& runtime, runtime::Signal& changed) : runtime_(runtime), changed_(changed) {}
 
   [[nodiscard]] const registry::GroupTerm& term() const { return term_; }
   TermChange set_term(const registry::GroupTerm& term);
-  /// Whether a group without a usable primary will have one soon, as far as this proxy can tell.
+  /// Whether a group without a usable primary is expected to get one soon, as far as this proxy can tell.
   [[nodiscard]] bool is_changing() const { return runtime_.now() - closed_at_ < kPrimaryExpectedWithin; }
 
-  /// This proxy does not reach the primary of the open term, which may lead all the same.
+  /// Records that this proxy cannot reach the open term's primary, which may still be leading.
   void mark_primary_unreachable() {
     unreachable_epoch_ = term_.epoch;
     unreachable_until_ = runtime_.now() + kRelayPeriod;
@@ -45,12 +44,12 @@
     return unreachable_epoch_ == term_.epoch && runtime_.now() < unreachable_until_;
   }
 
-  /// The group's members gave a lease for the primary of `epoch` (registry/member_lease.h). Without effect
-  /// when the members asked are not those of now.
+  /// Records that the group's members granted a lease for the primary of `epoch` (registry/member_lease.h).
+  /// No effect if that epoch is not open any more, or `membership` is not the current one.
   void extend_member_lease(std::uint64_t epoch, std::uint64_t membership, TimePoint until);
   [[nodiscard]] bool has_member_lease() const { return runtime_.now() < member_lease_until_; }
-  /// Grows with each member that joins. From then on control counts on this proxy to ask that one, too, so
-  /// that no lease of earlier questions may be left.
+  /// Increases with each member that joins. Control then relies on this proxy to ask the new member as well,
+  /// so leases granted in answer to earlier queries are dropped.
   [[nodiscard]] std::uint64_t membership() const { return membership_; }
   void record_joined_member() {
     ++membership_;
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -25,7 +25,7 @@
   for (const auto& [name, use] : group.backends.all()) {
     const placement::BackendFacts facts = group.standing.facts_of(*use, {});
     if (!use->pool.has_no_link() || !placement::may_be_warmed(facts)) continue;
-    // A cold one's slots are for statements.
+    // The slots of a cold backend are left to statements.
     if (group.cold.is_cold(*use)) continue;
     runtime.spawn("warm_link", warm(&runtime, use));
     return true;
--- a/src/registered/proxy/group/link_warming.h
+++ b/src/registered/proxy/group/link_warming.h
@@ -1,4 +1,4 @@
-// Opens links to a group's backends ahead of need.
+// Opens links to a group's backends before statements need them.
 #pragma once
 
 #include <chrono>
@@ -7,11 +7,11 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Links are opened ahead of need, one in this time, on average. Chosen, not measured.
+/// Mean interval between links that are opened ahead of need.
 inline constexpr Duration kWarmInterval = std::chrono::milliseconds(200);
 
-/// Opens one link to a backend that has none, so that the first statement need not wait for it. False when
-/// all have one that may be sent something. `runtime` outlives the process's coroutines.
+/// Opens one link to a backend that has none, so that the first statement does not wait for it. Returns false
+/// if every backend that may be used has a link. `runtime` must outlive the spawned coroutine.
 bool warm_one(runtime::Runtime& runtime, const GroupAccess& group);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -16,9 +16,9 @@
       : term(asked_term), answered(runtime), deadline(runtime.now() + kMemberRoundLimit) {}
 
   registry::GroupTerm term;
-  Position primary_shows;  ///< what the primary showed last, as far as this proxy knows
+  Position primary_shows;  ///< furthest position of the primary that this proxy knows
   std::size_t unanswered = 0;
-  std::string failure;  ///< empty: every answer so far allows the lease
+  std::string failure;  ///< empty: all answers so far allow the lease
   runtime::Signal answered;
   TimePoint deadline;
 };
@@ -90,7 +90,8 @@
     return fmt::format("{} is {} of term {}, the known term is {}", name,
                        status.is_primary ? "primary" : "replica", status.term, round.term.term);
   if (status.pause_term > 0) return fmt::format("{} is paused for term {}", name, status.pause_term);
-  // Its pause, if there was one, ended with the incarnation that the round was to ask.
+  // A pause does not survive a restart, so that a restarted member may lack one that it had when it was to be
+  // asked.
   if (member.entry.tells_birth() && has_lost_log(round, member, status.received))
     return fmt::format("{} shows less than it should, so that it has started again", name);
   return {};
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -1,4 +1,4 @@
-// Keeps a proxy serving while no control node answers: asks the members of its groups for the leases
+// Keeps a proxy serving while no control node answers, by asking the members of its groups for the leases
 // described in registry/member_lease.h.
 #pragma once
 
@@ -15,15 +15,15 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Members are asked for leases this often, once control's lease has less than the head start left: its
-/// renewals come 0.4 to 0.6 s apart (of 1.5 s), so one was missed by then. Three questions fit into one such
-/// lease (0.5 s).
+/// Interval between lease queries, and the remaining time of control's lease below which they begin.
+/// Control's lease of 1.5 s is renewed every 0.4 to 0.6 s, so that one renewal was missed by then. Three
+/// queries fit into one member lease (0.5 s).
 inline constexpr Duration kMemberLeaseTick = std::chrono::milliseconds(150);
 inline constexpr Duration kMemberLeaseHeadStart = std::chrono::milliseconds(700);
-/// Longest wait for all members' answers: half of a member lease is left when they come this late.
+/// Longest wait for the answers of all members; half of a member lease remains when they arrive this late.
 inline constexpr Duration kMemberRoundLimit = std::chrono::milliseconds(250);
 
-/// What it refers to outlives it; it lives until the process ends.
+/// Must live until the process ends. References are not owned and must outlive this object.
 class MemberLeaseKeeper {
  public:
   MemberLeaseKeeper(runtime::Runtime& runtime, FleetView& view, SessionMetrics& metrics)
@@ -33,32 +33,33 @@
   void stop() { stopping_ = true; }
 
  private:
-  /// One question to all members of a group that may follow its primary.
+  /// One status query to each member of a group that may follow its primary.
   struct Round;
   using RoundPointer = std::shared_ptr<Round>;
 
   Awaitable<void> run();
-  /// Whether control's lease is about to end, or has ended not too long ago.
+  /// Whether control's lease is about to expire, or expired less than registry::kServeWithoutControl ago.
   [[nodiscard]] bool is_needed() const;
   void begin_rounds();
   Awaitable<void> renew(std::shared_ptr<GroupAccess> group);
   Awaitable<void> ask(RoundPointer round, std::shared_ptr<BackendUse> member);
-  /// Why the member's answer allows no lease; empty: it allows one.
+  /// Returns why the member's answer does not allow a lease; empty if it does.
   static std::string objection_of(const Round& round, BackendUse& member, const BackendStatus& status);
-  /// Whether a member that tells its start shows an empty log, or less of this term than it showed before.
+  /// Whether a member that reports its start time shows an empty log while the primary's is not, or less of
+  /// this term than it showed before.
   static bool has_lost_log(const Round& round, BackendUse& member, Position received);
-  /// Logs why a group is not served, when that is another reason than before.
+  /// Logs why a group is not served, if the reason has changed.
   void record_refused(const GroupAccess& group, const std::string& why);
-  /// Logs which groups began or ceased to be served by such a lease alone.
+  /// Logs the groups that began or ceased to be served under a member lease alone.
   void record_changes();
 
   runtime::Runtime& runtime_;
   FleetView& view_;
   SessionMetrics& metrics_;
   std::set<GroupName> asking_;
-  std::set<GroupName> serving_;              ///< by a member lease alone
-  std::map<GroupName, std::string> failed_;  ///< why the last round gave no lease
-  std::map<GroupName, std::string> told_;    ///< the reason that was logged last
+  std::set<GroupName> serving_;              ///< under a member lease alone
+  std::map<GroupName, std::string> failed_;  ///< why the last round granted no lease; empty: it did
+  std::map<GroupName, std::string> told_;    ///< the reason logged last
   bool stopping_ = false;
 };
 
--- a/src/registered/proxy/group/position_history.h
+++ b/src/registered/proxy/group/position_history.h
@@ -1,4 +1,5 @@
-// Where a primary's log was, and when: what a read that may be somewhat stale must at least see.
+// History of a primary's log positions, from which the position that a bounded-staleness read must see is
+// derived.
 #pragma once
 
 #include <chrono>
@@ -9,13 +10,12 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Positions of a primary are remembered this long, and no closer together than the spacing: 200 of them at
-/// most. Chosen, not measured.
+/// Retention time of positions and the minimum spacing between them; at most 200 are kept.
 inline constexpr Duration kPositionMemory = std::chrono::seconds(4);
 inline constexpr Duration kPositionSpacing = std::chrono::milliseconds(20);
 
-/// Invariant: everything that anybody had acknowledged before `asked_at` is within the position recorded with
-/// it, since the primary showed that position to a question sent at that time.
+/// Invariant: each recorded position covers everything that was acknowledged to any client before its
+/// `asked_at`, since the primary showed it in answer to a query sent at that time.
 class PositionHistory {
  public:
   void record(TimePoint asked_at, Position position) {
@@ -23,15 +23,16 @@
     seen_.push_back({asked_at, position});
     while (seen_.front().asked_at + kPositionMemory < asked_at) seen_.pop_front();
   }
-  /// The earliest position that covers all that was acknowledged before `since`; empty when none is known.
+  /// Returns the earliest position that covers everything acknowledged before `since`, or std::nullopt if
+  /// none is known.
   [[nodiscard]] std::optional<Position> covering(TimePoint since) const {
     for (const Sighting& sighting : seen_) {
       if (sighting.asked_at >= since) return sighting.position;
     }
     return std::nullopt;
   }
-  /// When the primary was first seen to have `position`; empty when that was before all that is remembered,
-  /// or it was not seen yet.
+  /// Returns when the primary was first seen to have `position` within the retained history, or std::nullopt
+  /// if it has not been seen to have it.
   [[nodiscard]] std::optional<TimePoint> first_seen(Position position) const {
     for (const Sighting& sighting : seen_) {
       if (sighting.position >= position) return sighting.asked_at;
@@ -42,7 +43,8 @@
     if (seen_.empty()) return std::nullopt;
     return seen_.back().asked_at;
   }
-  /// After a change of primary: what the old one showed may have been rolled back.
+  /// Must be called after a change of primary: positions that the previous one showed may have been rolled
+  /// back.
   void clear() { seen_.clear(); }
 
  private:
--- a/src/registered/proxy/group/position_keeper.cpp
+++ b/src/registered/proxy/group/position_keeper.cpp
@@ -10,7 +10,7 @@
 Awaitable<void> PositionKeeper::run() {
   while (!stopping_) {
     co_await runtime_.sleep_for(kWatchTick);
-    // Without tenants every proxy that serves a group sees its primary's answers.
+    // Without tenants, every proxy that serves a group sees answers of its primary.
     if (view_.requires_keys()) ask_where_due();
   }
 }
@@ -30,7 +30,7 @@
   Reason reason;
   const auto answer = co_await ask_status(runtime_, primary, deadline, reason);
   const bool leads = answer && answer->status.is_primary && answer->status.term == term.term;
-  // Only while the term is open does the answer cover all that was acknowledged before the question.
+  // The answer covers everything acknowledged before the query only while the term is open.
   if (leads && answer->position && view_.may_use_primary(*group, term.epoch))
     group->positions.record(answer->sent_at, *answer->position);
   asking_.erase(group->name);
--- a/src/registered/proxy/group/position_keeper.h
+++ b/src/registered/proxy/group/position_keeper.h
@@ -1,6 +1,6 @@
-// Keeps what this proxy knows of primaries' logs young enough for reads at replicas. Where tenants' writes
-// run at proxies of the primary's zone, the others see no answers of it, and each of their reads that renews
-// what is known would open a link for its tenant there.
+// Keeps the known log positions of primaries recent enough for reads at replicas. Where writes of tenants run
+// at proxies in the primary's zone, other proxies see no answers of the primary, and each read that refreshed
+// the position there would open a link for its tenant.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What it refers to outlives it; it lives until the process ends.
+/// Must live until the process ends. References are not owned and must outlive this object.
 class PositionKeeper {
  public:
   PositionKeeper(runtime::Runtime& runtime, FleetView& view) : runtime_(runtime), view_(view) {}
@@ -22,7 +22,7 @@
  private:
   Awaitable<void> run();
   void ask_where_due();
-  /// Asks the group's primary, on any link, where its log is.
+  /// Queries the log position of the group's primary over a link of any tenant.
   Awaitable<void> ask(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> primary);
 
   runtime::Runtime& runtime_;
--- a/src/registered/proxy/group/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The runtime and the view outlive the process's coroutines.
+/// `runtime` and `view` must outlive the coroutine.
 Awaitable<void> ask(runtime::Runtime* runtime, FleetView* view, std::shared_ptr<GroupAccess> group) {
   const auto leader = group->standing.primary();
   const std::uint64_t epoch = group->term().epoch;
--- a/src/registered/proxy/group/position_question.h
+++ b/src/registered/proxy/group/position_question.h
@@ -1,5 +1,5 @@
-// Asks a group's primary where its log is, for reads that may not be run there. The question carries nothing
-// of any caller, so regions that bind statements do not bind it.
+// Queries the log position of a group's primary for reads that may not run there. The query carries no caller
+// data, so region restrictions on statements do not apply to it.
 #pragma once
 
 #include <memory>
@@ -8,8 +8,8 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Notes the position with the group when the primary is still the one that may be used as the answer comes.
-/// One question a group at a time: without effect while one is under way. What is named outlives it.
+/// Records the position in `group` if that primary may still be used when the answer arrives. No effect while
+/// a query to this group is pending. `runtime` and `view` must outlive the spawned coroutine.
 void ask_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/primary_positions.h
+++ b/src/registered/proxy/group/primary_positions.h
@@ -1,5 +1,5 @@
-// Where the log of a group's primary is, as far as this proxy knows, and whether that is to be renewed. What
-// a replica must show for a read follows from it.
+// Known log positions of a group's primary, and whether they need a refresh. The position that a replica must
+// show for a read is derived from them.
 #pragma once
 
 #include <algorithm>
@@ -13,53 +13,54 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// The newest known position of a primary may be this part of the allowed staleness old, or the next read
-/// goes to the primary and brings a new one. Chosen, not measured.
+/// Once the newest position is older than the allowed staleness divided by this, the next read goes to the
+/// primary and refreshes it.
 inline constexpr int kPositionRefreshDivisor = 2;
-/// A proxy whose callers' writes run elsewhere asks the primary where its log is, once the newest known
-/// position is this part of the allowed staleness old: a watch tick and an answer before a read would have to
-/// go to the primary for it. Asked as long as such reads came within the interest. Chosen, not measured.
+/// A proxy whose callers' writes run elsewhere queries the primary once the newest position is older than the
+/// allowed staleness divided by this: early enough for a watch tick and an answer before reads would have to
+/// go to the primary. It does so only while such reads arrived within kPositionInterest.
 inline constexpr int kPositionAskDivisor = 3;
 inline constexpr Duration kPositionInterest = std::chrono::seconds(1);
 
-/// What is named outlives it.
+/// References are not owned and must outlive this object.
 class PrimaryPositions {
  public:
-  /// `changed`: notified when a question has ended.
+  /// `changed`: notified when a position query ends.
   PrimaryPositions(runtime::Runtime& runtime, runtime::Signal& changed)
       : runtime_(runtime), changed_(changed) {}
 
-  /// A primary of the open term showed `position` to a question sent at `asked_at`.
+  /// Records that a primary of the open term showed `position` in answer to a query sent at `asked_at`.
   void record(TimePoint asked_at, Position position) {
     history_.record(asked_at, position);
     shown_ = std::max(shown_.value_or(Position{}), position);
   }
-  /// The furthest that it showed; empty: nothing since the last change of primary.
+  /// The furthest position shown since the last change of primary; std::nullopt if there was none.
   [[nodiscard]] std::optional<Position> shown() const { return shown_; }
   [[nodiscard]] const PositionHistory& history() const { return history_; }
-  /// After a change of primary: what the old one showed may have been rolled back, or is lost.
+  /// Must be called after a change of primary: what the previous one showed may have been rolled back or
+  /// lost.
   void forget() {
     history_.clear();
     shown_.reset();
   }
 
-  /// The furthest position that this proxy acknowledged to a caller, in whatever term.
+  /// The furthest position that this proxy acknowledged to a caller, in any term.
   [[nodiscard]] Position highest_acknowledged() const { return highest_acknowledged_; }
   void record_acknowledged(Position position) {
     highest_acknowledged_ = std::max(highest_acknowledged_, position);
   }
 
-  /// A read came that may be so stale.
+  /// Records that a read arrived that allows this staleness.
   void record_wanted(Duration staleness);
-  /// Whether reads of such staleness need a newer position soon.
+  /// Whether reads that allow this staleness need a newer position soon.
   [[nodiscard]] bool wants_newer(Duration staleness) const {
     return is_older_than(staleness / kPositionRefreshDivisor);
   }
-  /// Whether the newest position will soon be too old for the reads that came lately.
+  /// Whether the newest position will soon be too old for recent reads.
   [[nodiscard]] bool is_question_due() const {
     return is_staleness_wanted() && is_older_than(staleness_wanted_ / kPositionAskDivisor);
   }
-  /// The primary is to be asked on behalf of a read; false while it is being asked.
+  /// Begins a position query on behalf of a read. Returns false while one is pending.
   bool begin_question() { return !std::exchange(asking_, true); }
   void end_question() {
     asking_ = false;
@@ -67,9 +68,9 @@
   }
 
  private:
-  /// Whether a read that may be stale came within the interest.
+  /// Whether a read that allows staleness arrived within kPositionInterest.
   [[nodiscard]] bool is_staleness_wanted() const;
-  /// Whether no position is known that is at most so old.
+  /// Whether no position is known that is at most `age` old.
   [[nodiscard]] bool is_older_than(Duration age) const;
 
   runtime::Runtime& runtime_;
@@ -77,7 +78,7 @@
   PositionHistory history_;
   std::optional<Position> shown_;
   Position highest_acknowledged_;
-  Duration staleness_wanted_{0};  ///< the least of the reads within the interest
+  Duration staleness_wanted_{0};  ///< smallest of the reads within kPositionInterest
   TimePoint staleness_wanted_at_{};
   bool asking_ = false;
 };
--- a/src/registered/proxy/group/read_need.h
+++ b/src/registered/proxy/group/read_need.h
@@ -1,4 +1,4 @@
-// What a read must see, as far as a backend can be chosen and asked by it.
+// Requirements of a read by which its backend is chosen and queried.
 #pragma once
 
 #include <optional>
@@ -14,12 +14,12 @@
   TimePoint at{};
 };
 
-/// What a read needs of the backend that serves it.
+/// Requirements of a read on the backend that serves it.
 struct ReadNeed {
   bool primary_only = false;
-  std::optional<Position> required;  ///< of a replica
+  std::optional<Position> required;  ///< position that a replica must have
   TimePoint required_since{};        ///< when the primary had that position
-  /// Where it may run; the statement's, which outlives this. Null: anywhere.
+  /// Regions where it may run, owned by the statement, which must outlive this object. Null: no restriction.
   const locality::PermittedRegions* allowed = nullptr;
 };
 
--- a/src/registered/proxy/group/replica_lag.h
+++ b/src/registered/proxy/group/replica_lag.h
@@ -1,5 +1,4 @@
-// How far a replica is thought to be behind its primary, from whether it had the positions that reads asked
-// for.
+// Estimates how far a replica lags behind its primary, from whether it had the positions that reads required.
 #pragma once
 
 #include <algorithm>
@@ -10,18 +9,18 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// The part of the way that the lag falls with each answer that shows a smaller one. Chosen, not measured.
+/// An answer that shows a smaller lag lowers the estimate by the difference divided by this.
 inline constexpr int kLagSmoothing = 8;
-/// What is added to the age of a position that was not there, as a part of it: the lag is greater than that
-/// age, by how much is not known. Chosen, not measured.
+/// A missing position raises the estimate to its age plus that age divided by this: the lag exceeds the age
+/// by an unknown amount.
 inline constexpr int kLagStepDivisor = 4;
-/// The lag halves in this time without news, since a replica that is passed over for it tells nothing.
-/// Chosen, not measured.
+/// Half-life of the estimate without answers: a replica avoided for its lag gets no reads that could lower
+/// it.
 inline constexpr Duration kLagHalfLife = std::chrono::milliseconds(400);
 
 class ReplicaLag {
  public:
-  /// A position that the primary had `age` ago was there, or was not.
+  /// Records whether the replica had a position that the primary had `age` ago.
   void record(Duration age, bool was_there, TimePoint now) {
     const Duration before = at(now);
     recorded_at_ = now;
--- a/src/registered/proxy/group/shown_log.h
+++ b/src/registered/proxy/group/shown_log.h
@@ -1,4 +1,4 @@
-// Whether a member's log ever became shorter within a term, which shows that it has started again.
+// Detects that a member's log became shorter within a term, which shows that the member has restarted.
 #pragma once
 
 #include <algorithm>
@@ -8,11 +8,12 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Entries of an open term are never taken back. A member that shows fewer of them than before has lost its
-/// log, and may tell so only later, with its next registration.
+/// Entries of an open term are never removed. A member that shows fewer than before has lost its log, and may
+/// report its restart only later, with its next registration.
 class ShownLog {
  public:
-  /// The member showed `position` in `term`, the open one. False: a lower one than before.
+  /// Records that the member showed `position` in `term`, the open one. Returns false if that is lower than
+  /// before.
   bool record(std::uint64_t term, Position position) {
     if (term != term_) highest_ = Position{};
     term_ = term;
@@ -24,7 +25,7 @@
   }
 
  private:
-  Position highest_;  ///< of `term_`
+  Position highest_;  ///< within `term_`
   std::uint64_t term_ = 0;
 };
 
--- a/src/registered/proxy/group/status_question.h
+++ b/src/registered/proxy/group/status_question.h
@@ -1,5 +1,5 @@
-// The proxy's own questions to the backends of a group, for their status. They carry nothing of any caller,
-// so that they go on any tenant's link, and regions that bind statements do not bind them.
+// Status queries that the proxy itself sends to a group's backends. They carry no caller data, so they may
+// use a link of any tenant, and region restrictions on statements do not apply to them.
 #pragma once
 
 #include <memory>
@@ -11,12 +11,12 @@
 
 struct StatusAnswer {
   BackendStatus status;
-  std::optional<Position> position;  ///< of the backend's log, as every answer of its shows it
-  TimePoint sent_at{};               ///< once a link was there
+  std::optional<Position> position;  ///< of the backend's log, as in each of its answers
+  TimePoint sent_at{};               ///< after the link was acquired
 };
 
-/// Empty when there is no link, no answer or a refusal by then; `reason` tells which. `runtime` outlives the
-/// question.
+/// Returns std::nullopt if there was no link, no answer or a refusal by `deadline`; `reason` tells which.
+/// `runtime` must outlive the query.
 Awaitable<std::optional<StatusAnswer>> ask_status(runtime::Runtime& runtime,
                                                   std::shared_ptr<BackendUse> backend, TimePoint deadline,
                                                   Reason& reason);
--- a/tests/registered/proxy/group/choose_reader.h
+++ b/tests/registered/proxy/group/choose_reader.h
@@ -1,4 +1,4 @@
-// The backend that a read would go to, for tests of what it is chosen by.
+// Chooses the backend for a read, for tests of the facts that the choice is based on.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Out of those not in `excluded`; null when none is left.
+/// Chooses among the backends that are not in `excluded`; returns null if none is eligible.
 inline std::shared_ptr<BackendUse> choose_reader(const GroupAccess& group, const ReadNeed& need,
                                                  const std::set<BackendName>& excluded) {
   const PlacementRequest question{&need, &excluded, need.allowed};
--- a/tests/registered/proxy/group/evacuated_zones_test.cpp
+++ b/tests/registered/proxy/group/evacuated_zones_test.cpp
@@ -1,4 +1,4 @@
-// Until when anything may be sent to a zone that is evacuated.
+// Guards the time bound after which nothing is sent to an evacuated zone.
 #include "registered/proxy/group/evacuated_zones.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -1,4 +1,4 @@
-// Which backend of a group a read goes to, and whether another one could take it over.
+// Which backend of a group serves a read, and whether another one could replace it.
 #include "registered/proxy/group/group_access.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,7 +26,7 @@
   int dials = 0;
 };
 
-/// Only closed, and asked whether it was.
+/// Records only whether it was closed.
 class ClosableLink : public BackendLink {
  public:
   Awaitable<std::optional<Answer>> run(BackendRequest /*request*/, TimePoint /*deadline*/,
@@ -106,7 +106,7 @@
   }
 
   void nothing_new_goes_to_replicas_of_an_evacuated_zone() {
-    // The replica in the proxy's own zone would be the best.
+    // Without an evacuation, the replica in the proxy's own zone is preferred.
     for (const char* name : {"primary", "replica-2"}) {
       registry::BackendEntry outside = backend(name, name == std::string("primary") ? 1 : 3);
       outside.zone = ZoneName("b");
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -1,5 +1,5 @@
-// Which backends of a group a statement may use that is bound to regions, and how its reads are kept going
-// beside a primary outside.
+// Backend choice for statements restricted to regions, and bounded-staleness reads while the primary is
+// outside them.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/placement/retry_after.h"
@@ -88,7 +88,7 @@
     need_.primary_only = false;
     choice = placement::choose_backend(false, group_->standing.facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
-    // The next primary may be inside: that is waited for.
+    // The next primary may be in a permitted region, so the rejection is not final.
     group_->put_backend(backend("south", 3, "s1"));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
     CPPUNIT_ASSERT(
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -1,5 +1,5 @@
-// When the members of a group lend their proxy a lease: all of them answer, as replicas of the term that it
-// knows, and none is paused; and control was not gone for too long.
+// Guards against member leases unless all members answer as unpaused replicas of the known term, and against
+// leases long after control was lost.
 #include "registered/proxy/group/member_lease_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -88,7 +88,7 @@
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->statuses["another"].term = 2;
     stand_->during(Step::kStatus, [this] { stand_->put_member("another", false); });
-    // Control's lease has ended, and one from the first question would not have.
+    // Control's lease has expired; a lease from the first query would still be valid.
     stand_->run_for(milliseconds(560));
     CPPUNIT_ASSERT(!stand_->view().lease_valid());
     CPPUNIT_ASSERT(!serves());
@@ -138,7 +138,7 @@
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->during(Step::kStatus, [] {});
     const TimePoint begun = stand_->now();
-    // Until the first answers have come, which took kEventfulStep; there are no others.
+    // Runs until the first answers have arrived, after kEventfulStep; no others follow.
     stand_->run_for(kMemberLeaseTick + kEventfulStep + milliseconds(10));
     stand_->silent.insert("replica");
     stand_->run_for(begun + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) - stand_->now());
@@ -154,7 +154,7 @@
     keeper_ = std::make_unique<MemberLeaseKeeper>(stand_->runtime(), stand_->view(), stand_->metrics());
     keeper_->start();
   }
-  /// Control's lease has ended when it returns.
+  /// Control's lease has expired on return.
   void lose_control() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->run_for(milliseconds(600));
--- a/tests/registered/proxy/group/position_history_test.cpp
+++ b/tests/registered/proxy/group/position_history_test.cpp
@@ -1,4 +1,4 @@
-// What a read that may be somewhat stale must at least see.
+// The position that a bounded-staleness read must see.
 #include "registered/proxy/group/position_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -1,4 +1,5 @@
-// A proxy that runs no writes knows where the primary's log is, from the primary itself and under its lease.
+// A proxy that runs no writes learns the primary's log position only from the primary itself and under its
+// lease.
 #include "registered/proxy/group/position_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,7 +13,7 @@
 
 namespace {
 
-/// What the backend says of itself.
+/// The status that the backend reports.
 struct Told {
   BackendStatus status{true, 1, Position{1, 7}, 0};
   int questions = 0;
--- a/tests/registered/proxy/group/primary_health_test.cpp
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -1,4 +1,4 @@
-// When a primary counts as silent, as of no use, and when its commits count as stalled.
+// When a primary counts as silent or unusable, and when its commits count as stalled.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -39,7 +39,7 @@
   bool open_ = true;
 };
 
-/// A statement that was sent so long ago and has no answer.
+/// A statement that was sent `age` ago and has no answer.
 struct Sent {
   Duration age;
   bool commits;
--- a/tests/registered/proxy/group/read_need_test.cpp
+++ b/tests/registered/proxy/group/read_need_test.cpp
@@ -1,4 +1,5 @@
-// What a read must see, by its route, its session's latest commit and what is known of the primary's log.
+// What a read must see, depending on its route, its session's latest commit and the known positions of the
+// primary.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -24,7 +25,7 @@
   }
 };
 
-/// The primary showed the log's end at `index`, so long ago.
+/// The primary showed `index` as the end of its log, `age` ago.
 struct Shown {
   Duration age;
   std::uint64_t index;
@@ -34,11 +35,11 @@
   std::string name;
   ReadPolicy reads = ReadPolicy::kBoundedStaleness;
   std::vector<Shown> shown;
-  std::uint64_t committed = 0;  ///< by the session, 100 ms ago; 0: nothing
+  std::uint64_t committed = 0;  ///< by the session, 100 ms ago; 0: none
   bool open = true;
-  /// What is expected; 0: only the primary may serve it.
+  /// Expected position; 0: only the primary may serve the read.
   std::uint64_t required = 0;
-  Duration since{0};  ///< so long ago the primary had it
+  Duration since{0};  ///< expected time since the primary had it
 };
 
 constexpr Duration kStaleness = milliseconds(900);
