--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -1,8 +1,7 @@
-// When a backend is used as a cold one, and how much it may be sent then.
+// Defines which backends count as cold, and the rate limit on statements to them.
 //
-// A cold backend is slow since it was started a moment ago, or since nothing was sent to it for a while. All
-// proxies together send it no more than its group's cold rate (limits/limit.h), and each statement to it
-// takes a token.
+// A cold backend is slow because it was started recently or has been idle. All proxies together send it at
+// most its group's cold rate (limits/limit.h), and each statement to it takes a token.
 #pragma once
 
 #include <optional>
@@ -12,31 +11,31 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What the operator bounds: statements within this time.
+/// Window over which the operator's bound counts statements.
 inline constexpr Duration kColdWindow = std::chrono::seconds(1);
-/// Backends of a zone are used as cold ones for this long after its evacuation ended: they may have turned
-/// cold while nothing was sent to them, and tell it with their next heartbeat (each 1.2 s on the
-/// deployments). Two heartbeats, and the way through the log.
+/// Time for which a zone's backends count as cold after its evacuation ends: they may have become cold while
+/// unused, and report that with their next heartbeat. Covers two heartbeats (one each 1.2 s) and the
+/// propagation through the log.
 inline constexpr Duration kColdAfterEvacuation = std::chrono::seconds(3);
-/// A backend that is started again is registered this long after it can be dialled, if it can register at
-/// all: it calls at once, and another node when it has no answer within a second.
+/// Time after which a restarted backend that can be dialled is registered, if it can register at all: it
+/// calls a control node at once, and another one if there is no answer within a second.
 inline constexpr Duration kRebornNews = std::chrono::seconds(1);
-/// A cold backend is chosen when the warm ones are slower by this. Chosen: three times the work of the
-/// longest reads on the deployments (22 ms), at which a warm one's queue is as bad as a cold one's first
-/// answers.
+/// Cost in milliseconds added to a cold backend: it is chosen when the warm ones are slower by this. Three
+/// times the duration of the longest expected reads, at which a warm backend's queue is as slow as a cold
+/// one's first answers.
 inline constexpr double kColdCostMs = 66.0;
 
 inline limits::LimitedName limited(const BackendName& backend) {
   return {limits::LimitedKind::kColdBackend, backend.value};
 }
 
-/// `rate_per_s`: of its group, above 0.
+/// `rate_per_s`: cold rate of the group, in statements a second; must be positive.
 inline limits::Limit cold_limit(const BackendName& backend, double rate_per_s,
                                 const limits::LimitWindow& window) {
   return {limited(backend), rate_per_s, 0, window};
 }
 
-/// What this proxy saw of a backend that may make it another incarnation than the one it knows.
+/// Tracks whether a backend was unreachable, so that it may be another incarnation than the registered one.
 class RebirthWatch {
  public:
   void mark_unreachable() {
@@ -46,8 +45,8 @@
   void record_reached(TimePoint now) {
     if (was_gone_ && !reached_at_) reached_at_ = now;
   }
-  /// Whether it was gone, and control has not confirmed this proxy's copy to a question asked kRebornNews
-  /// after it was there again.
+  /// Whether it was unreachable, and control has not confirmed this proxy's fleet snapshot in answer to a
+  /// query sent at least kRebornNews after the backend was reachable again.
   [[nodiscard]] bool may_be_reborn(const tenancy::KeyConfirmation& confirmation) const {
     if (!was_gone_) return false;
     return !reached_at_ || !confirmation.is_confirmed_since(*reached_at_ + kRebornNews);
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Whether values can be made equal by setting more of them, without a reset.
+/// Whether `from` can be made equal to `to` by setting values, without a reset.
 bool can_extend(const SessionValues& from, const SessionValues& to) {
   return std::all_of(from.begin(), from.end(), [&](const auto& entry) { return to.count(entry.first) > 0; });
 }
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -1,6 +1,6 @@
-// Links to one backend. A link keeps the values and prepared statements that were put on it; whoever takes it
-// is given one that fits, or applies the state to it. The backend is told a link's tenant when it is opened,
-// so a link serves no other tenant, ever.
+// Pool of links to one backend. A link keeps the values and prepared statements that were applied to it; a
+// caller gets a link that matches, or applies the state to it. The backend is told a link's tenant when the
+// link is opened, so a link never serves another tenant.
 #pragma once
 
 #include <map>
@@ -16,23 +16,22 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Longest wait for a new connection to a backend. Chosen, not measured.
+/// Timeout for opening a connection to a backend.
 inline constexpr Duration kDialTimeout = std::chrono::milliseconds(350);
-/// Longest wait for a link's own exchanges: values, prepared statements, begin. Chosen, not measured.
+/// Timeout for the setup exchanges on a link: values, prepared statements, begin.
 inline constexpr Duration kLinkSetupTimeout = std::chrono::milliseconds(400);
-/// Prepared statements on one link; beyond that the link is reset. Chosen, not measured.
+/// Prepared statements on one link; a link that reaches this number is reset.
 inline constexpr std::size_t kMaxPreparedOnLink = 128;
-/// An idle link beyond the first is closed after this time: after a common loss of power the backends hold
-/// the connections of before for a while (3 s), and the fewer there were, the more new ones they take.
-/// Shorter serves no better since others are asked where a primary is full, and costs handshakes
-/// (docs/WORTH.md).
+/// Idle timeout of links beyond the first. After a power loss that hits many proxies, backends hold the
+/// previous connections for some seconds, and accept more new ones the fewer there were. A shorter timeout
+/// costs handshakes.
 inline constexpr Duration kIdleLinkLife = std::chrono::seconds(2);
-/// After a backend refused one more connection none is opened for this long. Chosen, not measured.
+/// Time without dialling after a backend refused a connection at its limit.
 inline constexpr Duration kFullPause = std::chrono::milliseconds(150);
 
 using SessionValues = std::map<std::string, std::string>;
 
-/// What a prepared statement is, whatever its name.
+/// Identifies a prepared statement independently of its name.
 struct PreparedShape {
   bool writes = false;
   std::string shape;
@@ -44,24 +43,24 @@
   }
 };
 
-/// One link and what is known to be on it.
+/// One link and the state known to be applied to it.
 class StatefulLink {
  public:
   StatefulLink(std::shared_ptr<BackendLink> link, TenantName tenant)
       : link_(std::move(link)), tenant_(std::move(tenant)) {}
 
-  /// Makes the link's values equal to `values`, and puts `prepared` on it where it is not null. False: the
-  /// link can't be used any more.
+  /// Makes the link's values equal to `values`, and prepares `prepared` if set. Returns false if the link
+  /// cannot be used any more.
   Awaitable<bool> apply_session_state(SessionValues values, std::optional<PreparedShape> prepared,
                                       TimePoint deadline, Reason& reason);
-  /// The name of a prepared statement on this link; empty when it is not there.
+  /// Returns the name of a prepared statement on this link; empty if it is not prepared.
   [[nodiscard]] std::string prepared_name(const PreparedShape& shape) const;
-  /// The backend does not know a statement that should be there.
+  /// To be called when the backend does not know a statement that was prepared on this link.
   void forget_prepared() { prepared_.clear(); }
   [[nodiscard]] const SessionValues& values() const { return values_; }
   BackendLink& link() { return *link_; }
   [[nodiscard]] const TenantName& tenant() const { return tenant_; }
-  /// Whether a transaction is open on it, as far as its answers told.
+  /// Whether a transaction is open on it, according to the backend's answers.
   [[nodiscard]] bool has_open_transaction() const { return transaction_open_; }
   void record_state(TransactionState state) { transaction_open_ = state != TransactionState::kIdle; }
   void set_idle_since(TimePoint now) { idle_since_ = now; }
@@ -83,63 +82,64 @@
   bool transaction_open_ = false;
 };
 
-/// Whose link is wanted, and what had best be on it.
+/// Tenant of the requested link, and the values that it should preferably have.
 struct LinkRequest {
   TenantName tenant;
   SessionValues values;
-  bool any_tenant = false;  ///< for questions of the proxy's own, which run on behalf of nobody
+  bool any_tenant = false;  ///< for the proxy's own queries, which run on behalf of no tenant
 };
 
-/// How long a link is waited for.
+/// Deadlines of the wait for a link.
 struct LinkDeadlines {
-  TimePoint free;  ///< while all links are in use
-  TimePoint open;  ///< for a new one, which takes a handshake
+  TimePoint free;  ///< for a link in use to be released
+  TimePoint open;  ///< for a new one, which needs a handshake
 };
 
-/// Lives until the process ends. `runtime` and `dialer` outlive it.
+/// Must live until the process ends. `runtime` and `dialer` are not owned and must outlive this object.
 class StatefulPool {
  public:
   StatefulPool(runtime::Runtime& runtime, BackendDialer& dialer, BackendAddress address)
       : runtime_(runtime), dialer_(dialer), address_(std::move(address)), returned_(runtime) {}
 
-  /// Idle links beyond a lower limit close at once: whoever has a right to them now may open its own.
+  /// Idle links beyond a lower limit are closed at once, so that the proxies now entitled to them can open
+  /// theirs.
   void set_limit(std::uint64_t limit);
   [[nodiscard]] std::uint64_t limit() const { return limit_; }
-  /// Links that are idle for longer are closed by trim().
+  /// Sets the idle time after which trim() closes links.
   void set_idle_life(Duration life) { idle_life_ = life; }
-  /// An idle link, best one with these values, or a new one; waits while the limit is reached by links in
-  /// use. Where idle links of other tenants reach it, the one unused for longest is closed. Null on failure;
-  /// `refusal` is set when the backend itself refused a new one.
+  /// Returns an idle link, preferably one with these values, or a new one; waits while links in use reach the
+  /// limit. If idle links of other tenants reach it, the least recently used one is closed. Returns null on
+  /// failure; `refusal` is set if the backend itself refused a new link.
   Awaitable<std::shared_ptr<StatefulLink>> acquire(LinkRequest wish, LinkDeadlines deadlines,
                                                    std::optional<Refusal>& refusal, Reason& reason);
-  /// Gives a link back that has no transaction open and owes no answer; a closed one is dropped.
+  /// Returns a link to the pool. It must have no open transaction and no pending answer. A closed link is
+  /// dropped.
   void release(std::shared_ptr<StatefulLink> link);
   void close_idle();
-  /// The backend's incarnation is over: no link is given any more, and those in use close when they are given
-  /// back.
+  /// To be called when the backend's incarnation has ended: no more links are handed out, and those in use
+  /// are closed when they are released.
   void retire();
-  /// Whether an idle link ended by itself since this was asked last.
+  /// Whether an idle link was closed by the peer or failed since the last call.
   bool take_lost_idle() { return std::exchange(lost_idle_, false); }
-  /// Closes links that have been idle for too long, but `kept` of them.
+  /// Closes links that exceed the idle timeout, longest idle first, until `kept` idle links remain.
   void trim(TimePoint now, std::size_t kept);
   [[nodiscard]] std::size_t in_use() const { return in_use_; }
-  /// Whether there is no link at all.
   [[nodiscard]] bool has_no_link() const { return in_use_ == 0 && idle_.empty(); }
-  /// Whether there is no link and the backend refused to take one a moment ago.
+  /// Whether there is no link and the backend recently refused a connection.
   [[nodiscard]] bool is_refused() const { return has_no_link() && runtime_.now() < full_until_; }
   [[nodiscard]] const BackendAddress& address() const { return address_; }
 
  private:
   std::shared_ptr<StatefulLink> take_idle(const LinkRequest& wish);
   void drop_closed();
-  /// The backend refused one more connection.
+  /// Stops dialling for kFullPause after the backend refused a connection.
   void mark_full();
-  /// Logs at level debug that a link is given back and whether it was new when it was taken.
+  /// Logs at debug level that a link was released and whether it was newly opened.
   void log_use(const StatefulLink& link) const;
-  /// Closes the idle link that was unused for longest when there are as many links as there may be, or as
-  /// the backend takes.
+  /// Closes the least recently used idle link if the limit on links is reached, or the backend accepts no
+  /// more.
   void make_room();
-  /// Whether one more connection may be tried now: at a full backend only in the place of an idle one.
+  /// Whether a connection may be opened now; at a full backend only in exchange for an idle one.
   [[nodiscard]] bool may_dial() const {
     return in_use_ < limit_ && (runtime_.now() >= full_until_ || !idle_.empty());
   }
@@ -151,7 +151,7 @@
   std::vector<std::shared_ptr<StatefulLink>> idle_;  ///< longest idle first
   std::uint64_t limit_ = 2;
   Duration idle_life_ = kIdleLinkLife;
-  TimePoint full_until_{};  ///< the backend refused one more connection
+  TimePoint full_until_{};  ///< no dialling before then, after a refused connection
   std::size_t in_use_ = 0;
   bool retired_ = false;
   bool lost_idle_ = false;
--- a/src/registered/proxy/links/statement_gate.h
+++ b/src/registered/proxy/links/statement_gate.h
@@ -1,5 +1,5 @@
-// Lets as many statements of this proxy run at one backend at once as the backend has room for, the most
-// urgent first. What waits here holds no slot and no connection.
+// Limits the statements of this proxy that run concurrently at one backend to its capacity, and admits
+// waiting ones by priority. Waiting statements hold no slot and no connection.
 #pragma once
 
 #include <memory>
@@ -11,21 +11,21 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Lives until the process ends, as `runtime` does.
+/// Must live until the process ends, as must `runtime`, which is not owned.
 class StatementGate {
  public:
   explicit StatementGate(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// `share`: this proxy's part of the backend's slots; `maximum`: what it has connections for.
+  /// `share`: this proxy's share of the backend's slots; `maximum`: number of its connections.
   void set_bounds(std::uint32_t share, std::uint32_t maximum) { limit_.set_bounds(share, maximum); }
-  /// True once the statement may run; leave() is owed then. False when `deadline` passed first, or at once
-  /// when it is bound to.
+  /// Returns true once the statement may run; the caller must then call one of the leave functions. Returns
+  /// false if `deadline` passes first, or at once if the expected wait exceeds it.
   Awaitable<bool> enter(std::uint8_t priority, TimePoint deadline);
-  /// The statement was answered after `latency`.
+  /// Ends a statement that was answered after `latency`.
   void leave(Duration latency);
-  /// It was not run, since the backend's slots were taken.
+  /// Ends a statement that was not run, since the backend's slots were taken.
   void leave_busy();
-  /// It got no answer, which says nothing about the backend's room.
+  /// Ends a statement that got no answer, which gives no information about the backend's capacity.
   void leave_unanswered();
   [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
   [[nodiscard]] std::uint32_t running() const { return running_; }
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -1,4 +1,4 @@
-// When a backend is used as a cold one, and what that does to the choice.
+// When a backend counts as cold, and how that affects the choice of a backend.
 #include "registered/proxy/links/cold_backend.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -1,4 +1,4 @@
-// Links that keep state: whoever takes one finds its own values on it, and nothing of others.
+// Guards against links that carry state of another session or serve another tenant.
 #include "registered/proxy/links/stateful_pool.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Keeps what was set on it, as a backend does.
+/// Keeps the state that was set on it, as a backend does.
 class RecordingLink : public BackendLink {
  public:
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
@@ -166,7 +166,7 @@
     CPPUNIT_ASSERT(take_one({{"tag", "a"}}).link == first.link);
   }
 
-  /// Takes a link of the tenant and gives it back.
+  /// Acquires a link of the tenant and releases it.
   std::shared_ptr<StatefulLink> use(const std::string& tenant, bool any_tenant = false) {
     Taken taken;
     runtime_->spawn("take",
@@ -203,8 +203,8 @@
     CPPUNIT_ASSERT(!one->link().is_open());
   }
 
-  /// A lost zone's proxies come back: those that stood in for them have 20 s of idle links that are theirs no
-  /// more, and the backend takes no others meanwhile.
+  /// When the proxies of a lost zone return, those that took over their work hold idle links beyond their
+  /// share for 20 s, and the backend accepts no others meanwhile.
   void links_beyond_a_lower_limit_close_at_once() {
     const auto one = use("one");
     const auto two = use("two");
--- a/tests/registered/proxy/links/statement_gate_test.cpp
+++ b/tests/registered/proxy/links/statement_gate_test.cpp
@@ -1,4 +1,5 @@
-// The gate before a backend: as many as there is room for, the most urgent first, nobody in vain.
+// Admission of statements to a backend: within its capacity, by priority, and none that would miss its
+// deadline.
 #include "registered/proxy/links/statement_gate.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -1,9 +1,8 @@
-// How many links skewed tenants open: the division of a group's work and links, with pools at each proxy.
+// Guards against too many new links, and too many open at one backend, with tenants of skewed load.
 //
 // The load: 83 tenants, the k-th with 1 / k of the first one's operations, 39 a second at one group of three
-// backends with 56 connections each, one a zone; 9 proxies serve it, a fifth of the statements needs the
-// primary, and callers come in at four zones, one without a backend. That is what a deployment of 78 proxies
-// and 8 groups sees at each group in calm.
+// backends with 56 connections each, one a zone; 9 proxies of 78 serve it, a fifth of the statements needs
+// the primary, and callers arrive in four zones, one of them without a backend.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -43,7 +42,7 @@
   bool open_ = true;
 };
 
-/// Counts what is opened, and how many links a backend has at most.
+/// Counts opened links, and the most that were open at one backend.
 class CountingDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress address, TimePoint /*deadline*/,
@@ -101,7 +100,7 @@
     std::discrete_distribution<int> tenant_of(weights.begin(), weights.end());
     for (int statement = 0; statement < kStatements; ++statement) {
       const int tenant = tenant_of(random);
-      const double part = weights[static_cast<std::size_t>(tenant)] / 5.0;  // of all, which add up to 5.0
+      const double part = weights[static_cast<std::size_t>(tenant)] / 5.0;  // the weights add up to 5.0
       run_one(TenantName(fmt::format("tenant-{}", tenant)), part, random);
       world.run_for(milliseconds(1000 / 39));
       for (auto& [key, pool] : pools_) pool.trim(runtime_->now(), 0);
@@ -112,8 +111,7 @@
   }
 
  private:
-  /// New links for 100 statements. This play opens 20.2; some 10 are of pairs of tenant and backend that meet
-  /// for the first time.
+  /// New links for 100 statements. Includes the first link of each pair of tenant and backend.
   static constexpr int kMostNewLinks = 22;
 
   static std::vector<subset::ProxyPointer> all_proxies() {
@@ -136,7 +134,7 @@
     runtime_->spawn("use", use_link(*runtime_, pool_of(order.front(), zone), tenant));
   }
 
-  /// The proxy's links to the backend of the zone.
+  /// The proxy's links to the backend in the zone.
   StatefulPool& pool_of(const subset::ProxyPointer& proxy, const ZoneName& zone) {
     const std::string key = proxy->name.value + " " + zone.value;
     auto found = pools_.find(key);
