--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -59,12 +59,13 @@
     ++round->unanswered;
     runtime_.spawn("member_lease_ask", ask(round, member));
   }
-  if (round->unanswered == 0) round->failure = "no member may follow the primary";
-  if (group->backends.is_primary_restarted()) round->failure = "the primary has started again";
+  if (round->unanswered == 0) round->failure = "the group has no member besides the primary";
+  if (group->backends.is_primary_restarted()) round->failure = "the primary has restarted";
   bool in_time = true;
   while (round->unanswered > 0 && round->failure.empty() && in_time)
     in_time = co_await round->answered.wait_until(round->deadline);
-  if (round->unanswered > 0 && round->failure.empty()) round->failure = "a member did not answer in time";
+  if (round->unanswered > 0 && round->failure.empty())
+    round->failure = "a member did not answer the status query in time";
   if (round->failure.empty())
     view_.extend_member_lease(*group, round->term.epoch, membership, asked_at + registry::kMemberLease);
   failed_[group->name] = round->failure;
@@ -78,7 +79,7 @@
   --round->unanswered;
   std::string objection =
       answer ? objection_of(*round, *member, answer->status)
-             : fmt::format("{} gave no status: {}", member->entry.name.value, reason.to_string());
+             : fmt::format("{} did not report its status: {}", member->entry.name.value, reason.to_string());
   if (!objection.empty()) round->failure = std::move(objection);
   round->answered.notify_all();
 }
@@ -87,13 +88,13 @@
                                             const BackendStatus& status) {
   const std::string& name = member.entry.name.value;
   if (status.is_primary || status.term != round.term.term)
-    return fmt::format("{} is {} of term {}, the known term is {}", name,
+    return fmt::format("{} reports that it is {} in term {}, expected a replica in term {}", name,
                        status.is_primary ? "primary" : "replica", status.term, round.term.term);
   if (status.pause_term > 0) return fmt::format("{} is paused for term {}", name, status.pause_term);
   // A pause does not survive a restart, so that a restarted member may lack one that it had when it was to be
   // asked.
   if (member.entry.tells_birth() && has_lost_log(round, member, status.received))
-    return fmt::format("{} shows less than it should, so that it has started again", name);
+    return fmt::format("{} has restarted: its log is empty or shorter than before", name);
   return {};
 }
 
@@ -122,14 +123,14 @@
     if (serves == (serving_.count(name) > 0)) continue;
     if (serves) serving_.insert(name);
     if (!serves) serving_.erase(name);
-    const std::string why = view_.lease_valid() ? "control gives leases again" : failed_[name];
+    const std::string why = view_.lease_valid() ? "control's lease is valid again" : failed_[name];
     runtime_.logger().log(serves ? LogLevel::kInfo : LogLevel::kWarning,
                           serves ? "member_lease_held" : "member_lease_ended",
                           {{"group", name.value},
                            {"term", std::to_string(group->term().term)},
                            {"epoch", std::to_string(group->term().epoch)},
                            {"revision", std::to_string(view_.revision())},
-                           {"why", serves ? "all other members are replicas of this term" : why}});
+                           {"why", serves ? "all other members are replicas in this term" : why}});
   }
   metrics_.set_member_leases(serving);
 }
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -100,13 +100,13 @@
   while (true) {
     if (retired_) {
       reason = Reason{ReasonCode::kUnreachable, "acquire_link", address_.backend.value,
-                      "the backend has started again or is gone"};
+                      "the backend has restarted or was removed"};
       co_return nullptr;
     }
     if (is_refused()) {
       refusal = Refusal::kConnectionLimit;
       reason = Reason{ReasonCode::kOverloaded, "acquire_link", address_.backend.value,
-                      "the backend took no more connections a moment ago"};
+                      "the backend recently refused a connection at its limit, dialling is paused"};
       co_return nullptr;
     }
     if (auto idle = take_idle(wish)) {
@@ -119,7 +119,8 @@
     const TimePoint wake = waits_for_room ? std::min(deadlines.free, full_until_) : deadlines.free;
     co_await returned_.wait_until(wake);
     if (runtime_.now() < deadlines.free) continue;
-    reason = Reason{ReasonCode::kOverloaded, "acquire_link", address_.backend.value, "all links are in use"};
+    reason = Reason{ReasonCode::kOverloaded, "acquire_link", address_.backend.value,
+                    "all links are in use and none was released in time"};
     co_return nullptr;
   }
   make_room();
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT(choose_reader(*group_, at_primary, {}) == nullptr);
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {}) == nullptr);
     group_->set_term({GroupName("group"), 2, BackendName("elsewhere"), true, 2, 2});
-    CPPUNIT_ASSERT_MESSAGE("another one leads", !is_primary_off_limits());
+    CPPUNIT_ASSERT_MESSAGE("another backend is the primary", !is_primary_off_limits());
   }
 
   void a_zone_that_is_given_back_is_used_again() {
@@ -143,11 +143,12 @@
     CPPUNIT_ASSERT(group_->standing.primary() != nullptr);
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {})->entry.name.value != "primary");
     evacuated_->begin(ZoneName("a"), runtime_->now());
-    CPPUNIT_ASSERT_MESSAGE("the time counts anew", group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("the grace period starts again", group_->standing.primary() != nullptr);
     world_->run_for(seconds(2));
     CPPUNIT_ASSERT(!evacuated_->begin(ZoneName("a"), runtime_->now()));
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("news that are none do not lengthen it", group_->standing.primary() == nullptr);
+    CPPUNIT_ASSERT_MESSAGE("a repeated order does not extend the grace period",
+                           group_->standing.primary() == nullptr);
   }
 
   void no_link_is_opened_to_a_backend_that_was_removed() {
@@ -174,13 +175,13 @@
     group_->put_backend(backend("replica-3", 4));
     CPPUNIT_ASSERT(!group_->leadership.has_member_lease());
     group_->leadership.extend_member_lease(1, asked, until);
-    CPPUNIT_ASSERT_MESSAGE("those asked were not all", !group_->leadership.has_member_lease());
+    CPPUNIT_ASSERT_MESSAGE("the new member was not asked", !group_->leadership.has_member_lease());
     group_->leadership.extend_member_lease(1, group_->leadership.membership(), until);
     CPPUNIT_ASSERT(group_->leadership.has_member_lease());
     registry::BackendEntry leaves = backend("replica-3", 4);
     leaves.leaving = true;
     group_->put_backend(leaves);
-    CPPUNIT_ASSERT_MESSAGE("nobody joined", group_->leadership.has_member_lease());
+    CPPUNIT_ASSERT_MESSAGE("no member joined", group_->leadership.has_member_lease());
   }
 
   void another_incarnation_is_another_backend() {
@@ -192,11 +193,11 @@
     const TimePoint until = runtime_->now() + milliseconds(500);
     group_->leadership.extend_member_lease(1, asked, until);
     group_->put_backend(life("replica-1", 2, 1000));
-    CPPUNIT_ASSERT_MESSAGE("the same life", group_->leadership.has_member_lease());
+    CPPUNIT_ASSERT_MESSAGE("the same incarnation", group_->leadership.has_member_lease());
     group_->put_backend(life("replica-1", 2, 2000));
     CPPUNIT_ASSERT(!group_->leadership.has_member_lease());
     group_->leadership.extend_member_lease(1, asked, until);
-    CPPUNIT_ASSERT_MESSAGE("the former life was asked", !group_->leadership.has_member_lease());
+    CPPUNIT_ASSERT_MESSAGE("the previous incarnation was asked", !group_->leadership.has_member_lease());
     CPPUNIT_ASSERT(group_->backends.all().at(BackendName("replica-1")) != former);
     CPPUNIT_ASSERT(use("replica-1").lag.at(runtime_->now()) == Duration(0));
     Reason reason;
@@ -213,11 +214,11 @@
     CPPUNIT_ASSERT(!group_->standing.primary());
     CPPUNIT_ASSERT(group_->backends.is_primary_restarted());
     const auto reader = choose_reader(*group_, need_, {BackendName("replica-1"), BackendName("replica-2")});
-    CPPUNIT_ASSERT_MESSAGE("nor for reads", !reader);
+    CPPUNIT_ASSERT_MESSAGE("it serves no reads either", !reader);
     term.epoch = 5;
     term.primary_born_ms = 2000;
     group_->set_term(term);
-    CPPUNIT_ASSERT_MESSAGE("once it leads itself", group_->standing.primary());
+    CPPUNIT_ASSERT_MESSAGE("the term names the new incarnation", group_->standing.primary());
   }
 
   void work_at_a_former_incarnation_of_the_primary_is_given_up() {
@@ -226,7 +227,7 @@
     const auto link = std::make_shared<ClosableLink>();
     group_->primary_health.begin_work({link, runtime_->now(), true});
     group_->put_backend(life("replica-1", 2, 2000));
-    CPPUNIT_ASSERT_MESSAGE("not the primary's", link->is_open());
+    CPPUNIT_ASSERT_MESSAGE("another backend restarted", link->is_open());
     group_->put_backend(life("primary", 1, 2000));
     CPPUNIT_ASSERT(!link->is_open());
     CPPUNIT_ASSERT(!group_->required_of(use("primary"), ReadNeed{true, std::nullopt, {}}));
@@ -235,26 +236,29 @@
   void a_primary_that_tells_its_start_is_asked_for_what_it_showed() {
     const ReadNeed at_primary{true, std::nullopt, {}};
     group_->positions.record(runtime_->now(), {1, 12});
-    CPPUNIT_ASSERT_MESSAGE("it tells none", !group_->required_of(use("primary"), at_primary));
+    CPPUNIT_ASSERT_MESSAGE("the primary reports no start time",
+                           !group_->required_of(use("primary"), at_primary));
     group_->put_backend(life("primary", 1, 1000));
-    CPPUNIT_ASSERT_MESSAGE("nothing shown by this life", !group_->required_of(use("primary"), at_primary));
+    CPPUNIT_ASSERT_MESSAGE("this incarnation has shown no position",
+                           !group_->required_of(use("primary"), at_primary));
     group_->positions.record(runtime_->now(), {1, 13});
     CPPUNIT_ASSERT(group_->required_of(use("primary"), at_primary) == Position({1, 13}));
     group_->positions.record(runtime_->now(), {1, 14});
-    CPPUNIT_ASSERT_MESSAGE("however soon after",
+    CPPUNIT_ASSERT_MESSAGE("recorded within the spacing of the history",
                            group_->required_of(use("primary"), at_primary) == Position({1, 14}));
     CPPUNIT_ASSERT(group_->required_of(use("replica-1"), need_) == need_.required);
   }
 
   void a_member_that_shows_less_of_the_term_has_started_again() {
     BackendUse& member = use("replica-1");
-    CPPUNIT_ASSERT_MESSAGE("entries of an earlier term", member.shown_log.record(4, {3, 40}));
-    CPPUNIT_ASSERT_MESSAGE("rolled back", member.shown_log.record(4, {3, 38}));
+    CPPUNIT_ASSERT_MESSAGE("position of an earlier term", member.shown_log.record(4, {3, 40}));
+    CPPUNIT_ASSERT_MESSAGE("entries of an earlier term may be rolled back",
+                           member.shown_log.record(4, {3, 38}));
     CPPUNIT_ASSERT(member.shown_log.record(4, {4, 39}));
     CPPUNIT_ASSERT(member.shown_log.record(4, {4, 39}));
     CPPUNIT_ASSERT(!member.shown_log.record(4, {4, 38}));
     CPPUNIT_ASSERT(!member.shown_log.record(4, {1, 0}));
-    CPPUNIT_ASSERT_MESSAGE("another term", member.shown_log.record(5, {4, 38}));
+    CPPUNIT_ASSERT_MESSAGE("a new term starts over", member.shown_log.record(5, {4, 38}));
   }
 
   void nobody_else_reads_while_the_replicas_lag() {
@@ -265,7 +269,7 @@
     CPPUNIT_ASSERT_MESSAGE("a replica's read may go to the primary",
                            group_->standing.has_other_reader(need_, use("replica-1")));
     world_->run_for(seconds(4));
-    CPPUNIT_ASSERT_MESSAGE("what is not heard of is tried again",
+    CPPUNIT_ASSERT_MESSAGE("the lag estimate decays without answers",
                            group_->standing.has_other_reader(need_, use("primary")));
   }
 
@@ -299,7 +303,7 @@
     const placement::BackendFacts facts = group_->standing.facts_of(use("replica-2"), question);
     CPPUNIT_ASSERT(facts.avoided && facts.lags && !facts.tried && !facts.refused);
     CPPUNIT_ASSERT_EQUAL(std::string("replica-2"), std::string(facts.name));
-    CPPUNIT_ASSERT_MESSAGE("asked of no read", !group_->standing.facts_of(use("replica-2"), {}).lags);
+    CPPUNIT_ASSERT_MESSAGE("lag concerns only reads", !group_->standing.facts_of(use("replica-2"), {}).lags);
   }
 
   void a_full_backend_is_the_last_choice() {
@@ -319,7 +323,7 @@
     world_->run_for(seconds(6));
     CPPUNIT_ASSERT(group_->standing.primary() == nullptr);
     group_->put_backend(backend("primary", 1));
-    CPPUNIT_ASSERT_MESSAGE("it stays", group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("it is not leaving any more", group_->standing.primary() != nullptr);
   }
 
   void a_primary_of_a_closed_group_is_not_used() {
@@ -344,9 +348,11 @@
     CPPUNIT_ASSERT_EQUAL(tenancy::kFarLinks, use("replica-3").pool.limit());
     registry::BackendEntry late = backend("replica-4", 5);
     group_->put_backend(late);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("also one that joins", std::uint64_t{10}, use("replica-4").pool.limit());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("applies to a backend that joins later", std::uint64_t{10},
+                                 use("replica-4").pool.limit());
     group_->backends.share_connections(std::uint64_t{15});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("without tenants", std::uint64_t{3}, use("replica-1").pool.limit());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("divided evenly without tenants", std::uint64_t{3},
+                                 use("replica-1").pool.limit());
   }
 
   void reads_go_to_zones_of_backends_that_stay() {
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -104,12 +104,13 @@
     group_->positions.record(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(1000));
     CPPUNIT_ASSERT(group_->positions.wants_newer(milliseconds(1500)));
-    CPPUNIT_ASSERT_MESSAGE("renews what is known", group_->need_of(route, {}).primary_only);
+    CPPUNIT_ASSERT_MESSAGE("an unrestricted read refreshes the position",
+                           group_->need_of(route, {}).primary_only);
     const ReadNeed bound = group_->need_of(route, {}, &south_);
     CPPUNIT_ASSERT(!bound.primary_only && bound.required == Position({1, 7}));
     CPPUNIT_ASSERT(bound.allowed == &south_);
     world_->run_for(milliseconds(600));
-    CPPUNIT_ASSERT_MESSAGE("too old", group_->need_of(route, {}, &south_).primary_only);
+    CPPUNIT_ASSERT_MESSAGE("the known position is too old", group_->need_of(route, {}, &south_).primary_only);
   }
 
   void one_position_question_at_a_time() {
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -31,7 +31,7 @@
     lose_control();
     CPPUNIT_ASSERT(serves());
     stand_->run_for(seconds(2));
-    CPPUNIT_ASSERT_MESSAGE("it is renewed", serves());
+    CPPUNIT_ASSERT_MESSAGE("the lease is renewed", serves());
   }
 
   void a_member_that_is_no_replica_of_the_term_lends_none() {
@@ -40,25 +40,27 @@
       void (*change)(SessionStand& stand);
     };
     const std::vector<Case> cases{
-        {"it was promoted", [](SessionStand& stand) { stand.statuses["replica"].is_primary = true; }},
-        {"it follows a newer term", [](SessionStand& stand) { stand.statuses["replica"].term = 2; }},
-        {"it follows an older term", [](SessionStand& stand) { stand.statuses["replica"].term = 0; }},
-        {"it is paused", [](SessionStand& stand) { stand.statuses["replica"].pause_term = 2; }},
-        {"it is silent", [](SessionStand& stand) { stand.silent.insert("replica"); }},
-        {"it can't be reached", [](SessionStand& stand) { stand.unreachable.insert("replica"); }},
-        {"one of two is silent",
+        {"the replica was promoted",
+         [](SessionStand& stand) { stand.statuses["replica"].is_primary = true; }},
+        {"the replica follows a newer term", [](SessionStand& stand) { stand.statuses["replica"].term = 2; }},
+        {"the replica follows an older term",
+         [](SessionStand& stand) { stand.statuses["replica"].term = 0; }},
+        {"the replica is paused", [](SessionStand& stand) { stand.statuses["replica"].pause_term = 2; }},
+        {"the replica is silent", [](SessionStand& stand) { stand.silent.insert("replica"); }},
+        {"the replica is unreachable", [](SessionStand& stand) { stand.unreachable.insert("replica"); }},
+        {"one of two replicas is silent",
          [](SessionStand& stand) {
            stand.put_member("another", false);
            stand.statuses["another"].term = 1;
            stand.silent.insert("another");
          }},
-        {"one that leaves is paused",
+        {"a leaving replica is paused",
          [](SessionStand& stand) {
            stand.put_member("another", true);
            stand.statuses["another"].term = 1;
            stand.statuses["another"].pause_term = 2;
          }},
-        {"the primary has started again",
+        {"the primary has restarted",
          [](SessionStand& stand) {
            registry::FleetDelta restarted = stand.delta();
            restarted.terms = {stand.group()->term()};
@@ -67,7 +69,7 @@
            restarted.backends[0].born_ms = 2000;
            stand.view().apply(restarted);
          }},
-        {"nobody else is there",
+        {"the group has no other member",
          [](SessionStand& stand) {
            registry::FleetDelta removed = stand.delta();
            removed.removed_backends = {BackendName("replica")};
@@ -98,7 +100,7 @@
     lose_control();
     CPPUNIT_ASSERT(serves());
     stand_->close_group();
-    CPPUNIT_ASSERT_MESSAGE("a closed group has none", !serves());
+    CPPUNIT_ASSERT_MESSAGE("a closed group has no lease", !serves());
     const TimePoint until = stand_->now() + seconds(1);
     GroupAccess& group = *stand_->group();
     const std::uint64_t closed = group.term().epoch;
@@ -111,7 +113,7 @@
     opened.terms = {term};
     stand_->view().apply(opened);
     stand_->view().extend_member_lease(group, closed, group.leadership.membership(), until);
-    CPPUNIT_ASSERT_MESSAGE("asked for another epoch", !serves());
+    CPPUNIT_ASSERT_MESSAGE("granted for another epoch", !serves());
     stand_->view().extend_member_lease(group, term.epoch, group.leadership.membership(), until);
     CPPUNIT_ASSERT(serves());
   }
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -117,7 +117,7 @@
     int at_primary = 0;
     for (int tick = 0; tick < 60; ++tick) at_primary += read_once() ? 1 : 0;
     CPPUNIT_ASSERT_EQUAL(0, at_primary);
-    CPPUNIT_ASSERT_MESSAGE("about two a second", dialer_->told.questions <= 16);
+    CPPUNIT_ASSERT_MESSAGE("about two queries a second", dialer_->told.questions <= 16);
   }
 
   void nobody_is_asked_without_reads() {
@@ -128,7 +128,7 @@
     const int asked = dialer_->told.questions;
     CPPUNIT_ASSERT(asked > 0);
     world_->run_for(seconds(10));
-    CPPUNIT_ASSERT_MESSAGE("it ends with the reads", dialer_->told.questions <= asked + 3);
+    CPPUNIT_ASSERT_MESSAGE("queries stop when reads stop", dialer_->told.questions <= asked + 3);
   }
 
   void nobody_is_asked_where_links_have_no_tenant() {
@@ -157,7 +157,7 @@
     dialer_->told.takes = milliseconds(200);
     begin(fleet());
     read_for(milliseconds(250));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("one is under way", 1, dialer_->told.questions);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("one query is pending", 1, dialer_->told.questions);
     dialer_->told.takes = seconds(60);
     registry::FleetDelta delta;
     delta.revision = 2;
--- a/tests/registered/proxy/group/primary_health_test.cpp
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -75,15 +75,18 @@
       bool commits_only;
     };
     const std::vector<Row> rows{
-        {"nothing is under way", {}, false, true},
-        {"just under", {{milliseconds(299), false}}, false, true},
-        {"a read", {{milliseconds(300), false}}, true, false},
-        {"a commit", {{milliseconds(300), true}}, true, true},
-        {"a commit, and a read that is young",
+        {"no pending work", {}, false, true},
+        {"a read below the threshold", {{milliseconds(299), false}}, false, true},
+        {"a read at the threshold", {{milliseconds(300), false}}, true, false},
+        {"a commit at the threshold", {{milliseconds(300), true}}, true, true},
+        {"a silent commit and a recent read",
          {{milliseconds(300), true}, {milliseconds(1), false}},
          true,
          true},
-        {"a commit and a read", {{milliseconds(300), true}, {milliseconds(301), false}}, true, false},
+        {"a silent commit and a silent read",
+         {{milliseconds(300), true}, {milliseconds(301), false}},
+         true,
+         false},
     };
     for (const Row& row : rows) {
       start();
@@ -103,12 +106,12 @@
       bool refuses;
     };
     const std::vector<Row> rows{
-        {"nothing is under way", {}, {}, false},
-        {"a read is no commit", {{milliseconds(500), false}}, {}, false},
-        {"at the bound", {{milliseconds(200), true}}, {}, false},
-        {"beyond it", {{milliseconds(201), true}}, {}, true},
-        {"one sent later was answered", {{milliseconds(500), true}}, milliseconds(400), false},
-        {"one sent before was answered", {{milliseconds(500), true}}, milliseconds(600), true},
+        {"no pending work", {}, {}, false},
+        {"a read does not count", {{milliseconds(500), false}}, {}, false},
+        {"a commit at the threshold", {{milliseconds(200), true}}, {}, false},
+        {"a commit above the threshold", {{milliseconds(201), true}}, {}, true},
+        {"a later commit was answered", {{milliseconds(500), true}}, milliseconds(400), false},
+        {"only an earlier commit was answered", {{milliseconds(500), true}}, milliseconds(600), true},
     };
     for (const Row& row : rows) {
       start();
@@ -123,28 +126,30 @@
     const auto first = send({milliseconds(300), true});
     CPPUNIT_ASSERT(group_->primary_health.refuses_commits());
     group_->primary_health.end_work(first);
-    CPPUNIT_ASSERT_MESSAGE("one goes, to see whether it is over", !group_->primary_health.refuses_commits());
+    CPPUNIT_ASSERT_MESSAGE("one commit is sent to detect the end of the stall",
+                           !group_->primary_health.refuses_commits());
     send({milliseconds(0), true});
-    CPPUNIT_ASSERT_MESSAGE("one at a time", group_->primary_health.refuses_commits());
+    CPPUNIT_ASSERT_MESSAGE("only one commit at a time", group_->primary_health.refuses_commits());
     group_->primary_health.record_commit_answered(runtime_->now());
     CPPUNIT_ASSERT(!group_->primary_health.refuses_commits());
     const auto link = std::make_shared<ClosableLink>();
     group_->primary_health.begin_work({link, runtime_->now() - milliseconds(300), true});
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
-    CPPUNIT_ASSERT_MESSAGE("who waits is told at once", !link->is_open());
+    CPPUNIT_ASSERT_MESSAGE("pending work fails at once", !link->is_open());
   }
 
   void a_primary_that_breaks_off_everything_is_of_no_use() {
     CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
     world_->run_for(milliseconds(200));
-    CPPUNIT_ASSERT_MESSAGE("two", !group_->primary_health.mark_broken_off());
-    CPPUNIT_ASSERT_MESSAGE("three, for so long", group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("two dropped statements are too few", !group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("three statements dropped over 200 ms",
+                           group_->primary_health.mark_broken_off());
     group_->primary_health.record_answered();
     for (int statement = 0; statement < 5; ++statement)
       CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
     world_->run_for(milliseconds(200));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
-    CPPUNIT_ASSERT_MESSAGE("a term begins the count anew", !group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("a new term resets the count", !group_->primary_health.mark_broken_off());
   }
 
  private:
--- a/tests/registered/proxy/group/read_need_test.cpp
+++ b/tests/registered/proxy/group/read_need_test.cpp
@@ -69,31 +69,34 @@
     const std::vector<Shown> old{{milliseconds(880), 10}, {milliseconds(460), 12}};
     const std::vector<Row> rows{
         {"a route that reads at the primary", ReadPolicy::kPrimary, young, 0, true, 0, {}},
-        {"nothing is known", ReadPolicy::kBoundedStaleness, {}, 0, true, 0, {}},
-        {"the youngest that covers the bound", ReadPolicy::kBoundedStaleness, young, 0, true, 12,
+        {"no position is known", ReadPolicy::kBoundedStaleness, {}, 0, true, 0, {}},
+        {"the earliest position that covers the bound", ReadPolicy::kBoundedStaleness, young, 0, true, 12,
          milliseconds(400)},
-        {"a bound ignores the session", ReadPolicy::kBoundedStaleness, young, 20, true, 12,
+        {"bounded staleness ignores the session's commit", ReadPolicy::kBoundedStaleness, young, 20, true, 12,
          milliseconds(400)},
-        {"own writes: nothing committed", ReadPolicy::kReadYourWrites, young, 0, true, 12, milliseconds(400)},
-        {"own writes: committed before", ReadPolicy::kReadYourWrites, young, 11, true, 12, milliseconds(400)},
-        {"own writes: committed since", ReadPolicy::kReadYourWrites, young, 13, true, 13, milliseconds(100)},
-        {"half of the bound is over: the primary shows a newer one",
+        {"read your writes: nothing committed", ReadPolicy::kReadYourWrites, young, 0, true, 12,
+         milliseconds(400)},
+        {"read your writes: committed before", ReadPolicy::kReadYourWrites, young, 11, true, 12,
+         milliseconds(400)},
+        {"read your writes: committed since", ReadPolicy::kReadYourWrites, young, 13, true, 13,
+         milliseconds(100)},
+        {"older than half of the bound: refreshed at the primary",
          ReadPolicy::kBoundedStaleness,
          old,
          0,
          true,
          0,
          {}},
-        {"without a primary it serves on", ReadPolicy::kBoundedStaleness, old, 0, false, 10,
+        {"without a primary: an older position serves", ReadPolicy::kBoundedStaleness, old, 0, false, 10,
          milliseconds(880)},
-        {"without a primary until it is too old",
+        {"without a primary: the position is too old",
          ReadPolicy::kBoundedStaleness,
          {{milliseconds(901), 10}},
          0,
          false,
          0,
          {}},
-        {"first seen earlier than the sighting that covers",
+        {"first seen earlier than the entry that covers the bound",
          ReadPolicy::kBoundedStaleness,
          {{milliseconds(950), 12}, {milliseconds(300), 12}},
          0,
@@ -109,7 +112,7 @@
     group_->positions.record(runtime_->now(), {1, 7});
     CPPUNIT_ASSERT(!need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(1, false);
-    CPPUNIT_ASSERT_MESSAGE("the same term, closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
+    CPPUNIT_ASSERT_MESSAGE("the same term is closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(2, true);
     CPPUNIT_ASSERT(need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     CPPUNIT_ASSERT(!group_->positions.shown());
@@ -117,19 +120,19 @@
 
   void a_question_is_due_once_what_is_known_gets_old() {
     start(true);
-    CPPUNIT_ASSERT_MESSAGE("no such read came", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no bounded-staleness read yet", !is_position_due());
     need(ReadPolicy::kBoundedStaleness, {});
-    CPPUNIT_ASSERT_MESSAGE("nothing is known", is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no position is known", is_position_due());
     group_->positions.record(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(300));
-    CPPUNIT_ASSERT_MESSAGE("a third of the bound", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("exactly a third of the bound", !is_position_due());
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT(is_position_due());
     set_term(1, false);
-    CPPUNIT_ASSERT_MESSAGE("nobody to ask", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no open primary to query", !is_position_due());
     set_term(1, true);
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("such reads no longer come", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no recent bounded-staleness reads", !is_position_due());
   }
 
  private:
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT(limit);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(20.0, limits::allowance(*limit), 1e-9);
     world_->run_for(seconds(20));
-    CPPUNIT_ASSERT_MESSAGE("no proxy counts its time down", is_cold("cold"));
+    CPPUNIT_ASSERT_MESSAGE("a proxy does not count the reported time down", is_cold("cold"));
     group().put_backend(backend("cold", 2, 0));
     CPPUNIT_ASSERT(!is_cold("cold"));
     CPPUNIT_ASSERT(!view_->cold_limit(BackendName("unknown")));
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT_MESSAGE("the group has no rate", !is_cold("cold"));
     CPPUNIT_ASSERT(!view_->cold_limit(BackendName("cold")));
     start(0, 0, 10);
-    CPPUNIT_ASSERT_MESSAGE("the operator bounds nothing", !is_cold("cold"));
+    CPPUNIT_ASSERT_MESSAGE("the operator sets no bound", !is_cold("cold"));
     CPPUNIT_ASSERT(!view_->cold_limit(BackendName("cold")));
   }
 
@@ -115,7 +115,7 @@
     group().put_backend(backend("cold", 2, 0));
     group().put_backend(backend("warm", 3, 4000));
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen({}));
-    CPPUNIT_ASSERT_MESSAGE("the primary is nearer than a cold replica",
+    CPPUNIT_ASSERT_MESSAGE("the primary is cheaper than a cold replica",
                            chosen({BackendName("cold")}) == "primary");
   }
 
@@ -130,7 +130,7 @@
     world_->run_for(milliseconds(81));
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen(others));
     use("warm").cold_limit_reached_until = runtime_->now() + seconds(1);
-    CPPUNIT_ASSERT_MESSAGE("a warm one has no limit",
+    CPPUNIT_ASSERT_MESSAGE("a warm backend is not limited",
                            !group().standing.facts_of(use("warm"), {}).cold_limit_reached);
   }
 
@@ -146,7 +146,7 @@
     delta.revision = 2;
     delta.ended_evacuations = {ZoneName("b")};
     view_->apply(delta);
-    CPPUNIT_ASSERT_MESSAGE("another zone", !is_cold("warm"));
+    CPPUNIT_ASSERT_MESSAGE("the evacuation of another zone ended", !is_cold("warm"));
     delta.revision = 3;
     delta.ended_evacuations = {ZoneName("a")};
     view_->apply(delta);
@@ -165,7 +165,7 @@
     delta.revision = 3;
     delta.evacuations = {{ZoneName("a")}};
     view_->apply(delta);
-    CPPUNIT_ASSERT_MESSAGE("another zone", !is_cold("warm"));
+    CPPUNIT_ASSERT_MESSAGE("the evacuation of another zone ended", !is_cold("warm"));
     delta.revision = 4;
     delta.evacuations.clear();
     view_->apply(delta);
@@ -181,9 +181,9 @@
     group().positions.record(runtime_->now(), Position{1, 10});
     world_->run_for(milliseconds(600));
     group().positions.record(runtime_->now() - milliseconds(500), Position{1, 11});
-    CPPUNIT_ASSERT_MESSAGE("the primary is to show a newer one", is_for_primary(route));
+    CPPUNIT_ASSERT_MESSAGE("the read refreshes the position at the primary", is_for_primary(route));
     use("primary").cold_limit_reached_until = runtime_->now() + milliseconds(80);
-    CPPUNIT_ASSERT_MESSAGE("a warm one has no limit", is_for_primary(route));
+    CPPUNIT_ASSERT_MESSAGE("a warm backend is not limited", is_for_primary(route));
     group().put_backend(backend("primary", 1, 4000));
     CPPUNIT_ASSERT(!is_for_primary(route));
     world_->run_for(milliseconds(81));
@@ -193,10 +193,10 @@
   void a_backend_that_was_gone_is_cold_until_control_confirms() {
     RebirthWatch& rebirth = use("warm").rebirth;
     rebirth.record_reached(runtime_->now());
-    CPPUNIT_ASSERT_MESSAGE("it was never gone", !is_cold("warm"));
+    CPPUNIT_ASSERT_MESSAGE("it was never unreachable", !is_cold("warm"));
     rebirth.mark_unreachable();
     confirm(runtime_->now() + seconds(60));
-    CPPUNIT_ASSERT_MESSAGE("whatever is confirmed while it is gone", is_cold("warm"));
+    CPPUNIT_ASSERT_MESSAGE("a confirmation while it is unreachable does not count", is_cold("warm"));
     start(1.5, 5, 10);
     use("warm").rebirth.mark_unreachable();
     use("warm").rebirth.record_reached(runtime_->now());
@@ -204,7 +204,7 @@
     confirm(reached + kRebornNews - milliseconds(1));
     world_->run_for(seconds(30));
     use("warm").rebirth.record_reached(runtime_->now());
-    CPPUNIT_ASSERT_MESSAGE("asked too early, and time alone proves nothing", is_cold("warm"));
+    CPPUNIT_ASSERT_MESSAGE("the query was sent too early, and time alone proves nothing", is_cold("warm"));
     confirm(reached + kRebornNews);
     CPPUNIT_ASSERT(!is_cold("warm"));
   }
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -146,7 +146,7 @@
     const int before = dialer_->links[0]->requests;
     pool_->release(taken.link);
     const Taken again = take_one({{"tag", "a"}}, shape);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nothing is put on it twice", before, dialer_->links[0]->requests);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no state is applied twice", before, dialer_->links[0]->requests);
     CPPUNIT_ASSERT(again.link == taken.link);
   }
 
@@ -191,7 +191,7 @@
     const auto three = use("three");
     CPPUNIT_ASSERT(one->link().is_open() && !two->link().is_open());
     CPPUNIT_ASSERT_EQUAL(std::string("three"), three->tenant().value);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("not more than the limit", std::size_t{3}, dialer_->links.size());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("one link is opened for each tenant", std::size_t{3}, dialer_->links.size());
   }
 
   void a_full_backend_takes_a_link_in_the_place_of_an_idle_one() {
@@ -199,7 +199,7 @@
     dialer_->full = true;
     CPPUNIT_ASSERT(use("two") == nullptr);
     dialer_->full = false;
-    CPPUNIT_ASSERT_MESSAGE("at once, not after the pause", use("two") != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("an idle link is replaced before the pause ends", use("two") != nullptr);
     CPPUNIT_ASSERT(!one->link().is_open());
   }
 
@@ -209,7 +209,7 @@
     const auto one = use("one");
     const auto two = use("two");
     pool_->set_limit(1);
-    CPPUNIT_ASSERT_MESSAGE("unused for longest", !one->link().is_open());
+    CPPUNIT_ASSERT_MESSAGE("the least recently used link is closed", !one->link().is_open());
     CPPUNIT_ASSERT(two->link().is_open());
   }
 
@@ -247,7 +247,7 @@
     world_->run_for(milliseconds(10));
     CPPUNIT_ASSERT(third.link == first.link);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, dialer_->links.size());
-    CPPUNIT_ASSERT_MESSAGE("the wait ends", take_one({}).link == nullptr);
+    CPPUNIT_ASSERT_MESSAGE("the wait for a link times out", take_one({}).link == nullptr);
   }
 
   void closed_links_are_not_given_out() {
@@ -263,7 +263,7 @@
     pool_->release(idle.link);
     pool_->retire();
     CPPUNIT_ASSERT(!dialer_->links[0]->open);
-    CPPUNIT_ASSERT_MESSAGE("its statement has time to end", dialer_->links[1]->open);
+    CPPUNIT_ASSERT_MESSAGE("a link in use stays open until its release", dialer_->links[1]->open);
     pool_->release(used.link);
     CPPUNIT_ASSERT(!dialer_->links[1]->open);
   }
@@ -291,7 +291,7 @@
     const TimePoint before = runtime_->now();
     const Taken again = take_one({});
     CPPUNIT_ASSERT(again.refusal == Refusal::kConnectionLimit);
-    CPPUNIT_ASSERT_MESSAGE("told without waiting", runtime_->now() - before <= milliseconds(10));
+    CPPUNIT_ASSERT_MESSAGE("the refusal does not wait", runtime_->now() - before <= milliseconds(10));
     CPPUNIT_ASSERT_EQUAL(1, dialer_->dials);
     dialer_->full = false;
     world_->run_for(milliseconds(200));
--- a/tests/registered/proxy/links/statement_gate_test.cpp
+++ b/tests/registered/proxy/links/statement_gate_test.cpp
@@ -89,10 +89,10 @@
     start(1, milliseconds(150), waiting);
     start(1, milliseconds(90), late);
     CPPUNIT_ASSERT(!waiting.finished);
-    CPPUNIT_ASSERT_MESSAGE("one is ahead, and takes 100 ms", !late.finished || !late.entered);
+    CPPUNIT_ASSERT_MESSAGE("one statement of 100 ms is ahead", !late.finished || !late.entered);
     Entry hopeless;
     start(2, milliseconds(60), hopeless);
-    CPPUNIT_ASSERT_MESSAGE("two are ahead", hopeless.finished && !hopeless.entered);
+    CPPUNIT_ASSERT_MESSAGE("two statements of 100 ms are ahead", hopeless.finished && !hopeless.entered);
   }
 
   void no_place_is_lost_whatever_the_answer() {
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -105,9 +105,9 @@
       world.run_for(milliseconds(1000 / 39));
       for (auto& [key, pool] : pools_) pool.trim(runtime_->now(), 0);
     }
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} links for {} statements", dialer_.opened, kStatements),
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} new links for {} statements", dialer_.opened, kStatements),
                            dialer_.opened * 100 <= kMostNewLinks * kStatements);
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} links at a backend", dialer_.most), dialer_.most <= 52);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} links open at one backend", dialer_.most), dialer_.most <= 52);
   }
 
  private:
