--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -91,7 +91,7 @@
   std::set<ZoneName> begun;
   for (const registry::Evacuation& evacuation : delta.evacuations) begun.insert(evacuation.zone);
   std::vector<ZoneName> ended = delta.ended_evacuations;
-  if (delta.is_whole) ended = evacuated_->others_than(begun);
+  if (delta.is_whole) ended = evacuated_->missing_from(begun);
   bool changed = false;
   for (const ZoneName& zone : ended) {
     if (!evacuated_->end(zone)) continue;
@@ -112,7 +112,7 @@
 TimePoint FleetView::evacuation_known_since() const {
   const auto confirmed = keys_confirmed_.confirmed_at();
   if (!confirmed) return TimePoint::min();
-  return std::min(runtime_.now(), *confirmed + kLongestServingLease);
+  return std::min(runtime_.now(), *confirmed + kMaxServingLease);
 }
 
 void FleetView::log_evacuation(const char* event, const ZoneName& zone, std::uint64_t revision) {
@@ -213,11 +213,11 @@
                                                 GroupWork work) const {
   const auto found = groups_.find(group);
   if (found == groups_.end()) return zone_;
-  const auto primary = work == GroupWork::kAtPrimary ? found->second->standing.primary() : nullptr;
+  const auto primary = work == GroupWork::kAtPrimary ? found->second->evaluator.primary() : nullptr;
   if (primary) return primary->entry.zone;
   // Who leads next may be anywhere. Without a lease others may know more than this proxy.
   if (work == GroupWork::kAtPrimary && holds_lease_for(*found->second)) return std::nullopt;
-  if (found->second->backends.reads_in(zone_)) return zone_;
+  if (found->second->backends.has_readers_in(zone_)) return zone_;
   const ZoneName reads = tenancy::zone_of_reads(found->second->backends.reading_zones(), tenant, zone_);
   return reads.empty() ? zone_ : reads;
 }
--- a/src/registered/proxy/group/backend_standing.cpp
+++ b/src/registered/proxy/group/backend_standing.cpp
@@ -6,8 +6,8 @@
 
 namespace cairnhollow::registered::proxy {
 
-placement::BackendFacts BackendStanding::facts_of(const BackendUse& backend,
-                                                  const PlacementRequest& question) const {
+placement::BackendFacts BackendEvaluator::facts_of(const BackendState& backend,
+                                                   const PlacementRequest& request) const {
   const TimePoint now = runtime_.now();
   const registry::GroupTerm& term = leadership_.term();
   const auto& leaving_since = backend.leaving_since;
@@ -16,54 +16,54 @@
   facts.is_primary = backend.entry.name == term.primary;
   facts.of_closed_term = facts.is_primary && (!term.open || backends_.is_primary_restarted());
   facts.leaving = backend.entry.leaving;
-  facts.leaving_grace_over = leaving_since && now - *leaving_since > kLeavingPrimaryUse;
+  facts.leaving_grace_over = leaving_since && now - *leaving_since > kLeavingPrimaryGrace;
   // A primary in an evacuated zone stays in use for a grace period, so that control can fail over while it
   // still runs.
   facts.transaction_grace_over = backend.is_off_limits(now);
   facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
   if (facts.zone_evacuated) facts.retry_after = placement::kRetryAfterEvacuation;
-  facts.tried = question.tried != nullptr && question.tried->count(backend.entry.name) > 0;
+  facts.tried = request.tried != nullptr && request.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
   facts.refused = backend.pool.is_refused();
   facts.cold_limit_reached = cold_.is_reached(backend);
   if (facts.cold_limit_reached) facts.retry_after = backend.cold_limit_reached_until - now;
-  if (question.allowed != nullptr) facts.region_allowed = question.allowed->allows(backend.entry.zone);
+  if (request.allowed != nullptr) facts.region_allowed = request.allowed->allows(backend.entry.zone);
   if (!facts.region_allowed) facts.retry_after = placement::kRetryAfterOutsideRegions;
-  if (question.need == nullptr || question.need->primary_only) return facts;
-  facts.lags = !facts.is_primary && backend.lag.at(now) > now - question.need->required_since;
+  if (request.need == nullptr || request.need->primary_only) return facts;
+  facts.lags = !facts.is_primary && backend.lag.at(now) > now - request.need->required_since;
   facts.cost = cost_of(backend);
   return facts;
 }
 
-GroupFacts BackendStanding::facts(const PlacementRequest& question) const {
+GroupFacts BackendEvaluator::facts(const PlacementRequest& request) const {
   GroupFacts facts;
-  for (const auto& [name, use] : backends_.all()) facts.push_back(facts_of(*use, question));
+  for (const auto& [name, backend] : backends_.all()) facts.push_back(facts_of(*backend, request));
   return facts;
 }
 
-std::shared_ptr<BackendUse> BackendStanding::primary() const {
-  auto leader = backends_.open_primary();
-  if (!leader) return nullptr;
-  const placement::BackendFacts facts = facts_of(*leader, {});
-  return placement::may_lead(facts) && !facts.zone_evacuated ? leader : nullptr;
+std::shared_ptr<BackendState> BackendEvaluator::primary() const {
+  auto candidate = backends_.open_primary();
+  if (!candidate) return nullptr;
+  const placement::BackendFacts facts = facts_of(*candidate, {});
+  return placement::may_lead(facts) && !facts.zone_evacuated ? candidate : nullptr;
 }
 
-bool BackendStanding::has_other_reader(const ReadNeed& need, const BackendUse& backend) const {
+bool BackendEvaluator::has_other_reader(const ReadNeed& need, const BackendState& backend) const {
   GroupFacts others = facts({&need, nullptr, need.allowed});
   for (placement::BackendFacts& other : others) other.tried = other.name == backend.entry.name.value;
   return placement::has_other_reader(need.primary_only, others);
 }
 
-void BackendStanding::record_latency(BackendUse& backend, Duration took) {
+void BackendEvaluator::record_latency(BackendState& backend, Duration took) {
   const double took_ms = std::chrono::duration<double, std::milli>(took).count();
-  usual_latency_.record(took_ms);
-  backend.latency.record(took_ms, usual_latency_.ms(), runtime_.now());
+  group_latency_.record(took_ms);
+  backend.latency.record(took_ms, group_latency_.ms(), runtime_.now());
 }
 
-double BackendStanding::cost_of(const BackendUse& backend) const {
+double BackendEvaluator::cost_of(const BackendState& backend) const {
   const double slots = static_cast<double>(std::max<std::uint64_t>(backend.entry.slots, 1));
   const double waiting = static_cast<double>(backend.gate.running() + backend.gate.waiting()) / slots;
-  double cost = backend.latency.at(runtime_.now(), usual_latency_.ms()) * (1.0 + waiting);
+  double cost = backend.latency.at(runtime_.now(), group_latency_.ms()) * (1.0 + waiting);
   if (backend.entry.zone != zone_) cost += kOtherZoneCostMs;
   if (backend.entry.name == leadership_.term().primary) cost += kPrimaryReadCostMs;
   if (cold_.is_cold(backend)) cost += kColdCostMs;
--- a/src/registered/proxy/group/backend_standing.h
+++ b/src/registered/proxy/group/backend_standing.h
@@ -16,7 +16,7 @@
 namespace cairnhollow::registered::proxy {
 
 /// Longest time for which a leaving primary is still used.
-inline constexpr Duration kLeavingPrimaryUse = std::chrono::seconds(5);
+inline constexpr Duration kLeavingPrimaryGrace = std::chrono::seconds(5);
 /// Cost in milliseconds added to a backend in another zone: traffic between zones is billed and takes a
 /// longer round trip.
 inline constexpr double kOtherZoneCostMs = 30.0;
@@ -35,11 +35,11 @@
 using GroupFacts = boost::container::small_vector<placement::BackendFacts, 8>;
 
 /// References are not owned and must outlive this object.
-class BackendStanding {
+class BackendEvaluator {
  public:
   /// `zone`: zone of this proxy.
-  BackendStanding(runtime::Runtime& runtime, const Leadership& leadership, const GroupBackends& backends,
-                  const ColdLimit& cold, ZoneName zone)
+  BackendEvaluator(runtime::Runtime& runtime, const Leadership& leadership, const GroupBackends& backends,
+                   const ColdLimit& cold, ZoneName zone)
       : runtime_(runtime),
         leadership_(leadership),
         backends_(backends),
@@ -47,28 +47,28 @@
         zone_(std::move(zone)) {}
 
   /// Current facts about `backend` for this request.
-  [[nodiscard]] placement::BackendFacts facts_of(const BackendUse& backend,
-                                                 const PlacementRequest& question) const;
+  [[nodiscard]] placement::BackendFacts facts_of(const BackendState& backend,
+                                                 const PlacementRequest& request) const;
   /// Current facts about all backends, in the order of GroupBackends::all().
-  [[nodiscard]] GroupFacts facts(const PlacementRequest& question) const;
+  [[nodiscard]] GroupFacts facts(const PlacementRequest& request) const;
   /// Returns the open term's primary, or null if there is none that may be used, for example because another
   /// incarnation has registered under its name.
-  [[nodiscard]] std::shared_ptr<BackendUse> primary() const;
+  [[nodiscard]] std::shared_ptr<BackendState> primary() const;
   /// Whether a backend other than `backend` is likely to serve this read now.
-  [[nodiscard]] bool has_other_reader(const ReadNeed& need, const BackendUse& backend) const;
+  [[nodiscard]] bool has_other_reader(const ReadNeed& need, const BackendState& backend) const;
   /// Records that a statement of this group took `took` at `backend`.
-  void record_latency(BackendUse& backend, Duration took);
+  void record_latency(BackendState& backend, Duration took);
 
  private:
   /// Cost of a read at `backend`, in milliseconds.
-  [[nodiscard]] double cost_of(const BackendUse& backend) const;
+  [[nodiscard]] double cost_of(const BackendState& backend) const;
 
   runtime::Runtime& runtime_;
   const Leadership& leadership_;
   const GroupBackends& backends_;
   const ColdLimit& cold_;
   ZoneName zone_;
-  UsualLatency usual_latency_;
+  GroupLatency group_latency_;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/backend_use.h
+++ b/src/registered/proxy/group/backend_use.h
@@ -18,9 +18,9 @@
 
 /// Covers one incarnation at one address. The next incarnation gets a new object, so that nothing observed of
 /// the previous one is attributed to it.
-struct BackendUse {
-  BackendUse(runtime::Runtime& runtime, BackendDialer& dialer, const registry::BackendEntry& backend,
-             std::shared_ptr<const EvacuatedZones> evacuated)
+struct BackendState {
+  BackendState(runtime::Runtime& runtime, BackendDialer& dialer, const registry::BackendEntry& backend,
+               std::shared_ptr<const EvacuatedZones> evacuated)
       : entry(backend),
         pool(runtime, dialer, BackendAddress{backend.endpoint, backend.group, backend.name}),
         gate(runtime),
@@ -38,12 +38,12 @@
   StatementGate gate;
   TimePoint avoid_until{};                 ///< set after a failure
   std::optional<TimePoint> leaving_since;  ///< when this proxy learned that it is leaving
-  RebirthWatch rebirth;
+  RestartDetector restart_detector;
   TimePoint cold_until{};                ///< after its zone's evacuation, whatever it reports
   TimePoint cold_limit_reached_until{};  ///< no token is available before then
   BackendLatency latency;
   ReplicaLag lag;
-  ShownLog shown_log;
+  LogRegressionDetector log_regression;
 
  private:
   std::shared_ptr<const EvacuatedZones> evacuated_;
--- a/src/registered/proxy/group/cold_limit.h
+++ b/src/registered/proxy/group/cold_limit.h
@@ -20,13 +20,13 @@
   /// Statements a second that all proxies together may send to one cold backend; 0: no limit.
   [[nodiscard]] double rate_per_s() const { return rule_.cold_rate_per_s; }
   /// Whether each statement to the backend must take a token.
-  [[nodiscard]] bool is_cold(const BackendUse& backend) const {
+  [[nodiscard]] bool is_cold(const BackendState& backend) const {
     if (rule_.cold_rate_per_s <= 0 || confirmation_ == nullptr) return false;
     if (backend.entry.cold_ms > 0 || runtime_.now() < backend.cold_until) return true;
-    return backend.rebirth.may_be_reborn(*confirmation_);
+    return backend.restart_detector.may_have_restarted(*confirmation_);
   }
   /// Whether it is cold and recently had no token.
-  [[nodiscard]] bool is_reached(const BackendUse& backend) const {
+  [[nodiscard]] bool is_reached(const BackendState& backend) const {
     return runtime_.now() < backend.cold_limit_reached_until && is_cold(backend);
   }
 
--- a/src/registered/proxy/group/connection_shares.h
+++ b/src/registered/proxy/group/connection_shares.h
@@ -13,14 +13,14 @@
 namespace cairnhollow::registered::proxy {
 
 /// Bounds on the connections of a proxy to one backend, whatever its share.
-inline constexpr std::uint64_t kLeastConnections = 2;
-inline constexpr std::uint64_t kMostConnections = 12;
+inline constexpr std::uint64_t kMinConnections = 2;
+inline constexpr std::uint64_t kMaxConnections = 12;
 /// Upper bound at a proxy in the backend's zone when each link is dedicated to one tenant. Most of these
 /// links are idle.
-inline constexpr std::uint64_t kMostNearConnections = 24;
+inline constexpr std::uint64_t kMaxLocalConnections = 24;
 /// Idle timeout of links at proxies in the backend's zone when each link is dedicated to one tenant: a small
-/// tenant uses the same backend again after some seconds. Elsewhere, kIdleLinkLife applies.
-inline constexpr Duration kNearIdleLinkLife = std::chrono::seconds(20);
+/// tenant uses the same backend again after some seconds. Elsewhere, kIdleLinkTimeout applies.
+inline constexpr Duration kLocalIdleLinkTimeout = std::chrono::seconds(20);
 
 class ConnectionShares {
  public:
@@ -32,7 +32,7 @@
   /// Divides them for links dedicated to one tenant each: most go to the proxies in the backend's zone.
   void divide(tenancy::ServingProxies serving);
   /// Limits the backend's links and concurrent statements to this proxy's share.
-  void apply_to(BackendUse& backend) const;
+  void apply_to(BackendState& backend) const;
 
  private:
   [[nodiscard]] std::uint64_t links_to(const ZoneName& zone) const;
--- a/src/registered/proxy/group/evacuated_zones.h
+++ b/src/registered/proxy/group/evacuated_zones.h
@@ -13,10 +13,10 @@
 
 /// Parts of the evacuation bound that are reserved: the longest time until a proxy with a lease learns of the
 /// order (control's lease), and a margin for a process that is paused between its last check and the send.
-inline constexpr Duration kLongestServingLease = std::chrono::milliseconds(1500);
+inline constexpr Duration kMaxServingLease = std::chrono::milliseconds(1500);
 inline constexpr Duration kEvacuationMargin = std::chrono::milliseconds(500);
 /// Bound that applies if the settings name none.
-inline constexpr Duration kUsualEvacuationBound = std::chrono::seconds(5);
+inline constexpr Duration kDefaultEvacuationBound = std::chrono::seconds(5);
 
 /// An evacuation has two stages. From the time when this proxy learns of it, nothing new goes to a replica in
 /// the zone; its primaries and open transactions continue, so that control can fail over while they run.
@@ -26,10 +26,10 @@
 class EvacuatedZones {
  public:
   /// `bound`: time after an order's acknowledgement from which nothing more is sent to the zone; 0:
-  /// kUsualEvacuationBound.
+  /// kDefaultEvacuationBound.
   explicit EvacuatedZones(Duration bound = Duration(0)) {
-    if (bound == Duration(0)) bound = kUsualEvacuationBound;
-    const Duration left = bound - kLongestServingLease - kEvacuationMargin;
+    if (bound == Duration(0)) bound = kDefaultEvacuationBound;
+    const Duration left = bound - kMaxServingLease - kEvacuationMargin;
     grace_ = std::clamp(left, Duration(0), bound / 2);
   }
 
@@ -39,12 +39,12 @@
   /// Returns false if the evacuation was not known.
   bool end(const ZoneName& zone) { return since_.erase(zone) > 0; }
   /// Returns the zones being evacuated that are not in `kept`.
-  [[nodiscard]] std::vector<ZoneName> others_than(const std::set<ZoneName>& kept) const {
-    std::vector<ZoneName> others;
+  [[nodiscard]] std::vector<ZoneName> missing_from(const std::set<ZoneName>& kept) const {
+    std::vector<ZoneName> missing;
     for (const auto& [zone, since] : since_) {
-      if (kept.count(zone) == 0) others.push_back(zone);
+      if (kept.count(zone) == 0) missing.push_back(zone);
     }
-    return others;
+    return missing;
   }
   [[nodiscard]] std::size_t size() const { return since_.size(); }
   [[nodiscard]] bool is_evacuated(const ZoneName& zone) const { return since_.count(zone) > 0; }
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -16,13 +16,13 @@
       positions(runtime, changed),
       backends(runtime, dialer, leadership, ConnectionShares(rule, zone), std::move(evacuated)),
       cold(runtime, rule, confirmation),
-      standing(runtime, leadership, backends, cold, zone) {}
+      evaluator(runtime, leadership, backends, cold, zone) {}
 
 void GroupAccess::set_term(const registry::GroupTerm& term) {
   const TermChange change = leadership.set_term(term);
-  if (change.other_primary) positions.forget();
+  if (change.primary_changed) positions.forget();
   primary_health.record_answered();
-  if (change.given_up) primary_health.give_up();
+  if (change.epoch_ended) primary_health.end_epoch();
   changed.notify_all();
 }
 
@@ -31,7 +31,7 @@
   if (change == BackendChange::kOtherIncarnation && entry.name == term().primary) {
     // The outcome of statements sent to the previous incarnation is unknown, and the positions that it showed
     // do not apply to the new one.
-    primary_health.break_off_work();
+    primary_health.close_pending_links();
     positions.forget();
   }
   if (change != BackendChange::kSame) leadership.record_joined_member();
@@ -44,14 +44,14 @@
 
 bool GroupAccess::is_primary_outside(const locality::PermittedRegions& allowed) const {
   if (allowed.is_anywhere()) return false;
-  const auto leader = backends.open_primary();
-  return leader && !allowed.allows(leader->entry.zone);
+  const auto primary = backends.open_primary();
+  return primary && !allowed.allows(primary->entry.zone);
 }
 
 bool GroupAccess::may_read_at_primary(const locality::PermittedRegions* allowed) const {
-  const auto leader = backends.open_primary();
-  if (!leader) return term().open;
-  if (leader->is_off_limits(runtime.now()) || cold.is_reached(*leader)) return false;
+  const auto primary = backends.open_primary();
+  if (!primary) return term().open;
+  if (primary->is_off_limits(runtime.now()) || cold.is_reached(*primary)) return false;
   return allowed == nullptr || !is_primary_outside(*allowed);
 }
 
@@ -63,10 +63,10 @@
   if (route.reads == registry::ReadPolicy::kPrimary) return need;
   const TimePoint now = runtime.now();
   const Duration staleness = std::chrono::milliseconds(route.max_staleness_ms);
-  positions.record_wanted(staleness);
+  positions.record_read(staleness);
   // While the group is open, the next read refreshes the known position at the primary before it is too old,
   // unless the read may not run there or would be refused.
-  if (may_read_at_primary(allowed) && positions.wants_newer(staleness)) return need;
+  if (may_read_at_primary(allowed) && positions.needs_refresh(staleness)) return need;
   need.required = positions.history().covering(now - staleness);
   if (!need.required) return need;
   need.required_since = positions.history().first_seen(*need.required).value_or(now);
@@ -78,14 +78,14 @@
   return need;
 }
 
-std::optional<Position> GroupAccess::required_of(const BackendUse& backend, const ReadNeed& need) const {
+std::optional<Position> GroupAccess::required_of(const BackendState& backend, const ReadNeed& need) const {
   if (!need.primary_only) return need.required;
   if (!backend.entry.tells_birth() || backend.entry.name != term().primary) return std::nullopt;
-  return positions.shown();
+  return positions.highest_shown();
 }
 
-void GroupAccess::record_replica(BackendUse& backend, const ReadNeed& need,
-                                 std::optional<Position> shown) const {
+void GroupAccess::record_replica_answer(BackendState& backend, const ReadNeed& need,
+                                        std::optional<Position> shown) const {
   const TimePoint now = runtime.now();
   if (!shown) return backend.lag.record(now - need.required_since, false, now);
   const auto first_seen = positions.history().first_seen(*shown);
--- a/src/registered/proxy/group/group_access.h
+++ b/src/registered/proxy/group/group_access.h
@@ -38,10 +38,11 @@
   /// Returns the position that `backend` must show before it runs a read with this need or begins a
   /// transaction, or std::nullopt if none is required. A primary that reports its start time may have
   /// restarted, and then lacks what it showed before.
-  [[nodiscard]] std::optional<Position> required_of(const BackendUse& backend, const ReadNeed& need) const;
+  [[nodiscard]] std::optional<Position> required_of(const BackendState& backend, const ReadNeed& need) const;
   /// Records a replica's answer to a read that required a position: the log position that it showed, or
   /// std::nullopt if it lacked the required one.
-  void record_replica(BackendUse& backend, const ReadNeed& need, std::optional<Position> shown) const;
+  void record_replica_answer(BackendState& backend, const ReadNeed& need,
+                             std::optional<Position> shown) const;
 
   runtime::Runtime& runtime;
   const GroupName name;
@@ -54,7 +55,7 @@
   PrimaryPositions positions;
   GroupBackends backends;
   ColdLimit cold;
-  BackendStanding standing;
+  BackendEvaluator evaluator;
 
  private:
   /// Whether a read could run at the open primary, as far as its zone, its tokens and the `allowed` regions
--- a/src/registered/proxy/group/group_backends.cpp
+++ b/src/registered/proxy/group/group_backends.cpp
@@ -7,19 +7,20 @@
 namespace cairnhollow::registered::proxy {
 
 BackendChange GroupBackends::put(const registry::BackendEntry& entry) {
-  auto& use = backends_[entry.name];
+  auto& backend = backends_[entry.name];
   BackendChange change = BackendChange::kSame;
-  if (!use || use->entry.endpoint != entry.endpoint) change = BackendChange::kJoined;
-  if (use && use->entry.incarnation() != entry.incarnation()) change = BackendChange::kOtherIncarnation;
-  if (change == BackendChange::kOtherIncarnation) use->pool.retire();
+  if (!backend || backend->entry.endpoint != entry.endpoint) change = BackendChange::kJoined;
+  if (backend && backend->entry.incarnation() != entry.incarnation())
+    change = BackendChange::kOtherIncarnation;
+  if (change == BackendChange::kOtherIncarnation) backend->pool.retire();
   if (change != BackendChange::kSame) {
-    if (use) use->pool.close_idle();
-    use = std::make_shared<BackendUse>(runtime_, dialer_, entry, evacuated_);
+    if (backend) backend->pool.close_idle();
+    backend = std::make_shared<BackendState>(runtime_, dialer_, entry, evacuated_);
   }
-  use->entry = entry;
-  if (!entry.leaving) use->leaving_since.reset();
-  if (entry.leaving && !use->leaving_since) use->leaving_since = runtime_.now();
-  shares_.apply_to(*use);
+  backend->entry = entry;
+  if (!entry.leaving) backend->leaving_since.reset();
+  if (entry.leaving && !backend->leaving_since) backend->leaving_since = runtime_.now();
+  shares_.apply_to(*backend);
   return change;
 }
 
@@ -32,11 +33,11 @@
   return true;
 }
 
-std::shared_ptr<BackendUse> GroupBackends::at(std::size_t place) const {
-  return std::next(backends_.begin(), static_cast<std::ptrdiff_t>(place))->second;
+std::shared_ptr<BackendState> GroupBackends::at(std::size_t index) const {
+  return std::next(backends_.begin(), static_cast<std::ptrdiff_t>(index))->second;
 }
 
-std::shared_ptr<BackendUse> GroupBackends::named_primary() const {
+std::shared_ptr<BackendState> GroupBackends::named_primary() const {
   const auto found = backends_.find(leadership_.term().primary);
   return found == backends_.end() ? nullptr : found->second;
 }
@@ -48,21 +49,21 @@
 
 void GroupBackends::share_connections(std::uint64_t proxies) {
   shares_.divide(proxies);
-  for (const auto& [name, use] : backends_) shares_.apply_to(*use);
+  for (const auto& [name, backend] : backends_) shares_.apply_to(*backend);
 }
 
 void GroupBackends::share_connections(tenancy::ServingProxies serving) {
   shares_.divide(std::move(serving));
-  for (const auto& [name, use] : backends_) shares_.apply_to(*use);
+  for (const auto& [name, backend] : backends_) shares_.apply_to(*backend);
 }
 
 std::vector<std::uint64_t> GroupBackends::slots() const {
   std::vector<std::uint64_t> slots;
-  for (const auto& [name, use] : backends_) slots.push_back(use->entry.slots);
+  for (const auto& [name, backend] : backends_) slots.push_back(backend->entry.slots);
   return slots;
 }
 
-bool GroupBackends::reads_in(const ZoneName& zone) const {
+bool GroupBackends::has_readers_in(const ZoneName& zone) const {
   return std::any_of(backends_.begin(), backends_.end(), [&](const auto& entry) {
     return entry.second->entry.zone == zone && entry.second->takes_reads();
   });
@@ -70,22 +71,23 @@
 
 std::vector<ZoneName> GroupBackends::reading_zones() const {
   std::set<ZoneName> zones;
-  for (const auto& [name, use] : backends_) {
-    if (use->takes_reads()) zones.insert(use->entry.zone);
+  for (const auto& [name, backend] : backends_) {
+    if (backend->takes_reads()) zones.insert(backend->entry.zone);
   }
   return {zones.begin(), zones.end()};
 }
 
 void GroupBackends::close_evacuated_links() {
-  const auto leader = open_primary();
-  for (const auto& [name, use] : backends_) {
-    if (use == leader ? use->is_off_limits(runtime_.now()) : use->is_evacuated()) use->pool.close_idle();
+  const auto primary = open_primary();
+  for (const auto& [name, backend] : backends_) {
+    if (backend == primary ? backend->is_off_limits(runtime_.now()) : backend->is_evacuated())
+      backend->pool.close_idle();
   }
 }
 
 void GroupBackends::record_evacuation_ended(const ZoneName& zone) {
-  for (const auto& [name, use] : backends_) {
-    if (use->entry.zone == zone) use->cold_until = runtime_.now() + kColdAfterEvacuation;
+  for (const auto& [name, backend] : backends_) {
+    if (backend->entry.zone == zone) backend->cold_until = runtime_.now() + kColdAfterEvacuation;
   }
 }
 
--- a/src/registered/proxy/group/group_backends.h
+++ b/src/registered/proxy/group/group_backends.h
@@ -35,15 +35,15 @@
   BackendChange put(const registry::BackendEntry& entry);
   /// Returns false if there is no backend of this name.
   bool remove(const BackendName& name);
-  [[nodiscard]] const std::map<BackendName, std::shared_ptr<BackendUse>>& all() const { return backends_; }
-  /// Returns the backend at this place in all(). Valid only while the set of backends is unchanged.
-  [[nodiscard]] std::shared_ptr<BackendUse> at(std::size_t place) const;
+  [[nodiscard]] const std::map<BackendName, std::shared_ptr<BackendState>>& all() const { return backends_; }
+  /// Returns the backend at this index in all(). Valid only while the set of backends is unchanged.
+  [[nodiscard]] std::shared_ptr<BackendState> at(std::size_t index) const;
 
   /// Returns the backend registered under the primary's name, even while the group is closed; null if there
   /// is none.
-  [[nodiscard]] std::shared_ptr<BackendUse> named_primary() const;
+  [[nodiscard]] std::shared_ptr<BackendState> named_primary() const;
   /// Returns named_primary() while the term is open, otherwise null.
-  [[nodiscard]] std::shared_ptr<BackendUse> open_primary() const {
+  [[nodiscard]] std::shared_ptr<BackendState> open_primary() const {
     return leadership_.term().open ? named_primary() : nullptr;
   }
   /// Whether another incarnation has registered under the primary's name.
@@ -57,7 +57,7 @@
   [[nodiscard]] std::vector<std::uint64_t> slots() const;
 
   /// Whether a backend in the zone takes reads.
-  [[nodiscard]] bool reads_in(const ZoneName& zone) const;
+  [[nodiscard]] bool has_readers_in(const ZoneName& zone) const;
   /// The distinct zones of the backends that take reads.
   [[nodiscard]] std::vector<ZoneName> reading_zones() const;
   /// Closes idle links to evacuated zones, and those to the open primary once its grace period is over.
@@ -71,7 +71,7 @@
   const Leadership& leadership_;
   ConnectionShares shares_;
   std::shared_ptr<const EvacuatedZones> evacuated_;
-  std::map<BackendName, std::shared_ptr<BackendUse>> backends_;
+  std::map<BackendName, std::shared_ptr<BackendState>> backends_;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/leadership.h
+++ b/src/registered/proxy/group/leadership.h
@@ -20,8 +20,8 @@
 
 /// What a new term invalidates about the previous primary.
 struct TermChange {
-  bool other_primary = false;  ///< another backend, another incarnation, or another term
-  bool given_up = false;       ///< the previously open epoch has ended
+  bool primary_changed = false;  ///< another backend, another incarnation, or another term
+  bool epoch_ended = false;      ///< the previously open epoch has ended
 };
 
 /// References are not owned and must outlive this object.
@@ -33,7 +33,9 @@
   [[nodiscard]] const registry::GroupTerm& term() const { return term_; }
   TermChange set_term(const registry::GroupTerm& term);
   /// Whether a group without a usable primary is expected to get one soon, as far as this proxy can tell.
-  [[nodiscard]] bool is_changing() const { return runtime_.now() - closed_at_ < kPrimaryExpectedWithin; }
+  [[nodiscard]] bool is_primary_expected() const {
+    return runtime_.now() - closed_at_ < kPrimaryExpectedWithin;
+  }
 
   /// Records that this proxy cannot reach the open term's primary, which may still be leading.
   void mark_primary_unreachable() {
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-Awaitable<void> warm(runtime::Runtime* runtime, std::shared_ptr<BackendUse> backend) {
+Awaitable<void> warm(runtime::Runtime* runtime, std::shared_ptr<BackendState> backend) {
   std::optional<Refusal> refusal;
   Reason reason;
-  LinkRequest wish;
+  LinkRequest link_request;
   const TimePoint deadline = runtime->now() + kDialTimeout;
   const LinkDeadlines deadlines{deadline, deadline};
-  auto link = co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
-  if (link) backend->rebirth.record_reached(runtime->now());
-  if (!link && !refusal) backend->rebirth.mark_unreachable();
+  auto link = co_await backend->pool.acquire(std::move(link_request), deadlines, refusal, reason);
+  if (link) backend->restart_detector.record_reached(runtime->now());
+  if (!link && !refusal) backend->restart_detector.mark_unreachable();
   if (link) backend->pool.release(std::move(link));
   if (!link) backend->avoid_until = runtime->now() + placement::kAvoidBackend;
 }
@@ -22,12 +22,12 @@
 }  // namespace
 
 bool warm_one(runtime::Runtime& runtime, const GroupAccess& group) {
-  for (const auto& [name, use] : group.backends.all()) {
-    const placement::BackendFacts facts = group.standing.facts_of(*use, {});
-    if (!use->pool.has_no_link() || !placement::may_be_warmed(facts)) continue;
+  for (const auto& [name, backend] : group.backends.all()) {
+    const placement::BackendFacts facts = group.evaluator.facts_of(*backend, {});
+    if (!backend->pool.has_no_link() || !placement::may_be_warmed(facts)) continue;
     // The slots of a cold backend are left to statements.
-    if (group.cold.is_cold(*use)) continue;
-    runtime.spawn("warm_link", warm(&runtime, use));
+    if (group.cold.is_cold(*backend)) continue;
+    runtime.spawn("warm_link", warm(&runtime, backend));
     return true;
   }
   return false;
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -11,21 +11,21 @@
 
 using runtime::LogLevel;
 
-struct MemberLeaseKeeper::Round {
+struct MemberLeaseRenewer::Round {
   Round(runtime::Runtime& runtime, const registry::GroupTerm& asked_term)
-      : term(asked_term), answered(runtime), deadline(runtime.now() + kMemberRoundLimit) {}
+      : term(asked_term), answered(runtime), deadline(runtime.now() + kMemberRoundTimeout) {}
 
   registry::GroupTerm term;
-  Position primary_shows;  ///< furthest position of the primary that this proxy knows
+  Position primary_position;  ///< furthest position of the primary that this proxy knows
   std::size_t unanswered = 0;
   std::string failure;  ///< empty: all answers so far allow the lease
   runtime::Signal answered;
   TimePoint deadline;
 };
 
-void MemberLeaseKeeper::start() { runtime_.spawn("member_leases", run()); }
+void MemberLeaseRenewer::start() { runtime_.spawn("member_leases", run()); }
 
-Awaitable<void> MemberLeaseKeeper::run() {
+Awaitable<void> MemberLeaseRenewer::run() {
   while (!stopping_) {
     co_await runtime_.sleep_for(kMemberLeaseTick);
     if (is_needed()) begin_rounds();
@@ -33,31 +33,31 @@
   }
 }
 
-bool MemberLeaseKeeper::is_needed() const {
+bool MemberLeaseRenewer::is_needed() const {
   const TimePoint now = runtime_.now();
   const TimePoint until = view_.lease_until();
   const bool ever_held = until != TimePoint{};
-  return ever_held && now + kMemberLeaseHeadStart > until && now < until + registry::kServeWithoutControl;
+  return ever_held && now + kMemberLeaseLeadTime > until && now < until + registry::kServeWithoutControl;
 }
 
-void MemberLeaseKeeper::begin_rounds() {
+void MemberLeaseRenewer::begin_rounds() {
   for (const auto& [name, group] : view_.groups()) {
     if (!group->term().open || !view_.forward_to(name).empty()) continue;
-    if (!asking_.insert(name).second) continue;
+    if (!queried_groups_.insert(name).second) continue;
     runtime_.spawn("member_lease", renew(group));
   }
 }
 
-Awaitable<void> MemberLeaseKeeper::renew(std::shared_ptr<GroupAccess> group) {
+Awaitable<void> MemberLeaseRenewer::renew(std::shared_ptr<GroupAccess> group) {
   const TimePoint asked_at = runtime_.now();
   const auto round = std::make_shared<Round>(runtime_, group->term());
   const std::uint64_t membership = group->leadership.membership();
-  round->primary_shows =
-      std::max(group->positions.highest_acknowledged(), group->positions.shown().value_or(Position{}));
+  round->primary_position = std::max(group->positions.highest_acknowledged(),
+                                     group->positions.highest_shown().value_or(Position{}));
   for (const auto& [name, member] : group->backends.all()) {
     if (name == round->term.primary) continue;
     ++round->unanswered;
-    runtime_.spawn("member_lease_ask", ask(round, member));
+    runtime_.spawn("member_lease_ask", query_member(round, member));
   }
   if (round->unanswered == 0) round->failure = "the group has no member besides the primary";
   if (group->backends.is_primary_restarted()) round->failure = "the primary has restarted";
@@ -68,24 +68,24 @@
     round->failure = "a member did not answer the status query in time";
   if (round->failure.empty())
     view_.extend_member_lease(*group, round->term.epoch, membership, asked_at + registry::kMemberLease);
-  failed_[group->name] = round->failure;
+  refusal_reasons_[group->name] = round->failure;
   if (!round->failure.empty() && !view_.holds_lease_for(*group)) record_refused(*group, round->failure);
-  asking_.erase(group->name);
+  queried_groups_.erase(group->name);
 }
 
-Awaitable<void> MemberLeaseKeeper::ask(RoundPointer round, std::shared_ptr<BackendUse> member) {
+Awaitable<void> MemberLeaseRenewer::query_member(RoundPointer round, std::shared_ptr<BackendState> member) {
   Reason reason;
-  const auto answer = co_await ask_status(runtime_, member, round->deadline, reason);
+  const auto answer = co_await query_status(runtime_, member, round->deadline, reason);
   --round->unanswered;
-  std::string objection =
-      answer ? objection_of(*round, *member, answer->status)
+  std::string refusal =
+      answer ? refusal_reason(*round, *member, answer->status)
              : fmt::format("{} did not report its status: {}", member->entry.name.value, reason.to_string());
-  if (!objection.empty()) round->failure = std::move(objection);
+  if (!refusal.empty()) round->failure = std::move(refusal);
   round->answered.notify_all();
 }
 
-std::string MemberLeaseKeeper::objection_of(const Round& round, BackendUse& member,
-                                            const BackendStatus& status) {
+std::string MemberLeaseRenewer::refusal_reason(const Round& round, BackendState& member,
+                                               const BackendStatus& status) {
   const std::string& name = member.entry.name.value;
   if (status.is_primary || status.term != round.term.term)
     return fmt::format("{} reports that it is {} in term {}, expected a replica in term {}", name,
@@ -98,15 +98,15 @@
   return {};
 }
 
-bool MemberLeaseKeeper::has_lost_log(const Round& round, BackendUse& member, Position received) {
-  const bool is_blank = received.index == 0 && round.primary_shows.index > 0;
-  return !member.shown_log.record(round.term.term, received) || is_blank;
+bool MemberLeaseRenewer::has_lost_log(const Round& round, BackendState& member, Position received) {
+  const bool is_empty = received.index == 0 && round.primary_position.index > 0;
+  return !member.log_regression.record(round.term.term, received) || is_empty;
 }
 
-void MemberLeaseKeeper::record_refused(const GroupAccess& group, const std::string& why) {
-  std::string& told = told_[group.name];
-  if (told == why) return;
-  told = why;
+void MemberLeaseRenewer::record_refused(const GroupAccess& group, const std::string& why) {
+  std::string& logged_reason = logged_reasons_[group.name];
+  if (logged_reason == why) return;
+  logged_reason = why;
   runtime_.logger().log(LogLevel::kWarning, "member_lease_refused",
                         {{"group", group.name.value},
                          {"term", std::to_string(group.term().term)},
@@ -114,8 +114,8 @@
                          {"why", why}});
 }
 
-void MemberLeaseKeeper::record_changes() {
-  if (view_.lease_valid()) told_.clear();
+void MemberLeaseRenewer::record_changes() {
+  if (view_.lease_valid()) logged_reasons_.clear();
   std::size_t serving = 0;
   for (const auto& [name, group] : view_.groups()) {
     const bool serves = !view_.lease_valid() && group->leadership.has_member_lease();
@@ -123,7 +123,7 @@
     if (serves == (serving_.count(name) > 0)) continue;
     if (serves) serving_.insert(name);
     if (!serves) serving_.erase(name);
-    const std::string why = view_.lease_valid() ? "control's lease is valid again" : failed_[name];
+    const std::string why = view_.lease_valid() ? "control's lease is valid again" : refusal_reasons_[name];
     runtime_.logger().log(serves ? LogLevel::kInfo : LogLevel::kWarning,
                           serves ? "member_lease_held" : "member_lease_ended",
                           {{"group", name.value},
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -19,14 +19,14 @@
 /// Control's lease of 1.5 s is renewed every 0.4 to 0.6 s, so that one renewal was missed by then. Three
 /// queries fit into one member lease (0.5 s).
 inline constexpr Duration kMemberLeaseTick = std::chrono::milliseconds(150);
-inline constexpr Duration kMemberLeaseHeadStart = std::chrono::milliseconds(700);
+inline constexpr Duration kMemberLeaseLeadTime = std::chrono::milliseconds(700);
 /// Longest wait for the answers of all members; half of a member lease remains when they arrive this late.
-inline constexpr Duration kMemberRoundLimit = std::chrono::milliseconds(250);
+inline constexpr Duration kMemberRoundTimeout = std::chrono::milliseconds(250);
 
 /// Must live until the process ends. References are not owned and must outlive this object.
-class MemberLeaseKeeper {
+class MemberLeaseRenewer {
  public:
-  MemberLeaseKeeper(runtime::Runtime& runtime, FleetView& view, SessionMetrics& metrics)
+  MemberLeaseRenewer(runtime::Runtime& runtime, FleetView& view, SessionMetrics& metrics)
       : runtime_(runtime), view_(view), metrics_(metrics) {}
 
   void start();
@@ -42,12 +42,12 @@
   [[nodiscard]] bool is_needed() const;
   void begin_rounds();
   Awaitable<void> renew(std::shared_ptr<GroupAccess> group);
-  Awaitable<void> ask(RoundPointer round, std::shared_ptr<BackendUse> member);
+  Awaitable<void> query_member(RoundPointer round, std::shared_ptr<BackendState> member);
   /// Returns why the member's answer does not allow a lease; empty if it does.
-  static std::string objection_of(const Round& round, BackendUse& member, const BackendStatus& status);
+  static std::string refusal_reason(const Round& round, BackendState& member, const BackendStatus& status);
   /// Whether a member that reports its start time shows an empty log while the primary's is not, or less of
   /// this term than it showed before.
-  static bool has_lost_log(const Round& round, BackendUse& member, Position received);
+  static bool has_lost_log(const Round& round, BackendState& member, Position received);
   /// Logs why a group is not served, if the reason has changed.
   void record_refused(const GroupAccess& group, const std::string& why);
   /// Logs the groups that began or ceased to be served under a member lease alone.
@@ -56,10 +56,10 @@
   runtime::Runtime& runtime_;
   FleetView& view_;
   SessionMetrics& metrics_;
-  std::set<GroupName> asking_;
-  std::set<GroupName> serving_;              ///< under a member lease alone
-  std::map<GroupName, std::string> failed_;  ///< why the last round granted no lease; empty: it did
-  std::map<GroupName, std::string> told_;    ///< the reason logged last
+  std::set<GroupName> queried_groups_;
+  std::set<GroupName> serving_;                       ///< under a member lease alone
+  std::map<GroupName, std::string> refusal_reasons_;  ///< why the last round granted no lease; empty: it did
+  std::map<GroupName, std::string> logged_reasons_;   ///< the reason logged last
   bool stopping_ = false;
 };
 
--- a/src/registered/proxy/group/position_keeper.h
+++ b/src/registered/proxy/group/position_keeper.h
@@ -12,22 +12,22 @@
 namespace cairnhollow::registered::proxy {
 
 /// Must live until the process ends. References are not owned and must outlive this object.
-class PositionKeeper {
+class PositionRefresher {
  public:
-  PositionKeeper(runtime::Runtime& runtime, FleetView& view) : runtime_(runtime), view_(view) {}
+  PositionRefresher(runtime::Runtime& runtime, FleetView& view) : runtime_(runtime), view_(view) {}
 
   void start();
   void stop() { stopping_ = true; }
 
  private:
   Awaitable<void> run();
-  void ask_where_due();
+  void query_due_groups();
   /// Queries the log position of the group's primary over a link of any tenant.
-  Awaitable<void> ask(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> primary);
+  Awaitable<void> query_primary(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendState> primary);
 
   runtime::Runtime& runtime_;
   FleetView& view_;
-  std::set<GroupName> asking_;
+  std::set<GroupName> queried_groups_;
   bool stopping_ = false;
 };
 
--- a/src/registered/proxy/group/position_question.cpp
+++ b/src/registered/proxy/group/position_question.cpp
@@ -7,22 +7,23 @@
 namespace {
 
 /// `runtime` and `view` must outlive the coroutine.
-Awaitable<void> ask(runtime::Runtime* runtime, FleetView* view, std::shared_ptr<GroupAccess> group) {
-  const auto leader = group->standing.primary();
+Awaitable<void> query_primary(runtime::Runtime* runtime, FleetView* view,
+                              std::shared_ptr<GroupAccess> group) {
+  const auto primary = group->evaluator.primary();
   const std::uint64_t epoch = group->term().epoch;
   const TimePoint asked_at = runtime->now();
   std::optional<StatusAnswer> answer;
   Reason reason;
-  if (leader) answer = co_await ask_status(*runtime, leader, asked_at + kLinkSetupTimeout, reason);
+  if (primary) answer = co_await query_status(*runtime, primary, asked_at + kLinkSetupTimeout, reason);
   const bool leads = answer && answer->status.is_primary && view->may_use_primary(*group, epoch);
   if (leads) group->positions.record(asked_at, answer->status.received);
-  group->positions.end_question();
+  group->positions.end_query();
 }
 
 }  // namespace
 
-void ask_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group) {
-  if (group->positions.begin_question()) runtime.spawn("ask_position", ask(&runtime, &view, group));
+void query_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group) {
+  if (group->positions.begin_query()) runtime.spawn("ask_position", query_primary(&runtime, &view, group));
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/position_question.h
+++ b/src/registered/proxy/group/position_question.h
@@ -10,6 +10,6 @@
 
 /// Records the position in `group` if that primary may still be used when the answer arrives. No effect while
 /// a query to this group is pending. `runtime` and `view` must outlive the spawned coroutine.
-void ask_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group);
+void query_position(runtime::Runtime& runtime, FleetView& view, const std::shared_ptr<GroupAccess>& group);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/primary_health.cpp
+++ b/src/registered/proxy/group/primary_health.cpp
@@ -5,50 +5,51 @@
 
 namespace cairnhollow::registered::proxy {
 
-std::uint64_t PrimaryHealth::begin_work(PrimaryWork work) {
-  const std::uint64_t key = next_work_++;
-  work_.emplace(key, std::move(work));
+std::uint64_t PrimaryHealth::add_pending(PendingStatement statement) {
+  const std::uint64_t key = next_key_++;
+  pending_.emplace(key, std::move(statement));
   return key;
 }
 
-void PrimaryHealth::break_off_work() {
-  for (const auto& [key, work] : work_) work.link->close();
+void PrimaryHealth::close_pending_links() {
+  for (const auto& [key, statement] : pending_) statement.link->close();
 }
 
-bool PrimaryHealth::is_silent(TimePoint now, bool& commits) const {
+bool PrimaryHealth::is_silent(TimePoint now, bool& commits_only) const {
   bool silent = false;
-  commits = true;
-  for (const auto& [key, work] : work_) {
-    if (now - work.since < kPrimarySilence) continue;
+  commits_only = true;
+  for (const auto& [key, statement] : pending_) {
+    if (now - statement.sent_at < kPrimarySilence) continue;
     silent = true;
-    commits = commits && work.commits;
+    commits_only = commits_only && statement.commits;
   }
   return silent;
 }
 
-bool PrimaryHealth::mark_broken_off() {
+bool PrimaryHealth::record_dropped_statement() {
   const TimePoint now = runtime_.now();
-  if (broken_off_++ == 0) broken_off_since_ = now;
-  return broken_off_ >= kBrokenOffStatements && now - broken_off_since_ >= kBrokenOffFor;
+  if (dropped_statements_++ == 0) dropping_since_ = now;
+  return dropped_statements_ >= kMinDroppedStatements && now - dropping_since_ >= kMinDropPeriod;
 }
 
 bool PrimaryHealth::refuses_commits() {
   const TimePoint now = runtime_.now();
   bool any = false;
   bool unanswered = false;
-  for (const auto& [key, work] : work_) {
-    if (!work.commits) continue;
+  for (const auto& [key, statement] : pending_) {
+    if (!statement.commits) continue;
     any = true;
-    unanswered = unanswered || (now - work.since > kCommitStall && answered_commit_sent_ < work.since);
+    unanswered = unanswered || (now - statement.sent_at > kCommitStall &&
+                                last_answered_commit_sent_at_ < statement.sent_at);
   }
-  if (unanswered && !commits_stall_) log(runtime::LogLevel::kWarning, "commits_stall");
-  commits_stall_ = commits_stall_ || unanswered;
-  return commits_stall_ && any;
+  if (unanswered && !commits_stalled_) log(runtime::LogLevel::kWarning, "commits_stall");
+  commits_stalled_ = commits_stalled_ || unanswered;
+  return commits_stalled_ && any;
 }
 
 void PrimaryHealth::record_commit_answered(TimePoint sent_at) {
-  answered_commit_sent_ = std::max(answered_commit_sent_, sent_at);
-  if (std::exchange(commits_stall_, false)) log(runtime::LogLevel::kInfo, "commits_answered");
+  last_answered_commit_sent_at_ = std::max(last_answered_commit_sent_at_, sent_at);
+  if (std::exchange(commits_stalled_, false)) log(runtime::LogLevel::kInfo, "commits_answered");
 }
 
 void PrimaryHealth::log(runtime::LogLevel level, const char* event) const {
--- a/src/registered/proxy/group/primary_health.h
+++ b/src/registered/proxy/group/primary_health.h
@@ -22,13 +22,13 @@
 inline constexpr Duration kCommitStall = std::chrono::milliseconds(200);
 /// A primary that answers nothing and drops this many consecutive statements for this long is unusable,
 /// whatever its status reports. A single connection reset drops one statement, and the next one is answered.
-inline constexpr int kBrokenOffStatements = 3;
-inline constexpr Duration kBrokenOffFor = std::chrono::milliseconds(200);
+inline constexpr int kMinDroppedStatements = 3;
+inline constexpr Duration kMinDropPeriod = std::chrono::milliseconds(200);
 
 /// A statement that is pending at a primary.
-struct PrimaryWork {
+struct PendingStatement {
   std::shared_ptr<BackendLink> link;
-  TimePoint since{};
+  TimePoint sent_at{};
   bool commits = false;  ///< a write or commit, whose answer requires a replica
 };
 
@@ -38,26 +38,26 @@
   PrimaryHealth(runtime::Runtime& runtime, const Leadership& leadership)
       : runtime_(runtime), leadership_(leadership) {}
 
-  /// Returns a key for end_work().
-  std::uint64_t begin_work(PrimaryWork work);
-  void end_work(std::uint64_t work) { work_.erase(work); }
+  /// Returns a key for remove_pending().
+  std::uint64_t add_pending(PendingStatement statement);
+  void remove_pending(std::uint64_t key) { pending_.erase(key); }
   /// Closes the links of all pending work, so that callers that wait for answers fail at once.
-  void break_off_work();
+  void close_pending_links();
   /// Ends the primary's epoch: none of its pending work may be acknowledged from here on.
-  void give_up() {
-    commits_stall_ = false;
-    break_off_work();
+  void end_epoch() {
+    commits_stalled_ = false;
+    close_pending_links();
   }
 
-  /// Whether a statement or commit at the primary has had no answer for kPrimarySilence; `commits` is set to
-  /// whether all those without an answer are commits.
-  [[nodiscard]] bool is_silent(TimePoint now, bool& commits) const;
+  /// Whether a statement or commit at the primary has had no answer for kPrimarySilence; `commits_only` is
+  /// set to whether all those without an answer are commits.
+  [[nodiscard]] bool is_silent(TimePoint now, bool& commits_only) const;
 
   /// Records that the primary dropped a statement. Returns true once it has dropped at least
-  /// kBrokenOffStatements in a row for kBrokenOffFor.
-  bool mark_broken_off();
+  /// kMinDroppedStatements in a row for kMinDropPeriod.
+  bool record_dropped_statement();
   /// Resets the count of dropped statements, after an answer or a new term.
-  void record_answered() { broken_off_ = 0; }
+  void record_answered() { dropped_statements_ = 0; }
 
   /// Whether commits are stalled: some sent to the primary have no answer, and none sent later has one.
   /// Further commits are then to be refused instead of sent, so that they do not hold a link and end with an
@@ -71,12 +71,12 @@
 
   runtime::Runtime& runtime_;
   const Leadership& leadership_;
-  std::map<std::uint64_t, PrimaryWork> work_;
-  std::uint64_t next_work_ = 1;
-  int broken_off_ = 0;  ///< consecutive statements
-  TimePoint broken_off_since_{};
-  TimePoint answered_commit_sent_{};  ///< latest send time of an answered commit
-  bool commits_stall_ = false;
+  std::map<std::uint64_t, PendingStatement> pending_;
+  std::uint64_t next_key_ = 1;
+  int dropped_statements_ = 0;  ///< consecutive statements
+  TimePoint dropping_since_{};
+  TimePoint last_answered_commit_sent_at_{};  ///< latest send time of an answered commit
+  bool commits_stalled_ = false;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/primary_positions.cpp
+++ b/src/registered/proxy/group/primary_positions.cpp
@@ -2,13 +2,13 @@
 
 namespace cairnhollow::registered::proxy {
 
-void PrimaryPositions::record_wanted(Duration staleness) {
-  staleness_wanted_ = is_staleness_wanted() ? std::min(staleness, staleness_wanted_) : staleness;
-  staleness_wanted_at_ = runtime_.now();
+void PrimaryPositions::record_read(Duration staleness) {
+  requested_staleness_ = has_recent_reads() ? std::min(staleness, requested_staleness_) : staleness;
+  last_read_at_ = runtime_.now();
 }
 
-bool PrimaryPositions::is_staleness_wanted() const {
-  return staleness_wanted_ > Duration(0) && runtime_.now() - staleness_wanted_at_ <= kPositionInterest;
+bool PrimaryPositions::has_recent_reads() const {
+  return requested_staleness_ > Duration(0) && runtime_.now() - last_read_at_ <= kRecentReadWindow;
 }
 
 bool PrimaryPositions::is_older_than(Duration age) const {
--- a/src/registered/proxy/group/replica_lag.h
+++ b/src/registered/proxy/group/replica_lag.h
@@ -21,10 +21,10 @@
 class ReplicaLag {
  public:
   /// Records whether the replica had a position that the primary had `age` ago.
-  void record(Duration age, bool was_there, TimePoint now) {
+  void record(Duration age, bool had_position, TimePoint now) {
     const Duration before = at(now);
     recorded_at_ = now;
-    if (was_there) {
+    if (had_position) {
       lag_ = before + (std::min(age, before) - before) / kLagSmoothing;
     } else {
       lag_ = std::max(before, age + age / kLagStepDivisor);
@@ -32,8 +32,8 @@
   }
   [[nodiscard]] Duration at(TimePoint now) const {
     const auto half_lives = (now - recorded_at_) / kLagHalfLife;
-    constexpr std::int64_t kNothingLeft = 30;
-    return half_lives >= kNothingLeft ? Duration(0) : lag_ / (std::int64_t{1} << half_lives);
+    constexpr std::int64_t kMaxHalfLives = 30;
+    return half_lives >= kMaxHalfLives ? Duration(0) : lag_ / (std::int64_t{1} << half_lives);
   }
 
  private:
--- a/src/registered/proxy/group/shown_log.h
+++ b/src/registered/proxy/group/shown_log.h
@@ -10,7 +10,7 @@
 
 /// Entries of an open term are never removed. A member that shows fewer than before has lost its log, and may
 /// report its restart only later, with its next registration.
-class ShownLog {
+class LogRegressionDetector {
  public:
   /// Records that the member showed `position` in `term`, the open one. Returns false if that is lower than
   /// before.
@@ -19,9 +19,9 @@
     term_ = term;
     // Entries of earlier terms may still be rolled back.
     if (position.term != term) return highest_.index == 0;
-    const bool holds_less = position < highest_;
+    const bool regressed = position < highest_;
     highest_ = std::max(highest_, position);
-    return !holds_less;
+    return !regressed;
   }
 
  private:
--- a/src/registered/proxy/group/status_question.cpp
+++ b/src/registered/proxy/group/status_question.cpp
@@ -4,14 +4,14 @@
 
 namespace cairnhollow::registered::proxy {
 
-Awaitable<std::optional<StatusAnswer>> ask_status(runtime::Runtime& runtime,
-                                                  std::shared_ptr<BackendUse> backend, TimePoint deadline,
-                                                  Reason& reason) {
+Awaitable<std::optional<StatusAnswer>> query_status(runtime::Runtime& runtime,
+                                                    std::shared_ptr<BackendState> backend, TimePoint deadline,
+                                                    Reason& reason) {
   std::optional<Refusal> refusal;
   const LinkDeadlines deadlines{deadline, deadline};
-  LinkRequest wish;
-  wish.any_tenant = true;
-  const auto link = co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
+  LinkRequest link_request;
+  link_request.any_tenant = true;
+  const auto link = co_await backend->pool.acquire(std::move(link_request), deadlines, refusal, reason);
   if (!link) co_return std::nullopt;
   const TimePoint sent_at = runtime.now();
   runtime::SendState sent = runtime::SendState::kNotSent;
--- a/src/registered/proxy/group/status_question.h
+++ b/src/registered/proxy/group/status_question.h
@@ -17,8 +17,8 @@
 
 /// Returns std::nullopt if there was no link, no answer or a refusal by `deadline`; `reason` tells which.
 /// `runtime` must outlive the query.
-Awaitable<std::optional<StatusAnswer>> ask_status(runtime::Runtime& runtime,
-                                                  std::shared_ptr<BackendUse> backend, TimePoint deadline,
-                                                  Reason& reason);
+Awaitable<std::optional<StatusAnswer>> query_status(runtime::Runtime& runtime,
+                                                    std::shared_ptr<BackendState> backend, TimePoint deadline,
+                                                    Reason& reason);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -19,7 +19,7 @@
 inline constexpr Duration kColdAfterEvacuation = std::chrono::seconds(3);
 /// Time after which a restarted backend that can be dialled is registered, if it can register at all: it
 /// calls a control node at once, and another one if there is no answer within a second.
-inline constexpr Duration kRebornNews = std::chrono::seconds(1);
+inline constexpr Duration kRestartRegistrationTime = std::chrono::seconds(1);
 /// Cost in milliseconds added to a cold backend: it is chosen when the warm ones are slower by this. Three
 /// times the duration of the longest expected reads, at which a warm backend's queue is as slow as a cold
 /// one's first answers.
@@ -36,24 +36,24 @@
 }
 
 /// Tracks whether a backend was unreachable, so that it may be another incarnation than the registered one.
-class RebirthWatch {
+class RestartDetector {
  public:
   void mark_unreachable() {
-    was_gone_ = true;
+    was_unreachable_ = true;
     reached_at_.reset();
   }
   void record_reached(TimePoint now) {
-    if (was_gone_ && !reached_at_) reached_at_ = now;
+    if (was_unreachable_ && !reached_at_) reached_at_ = now;
   }
   /// Whether it was unreachable, and control has not confirmed this proxy's fleet snapshot in answer to a
-  /// query sent at least kRebornNews after the backend was reachable again.
-  [[nodiscard]] bool may_be_reborn(const tenancy::KeyConfirmation& confirmation) const {
-    if (!was_gone_) return false;
-    return !reached_at_ || !confirmation.is_confirmed_since(*reached_at_ + kRebornNews);
+  /// query sent at least kRestartRegistrationTime after the backend was reachable again.
+  [[nodiscard]] bool may_have_restarted(const tenancy::KeyConfirmation& confirmation) const {
+    if (!was_unreachable_) return false;
+    return !reached_at_ || !confirmation.is_confirmed_since(*reached_at_ + kRestartRegistrationTime);
   }
 
  private:
-  bool was_gone_ = false;
+  bool was_unreachable_ = false;
   std::optional<TimePoint> reached_at_;
 };
 
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -57,21 +57,22 @@
 
 void StatefulPool::drop_closed() {
   const auto lost = std::erase_if(idle_, [](const auto& link) { return !link->link().is_open(); });
-  lost_idle_ = lost_idle_ || lost > 0;
+  idle_link_lost_ = idle_link_lost_ || lost > 0;
 }
 
-std::shared_ptr<StatefulLink> StatefulPool::take_idle(const LinkRequest& wish) {
+std::shared_ptr<StatefulLink> StatefulPool::take_idle(const LinkRequest& link_request) {
   drop_closed();
   auto best = idle_.end();
   for (auto candidate = idle_.end(); candidate != idle_.begin();) {
     --candidate;
-    if (!wish.any_tenant && (*candidate)->tenant() != wish.tenant) continue;
-    if ((*candidate)->values() == wish.values) {
+    if (!link_request.any_tenant && (*candidate)->tenant() != link_request.tenant) continue;
+    if ((*candidate)->values() == link_request.values) {
       best = candidate;
       break;
     }
-    const bool extends = can_extend((*candidate)->values(), wish.values);
-    if (best == idle_.end() || (extends && !can_extend((*best)->values(), wish.values))) best = candidate;
+    const bool extends = can_extend((*candidate)->values(), link_request.values);
+    if (best == idle_.end() || (extends && !can_extend((*best)->values(), link_request.values)))
+      best = candidate;
   }
   if (best == idle_.end()) return nullptr;
   auto link = *best;
@@ -87,14 +88,15 @@
   }
 }
 
-void StatefulPool::make_room() {
-  const bool is_full = in_use_ + idle_.size() >= limit_ || runtime_.now() < full_until_;
+void StatefulPool::evict_idle_link() {
+  const bool is_full = in_use_ + idle_.size() >= limit_ || runtime_.now() < dial_paused_until_;
   if (idle_.empty() || !is_full) return;
   idle_.front()->link().close();
   idle_.erase(idle_.begin());
 }
 
-Awaitable<std::shared_ptr<StatefulLink>> StatefulPool::acquire(LinkRequest wish, LinkDeadlines deadlines,
+Awaitable<std::shared_ptr<StatefulLink>> StatefulPool::acquire(LinkRequest link_request,
+                                                               LinkDeadlines deadlines,
                                                                std::optional<Refusal>& refusal,
                                                                Reason& reason) {
   while (true) {
@@ -109,41 +111,41 @@
                       "the backend recently refused a connection at its limit, dialling is paused"};
       co_return nullptr;
     }
-    if (auto idle = take_idle(wish)) {
+    if (auto idle = take_idle(link_request)) {
       ++in_use_;
       idle->set_taken_at(runtime_.now());
       co_return idle;
     }
     if (may_dial()) break;
     const bool waits_for_room = in_use_ < limit_;
-    const TimePoint wake = waits_for_room ? std::min(deadlines.free, full_until_) : deadlines.free;
-    co_await returned_.wait_until(wake);
+    const TimePoint wake = waits_for_room ? std::min(deadlines.free, dial_paused_until_) : deadlines.free;
+    co_await released_.wait_until(wake);
     if (runtime_.now() < deadlines.free) continue;
     reason = Reason{ReasonCode::kOverloaded, "acquire_link", address_.backend.value,
                     "all links are in use and none was released in time"};
     co_return nullptr;
   }
-  make_room();
+  evict_idle_link();
   ++in_use_;
   const TimePoint taken_at = runtime_.now();
   const TimePoint dial_deadline = std::min(deadlines.open, runtime_.now() + kDialTimeout);
   BackendAddress address = address_;
-  address.tenant = wish.tenant;
+  address.tenant = link_request.tenant;
   auto link = co_await dialer_.open(std::move(address), dial_deadline, refusal, reason);
   if (link && retired_) link->close();
   if (link) {
-    auto opened = std::make_shared<StatefulLink>(std::move(link), std::move(wish.tenant));
+    auto opened = std::make_shared<StatefulLink>(std::move(link), std::move(link_request.tenant));
     opened->set_taken_at(taken_at);
     co_return opened;
   }
   --in_use_;
-  if (refusal == Refusal::kConnectionLimit) mark_full();
-  returned_.notify_one();
+  if (refusal == Refusal::kConnectionLimit) pause_dialling();
+  released_.notify_one();
   co_return nullptr;
 }
 
-void StatefulPool::mark_full() {
-  full_until_ = runtime_.now() + kFullPause;
+void StatefulPool::pause_dialling() {
+  dial_paused_until_ = runtime_.now() + kDialPause;
   runtime_.logger().log(runtime::LogLevel::kWarning, "backend_full",
                         {{"group", address_.group.value},
                          {"backend", address_.backend.value},
@@ -152,7 +154,7 @@
                          {"limit", std::to_string(limit_)}});
 }
 
-void StatefulPool::log_use(const StatefulLink& link) const {
+void StatefulPool::log_release(const StatefulLink& link) const {
   if (!runtime_.logger().writes(runtime::LogLevel::kDebug)) return;
   const auto held = std::chrono::duration_cast<std::chrono::microseconds>(runtime_.now() - link.taken_at());
   runtime_.logger().log(runtime::LogLevel::kDebug, "link_used",
@@ -165,16 +167,16 @@
 
 void StatefulPool::release(std::shared_ptr<StatefulLink> link) {
   --in_use_;
-  log_use(*link);
+  log_release(*link);
   if (retired_ || in_use_ + idle_.size() >= limit_) link->link().close();
   link->set_idle_since(runtime_.now());
   if (link->link().is_open()) idle_.push_back(std::move(link));
-  returned_.notify_one();
+  released_.notify_one();
 }
 
 void StatefulPool::trim(TimePoint now, std::size_t kept) {
   drop_closed();
-  while (idle_.size() > kept && now - idle_.front()->idle_since() > idle_life_) {
+  while (idle_.size() > kept && now - idle_.front()->idle_since() > idle_timeout_) {
     idle_.front()->link().close();
     idle_.erase(idle_.begin());
   }
@@ -183,7 +185,7 @@
 void StatefulPool::retire() {
   retired_ = true;
   close_idle();
-  returned_.notify_all();
+  released_.notify_all();
 }
 
 void StatefulPool::close_idle() {
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -25,9 +25,9 @@
 /// Idle timeout of links beyond the first. After a power loss that hits many proxies, backends hold the
 /// previous connections for some seconds, and accept more new ones the fewer there were. A shorter timeout
 /// costs handshakes.
-inline constexpr Duration kIdleLinkLife = std::chrono::seconds(2);
+inline constexpr Duration kIdleLinkTimeout = std::chrono::seconds(2);
 /// Time without dialling after a backend refused a connection at its limit.
-inline constexpr Duration kFullPause = std::chrono::milliseconds(150);
+inline constexpr Duration kDialPause = std::chrono::milliseconds(150);
 
 using SessionValues = std::map<std::string, std::string>;
 
@@ -99,18 +99,18 @@
 class StatefulPool {
  public:
   StatefulPool(runtime::Runtime& runtime, BackendDialer& dialer, BackendAddress address)
-      : runtime_(runtime), dialer_(dialer), address_(std::move(address)), returned_(runtime) {}
+      : runtime_(runtime), dialer_(dialer), address_(std::move(address)), released_(runtime) {}
 
   /// Idle links beyond a lower limit are closed at once, so that the proxies now entitled to them can open
   /// theirs.
   void set_limit(std::uint64_t limit);
   [[nodiscard]] std::uint64_t limit() const { return limit_; }
   /// Sets the idle time after which trim() closes links.
-  void set_idle_life(Duration life) { idle_life_ = life; }
+  void set_idle_timeout(Duration timeout) { idle_timeout_ = timeout; }
   /// Returns an idle link, preferably one with these values, or a new one; waits while links in use reach the
   /// limit. If idle links of other tenants reach it, the least recently used one is closed. Returns null on
   /// failure; `refusal` is set if the backend itself refused a new link.
-  Awaitable<std::shared_ptr<StatefulLink>> acquire(LinkRequest wish, LinkDeadlines deadlines,
+  Awaitable<std::shared_ptr<StatefulLink>> acquire(LinkRequest link_request, LinkDeadlines deadlines,
                                                    std::optional<Refusal>& refusal, Reason& reason);
   /// Returns a link to the pool. It must have no open transaction and no pending answer. A closed link is
   /// dropped.
@@ -120,41 +120,41 @@
   /// are closed when they are released.
   void retire();
   /// Whether an idle link was closed by the peer or failed since the last call.
-  bool take_lost_idle() { return std::exchange(lost_idle_, false); }
+  bool take_lost_idle() { return std::exchange(idle_link_lost_, false); }
   /// Closes links that exceed the idle timeout, longest idle first, until `kept` idle links remain.
   void trim(TimePoint now, std::size_t kept);
   [[nodiscard]] std::size_t in_use() const { return in_use_; }
   [[nodiscard]] bool has_no_link() const { return in_use_ == 0 && idle_.empty(); }
   /// Whether there is no link and the backend recently refused a connection.
-  [[nodiscard]] bool is_refused() const { return has_no_link() && runtime_.now() < full_until_; }
+  [[nodiscard]] bool is_refused() const { return has_no_link() && runtime_.now() < dial_paused_until_; }
   [[nodiscard]] const BackendAddress& address() const { return address_; }
 
  private:
-  std::shared_ptr<StatefulLink> take_idle(const LinkRequest& wish);
+  std::shared_ptr<StatefulLink> take_idle(const LinkRequest& link_request);
   void drop_closed();
-  /// Stops dialling for kFullPause after the backend refused a connection.
-  void mark_full();
+  /// Stops dialling for kDialPause after the backend refused a connection.
+  void pause_dialling();
   /// Logs at debug level that a link was released and whether it was newly opened.
-  void log_use(const StatefulLink& link) const;
+  void log_release(const StatefulLink& link) const;
   /// Closes the least recently used idle link if the limit on links is reached, or the backend accepts no
   /// more.
-  void make_room();
+  void evict_idle_link();
   /// Whether a connection may be opened now; at a full backend only in exchange for an idle one.
   [[nodiscard]] bool may_dial() const {
-    return in_use_ < limit_ && (runtime_.now() >= full_until_ || !idle_.empty());
+    return in_use_ < limit_ && (runtime_.now() >= dial_paused_until_ || !idle_.empty());
   }
 
   runtime::Runtime& runtime_;
   BackendDialer& dialer_;
   BackendAddress address_;
-  runtime::Signal returned_;
+  runtime::Signal released_;
   std::vector<std::shared_ptr<StatefulLink>> idle_;  ///< longest idle first
   std::uint64_t limit_ = 2;
-  Duration idle_life_ = kIdleLinkLife;
-  TimePoint full_until_{};  ///< no dialling before then, after a refused connection
+  Duration idle_timeout_ = kIdleLinkTimeout;
+  TimePoint dial_paused_until_{};  ///< no dialling before then, after a refused connection
   std::size_t in_use_ = 0;
   bool retired_ = false;
-  bool lost_idle_ = false;
+  bool idle_link_lost_ = false;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -112,8 +112,8 @@
   SessionMetrics metrics_;
   FleetView view_;
   FleetLink link_;
-  MemberLeaseKeeper member_leases_;
-  PositionKeeper positions_;
+  MemberLeaseRenewer member_leases_;
+  PositionRefresher positions_;
   Forwarder forwarder_;
   LimitClient limits_;
   SessionServices services_;
@@ -193,7 +193,7 @@
 }
 
 Awaitable<void> SessionProxy::dial_primary(std::shared_ptr<GroupAccess> group) {
-  const auto primary = group->standing.primary();
+  const auto primary = group->evaluator.primary();
   bool reached = true;
   if (primary) {
     std::optional<Refusal> refusal;
--- a/src/registered/proxy/statement/cold_tokens.cpp
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -8,20 +8,20 @@
 
 using runtime::LogLevel;
 
-bool ColdTokens::holds(const GroupAccess& group, const BackendUse& backend,
+bool ColdTokens::holds(const GroupAccess& group, const BackendState& backend,
                        const std::optional<TimePoint>& token) const {
   if (!group.cold.is_cold(backend)) return true;
   return token && services_.runtime.now() < *token;
 }
 
 Awaitable<AdmissionAnswer> ColdTokens::take(std::shared_ptr<GroupAccess> group,
-                                            std::shared_ptr<BackendUse> backend) {
+                                            std::shared_ptr<BackendState> backend) {
   const AdmissionAnswer admission = co_await services_.limits.admit_to_cold(BackendName(backend->entry.name));
   if (admission.outcome != AdmissionOutcome::kAdmitted) record_limit(*group, *backend, admission);
   co_return admission;
 }
 
-void ColdTokens::record_limit(const GroupAccess& group, BackendUse& backend,
+void ColdTokens::record_limit(const GroupAccess& group, BackendState& backend,
                               const AdmissionAnswer& admission) const {
   const TimePoint now = services_.runtime.now();
   const bool is_news = !group.cold.is_reached(backend);
@@ -35,11 +35,11 @@
                                   {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
 }
 
-void ColdTokens::give_back(const BackendUse& backend, const std::optional<TimePoint>& token) const {
+void ColdTokens::give_back(const BackendState& backend, const std::optional<TimePoint>& token) const {
   if (token) services_.limits.give_back(limited(backend.entry.name), *token);
 }
 
-Awaitable<bool> ColdTokens::enter(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
+Awaitable<bool> ColdTokens::enter(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendState> backend,
                                   TimePoint deadline, placement::RejectionReason& rejection) {
   while (true) {
     std::optional<TimePoint> token;
@@ -56,7 +56,7 @@
 }
 
 Awaitable<bool> ColdTokens::wait_for_token(std::shared_ptr<GroupAccess> group,
-                                           std::shared_ptr<BackendUse> backend, TimePoint deadline,
+                                           std::shared_ptr<BackendState> backend, TimePoint deadline,
                                            std::optional<TimePoint>& token) {
   runtime::Runtime& runtime = services_.runtime;
   while (group->cold.is_cold(*backend)) {
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -37,7 +37,7 @@
   facts.may_use_primary = services_.view.may_use_primary(group, pinned.epoch);
   facts.commits_stall = commits_stall;
   facts.key = key_facts(services_.view, order.route, order.key, order.tenant, services_.runtime.now());
-  return placement::rejection_in_transaction(facts, group.standing.facts_of(*pinned.backend, {}));
+  return placement::rejection_in_transaction(facts, group.evaluator.facts_of(*pinned.backend, {}));
 }
 
 Awaitable<Answer> PinnedTransactions::run(PinnedLink pinned, StatementRequest order, bool commits,
@@ -70,7 +70,8 @@
   SendState sent = SendState::kNotSent;
   std::optional<WorkScope> work;
   if (pinned.at_primary)
-    work.emplace(group.primary_health, PrimaryWork{pinned.link->shared_link(), sent_at, commits && wrote});
+    work.emplace(group.primary_health,
+                 PendingStatement{pinned.link->shared_link(), sent_at, commits && wrote});
   BackendRequest request = make_request(order, *pinned.link, std::nullopt);
   auto answer = co_await pinned.link->link().run(std::move(request), order.deadline, sent, reason);
   leave_gate(pinned.backend->gate, answer, runtime.now() - sent_at);
@@ -83,7 +84,7 @@
     const placement::LossFacts loss{sent == SendState::kMaybeSent,
                                     reason.code == ReasonCode::kConnectionLost};
     if (placement::may_be_reborn(loss, group.term().epoch == pinned.epoch))
-      pinned.backend->rebirth.mark_unreachable();
+      pinned.backend->restart_detector.mark_unreachable();
     if (pinned.at_primary && current) services_.link.report_suspicion(group, SuspicionKind::kSilent);
     const bool in_doubt = placement::is_in_doubt(commits && wrote, loss.may_have_arrived);
     if (in_doubt) aborted.refusal = Refusal::kInDoubt;
--- a/src/registered/proxy/statement/placement_facts.cpp
+++ b/src/registered/proxy/statement/placement_facts.cpp
@@ -7,9 +7,9 @@
   facts.holds_lease = view.holds_lease_for(group);
   facts.expects_lease = view.expects_lease();
   facts.group_open = group.term().open;
-  facts.group_changing = group.leadership.is_changing();
+  facts.group_changing = group.leadership.is_primary_expected();
   facts.primary_unreachable = group.leadership.is_primary_unreachable();
-  const auto primary = group.standing.primary();
+  const auto primary = group.evaluator.primary();
   facts.primary_full = primary && primary->pool.is_refused();
   return facts;
 }
--- a/src/registered/proxy/statement/pre_send_check.cpp
+++ b/src/registered/proxy/statement/pre_send_check.cpp
@@ -16,7 +16,7 @@
 placement::SendDecision PreSendCheck::decide(const StatementAttempt& attempt,
                                              const placement::SendFacts& facts) const {
   const GroupAccess& group = *attempt.order.group;
-  placement::BackendFacts backend = group.standing.facts_of(*attempt.backend, attempt.question());
+  placement::BackendFacts backend = group.evaluator.facts_of(*attempt.backend, attempt.question());
   // Its token is its own, whoever had none; and without one it is not sent, whatever others had.
   backend.cold_limit_reached = !cold_tokens_.holds(group, *attempt.backend, attempt.cold_token);
   return placement::before_sending(facts, backend);
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -28,7 +28,7 @@
   std::vector<subset::ProxyPointer> moved_to;
 
   // Of the attempt under way.
-  std::shared_ptr<BackendUse> backend;
+  std::shared_ptr<BackendState> backend;
   std::shared_ptr<StatefulLink> link;
   std::uint64_t epoch = 0;
   bool at_primary = false;
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -44,7 +44,7 @@
   ReadNeed need;
   need.primary_only = !order.may_use_replicas();
   const auto choice = placement::choose_backend(
-      need.primary_only, order.group->standing.facts({&need, nullptr, &order.allowed}));
+      need.primary_only, order.group->evaluator.facts({&need, nullptr, &order.allowed}));
   return choice.is_final && choice.rejection == placement::RejectionReason::kOutsideRegions;
 }
 
@@ -57,7 +57,7 @@
   need.reads = order.reads();
   need.primary_only = attempt.need.primary_only;
   need.is_forwarded = attempt.order.is_forwarded;
-  const GroupFacts backends = group.standing.facts(attempt.question());
+  const GroupFacts backends = group.evaluator.facts(attempt.question());
   const auto patience = placement::patience_at(attempt.progress, services_.runtime.now());
   const auto placed = placement::place_here(need, proxy_facts(services_.view, group), backends, patience);
   if (placed.action != Action::kRun) return placed;
@@ -87,7 +87,8 @@
   GroupAccess& group = *order.group;
   if (!order.may_use_replicas() || !group.is_primary_outside(order.allowed)) co_return;
   const Duration staleness = std::chrono::milliseconds(order.route.max_staleness_ms);
-  if (group.positions.wants_newer(staleness)) ask_position(services_.runtime, services_.view, order.group);
+  if (group.positions.needs_refresh(staleness))
+    query_position(services_.runtime, services_.view, order.group);
   const TimePoint patience =
       std::min(placement::refusal_time(attempt->progress), services_.runtime.now() + kPositionPatience);
   while (group.need_of(order.route, order.committed, &order.allowed).primary_only &&
--- a/src/registered/proxy/statement/statement_request.h
+++ b/src/registered/proxy/statement/statement_request.h
@@ -61,8 +61,8 @@
 
 /// Where a transaction is open: a link that nobody else uses until it is given back, or another proxy.
 struct PinnedLink {
-  std::shared_ptr<BackendUse> backend;  ///< null for another proxy
-  std::shared_ptr<StatefulLink> link;   ///< null for another proxy
+  std::shared_ptr<BackendState> backend;  ///< null for another proxy
+  std::shared_ptr<StatefulLink> link;     ///< null for another proxy
   std::optional<RemotePin> remote;
   std::uint64_t epoch = 0;  ///< of the group when it was opened
   bool at_primary = false;  ///< its answers count only while the primary of `epoch` may be used
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -98,7 +98,7 @@
   attempt.unplaced = Unplaced{since, retry_after, {}};
   if (retry_after == Duration(0)) return;
   answer.detail += fmt::format("; come back in {} ms", in_ms(retry_after));
-  const GroupFacts backends = attempt.order.group->standing.facts(attempt.question());
+  const GroupFacts backends = attempt.order.group->evaluator.facts(attempt.question());
   for (const placement::BackendFacts& backend : backends) {
     const RejectionReason rejection = placement::rejection_at(backend, attempt.need.primary_only, backends);
     if (rejection == RejectionReason::kNone) continue;
@@ -135,7 +135,7 @@
 
 Awaitable<bool> StatementRunner::acquire_link(Attempt attempt) {
   const StatementRequest& order = attempt->order;
-  BackendUse& backend = *attempt->backend;
+  BackendState& backend = *attempt->backend;
   std::optional<Refusal> refusal;
   const TimePoint now = services_.runtime.now();
   const LinkDeadlines deadlines{placement::slot_wait_end(attempt->progress, now),
@@ -143,14 +143,14 @@
   LinkRequest wish{order.tenant, order.values};
   attempt->link = co_await backend.pool.acquire(std::move(wish), deadlines, refusal, attempt->reason);
   // Idle links that ended by themselves may have ended with their backend's process.
-  if (backend.pool.take_lost_idle()) backend.rebirth.mark_unreachable();
+  if (backend.pool.take_lost_idle()) backend.restart_detector.mark_unreachable();
   if (attempt->link) {
-    backend.rebirth.record_reached(services_.runtime.now());
+    backend.restart_detector.record_reached(services_.runtime.now());
     co_return true;
   }
   const placement::LinkFailure failure{refusal.has_value(), attempt->reason.code == ReasonCode::kOverloaded};
   const auto outcome = placement::after_link_failure(failure, attempt->at_primary);
-  if (outcome.may_be_reborn) backend.rebirth.mark_unreachable();
+  if (outcome.may_be_reborn) backend.restart_detector.mark_unreachable();
   if (outcome.avoid_backend) backend.avoid_until = services_.runtime.now() + placement::kAvoidBackend;
   if (outcome.primary_unreachable) {
     services_.link.report_suspicion(*order.group, SuspicionKind::kUnreachable);
@@ -179,7 +179,7 @@
   GroupAccess& group = *attempt.order.group;
   if (effects.forget_prepared) attempt.link->forget_prepared();
   if (effects.close_link) attempt.link->link().close();
-  if (effects.record_lag) group.record_replica(*attempt.backend, attempt.need, std::nullopt);
+  if (effects.record_lag) group.record_replica_answer(*attempt.backend, attempt.need, std::nullopt);
   if (effects.suspect_primary) services_.link.report_suspicion(group, SuspicionKind::kSilent);
 }
 
@@ -217,7 +217,7 @@
 }
 
 Awaitable<NextStep> StatementRunner::try_backend(Attempt attempt) {
-  const std::shared_ptr<BackendUse> backend = attempt->backend;
+  const std::shared_ptr<BackendState> backend = attempt->backend;
   attempt->pre_send_check = {};
   const bool admitted = co_await take_cold_token(attempt);
   if (!admitted) co_return NextStep::kChooseAgain;
@@ -260,14 +260,14 @@
   TimePoint deadline = order.deadline;
   // Given up here and sent here again, it would only be run twice.
   if (placement::may_leave_silent_backend(attempt->needs_primary, attempt->progress) &&
-      order.group->standing.has_other_reader(attempt->need, *attempt->backend))
+      order.group->evaluator.has_other_reader(attempt->need, *attempt->backend))
     deadline = placement::silent_backend_wait_end(attempt->progress, attempt->sent_at);
   const bool reads = !order.opens_transaction && order.reads();
   const auto required = reads ? order.group->required_of(*attempt->backend, attempt->need) : std::nullopt;
   std::optional<WorkScope> work;
   if (attempt->at_primary)
     work.emplace(order.group->primary_health,
-                 PrimaryWork{attempt->link->shared_link(), attempt->sent_at, order.keeps_changes()});
+                 PendingStatement{attempt->link->shared_link(), attempt->sent_at, order.keeps_changes()});
   BackendRequest request = make_request(order, *attempt->link, required);
   co_return co_await attempt->link->link().run(std::move(request), deadline, attempt->sent, attempt->reason);
 }
@@ -291,9 +291,9 @@
                                   reason.code == ReasonCode::kConnectionLost};
   const auto outcome = placement::after_loss(attempt.facts(false), loss);
   attempt.backend->avoid_until = services_.runtime.now() + placement::kAvoidBackend;
-  if (outcome.may_be_reborn) attempt.backend->rebirth.mark_unreachable();
+  if (outcome.may_be_reborn) attempt.backend->restart_detector.mark_unreachable();
   if (outcome.suspect_primary) {
-    const bool is_of_no_use = outcome.broke_off && group.primary_health.mark_broken_off();
+    const bool is_of_no_use = outcome.broke_off && group.primary_health.record_dropped_statement();
     services_.link.report_suspicion(group,
                                     is_of_no_use ? SuspicionKind::kUnreachable : SuspicionKind::kSilent);
   }
@@ -308,12 +308,12 @@
 
 NextStep StatementRunner::take_answer(StatementAttempt& attempt, Answer answer) {
   GroupAccess& group = *attempt.order.group;
-  BackendUse& backend = *attempt.backend;
+  BackendState& backend = *attempt.backend;
   const StatementRequest& order = attempt.order;
   attempt.link->record_state(answer.state);
   const bool current = services_.view.may_use_primary(group, attempt.epoch);
   if (attempt.at_primary) group.primary_health.record_answered();
-  if (answer.succeeded()) group.standing.record_latency(backend, services_.runtime.now() - attempt.sent_at);
+  if (answer.succeeded()) group.evaluator.record_latency(backend, services_.runtime.now() - attempt.sent_at);
   const placement::AttemptFacts facts = attempt.facts(current);
   const placement::Retry retry = placement::after_answer(answer.refusal, facts);
   if (retry.next == NextStep::kAnswer) return take_final_answer(attempt, std::move(answer));
@@ -338,7 +338,7 @@
     take_primary_answer(services_, group,
                         PrimaryAnswer{attempt.epoch, attempt.sent_at, order.keeps_changes()}, answer);
   if (answer.succeeded() && !attempt.at_primary && answer.position)
-    group.record_replica(*attempt.backend, attempt.need, answer.position);
+    group.record_replica_answer(*attempt.backend, attempt.need, answer.position);
   attempt.result.served_by = attempt.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   if (order.opens_transaction) {
     attempt.result.pinned = attempt.pinned();
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -20,9 +20,9 @@
 /// A statement at a primary, taken out of the group's list when the scope ends.
 class WorkScope {
  public:
-  WorkScope(PrimaryHealth& primary, PrimaryWork work)
-      : primary_(primary), key_(primary.begin_work(std::move(work))) {}
-  ~WorkScope() { primary_.end_work(key_); }
+  WorkScope(PrimaryHealth& primary, PendingStatement work)
+      : primary_(primary), key_(primary.add_pending(std::move(work))) {}
+  ~WorkScope() { primary_.remove_pending(key_); }
   WorkScope(const WorkScope&) = delete;
   WorkScope& operator=(const WorkScope&) = delete;
 
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -102,7 +102,7 @@
   }
 
  private:
-  void confirm() { view_->extend_lease(runtime_->now(), runtime_->now() + kLongestServingLease, 1); }
+  void confirm() { view_->extend_lease(runtime_->now(), runtime_->now() + kMaxServingLease, 1); }
   [[nodiscard]] bool is_off_limits() const {
     return view_->evacuated().is_off_limits(ZoneName("erie"), runtime_->now());
   }
--- a/tests/registered/proxy/group/choose_reader.h
+++ b/tests/registered/proxy/group/choose_reader.h
@@ -9,10 +9,10 @@
 namespace cairnhollow::registered::proxy {
 
 /// Chooses among the backends that are not in `excluded`; returns null if none is eligible.
-inline std::shared_ptr<BackendUse> choose_reader(const GroupAccess& group, const ReadNeed& need,
-                                                 const std::set<BackendName>& excluded) {
-  const PlacementRequest question{&need, &excluded, need.allowed};
-  const auto choice = placement::choose_backend(need.primary_only, group.standing.facts(question));
+inline std::shared_ptr<BackendState> choose_reader(const GroupAccess& group, const ReadNeed& need,
+                                                   const std::set<BackendName>& excluded) {
+  const PlacementRequest request{&need, &excluded, need.allowed};
+  const auto choice = placement::choose_backend(need.primary_only, group.evaluator.facts(request));
   return choice.backend ? group.backends.at(*choice.backend) : nullptr;
 }
 
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -58,27 +58,27 @@
 
 class GroupAccessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupAccessTest);
-  CPPUNIT_TEST(reads_go_to_replicas);
-  CPPUNIT_TEST(nobody_else_reads_while_the_replicas_lag);
-  CPPUNIT_TEST(a_backend_that_is_avoided_or_leaves_is_no_other_reader);
-  CPPUNIT_TEST(a_member_that_joins_ends_the_lease_of_the_others);
-  CPPUNIT_TEST(nothing_new_goes_to_replicas_of_an_evacuated_zone);
-  CPPUNIT_TEST(a_primary_of_an_evacuated_zone_is_used_for_half_of_the_bound);
-  CPPUNIT_TEST(a_zone_that_is_given_back_is_used_again);
-  CPPUNIT_TEST(no_link_is_opened_ahead_to_an_evacuated_zone);
-  CPPUNIT_TEST(facts_are_neutral_of_what_is_not_known);
-  CPPUNIT_TEST(facts_follow_what_is_known);
-  CPPUNIT_TEST(a_full_backend_is_the_last_choice);
-  CPPUNIT_TEST(a_leaving_primary_is_used_for_a_while);
-  CPPUNIT_TEST(a_primary_of_a_closed_group_is_not_used);
-  CPPUNIT_TEST(another_incarnation_is_another_backend);
-  CPPUNIT_TEST(another_incarnation_of_the_primary_is_not_used);
-  CPPUNIT_TEST(work_at_a_former_incarnation_of_the_primary_is_given_up);
-  CPPUNIT_TEST(a_primary_that_tells_its_start_is_asked_for_what_it_showed);
-  CPPUNIT_TEST(a_member_that_shows_less_of_the_term_has_started_again);
-  CPPUNIT_TEST(no_link_is_opened_to_a_backend_that_was_removed);
-  CPPUNIT_TEST(most_links_are_to_the_own_zones_backend);
-  CPPUNIT_TEST(reads_go_to_zones_of_backends_that_stay);
+  CPPUNIT_TEST(prefers_replicas_for_reads);
+  CPPUNIT_TEST(lagging_replicas_are_no_other_readers);
+  CPPUNIT_TEST(avoided_or_leaving_backend_is_no_other_reader);
+  CPPUNIT_TEST(joining_member_ends_member_lease);
+  CPPUNIT_TEST(avoids_replicas_in_evacuated_zone);
+  CPPUNIT_TEST(evacuated_primary_serves_for_half_of_bound);
+  CPPUNIT_TEST(uses_zone_again_after_evacuation);
+  CPPUNIT_TEST(opens_no_links_ahead_to_evacuated_zone);
+  CPPUNIT_TEST(facts_default_to_neutral);
+  CPPUNIT_TEST(facts_reflect_observations);
+  CPPUNIT_TEST(full_backend_is_last_choice);
+  CPPUNIT_TEST(leaving_primary_serves_during_grace);
+  CPPUNIT_TEST(closed_group_has_no_usable_primary);
+  CPPUNIT_TEST(new_incarnation_gets_new_state);
+  CPPUNIT_TEST(restarted_primary_is_not_used);
+  CPPUNIT_TEST(primary_restart_closes_pending_links);
+  CPPUNIT_TEST(primary_with_start_time_must_show_position);
+  CPPUNIT_TEST(detects_shorter_log_within_term);
+  CPPUNIT_TEST(opens_no_links_to_removed_backend);
+  CPPUNIT_TEST(most_links_go_to_local_backend);
+  CPPUNIT_TEST(reading_zones_exclude_leaving_backends);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -99,13 +99,13 @@
     world_.reset();
   }
 
-  void reads_go_to_replicas() {
+  void prefers_replicas_for_reads() {
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {})->entry.name.value != "primary");
-    CPPUNIT_ASSERT(group_->standing.has_other_reader(need_, use("replica-1")));
-    CPPUNIT_ASSERT(group_->standing.has_other_reader(need_, use("primary")));
+    CPPUNIT_ASSERT(group_->evaluator.has_other_reader(need_, state("replica-1")));
+    CPPUNIT_ASSERT(group_->evaluator.has_other_reader(need_, state("primary")));
   }
 
-  void nothing_new_goes_to_replicas_of_an_evacuated_zone() {
+  void avoids_replicas_in_evacuated_zone() {
     // Without an evacuation, the replica in the proxy's own zone is preferred.
     for (const char* name : {"primary", "replica-2"}) {
       registry::BackendEntry outside = backend(name, name == std::string("primary") ? 1 : 3);
@@ -117,16 +117,16 @@
     CPPUNIT_ASSERT_EQUAL(std::string("replica-2"), choose_reader(*group_, need_, {})->entry.name.value);
     CPPUNIT_ASSERT_EQUAL(std::string("primary"),
                          choose_reader(*group_, need_, {BackendName("replica-2")})->entry.name.value);
-    CPPUNIT_ASSERT(group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.primary() != nullptr);
   }
 
-  void a_primary_of_an_evacuated_zone_is_used_for_half_of_the_bound() {
+  void evacuated_primary_serves_for_half_of_bound() {
     evacuated_->begin(ZoneName("a"), runtime_->now());
     world_->run_for(milliseconds(2400));
-    CPPUNIT_ASSERT(group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.primary() != nullptr);
     CPPUNIT_ASSERT(!is_primary_off_limits());
     world_->run_for(milliseconds(100));
-    CPPUNIT_ASSERT(group_->standing.primary() == nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.primary() == nullptr);
     CPPUNIT_ASSERT(is_primary_off_limits());
     ReadNeed at_primary;
     at_primary.primary_only = true;
@@ -136,22 +136,22 @@
     CPPUNIT_ASSERT_MESSAGE("another backend is the primary", !is_primary_off_limits());
   }
 
-  void a_zone_that_is_given_back_is_used_again() {
+  void uses_zone_again_after_evacuation() {
     evacuated_->begin(ZoneName("a"), runtime_->now());
     world_->run_for(seconds(3));
     evacuated_->end(ZoneName("a"));
-    CPPUNIT_ASSERT(group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.primary() != nullptr);
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {})->entry.name.value != "primary");
     evacuated_->begin(ZoneName("a"), runtime_->now());
-    CPPUNIT_ASSERT_MESSAGE("the grace period starts again", group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("the grace period starts again", group_->evaluator.primary() != nullptr);
     world_->run_for(seconds(2));
     CPPUNIT_ASSERT(!evacuated_->begin(ZoneName("a"), runtime_->now()));
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT_MESSAGE("a repeated order does not extend the grace period",
-                           group_->standing.primary() == nullptr);
+                           group_->evaluator.primary() == nullptr);
   }
 
-  void no_link_is_opened_to_a_backend_that_was_removed() {
+  void opens_no_links_to_removed_backend() {
     const auto kept = group_->backends.all().at(BackendName("replica-1"));
     group_->remove_backend(BackendName("replica-1"));
     runtime_->spawn("acquire", acquire(kept));
@@ -159,7 +159,7 @@
     CPPUNIT_ASSERT_EQUAL(0, dialer_.dials);
   }
 
-  void no_link_is_opened_ahead_to_an_evacuated_zone() {
+  void opens_no_links_ahead_to_evacuated_zone() {
     CPPUNIT_ASSERT(warm_one(*runtime_, *group_));
     world_->run_for(seconds(1));
     evacuated_->begin(ZoneName("a"), runtime_->now());
@@ -167,7 +167,7 @@
     CPPUNIT_ASSERT(!warm_one(*runtime_, *group_));
   }
 
-  void a_member_that_joins_ends_the_lease_of_the_others() {
+  void joining_member_ends_member_lease() {
     const std::uint64_t asked = group_->leadership.membership();
     const TimePoint until = runtime_->now() + milliseconds(500);
     group_->leadership.extend_member_lease(1, asked, until);
@@ -178,112 +178,112 @@
     CPPUNIT_ASSERT_MESSAGE("the new member was not asked", !group_->leadership.has_member_lease());
     group_->leadership.extend_member_lease(1, group_->leadership.membership(), until);
     CPPUNIT_ASSERT(group_->leadership.has_member_lease());
-    registry::BackendEntry leaves = backend("replica-3", 4);
-    leaves.leaving = true;
-    group_->put_backend(leaves);
+    registry::BackendEntry leaving = backend("replica-3", 4);
+    leaving.leaving = true;
+    group_->put_backend(leaving);
     CPPUNIT_ASSERT_MESSAGE("no member joined", group_->leadership.has_member_lease());
   }
 
-  void another_incarnation_is_another_backend() {
-    group_->put_backend(life("replica-1", 2, 1000));
-    group_->record_replica(use("replica-1"), need_, std::nullopt);
+  void new_incarnation_gets_new_state() {
+    group_->put_backend(incarnation("replica-1", 2, 1000));
+    group_->record_replica_answer(state("replica-1"), need_, std::nullopt);
     const auto former = group_->backends.all().at(BackendName("replica-1"));
     CPPUNIT_ASSERT(former->lag.at(runtime_->now()) > Duration(0));
     const std::uint64_t asked = group_->leadership.membership();
     const TimePoint until = runtime_->now() + milliseconds(500);
     group_->leadership.extend_member_lease(1, asked, until);
-    group_->put_backend(life("replica-1", 2, 1000));
+    group_->put_backend(incarnation("replica-1", 2, 1000));
     CPPUNIT_ASSERT_MESSAGE("the same incarnation", group_->leadership.has_member_lease());
-    group_->put_backend(life("replica-1", 2, 2000));
+    group_->put_backend(incarnation("replica-1", 2, 2000));
     CPPUNIT_ASSERT(!group_->leadership.has_member_lease());
     group_->leadership.extend_member_lease(1, asked, until);
     CPPUNIT_ASSERT_MESSAGE("the previous incarnation was asked", !group_->leadership.has_member_lease());
     CPPUNIT_ASSERT(group_->backends.all().at(BackendName("replica-1")) != former);
-    CPPUNIT_ASSERT(use("replica-1").lag.at(runtime_->now()) == Duration(0));
+    CPPUNIT_ASSERT(state("replica-1").lag.at(runtime_->now()) == Duration(0));
     Reason reason;
     CPPUNIT_ASSERT(!acquire(former->pool, reason));
     CPPUNIT_ASSERT(reason.code == ReasonCode::kUnreachable);
   }
 
-  void another_incarnation_of_the_primary_is_not_used() {
-    group_->put_backend(life("primary", 1, 1000));
+  void restarted_primary_is_not_used() {
+    group_->put_backend(incarnation("primary", 1, 1000));
     registry::GroupTerm term{GroupName("group"), 1, BackendName("primary"), true, 3, 1, 1000};
     group_->set_term(term);
-    CPPUNIT_ASSERT(group_->standing.primary());
-    group_->put_backend(life("primary", 1, 2000));
-    CPPUNIT_ASSERT(!group_->standing.primary());
+    CPPUNIT_ASSERT(group_->evaluator.primary());
+    group_->put_backend(incarnation("primary", 1, 2000));
+    CPPUNIT_ASSERT(!group_->evaluator.primary());
     CPPUNIT_ASSERT(group_->backends.is_primary_restarted());
     const auto reader = choose_reader(*group_, need_, {BackendName("replica-1"), BackendName("replica-2")});
     CPPUNIT_ASSERT_MESSAGE("it serves no reads either", !reader);
     term.epoch = 5;
     term.primary_born_ms = 2000;
     group_->set_term(term);
-    CPPUNIT_ASSERT_MESSAGE("the term names the new incarnation", group_->standing.primary());
+    CPPUNIT_ASSERT_MESSAGE("the term names the new incarnation", group_->evaluator.primary());
   }
 
-  void work_at_a_former_incarnation_of_the_primary_is_given_up() {
-    group_->put_backend(life("primary", 1, 1000));
+  void primary_restart_closes_pending_links() {
+    group_->put_backend(incarnation("primary", 1, 1000));
     group_->positions.record(runtime_->now(), {1, 12});
     const auto link = std::make_shared<ClosableLink>();
-    group_->primary_health.begin_work({link, runtime_->now(), true});
-    group_->put_backend(life("replica-1", 2, 2000));
+    group_->primary_health.add_pending({link, runtime_->now(), true});
+    group_->put_backend(incarnation("replica-1", 2, 2000));
     CPPUNIT_ASSERT_MESSAGE("another backend restarted", link->is_open());
-    group_->put_backend(life("primary", 1, 2000));
+    group_->put_backend(incarnation("primary", 1, 2000));
     CPPUNIT_ASSERT(!link->is_open());
-    CPPUNIT_ASSERT(!group_->required_of(use("primary"), ReadNeed{true, std::nullopt, {}}));
+    CPPUNIT_ASSERT(!group_->required_of(state("primary"), ReadNeed{true, std::nullopt, {}}));
   }
 
-  void a_primary_that_tells_its_start_is_asked_for_what_it_showed() {
+  void primary_with_start_time_must_show_position() {
     const ReadNeed at_primary{true, std::nullopt, {}};
     group_->positions.record(runtime_->now(), {1, 12});
     CPPUNIT_ASSERT_MESSAGE("the primary reports no start time",
-                           !group_->required_of(use("primary"), at_primary));
-    group_->put_backend(life("primary", 1, 1000));
+                           !group_->required_of(state("primary"), at_primary));
+    group_->put_backend(incarnation("primary", 1, 1000));
     CPPUNIT_ASSERT_MESSAGE("this incarnation has shown no position",
-                           !group_->required_of(use("primary"), at_primary));
+                           !group_->required_of(state("primary"), at_primary));
     group_->positions.record(runtime_->now(), {1, 13});
-    CPPUNIT_ASSERT(group_->required_of(use("primary"), at_primary) == Position({1, 13}));
+    CPPUNIT_ASSERT(group_->required_of(state("primary"), at_primary) == Position({1, 13}));
     group_->positions.record(runtime_->now(), {1, 14});
     CPPUNIT_ASSERT_MESSAGE("recorded within the spacing of the history",
-                           group_->required_of(use("primary"), at_primary) == Position({1, 14}));
-    CPPUNIT_ASSERT(group_->required_of(use("replica-1"), need_) == need_.required);
+                           group_->required_of(state("primary"), at_primary) == Position({1, 14}));
+    CPPUNIT_ASSERT(group_->required_of(state("replica-1"), need_) == need_.required);
   }
 
-  void a_member_that_shows_less_of_the_term_has_started_again() {
-    BackendUse& member = use("replica-1");
-    CPPUNIT_ASSERT_MESSAGE("position of an earlier term", member.shown_log.record(4, {3, 40}));
+  void detects_shorter_log_within_term() {
+    BackendState& member = state("replica-1");
+    CPPUNIT_ASSERT_MESSAGE("position of an earlier term", member.log_regression.record(4, {3, 40}));
     CPPUNIT_ASSERT_MESSAGE("entries of an earlier term may be rolled back",
-                           member.shown_log.record(4, {3, 38}));
-    CPPUNIT_ASSERT(member.shown_log.record(4, {4, 39}));
-    CPPUNIT_ASSERT(member.shown_log.record(4, {4, 39}));
-    CPPUNIT_ASSERT(!member.shown_log.record(4, {4, 38}));
-    CPPUNIT_ASSERT(!member.shown_log.record(4, {1, 0}));
-    CPPUNIT_ASSERT_MESSAGE("a new term starts over", member.shown_log.record(5, {4, 38}));
+                           member.log_regression.record(4, {3, 38}));
+    CPPUNIT_ASSERT(member.log_regression.record(4, {4, 39}));
+    CPPUNIT_ASSERT(member.log_regression.record(4, {4, 39}));
+    CPPUNIT_ASSERT(!member.log_regression.record(4, {4, 38}));
+    CPPUNIT_ASSERT(!member.log_regression.record(4, {1, 0}));
+    CPPUNIT_ASSERT_MESSAGE("a new term starts over", member.log_regression.record(5, {4, 38}));
   }
 
-  void nobody_else_reads_while_the_replicas_lag() {
-    group_->record_replica(use("replica-1"), need_, std::nullopt);
-    group_->record_replica(use("replica-2"), need_, std::nullopt);
+  void lagging_replicas_are_no_other_readers() {
+    group_->record_replica_answer(state("replica-1"), need_, std::nullopt);
+    group_->record_replica_answer(state("replica-2"), need_, std::nullopt);
     CPPUNIT_ASSERT_EQUAL(std::string("primary"), choose_reader(*group_, need_, {})->entry.name.value);
-    CPPUNIT_ASSERT(!group_->standing.has_other_reader(need_, use("primary")));
+    CPPUNIT_ASSERT(!group_->evaluator.has_other_reader(need_, state("primary")));
     CPPUNIT_ASSERT_MESSAGE("a replica's read may go to the primary",
-                           group_->standing.has_other_reader(need_, use("replica-1")));
+                           group_->evaluator.has_other_reader(need_, state("replica-1")));
     world_->run_for(seconds(4));
     CPPUNIT_ASSERT_MESSAGE("the lag estimate decays without answers",
-                           group_->standing.has_other_reader(need_, use("primary")));
+                           group_->evaluator.has_other_reader(need_, state("primary")));
   }
 
-  void a_backend_that_is_avoided_or_leaves_is_no_other_reader() {
-    use("replica-1").avoid_until = runtime_->now() + seconds(1);
+  void avoided_or_leaving_backend_is_no_other_reader() {
+    state("replica-1").avoid_until = runtime_->now() + seconds(1);
     registry::BackendEntry leaving = backend("replica-2", 3);
     leaving.leaving = true;
     group_->put_backend(leaving);
-    CPPUNIT_ASSERT(!group_->standing.has_other_reader(need_, use("primary")));
-    CPPUNIT_ASSERT(group_->standing.has_other_reader(need_, use("replica-1")));
+    CPPUNIT_ASSERT(!group_->evaluator.has_other_reader(need_, state("primary")));
+    CPPUNIT_ASSERT(group_->evaluator.has_other_reader(need_, state("replica-1")));
   }
 
-  void facts_are_neutral_of_what_is_not_known() {
-    const GroupFacts facts = group_->standing.facts({&need_});
+  void facts_default_to_neutral() {
+    const GroupFacts facts = group_->evaluator.facts({&need_});
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, facts.size());
     for (const placement::BackendFacts& backend : facts) {
       CPPUNIT_ASSERT(placement::rejection_of_read(backend, true) == placement::RejectionReason::kNone);
@@ -294,88 +294,90 @@
     CPPUNIT_ASSERT(group_->backends.at(1)->entry.name == BackendName("replica-1"));
   }
 
-  void facts_follow_what_is_known() {
+  void facts_reflect_observations() {
     const std::set<BackendName> tried{BackendName("replica-1")};
-    const PlacementRequest question{&need_, &tried};
-    use("replica-2").avoid_until = runtime_->now() + seconds(1);
-    group_->record_replica(use("replica-2"), need_, std::nullopt);
-    CPPUNIT_ASSERT(group_->standing.facts_of(use("replica-1"), question).tried);
-    const placement::BackendFacts facts = group_->standing.facts_of(use("replica-2"), question);
+    const PlacementRequest request{&need_, &tried};
+    state("replica-2").avoid_until = runtime_->now() + seconds(1);
+    group_->record_replica_answer(state("replica-2"), need_, std::nullopt);
+    CPPUNIT_ASSERT(group_->evaluator.facts_of(state("replica-1"), request).tried);
+    const placement::BackendFacts facts = group_->evaluator.facts_of(state("replica-2"), request);
     CPPUNIT_ASSERT(facts.avoided && facts.lags && !facts.tried && !facts.refused);
     CPPUNIT_ASSERT_EQUAL(std::string("replica-2"), std::string(facts.name));
-    CPPUNIT_ASSERT_MESSAGE("lag concerns only reads", !group_->standing.facts_of(use("replica-2"), {}).lags);
+    CPPUNIT_ASSERT_MESSAGE("lag concerns only reads",
+                           !group_->evaluator.facts_of(state("replica-2"), {}).lags);
   }
 
-  void a_full_backend_is_the_last_choice() {
+  void full_backend_is_last_choice() {
     dialer_.full = true;
-    runtime_->spawn("dial", dial(use("replica-1").pool));
+    runtime_->spawn("dial", dial(state("replica-1").pool));
     world_->run_for(milliseconds(1));
-    CPPUNIT_ASSERT(group_->standing.facts_of(use("replica-1"), {&need_}).refused);
-    CPPUNIT_ASSERT(!group_->standing.facts_of(use("replica-2"), {&need_}).refused);
+    CPPUNIT_ASSERT(group_->evaluator.facts_of(state("replica-1"), {&need_}).refused);
+    CPPUNIT_ASSERT(!group_->evaluator.facts_of(state("replica-2"), {&need_}).refused);
     CPPUNIT_ASSERT_EQUAL(std::string("replica-2"), choose_reader(*group_, need_, {})->entry.name.value);
   }
 
-  void a_leaving_primary_is_used_for_a_while() {
+  void leaving_primary_serves_during_grace() {
     registry::BackendEntry leaving = backend("primary", 1);
     leaving.leaving = true;
     group_->put_backend(leaving);
-    CPPUNIT_ASSERT(group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.primary() != nullptr);
     world_->run_for(seconds(6));
-    CPPUNIT_ASSERT(group_->standing.primary() == nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.primary() == nullptr);
     group_->put_backend(backend("primary", 1));
-    CPPUNIT_ASSERT_MESSAGE("it is not leaving any more", group_->standing.primary() != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("it is not leaving any more", group_->evaluator.primary() != nullptr);
   }
 
-  void a_primary_of_a_closed_group_is_not_used() {
+  void closed_group_has_no_usable_primary() {
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
-    CPPUNIT_ASSERT(group_->standing.primary() == nullptr);
-    CPPUNIT_ASSERT(group_->standing.facts_of(use("primary"), {}).of_closed_term);
+    CPPUNIT_ASSERT(group_->evaluator.primary() == nullptr);
+    CPPUNIT_ASSERT(group_->evaluator.facts_of(state("primary"), {}).of_closed_term);
     need_.primary_only = true;
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {}) == nullptr);
     need_.primary_only = false;
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {})->entry.name.value != "primary");
   }
 
-  void most_links_are_to_the_own_zones_backend() {
+  void most_links_go_to_local_backend() {
     registry::GroupRule rule;
     rule.max_connections = 56;
     group_->rule = rule;
-    registry::BackendEntry elsewhere = backend("replica-3", 4);
-    elsewhere.zone = ZoneName("b");
-    group_->put_backend(elsewhere);
+    registry::BackendEntry remote = backend("replica-3", 4);
+    remote.zone = ZoneName("b");
+    group_->put_backend(remote);
     group_->backends.share_connections({15, {{ZoneName("a"), 4}, {ZoneName("b"), 4}, {ZoneName("c"), 7}}});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, use("replica-1").pool.limit());
-    CPPUNIT_ASSERT_EQUAL(tenancy::kFarLinks, use("replica-3").pool.limit());
-    registry::BackendEntry late = backend("replica-4", 5);
-    group_->put_backend(late);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, state("replica-1").pool.limit());
+    CPPUNIT_ASSERT_EQUAL(tenancy::kFarLinks, state("replica-3").pool.limit());
+    registry::BackendEntry joined_later = backend("replica-4", 5);
+    group_->put_backend(joined_later);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("applies to a backend that joins later", std::uint64_t{10},
-                                 use("replica-4").pool.limit());
+                                 state("replica-4").pool.limit());
     group_->backends.share_connections(std::uint64_t{15});
     CPPUNIT_ASSERT_EQUAL_MESSAGE("divided evenly without tenants", std::uint64_t{3},
-                                 use("replica-1").pool.limit());
+                                 state("replica-1").pool.limit());
   }
 
-  void reads_go_to_zones_of_backends_that_stay() {
-    registry::BackendEntry elsewhere = backend("replica-3", 4);
-    elsewhere.zone = ZoneName("b");
-    group_->put_backend(elsewhere);
+  void reading_zones_exclude_leaving_backends() {
+    registry::BackendEntry remote = backend("replica-3", 4);
+    remote.zone = ZoneName("b");
+    group_->put_backend(remote);
     CPPUNIT_ASSERT(group_->backends.reading_zones() == (std::vector<ZoneName>{ZoneName("a"), ZoneName("b")}));
-    elsewhere.leaving = true;
-    group_->put_backend(elsewhere);
+    remote.leaving = true;
+    group_->put_backend(remote);
     CPPUNIT_ASSERT(group_->backends.reading_zones() == std::vector<ZoneName>{ZoneName("a")});
   }
 
  private:
-  Awaitable<void> acquire(std::shared_ptr<BackendUse> backend) {
+  Awaitable<void> acquire(std::shared_ptr<BackendState> backend) {
     std::optional<Refusal> refusal;
     Reason reason;
-    LinkRequest wish;
+    LinkRequest link_request;
     const TimePoint deadline = runtime_->now() + seconds(1);
     const LinkDeadlines deadlines{deadline, deadline};
-    co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
+    co_await backend->pool.acquire(std::move(link_request), deadlines, refusal, reason);
   }
 
-  static registry::BackendEntry life(const std::string& name, std::uint16_t port, std::uint64_t born_ms) {
+  static registry::BackendEntry incarnation(const std::string& name, std::uint16_t port,
+                                            std::uint64_t born_ms) {
     registry::BackendEntry entry = backend(name, port);
     entry.born_ms = born_ms;
     return entry;
@@ -387,8 +389,8 @@
     const TimePoint deadline = runtime_->now() + milliseconds(100);
     const LinkDeadlines deadlines{deadline, deadline};
     const auto task = [&]() -> Awaitable<void> {
-      LinkRequest wish;
-      link = co_await pool.acquire(std::move(wish), deadlines, refusal, reason);
+      LinkRequest link_request;
+      link = co_await pool.acquire(std::move(link_request), deadlines, refusal, reason);
       done = true;
     };
     runtime_->spawn("acquire", task());
@@ -401,14 +403,14 @@
     Reason reason;
     const TimePoint soon = runtime_->now() + milliseconds(1);
     const LinkDeadlines deadlines{soon, soon};
-    LinkRequest wish;
-    co_await pool.acquire(std::move(wish), deadlines, refusal, reason);
+    LinkRequest link_request;
+    co_await pool.acquire(std::move(link_request), deadlines, refusal, reason);
   }
   [[nodiscard]] bool is_primary_off_limits() const {
     const auto leader = group_->backends.open_primary();
     return leader && leader->is_off_limits(runtime_->now());
   }
-  BackendUse& use(const std::string& name) { return *group_->backends.all().at(BackendName(name)); }
+  BackendState& state(const std::string& name) { return *group_->backends.all().at(BackendName(name)); }
 
   std::unique_ptr<simulation::World> world_;
   runtime::Runtime* runtime_ = nullptr;
--- a/tests/registered/proxy/group/group_regions_test.cpp
+++ b/tests/registered/proxy/group/group_regions_test.cpp
@@ -36,11 +36,11 @@
 
 class GroupRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupRegionsTest);
-  CPPUNIT_TEST(reads_stay_inside);
-  CPPUNIT_TEST(a_primary_outside_does_not_stand_in_for_a_replica_that_lags);
-  CPPUNIT_TEST(what_nobody_inside_can_run_is_refused_for_good);
-  CPPUNIT_TEST(beside_a_primary_outside_older_positions_serve_until_they_are_too_old);
-  CPPUNIT_TEST(one_position_question_at_a_time);
+  CPPUNIT_TEST(reads_stay_in_permitted_regions);
+  CPPUNIT_TEST(outside_primary_does_not_replace_lagging_replica);
+  CPPUNIT_TEST(rejection_is_final_without_permitted_backend);
+  CPPUNIT_TEST(older_positions_serve_with_primary_outside);
+  CPPUNIT_TEST(one_position_query_at_a_time);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -63,39 +63,39 @@
     world_.reset();
   }
 
-  void reads_stay_inside() {
+  void reads_stay_in_permitted_regions() {
     CPPUNIT_ASSERT_EQUAL(std::string("south"), choose_reader(*group_, need_, {})->entry.name.value);
     CPPUNIT_ASSERT(
-        !group_->standing.has_other_reader(need_, *group_->backends.all().at(BackendName("south"))));
+        !group_->evaluator.has_other_reader(need_, *group_->backends.all().at(BackendName("south"))));
     CPPUNIT_ASSERT(choose_reader(*group_, need_, {BackendName("south")}) == nullptr);
     const locality::PermittedRegions anywhere;
     need_.allowed = &anywhere;
     CPPUNIT_ASSERT_EQUAL(std::string("near"), choose_reader(*group_, need_, {})->entry.name.value);
   }
 
-  void a_primary_outside_does_not_stand_in_for_a_replica_that_lags() {
-    group_->record_replica(*group_->backends.all().at(BackendName("south")), need_, std::nullopt);
+  void outside_primary_does_not_replace_lagging_replica() {
+    group_->record_replica_answer(*group_->backends.all().at(BackendName("south")), need_, std::nullopt);
     CPPUNIT_ASSERT_EQUAL(std::string("south"), choose_reader(*group_, need_, {})->entry.name.value);
   }
 
-  void what_nobody_inside_can_run_is_refused_for_good() {
+  void rejection_is_final_without_permitted_backend() {
     need_.primary_only = true;
-    auto choice = placement::choose_backend(true, group_->standing.facts({&need_, nullptr, &south_}));
+    auto choice = placement::choose_backend(true, group_->evaluator.facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
     CPPUNIT_ASSERT(choice.rejection == placement::RejectionReason::kOutsideRegions);
     CPPUNIT_ASSERT(choice.retry_after == placement::kRetryAfterOutsideRegions);
     group_->remove_backend(BackendName("south"));
     need_.primary_only = false;
-    choice = placement::choose_backend(false, group_->standing.facts({&need_, nullptr, &south_}));
+    choice = placement::choose_backend(false, group_->evaluator.facts({&need_, nullptr, &south_}));
     CPPUNIT_ASSERT(!choice.backend && choice.is_final);
     // The next primary may be in a permitted region, so the rejection is not final.
     group_->put_backend(backend("south", 3, "s1"));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
     CPPUNIT_ASSERT(
-        !placement::choose_backend(true, group_->standing.facts({&need_, nullptr, &south_})).is_final);
+        !placement::choose_backend(true, group_->evaluator.facts({&need_, nullptr, &south_})).is_final);
   }
 
-  void beside_a_primary_outside_older_positions_serve_until_they_are_too_old() {
+  void older_positions_serve_with_primary_outside() {
     registry::RouteRule route;
     route.reads = registry::ReadPolicy::kBoundedStaleness;
     route.max_staleness_ms = 1500;
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT(group_->need_of(route, {}, &south_).primary_only);
     group_->positions.record(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(1000));
-    CPPUNIT_ASSERT(group_->positions.wants_newer(milliseconds(1500)));
+    CPPUNIT_ASSERT(group_->positions.needs_refresh(milliseconds(1500)));
     CPPUNIT_ASSERT_MESSAGE("an unrestricted read refreshes the position",
                            group_->need_of(route, {}).primary_only);
     const ReadNeed bound = group_->need_of(route, {}, &south_);
@@ -113,11 +113,11 @@
     CPPUNIT_ASSERT_MESSAGE("the known position is too old", group_->need_of(route, {}, &south_).primary_only);
   }
 
-  void one_position_question_at_a_time() {
-    CPPUNIT_ASSERT(group_->positions.begin_question());
-    CPPUNIT_ASSERT(!group_->positions.begin_question());
-    group_->positions.end_question();
-    CPPUNIT_ASSERT(group_->positions.begin_question());
+  void one_position_query_at_a_time() {
+    CPPUNIT_ASSERT(group_->positions.begin_query());
+    CPPUNIT_ASSERT(!group_->positions.begin_query());
+    group_->positions.end_query();
+    CPPUNIT_ASSERT(group_->positions.begin_query());
   }
 
  private:
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -12,29 +12,29 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class MemberLeaseKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MemberLeaseKeeperTest);
-  CPPUNIT_TEST(replicas_of_the_term_lend_a_lease);
-  CPPUNIT_TEST(a_member_that_is_no_replica_of_the_term_lends_none);
-  CPPUNIT_TEST(a_member_that_joins_while_others_are_asked_counts);
-  CPPUNIT_TEST(the_lease_is_the_epochs);
-  CPPUNIT_TEST(nobody_lends_to_who_never_had_one);
-  CPPUNIT_TEST(nothing_is_lent_after_control_was_gone_for_long);
-  CPPUNIT_TEST(a_lease_is_counted_from_the_question);
+class MemberLeaseRenewerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(MemberLeaseRenewerTest);
+  CPPUNIT_TEST(replicas_of_term_grant_lease);
+  CPPUNIT_TEST(unfit_member_prevents_lease);
+  CPPUNIT_TEST(member_joining_during_query_prevents_lease);
+  CPPUNIT_TEST(lease_is_bound_to_epoch);
+  CPPUNIT_TEST(no_member_lease_without_prior_control_lease);
+  CPPUNIT_TEST(no_member_lease_after_long_control_outage);
+  CPPUNIT_TEST(lease_starts_at_query);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { start(); }
   void tearDown() override { stand_.reset(); }
 
-  void replicas_of_the_term_lend_a_lease() {
+  void replicas_of_term_grant_lease() {
     lose_control();
     CPPUNIT_ASSERT(serves());
     stand_->run_for(seconds(2));
     CPPUNIT_ASSERT_MESSAGE("the lease is renewed", serves());
   }
 
-  void a_member_that_is_no_replica_of_the_term_lends_none() {
+  void unfit_member_prevents_lease() {
     struct Case {
       const char* name;
       void (*change)(SessionStand& stand);
@@ -76,17 +76,17 @@
            stand.view().apply(removed);
          }},
     };
-    for (const Case& unfit : cases) {
+    for (const Case& test_case : cases) {
       start();
-      unfit.change(*stand_);
+      test_case.change(*stand_);
       lose_control();
-      CPPUNIT_ASSERT_MESSAGE(unfit.name, !serves());
+      CPPUNIT_ASSERT_MESSAGE(test_case.name, !serves());
       stand_->run_for(seconds(2));
-      CPPUNIT_ASSERT_MESSAGE(unfit.name, !serves());
+      CPPUNIT_ASSERT_MESSAGE(test_case.name, !serves());
     }
   }
 
-  void a_member_that_joins_while_others_are_asked_counts() {
+  void member_joining_during_query_prevents_lease() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->statuses["another"].term = 2;
     stand_->during(Step::kStatus, [this] { stand_->put_member("another", false); });
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(!serves());
   }
 
-  void the_lease_is_the_epochs() {
+  void lease_is_bound_to_epoch() {
     lose_control();
     CPPUNIT_ASSERT(serves());
     stand_->close_group();
@@ -118,12 +118,12 @@
     CPPUNIT_ASSERT(serves());
   }
 
-  void nobody_lends_to_who_never_had_one() {
+  void no_member_lease_without_prior_control_lease() {
     stand_->run_for(seconds(2));
     CPPUNIT_ASSERT(!serves());
   }
 
-  void nothing_is_lent_after_control_was_gone_for_long() {
+  void no_member_lease_after_long_control_outage() {
     lose_control();
     const TimePoint end = stand_->view().lease_until() + registry::kServeWithoutControl;
     stand_->run_for(end - stand_->now() - milliseconds(1));
@@ -136,14 +136,15 @@
     CPPUNIT_ASSERT(!serves());
   }
 
-  void a_lease_is_counted_from_the_question() {
+  void lease_starts_at_query() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->during(Step::kStatus, [] {});
-    const TimePoint begun = stand_->now();
+    const TimePoint started_at = stand_->now();
     // Runs until the first answers have arrived, after kEventfulStep; no others follow.
     stand_->run_for(kMemberLeaseTick + kEventfulStep + milliseconds(10));
     stand_->silent.insert("replica");
-    stand_->run_for(begun + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) - stand_->now());
+    stand_->run_for(started_at + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) -
+                    stand_->now());
     CPPUNIT_ASSERT(!stand_->view().lease_valid() && serves());
     stand_->run_for(milliseconds(20));
     CPPUNIT_ASSERT(!serves());
@@ -153,8 +154,8 @@
   void start() {
     stand_.reset();
     stand_ = std::make_unique<SessionStand>();
-    keeper_ = std::make_unique<MemberLeaseKeeper>(stand_->runtime(), stand_->view(), stand_->metrics());
-    keeper_->start();
+    renewer_ = std::make_unique<MemberLeaseRenewer>(stand_->runtime(), stand_->view(), stand_->metrics());
+    renewer_->start();
   }
   /// Control's lease has expired on return.
   void lose_control() {
@@ -165,9 +166,9 @@
   [[nodiscard]] bool serves() { return stand_->view().holds_lease_for(*stand_->group()); }
 
   std::unique_ptr<SessionStand> stand_;
-  std::unique_ptr<MemberLeaseKeeper> keeper_;
+  std::unique_ptr<MemberLeaseRenewer> renewer_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MemberLeaseKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MemberLeaseRenewerTest);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/position_history_test.cpp
+++ b/tests/registered/proxy/group/position_history_test.cpp
@@ -13,10 +13,10 @@
 
 class PositionHistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PositionHistoryTest);
-  CPPUNIT_TEST(the_earliest_that_covers);
-  CPPUNIT_TEST(nothing_covers_what_is_newer_than_all);
-  CPPUNIT_TEST(first_seen);
-  CPPUNIT_TEST(old_ones_are_forgotten);
+  CPPUNIT_TEST(returns_earliest_covering_position);
+  CPPUNIT_TEST(nothing_covers_times_after_newest);
+  CPPUNIT_TEST(reports_when_position_was_first_seen);
+  CPPUNIT_TEST(drops_old_positions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -27,24 +27,24 @@
     history_.record(at(300), {1, 7});
   }
 
-  void the_earliest_that_covers() {
+  void returns_earliest_covering_position() {
     CPPUNIT_ASSERT(history_.covering(at(50)) == (Position{1, 5}));
     CPPUNIT_ASSERT(history_.covering(at(100)) == (Position{1, 5}));
     CPPUNIT_ASSERT(history_.covering(at(101)) == (Position{1, 7}));
   }
 
-  void nothing_covers_what_is_newer_than_all() {
+  void nothing_covers_times_after_newest() {
     CPPUNIT_ASSERT(!history_.covering(at(301)));
     history_.clear();
     CPPUNIT_ASSERT(!history_.covering(at(0)));
   }
 
-  void first_seen() {
+  void reports_when_position_was_first_seen() {
     CPPUNIT_ASSERT(history_.first_seen({1, 6}) == at(200));
     CPPUNIT_ASSERT(!history_.first_seen({1, 8}));
   }
 
-  void old_ones_are_forgotten() {
+  void drops_old_positions() {
     history_.record(at(5000), {1, 9});
     CPPUNIT_ASSERT(history_.covering(at(0)) == (Position{1, 9}));
   }
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -14,25 +14,25 @@
 namespace {
 
 /// The status that the backend reports.
-struct Told {
+struct BackendReport {
   BackendStatus status{true, 1, Position{1, 7}, 0};
-  int questions = 0;
-  Duration takes{0};
+  int queries = 0;
+  Duration answer_delay{0};
 };
 
 class StatusLink : public BackendLink {
  public:
-  StatusLink(runtime::Runtime& runtime, Told& told) : runtime_(runtime), told_(told) {}
+  StatusLink(runtime::Runtime& runtime, BackendReport& report) : runtime_(runtime), report_(report) {}
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
                                        runtime::SendState& /*sent*/, Reason& /*reason*/) override {
-    if (std::holds_alternative<AskStatus>(request)) ++told_.questions;
-    if (told_.takes > Duration(0)) co_await runtime_.sleep_for(told_.takes);
+    if (std::holds_alternative<AskStatus>(request)) ++report_.queries;
+    if (report_.answer_delay > Duration(0)) co_await runtime_.sleep_for(report_.answer_delay);
     Answer answer;
-    answer.position = told_.status.received;
+    answer.position = report_.status.received;
     co_return answer;
   }
   std::optional<BackendStatus> read_status(const Answer& /*answer*/, Reason& /*reason*/) override {
-    return told_.status;
+    return report_.status;
   }
   void close() override { open_ = false; }
   [[nodiscard]] bool is_open() const override { return open_; }
@@ -40,7 +40,7 @@
 
  private:
   runtime::Runtime& runtime_;
-  Told& told_;
+  BackendReport& report_;
   bool open_ = true;
 };
 
@@ -50,9 +50,9 @@
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/,
                                                Reason& /*reason*/) override {
-    co_return std::make_shared<StatusLink>(runtime_, told);
+    co_return std::make_shared<StatusLink>(runtime_, report);
   }
-  Told told;
+  BackendReport report;
 
  private:
   runtime::Runtime& runtime_;
@@ -78,15 +78,15 @@
 
 }  // namespace
 
-class PositionKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PositionKeeperTest);
-  CPPUNIT_TEST(reads_keep_the_position_young);
-  CPPUNIT_TEST(nobody_is_asked_without_reads);
-  CPPUNIT_TEST(nobody_is_asked_where_links_have_no_tenant);
-  CPPUNIT_TEST(one_that_leads_no_more_is_not_believed);
-  CPPUNIT_TEST(one_of_another_term_is_not_believed);
-  CPPUNIT_TEST(an_answer_to_a_question_of_a_term_that_ended_is_not_believed);
-  CPPUNIT_TEST(without_a_lease_nothing_is_learnt);
+class PositionRefresherTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PositionRefresherTest);
+  CPPUNIT_TEST(refreshes_position_for_reads);
+  CPPUNIT_TEST(no_queries_without_reads);
+  CPPUNIT_TEST(no_queries_without_tenants);
+  CPPUNIT_TEST(ignores_former_primary);
+  CPPUNIT_TEST(ignores_answer_of_other_term);
+  CPPUNIT_TEST(ignores_answer_after_term_ended);
+  CPPUNIT_TEST(no_queries_without_lease);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -98,67 +98,67 @@
     settings.node = NodeName("proxy");
     settings.zone = ZoneName("a");
     view_ = std::make_unique<FleetView>(*runtime_, *dialer_, settings);
-    keeper_ = std::make_unique<PositionKeeper>(*runtime_, *view_);
-    keeper_->start();
+    refresher_ = std::make_unique<PositionRefresher>(*runtime_, *view_);
+    refresher_->start();
     route_.reads = registry::ReadPolicy::kBoundedStaleness;
     route_.max_staleness_ms = 1500;
   }
   void tearDown() override {
-    keeper_->stop();
+    refresher_->stop();
     world_.reset();
-    keeper_.reset();
+    refresher_.reset();
     view_.reset();
     dialer_.reset();
   }
 
-  void reads_keep_the_position_young() {
+  void refreshes_position_for_reads() {
     begin(fleet());
     read_for(seconds(3));
     int at_primary = 0;
     for (int tick = 0; tick < 60; ++tick) at_primary += read_once() ? 1 : 0;
     CPPUNIT_ASSERT_EQUAL(0, at_primary);
-    CPPUNIT_ASSERT_MESSAGE("about two queries a second", dialer_->told.questions <= 16);
+    CPPUNIT_ASSERT_MESSAGE("about two queries a second", dialer_->report.queries <= 16);
   }
 
-  void nobody_is_asked_without_reads() {
+  void no_queries_without_reads() {
     begin(fleet());
     world_->run_for(seconds(3));
-    CPPUNIT_ASSERT_EQUAL(0, dialer_->told.questions);
+    CPPUNIT_ASSERT_EQUAL(0, dialer_->report.queries);
     read_for(seconds(1));
-    const int asked = dialer_->told.questions;
-    CPPUNIT_ASSERT(asked > 0);
+    const int query_count = dialer_->report.queries;
+    CPPUNIT_ASSERT(query_count > 0);
     world_->run_for(seconds(10));
-    CPPUNIT_ASSERT_MESSAGE("queries stop when reads stop", dialer_->told.questions <= asked + 3);
+    CPPUNIT_ASSERT_MESSAGE("queries stop when reads stop", dialer_->report.queries <= query_count + 3);
   }
 
-  void nobody_is_asked_where_links_have_no_tenant() {
+  void no_queries_without_tenants() {
     registry::FleetDelta delta = fleet();
     delta.requires_keys = false;
     begin(delta);
     read_for(seconds(1));
-    CPPUNIT_ASSERT_EQUAL(0, dialer_->told.questions);
+    CPPUNIT_ASSERT_EQUAL(0, dialer_->report.queries);
   }
 
-  void one_that_leads_no_more_is_not_believed() {
-    dialer_->told.status.is_primary = false;
+  void ignores_former_primary() {
+    dialer_->report.status.is_primary = false;
     begin(fleet());
     read_for(seconds(1));
-    CPPUNIT_ASSERT(dialer_->told.questions > 0 && read_once());
+    CPPUNIT_ASSERT(dialer_->report.queries > 0 && read_once());
   }
 
-  void one_of_another_term_is_not_believed() {
-    dialer_->told.status.term = 2;
+  void ignores_answer_of_other_term() {
+    dialer_->report.status.term = 2;
     begin(fleet());
     read_for(seconds(1));
-    CPPUNIT_ASSERT(dialer_->told.questions > 0 && read_once());
+    CPPUNIT_ASSERT(dialer_->report.queries > 0 && read_once());
   }
 
-  void an_answer_to_a_question_of_a_term_that_ended_is_not_believed() {
-    dialer_->told.takes = milliseconds(200);
+  void ignores_answer_after_term_ended() {
+    dialer_->report.answer_delay = milliseconds(200);
     begin(fleet());
     read_for(milliseconds(250));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("one query is pending", 1, dialer_->told.questions);
-    dialer_->told.takes = seconds(60);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("one query is pending", 1, dialer_->report.queries);
+    dialer_->report.answer_delay = seconds(60);
     registry::FleetDelta delta;
     delta.revision = 2;
     delta.document_version = 1;
@@ -169,11 +169,11 @@
     CPPUNIT_ASSERT(read_once());
   }
 
-  void without_a_lease_nothing_is_learnt() {
+  void no_queries_without_lease() {
     view_->apply(fleet());
     read_for(seconds(1));
     CPPUNIT_ASSERT(read_once());
-    CPPUNIT_ASSERT_EQUAL(0, dialer_->told.questions);
+    CPPUNIT_ASSERT_EQUAL(0, dialer_->report.queries);
   }
 
  private:
@@ -195,10 +195,10 @@
   simulation::VirtualRuntime* runtime_ = nullptr;
   std::unique_ptr<StatusDialer> dialer_;
   std::unique_ptr<FleetView> view_;
-  std::unique_ptr<PositionKeeper> keeper_;
+  std::unique_ptr<PositionRefresher> refresher_;
   registry::RouteRule route_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PositionKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PositionRefresherTest);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/primary_health_test.cpp
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -49,10 +49,10 @@
 
 class PrimaryHealthTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PrimaryHealthTest);
-  CPPUNIT_TEST(silence);
-  CPPUNIT_TEST(stalled_commits);
-  CPPUNIT_TEST(a_stall_ends_with_an_answer_or_with_the_primary);
-  CPPUNIT_TEST(a_primary_that_breaks_off_everything_is_of_no_use);
+  CPPUNIT_TEST(detects_silence);
+  CPPUNIT_TEST(detects_stalled_commits);
+  CPPUNIT_TEST(stall_ends_with_answer_or_epoch);
+  CPPUNIT_TEST(dropping_all_statements_is_unusable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -67,7 +67,7 @@
     world_.reset();
   }
 
-  void silence() {
+  void detects_silence() {
     struct Row {
       std::string name;
       std::vector<Sent> sent;
@@ -98,7 +98,7 @@
     }
   }
 
-  void stalled_commits() {
+  void detects_stalled_commits() {
     struct Row {
       std::string name;
       std::vector<Sent> sent;
@@ -122,10 +122,10 @@
     }
   }
 
-  void a_stall_ends_with_an_answer_or_with_the_primary() {
+  void stall_ends_with_answer_or_epoch() {
     const auto first = send({milliseconds(300), true});
     CPPUNIT_ASSERT(group_->primary_health.refuses_commits());
-    group_->primary_health.end_work(first);
+    group_->primary_health.remove_pending(first);
     CPPUNIT_ASSERT_MESSAGE("one commit is sent to detect the end of the stall",
                            !group_->primary_health.refuses_commits());
     send({milliseconds(0), true});
@@ -133,23 +133,24 @@
     group_->primary_health.record_commit_answered(runtime_->now());
     CPPUNIT_ASSERT(!group_->primary_health.refuses_commits());
     const auto link = std::make_shared<ClosableLink>();
-    group_->primary_health.begin_work({link, runtime_->now() - milliseconds(300), true});
+    group_->primary_health.add_pending({link, runtime_->now() - milliseconds(300), true});
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
     CPPUNIT_ASSERT_MESSAGE("pending work fails at once", !link->is_open());
   }
 
-  void a_primary_that_breaks_off_everything_is_of_no_use() {
-    CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
+  void dropping_all_statements_is_unusable() {
+    CPPUNIT_ASSERT(!group_->primary_health.record_dropped_statement());
     world_->run_for(milliseconds(200));
-    CPPUNIT_ASSERT_MESSAGE("two dropped statements are too few", !group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("two dropped statements are too few",
+                           !group_->primary_health.record_dropped_statement());
     CPPUNIT_ASSERT_MESSAGE("three statements dropped over 200 ms",
-                           group_->primary_health.mark_broken_off());
+                           group_->primary_health.record_dropped_statement());
     group_->primary_health.record_answered();
     for (int statement = 0; statement < 5; ++statement)
-      CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
+      CPPUNIT_ASSERT(!group_->primary_health.record_dropped_statement());
     world_->run_for(milliseconds(200));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
-    CPPUNIT_ASSERT_MESSAGE("a new term resets the count", !group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("a new term resets the count", !group_->primary_health.record_dropped_statement());
   }
 
  private:
@@ -159,7 +160,7 @@
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
   }
   std::uint64_t send(const Sent& sent) {
-    return group_->primary_health.begin_work(
+    return group_->primary_health.add_pending(
         {std::make_shared<ClosableLink>(), runtime_->now() - sent.age, sent.commits});
   }
 
--- a/tests/registered/proxy/group/read_need_test.cpp
+++ b/tests/registered/proxy/group/read_need_test.cpp
@@ -26,7 +26,7 @@
 };
 
 /// The primary showed `index` as the end of its log, `age` ago.
-struct Shown {
+struct ShownPosition {
   Duration age;
   std::uint64_t index;
 };
@@ -34,7 +34,7 @@
 struct Row {
   std::string name;
   ReadPolicy reads = ReadPolicy::kBoundedStaleness;
-  std::vector<Shown> shown;
+  std::vector<ShownPosition> shown;
   std::uint64_t committed = 0;  ///< by the session, 100 ms ago; 0: none
   bool open = true;
   /// Expected position; 0: only the primary may serve the read.
@@ -48,9 +48,9 @@
 
 class ReadNeedTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReadNeedTest);
-  CPPUNIT_TEST(by_policy_and_positions);
-  CPPUNIT_TEST(what_a_primary_showed_is_forgotten_with_its_term);
-  CPPUNIT_TEST(a_question_is_due_once_what_is_known_gets_old);
+  CPPUNIT_TEST(depends_on_policy_and_positions);
+  CPPUNIT_TEST(new_term_discards_positions);
+  CPPUNIT_TEST(query_is_due_when_position_ages);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -64,9 +64,9 @@
     world_.reset();
   }
 
-  void by_policy_and_positions() {
-    const std::vector<Shown> young{{milliseconds(950), 10}, {milliseconds(400), 12}};
-    const std::vector<Shown> old{{milliseconds(880), 10}, {milliseconds(460), 12}};
+  void depends_on_policy_and_positions() {
+    const std::vector<ShownPosition> young{{milliseconds(950), 10}, {milliseconds(400), 12}};
+    const std::vector<ShownPosition> old{{milliseconds(880), 10}, {milliseconds(460), 12}};
     const std::vector<Row> rows{
         {"a route that reads at the primary", ReadPolicy::kPrimary, young, 0, true, 0, {}},
         {"no position is known", ReadPolicy::kBoundedStaleness, {}, 0, true, 0, {}},
@@ -107,7 +107,7 @@
     for (const Row& row : rows) check(row);
   }
 
-  void what_a_primary_showed_is_forgotten_with_its_term() {
+  void new_term_discards_positions() {
     start(true);
     group_->positions.record(runtime_->now(), {1, 7});
     CPPUNIT_ASSERT(!need(ReadPolicy::kBoundedStaleness, {}).primary_only);
@@ -115,10 +115,10 @@
     CPPUNIT_ASSERT_MESSAGE("the same term is closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(2, true);
     CPPUNIT_ASSERT(need(ReadPolicy::kBoundedStaleness, {}).primary_only);
-    CPPUNIT_ASSERT(!group_->positions.shown());
+    CPPUNIT_ASSERT(!group_->positions.highest_shown());
   }
 
-  void a_question_is_due_once_what_is_known_gets_old() {
+  void query_is_due_when_position_ages() {
     start(true);
     CPPUNIT_ASSERT_MESSAGE("no bounded-staleness read yet", !is_position_due());
     need(ReadPolicy::kBoundedStaleness, {});
@@ -156,12 +156,12 @@
     return group_->need_of(route, committed);
   }
   [[nodiscard]] bool is_position_due() const {
-    return group_->term().open && group_->positions.is_question_due();
+    return group_->term().open && group_->positions.is_query_due();
   }
   void check(const Row& row) {
     start(row.open);
     const TimePoint now = runtime_->now();
-    for (const Shown& shown : row.shown) group_->positions.record(now - shown.age, {1, shown.index});
+    for (const ShownPosition& shown : row.shown) group_->positions.record(now - shown.age, {1, shown.index});
     SessionCommit committed;
     if (row.committed > 0) committed = {Position{1, row.committed}, now - milliseconds(100)};
     const ReadNeed needed = need(row.reads, committed);
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -66,15 +66,15 @@
 
 class ColdBackendTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ColdBackendTest);
-  CPPUNIT_TEST(a_backend_is_cold_until_it_says_otherwise);
-  CPPUNIT_TEST(nothing_is_limited_where_nothing_is_bound);
-  CPPUNIT_TEST(a_cold_one_is_not_preferred_since_it_is_idle);
-  CPPUNIT_TEST(a_cold_one_without_tokens_is_passed_over);
-  CPPUNIT_TEST(no_links_are_opened_ahead_to_a_cold_one);
-  CPPUNIT_TEST(a_zone_that_comes_back_is_cold_for_a_while);
-  CPPUNIT_TEST(a_zone_that_a_whole_copy_gives_back_is_cold_for_a_while);
-  CPPUNIT_TEST(a_read_is_not_kept_for_a_primary_without_tokens);
-  CPPUNIT_TEST(a_backend_that_was_gone_is_cold_until_control_confirms);
+  CPPUNIT_TEST(stays_cold_until_reported_otherwise);
+  CPPUNIT_TEST(no_limit_without_configured_bound);
+  CPPUNIT_TEST(idle_cold_backend_is_not_preferred);
+  CPPUNIT_TEST(skips_cold_backend_without_tokens);
+  CPPUNIT_TEST(opens_no_links_ahead_to_cold_backend);
+  CPPUNIT_TEST(zone_is_cold_after_evacuation_ends);
+  CPPUNIT_TEST(zone_is_cold_after_snapshot_ends_evacuation);
+  CPPUNIT_TEST(reads_avoid_primary_without_tokens);
+  CPPUNIT_TEST(unreachable_backend_is_cold_until_confirmed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -88,7 +88,7 @@
     world_.reset();
   }
 
-  void a_backend_is_cold_until_it_says_otherwise() {
+  void stays_cold_until_reported_otherwise() {
     CPPUNIT_ASSERT(is_cold("cold"));
     CPPUNIT_ASSERT(!is_cold("warm"));
     const auto limit = view_->cold_limit(BackendName("cold"));
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(!view_->cold_limit(BackendName("unknown")));
   }
 
-  void nothing_is_limited_where_nothing_is_bound() {
+  void no_limit_without_configured_bound() {
     start(1.5, 5, 0);
     CPPUNIT_ASSERT_MESSAGE("the group has no rate", !is_cold("cold"));
     CPPUNIT_ASSERT(!view_->cold_limit(BackendName("cold")));
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(!view_->cold_limit(BackendName("cold")));
   }
 
-  void a_cold_one_is_not_preferred_since_it_is_idle() {
+  void idle_cold_backend_is_not_preferred() {
     CPPUNIT_ASSERT_EQUAL(std::string("warm"), chosen({}));
     group().put_backend(backend("cold", 2, 0));
     group().put_backend(backend("warm", 3, 4000));
@@ -119,29 +119,29 @@
                            chosen({BackendName("cold")}) == "primary");
   }
 
-  void a_cold_one_without_tokens_is_passed_over() {
+  void skips_cold_backend_without_tokens() {
     const std::set<BackendName> others{BackendName("warm"), BackendName("primary")};
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen(others));
-    use("cold").cold_limit_reached_until = runtime_->now() + milliseconds(80);
+    state("cold").cold_limit_reached_until = runtime_->now() + milliseconds(80);
     CPPUNIT_ASSERT_EQUAL(std::string(), chosen(others));
-    const auto facts = group().standing.facts_of(use("cold"), {});
+    const auto facts = group().evaluator.facts_of(state("cold"), {});
     CPPUNIT_ASSERT(facts.cold_limit_reached);
     CPPUNIT_ASSERT(facts.retry_after == milliseconds(80));
     world_->run_for(milliseconds(81));
     CPPUNIT_ASSERT_EQUAL(std::string("cold"), chosen(others));
-    use("warm").cold_limit_reached_until = runtime_->now() + seconds(1);
+    state("warm").cold_limit_reached_until = runtime_->now() + seconds(1);
     CPPUNIT_ASSERT_MESSAGE("a warm backend is not limited",
-                           !group().standing.facts_of(use("warm"), {}).cold_limit_reached);
+                           !group().evaluator.facts_of(state("warm"), {}).cold_limit_reached);
   }
 
-  void no_links_are_opened_ahead_to_a_cold_one() {
-    for (const char* name : {"warm", "primary"}) use(name).entry.leaving = true;
+  void opens_no_links_ahead_to_cold_backend() {
+    for (const char* name : {"warm", "primary"}) state(name).entry.leaving = true;
     CPPUNIT_ASSERT(!warm_one(*runtime_, group()));
-    use("cold").entry.cold_ms = 0;
+    state("cold").entry.cold_ms = 0;
     CPPUNIT_ASSERT(warm_one(*runtime_, group()));
   }
 
-  void a_zone_that_comes_back_is_cold_for_a_while() {
+  void zone_is_cold_after_evacuation_ends() {
     registry::FleetDelta delta;
     delta.revision = 2;
     delta.ended_evacuations = {ZoneName("b")};
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT(!is_cold("warm"));
   }
 
-  void a_zone_that_a_whole_copy_gives_back_is_cold_for_a_while() {
+  void zone_is_cold_after_snapshot_ends_evacuation() {
     registry::FleetDelta delta = fleet(10);
     delta.revision = 2;
     delta.evacuations = {{ZoneName("a")}, {ZoneName("b")}};
@@ -174,7 +174,7 @@
     CPPUNIT_ASSERT(!is_cold("warm"));
   }
 
-  void a_read_is_not_kept_for_a_primary_without_tokens() {
+  void reads_avoid_primary_without_tokens() {
     registry::RouteRule route;
     route.reads = registry::ReadPolicy::kBoundedStaleness;
     route.max_staleness_ms = 900;
@@ -182,7 +182,7 @@
     world_->run_for(milliseconds(600));
     group().positions.record(runtime_->now() - milliseconds(500), Position{1, 11});
     CPPUNIT_ASSERT_MESSAGE("the read refreshes the position at the primary", is_for_primary(route));
-    use("primary").cold_limit_reached_until = runtime_->now() + milliseconds(80);
+    state("primary").cold_limit_reached_until = runtime_->now() + milliseconds(80);
     CPPUNIT_ASSERT_MESSAGE("a warm backend is not limited", is_for_primary(route));
     group().put_backend(backend("primary", 1, 4000));
     CPPUNIT_ASSERT(!is_for_primary(route));
@@ -190,22 +190,22 @@
     CPPUNIT_ASSERT(is_for_primary(route));
   }
 
-  void a_backend_that_was_gone_is_cold_until_control_confirms() {
-    RebirthWatch& rebirth = use("warm").rebirth;
-    rebirth.record_reached(runtime_->now());
+  void unreachable_backend_is_cold_until_confirmed() {
+    RestartDetector& restart_detector = state("warm").restart_detector;
+    restart_detector.record_reached(runtime_->now());
     CPPUNIT_ASSERT_MESSAGE("it was never unreachable", !is_cold("warm"));
-    rebirth.mark_unreachable();
+    restart_detector.mark_unreachable();
     confirm(runtime_->now() + seconds(60));
     CPPUNIT_ASSERT_MESSAGE("a confirmation while it is unreachable does not count", is_cold("warm"));
     start(1.5, 5, 10);
-    use("warm").rebirth.mark_unreachable();
-    use("warm").rebirth.record_reached(runtime_->now());
+    state("warm").restart_detector.mark_unreachable();
+    state("warm").restart_detector.record_reached(runtime_->now());
     const TimePoint reached = runtime_->now();
-    confirm(reached + kRebornNews - milliseconds(1));
+    confirm(reached + kRestartRegistrationTime - milliseconds(1));
     world_->run_for(seconds(30));
-    use("warm").rebirth.record_reached(runtime_->now());
+    state("warm").restart_detector.record_reached(runtime_->now());
     CPPUNIT_ASSERT_MESSAGE("the query was sent too early, and time alone proves nothing", is_cold("warm"));
-    confirm(reached + kRebornNews);
+    confirm(reached + kRestartRegistrationTime);
     CPPUNIT_ASSERT(!is_cold("warm"));
   }
 
@@ -219,9 +219,9 @@
   }
   void confirm(TimePoint asked_at) { view_->extend_lease(asked_at, asked_at, 1); }
   GroupAccess& group() { return *view_->find_group(kGroup); }
-  BackendUse& use(const std::string& name) { return *group().backends.all().at(BackendName(name)); }
+  BackendState& state(const std::string& name) { return *group().backends.all().at(BackendName(name)); }
   bool is_for_primary(const registry::RouteRule& route) { return group().need_of(route, {}).primary_only; }
-  bool is_cold(const std::string& name) { return group().cold.is_cold(use(name)); }
+  bool is_cold(const std::string& name) { return group().cold.is_cold(state(name)); }
   std::string chosen(const std::set<BackendName>& excluded) {
     const auto reader = choose_reader(group(), need_, excluded);
     return reader ? reader->entry.name.value : std::string();
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -57,7 +57,7 @@
       reason = Reason{ReasonCode::kUnreachable, "open_session", "backend", "full"};
       co_return nullptr;
     }
-    co_await runtime_.sleep_for(takes);
+    co_await runtime_.sleep_for(dial_delay);
     if (runtime_.now() > deadline) co_return nullptr;
     links.push_back(std::make_shared<RecordingLink>());
     co_return links.back();
@@ -66,60 +66,61 @@
   std::vector<std::string> tenants;  ///< of each dial
   bool full = false;
   int dials = 0;
-  Duration takes{0};
+  Duration dial_delay{0};
 
  private:
   runtime::Runtime& runtime_;
 };
 
-struct Taken {
+struct AcquireResult {
   bool finished = false;
   std::shared_ptr<StatefulLink> link;
   std::optional<Refusal> refusal;
-  bool in_order = false;
+  bool applied = false;
 };
 
-Awaitable<void> take_for(runtime::Runtime& runtime, StatefulPool& pool, LinkRequest wish, Taken& taken) {
+Awaitable<void> acquire_link(runtime::Runtime& runtime, StatefulPool& pool, LinkRequest link_request,
+                             AcquireResult& result) {
   Reason reason;
   const TimePoint deadline = runtime.now() + milliseconds(100);
   const LinkDeadlines deadlines{deadline, deadline};
-  taken.link = co_await pool.acquire(std::move(wish), deadlines, taken.refusal, reason);
-  taken.finished = true;
+  result.link = co_await pool.acquire(std::move(link_request), deadlines, result.refusal, reason);
+  result.finished = true;
 }
 
-Awaitable<void> take(runtime::Runtime& runtime, StatefulPool& pool, SessionValues values,
-                     std::optional<PreparedShape> prepared, Taken& taken) {
+Awaitable<void> acquire_and_apply(runtime::Runtime& runtime, StatefulPool& pool, SessionValues values,
+                                  std::optional<PreparedShape> prepared, AcquireResult& result) {
   Reason reason;
   const TimePoint deadline = runtime.now() + milliseconds(100);
   const LinkDeadlines deadlines{deadline, deadline};
-  LinkRequest wish;
-  wish.values = values;
-  taken.link = co_await pool.acquire(std::move(wish), deadlines, taken.refusal, reason);
-  if (taken.link)
-    taken.in_order = co_await taken.link->apply_session_state(values, prepared, deadline, reason);
-  taken.finished = true;
+  LinkRequest link_request;
+  link_request.values = values;
+  result.link = co_await pool.acquire(std::move(link_request), deadlines, result.refusal, reason);
+  if (result.link)
+    result.applied = co_await result.link->apply_session_state(values, prepared, deadline, reason);
+  result.finished = true;
 }
 
 }  // namespace
 
 class StatefulPoolTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatefulPoolTest);
-  CPPUNIT_TEST(session_state_is_applied_to_a_link);
-  CPPUNIT_TEST(foreign_values_are_reset);
-  CPPUNIT_TEST(a_link_with_the_same_values_is_preferred);
-  CPPUNIT_TEST(the_limit_holds_and_returned_links_are_passed_on);
-  CPPUNIT_TEST(closed_links_are_not_given_out);
-  CPPUNIT_TEST(links_to_a_incarnation_that_is_over_are_closed);
-  CPPUNIT_TEST(a_link_that_takes_no_session_state_is_closed);
-  CPPUNIT_TEST(a_full_backend_is_told);
-  CPPUNIT_TEST(a_full_backend_is_not_dialled_again_at_once);
-  CPPUNIT_TEST(idle_links_but_one_are_closed_in_time);
-  CPPUNIT_TEST(a_new_link_may_take_longer_than_the_wait_for_a_free_one);
-  CPPUNIT_TEST(a_link_serves_one_tenant);
-  CPPUNIT_TEST(the_link_unused_for_longest_makes_room_for_another_tenant);
-  CPPUNIT_TEST(a_full_backend_takes_a_link_in_the_place_of_an_idle_one);
-  CPPUNIT_TEST(links_beyond_a_lower_limit_close_at_once);
-  CPPUNIT_TEST(questions_of_the_proxys_own_take_any_tenants_link);
+  CPPUNIT_TEST(applies_session_state);
+  CPPUNIT_TEST(resets_values_of_other_sessions);
+  CPPUNIT_TEST(prefers_link_with_same_values);
+  CPPUNIT_TEST(waits_at_limit_for_released_link);
+  CPPUNIT_TEST(discards_closed_links);
+  CPPUNIT_TEST(retire_closes_links);
+  CPPUNIT_TEST(closes_link_when_setup_fails);
+  CPPUNIT_TEST(reports_connection_refusal);
+  CPPUNIT_TEST(pauses_dialling_after_refusal);
+  CPPUNIT_TEST(trims_idle_links_but_one);
+  CPPUNIT_TEST(dial_may_exceed_wait_for_free_link);
+  CPPUNIT_TEST(link_serves_one_tenant);
+  CPPUNIT_TEST(evicts_least_recently_used_link_for_other_tenant);
+  CPPUNIT_TEST(replaces_idle_link_at_full_backend);
+  CPPUNIT_TEST(lower_limit_closes_idle_links);
+  CPPUNIT_TEST(proxy_queries_use_link_of_any_tenant);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -136,130 +137,131 @@
     pool_.reset();
   }
 
-  void session_state_is_applied_to_a_link() {
+  void applies_session_state() {
     const PreparedShape shape{true, "q2c"};
-    const Taken taken = take_one({{"tag", "a"}}, shape);
-    CPPUNIT_ASSERT(taken.in_order);
+    const AcquireResult result = acquire_one({{"tag", "a"}}, shape);
+    CPPUNIT_ASSERT(result.applied);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), dialer_->links[0]->values.at("tag"));
     CPPUNIT_ASSERT_EQUAL(std::string("q2c"),
-                         dialer_->links[0]->prepared.at(taken.link->prepared_name(shape)));
+                         dialer_->links[0]->prepared.at(result.link->prepared_name(shape)));
     const int before = dialer_->links[0]->requests;
-    pool_->release(taken.link);
-    const Taken again = take_one({{"tag", "a"}}, shape);
+    pool_->release(result.link);
+    const AcquireResult again = acquire_one({{"tag", "a"}}, shape);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("no state is applied twice", before, dialer_->links[0]->requests);
-    CPPUNIT_ASSERT(again.link == taken.link);
+    CPPUNIT_ASSERT(again.link == result.link);
   }
 
-  void foreign_values_are_reset() {
-    pool_->release(take_one({{"tag", "a"}, {"locale", "mi"}}).link);
-    const Taken other = take_one({{"tag", "b"}});
-    CPPUNIT_ASSERT(other.in_order);
+  void resets_values_of_other_sessions() {
+    pool_->release(acquire_one({{"tag", "a"}, {"locale", "mi"}}).link);
+    const AcquireResult other = acquire_one({{"tag", "b"}});
+    CPPUNIT_ASSERT(other.applied);
     CPPUNIT_ASSERT_EQUAL(1, dialer_->links[0]->resets);
     CPPUNIT_ASSERT(dialer_->links[0]->values == (SessionValues{{"tag", "b"}}));
   }
 
-  void a_link_with_the_same_values_is_preferred() {
-    const Taken first = take_one({{"tag", "a"}});
-    const Taken second = take_one({{"tag", "b"}});
+  void prefers_link_with_same_values() {
+    const AcquireResult first = acquire_one({{"tag", "a"}});
+    const AcquireResult second = acquire_one({{"tag", "b"}});
     pool_->release(first.link);
     pool_->release(second.link);
-    CPPUNIT_ASSERT(take_one({{"tag", "a"}}).link == first.link);
+    CPPUNIT_ASSERT(acquire_one({{"tag", "a"}}).link == first.link);
   }
 
   /// Acquires a link of the tenant and releases it.
-  std::shared_ptr<StatefulLink> use(const std::string& tenant, bool any_tenant = false) {
-    Taken taken;
+  std::shared_ptr<StatefulLink> acquire_and_release(const std::string& tenant, bool any_tenant = false) {
+    AcquireResult result;
     runtime_->spawn("take",
-                    take_for(*runtime_, *pool_, LinkRequest{TenantName(tenant), {}, any_tenant}, taken));
+                    acquire_link(*runtime_, *pool_, LinkRequest{TenantName(tenant), {}, any_tenant}, result));
     world_->run_for(milliseconds(1));
-    CPPUNIT_ASSERT(taken.finished);
-    if (taken.link) pool_->release(taken.link);
-    return taken.link;
+    CPPUNIT_ASSERT(result.finished);
+    if (result.link) pool_->release(result.link);
+    return result.link;
   }
 
-  void a_link_serves_one_tenant() {
-    const auto first = use("one");
-    CPPUNIT_ASSERT(use("two") != first);
-    CPPUNIT_ASSERT(use("one") == first);
+  void link_serves_one_tenant() {
+    const auto first = acquire_and_release("one");
+    CPPUNIT_ASSERT(acquire_and_release("two") != first);
+    CPPUNIT_ASSERT(acquire_and_release("one") == first);
     CPPUNIT_ASSERT(dialer_->tenants == (std::vector<std::string>{"one", "two"}));
   }
 
-  void the_link_unused_for_longest_makes_room_for_another_tenant() {
-    const auto one = use("one");
-    const auto two = use("two");
-    use("one");
-    const auto three = use("three");
+  void evicts_least_recently_used_link_for_other_tenant() {
+    const auto one = acquire_and_release("one");
+    const auto two = acquire_and_release("two");
+    acquire_and_release("one");
+    const auto three = acquire_and_release("three");
     CPPUNIT_ASSERT(one->link().is_open() && !two->link().is_open());
     CPPUNIT_ASSERT_EQUAL(std::string("three"), three->tenant().value);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("one link is opened for each tenant", std::size_t{3}, dialer_->links.size());
   }
 
-  void a_full_backend_takes_a_link_in_the_place_of_an_idle_one() {
-    const auto one = use("one");
+  void replaces_idle_link_at_full_backend() {
+    const auto one = acquire_and_release("one");
     dialer_->full = true;
-    CPPUNIT_ASSERT(use("two") == nullptr);
+    CPPUNIT_ASSERT(acquire_and_release("two") == nullptr);
     dialer_->full = false;
-    CPPUNIT_ASSERT_MESSAGE("an idle link is replaced before the pause ends", use("two") != nullptr);
+    CPPUNIT_ASSERT_MESSAGE("an idle link is replaced before the pause ends",
+                           acquire_and_release("two") != nullptr);
     CPPUNIT_ASSERT(!one->link().is_open());
   }
 
   /// When the proxies of a lost zone return, those that took over their work hold idle links beyond their
   /// share for 20 s, and the backend accepts no others meanwhile.
-  void links_beyond_a_lower_limit_close_at_once() {
-    const auto one = use("one");
-    const auto two = use("two");
+  void lower_limit_closes_idle_links() {
+    const auto one = acquire_and_release("one");
+    const auto two = acquire_and_release("two");
     pool_->set_limit(1);
     CPPUNIT_ASSERT_MESSAGE("the least recently used link is closed", !one->link().is_open());
     CPPUNIT_ASSERT(two->link().is_open());
   }
 
-  void questions_of_the_proxys_own_take_any_tenants_link() {
-    const auto one = use("one");
-    CPPUNIT_ASSERT(use("", true) == one);
-    CPPUNIT_ASSERT(use("") != one);
+  void proxy_queries_use_link_of_any_tenant() {
+    const auto one = acquire_and_release("one");
+    CPPUNIT_ASSERT(acquire_and_release("", true) == one);
+    CPPUNIT_ASSERT(acquire_and_release("") != one);
   }
 
-  void a_new_link_may_take_longer_than_the_wait_for_a_free_one() {
-    dialer_->takes = milliseconds(20);
-    Taken taken;
+  void dial_may_exceed_wait_for_free_link() {
+    dialer_->dial_delay = milliseconds(20);
+    AcquireResult result;
     const TimePoint now = runtime_->now();
     const LinkDeadlines deadlines{now + milliseconds(8), now + milliseconds(100)};
     const auto acquire = [&]() -> Awaitable<void> {
       Reason reason;
-      LinkRequest wish;
-      taken.link = co_await pool_->acquire(std::move(wish), deadlines, taken.refusal, reason);
-      taken.finished = true;
+      LinkRequest link_request;
+      result.link = co_await pool_->acquire(std::move(link_request), deadlines, result.refusal, reason);
+      result.finished = true;
     };
     runtime_->spawn("acquire", acquire());
     world_->run_for(milliseconds(50));
-    CPPUNIT_ASSERT(taken.finished);
-    CPPUNIT_ASSERT(taken.link != nullptr);
+    CPPUNIT_ASSERT(result.finished);
+    CPPUNIT_ASSERT(result.link != nullptr);
   }
 
-  void the_limit_holds_and_returned_links_are_passed_on() {
-    const Taken first = take_one({});
-    const Taken second = take_one({});
-    Taken third;
-    runtime_->spawn("take", take(*runtime_, *pool_, {}, std::nullopt, third));
+  void waits_at_limit_for_released_link() {
+    const AcquireResult first = acquire_one({});
+    const AcquireResult second = acquire_one({});
+    AcquireResult third;
+    runtime_->spawn("take", acquire_and_apply(*runtime_, *pool_, {}, std::nullopt, third));
     world_->run_for(milliseconds(10));
     CPPUNIT_ASSERT(!third.finished);
     pool_->release(first.link);
     world_->run_for(milliseconds(10));
     CPPUNIT_ASSERT(third.link == first.link);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, dialer_->links.size());
-    CPPUNIT_ASSERT_MESSAGE("the wait for a link times out", take_one({}).link == nullptr);
+    CPPUNIT_ASSERT_MESSAGE("the wait for a link times out", acquire_one({}).link == nullptr);
   }
 
-  void closed_links_are_not_given_out() {
-    const Taken first = take_one({});
+  void discards_closed_links() {
+    const AcquireResult first = acquire_one({});
     pool_->release(first.link);
     dialer_->links[0]->open = false;
-    CPPUNIT_ASSERT(take_one({}).link != first.link);
+    CPPUNIT_ASSERT(acquire_one({}).link != first.link);
   }
 
-  void links_to_a_incarnation_that_is_over_are_closed() {
-    const Taken idle = take_one({});
-    const Taken used = take_one({});
+  void retire_closes_links() {
+    const AcquireResult idle = acquire_one({});
+    const AcquireResult used = acquire_one({});
     pool_->release(idle.link);
     pool_->retire();
     CPPUNIT_ASSERT(!dialer_->links[0]->open);
@@ -268,40 +270,40 @@
     CPPUNIT_ASSERT(!dialer_->links[1]->open);
   }
 
-  void a_link_that_takes_no_session_state_is_closed() {
-    pool_->release(take_one({}).link);
+  void closes_link_when_setup_fails() {
+    pool_->release(acquire_one({}).link);
     dialer_->links[0]->fails = true;
-    const Taken taken = take_one({{"tag", "a"}});
-    CPPUNIT_ASSERT(!taken.in_order);
+    const AcquireResult result = acquire_one({{"tag", "a"}});
+    CPPUNIT_ASSERT(!result.applied);
     CPPUNIT_ASSERT(!dialer_->links[0]->open);
   }
 
-  void a_full_backend_is_told() {
+  void reports_connection_refusal() {
     dialer_->full = true;
-    const Taken taken = take_one({});
-    CPPUNIT_ASSERT(!taken.link);
-    CPPUNIT_ASSERT(taken.refusal == Refusal::kConnectionLimit);
+    const AcquireResult result = acquire_one({});
+    CPPUNIT_ASSERT(!result.link);
+    CPPUNIT_ASSERT(result.refusal == Refusal::kConnectionLimit);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, pool_->in_use());
   }
 
-  void a_full_backend_is_not_dialled_again_at_once() {
+  void pauses_dialling_after_refusal() {
     dialer_->full = true;
-    CPPUNIT_ASSERT(!take_one({}).link);
+    CPPUNIT_ASSERT(!acquire_one({}).link);
     CPPUNIT_ASSERT(pool_->is_refused());
     const TimePoint before = runtime_->now();
-    const Taken again = take_one({});
+    const AcquireResult again = acquire_one({});
     CPPUNIT_ASSERT(again.refusal == Refusal::kConnectionLimit);
     CPPUNIT_ASSERT_MESSAGE("the refusal does not wait", runtime_->now() - before <= milliseconds(10));
     CPPUNIT_ASSERT_EQUAL(1, dialer_->dials);
     dialer_->full = false;
     world_->run_for(milliseconds(200));
     CPPUNIT_ASSERT(!pool_->is_refused());
-    CPPUNIT_ASSERT(take_one({}).link != nullptr);
+    CPPUNIT_ASSERT(acquire_one({}).link != nullptr);
   }
 
-  void idle_links_but_one_are_closed_in_time() {
-    const Taken first = take_one({});
-    const Taken second = take_one({});
+  void trims_idle_links_but_one() {
+    const AcquireResult first = acquire_one({});
+    const AcquireResult second = acquire_one({});
     pool_->release(first.link);
     pool_->release(second.link);
     pool_->trim(runtime_->now(), 1);
@@ -312,12 +314,13 @@
   }
 
  private:
-  Taken take_one(SessionValues values, std::optional<PreparedShape> prepared = std::nullopt) {
-    Taken taken;
-    runtime_->spawn("take", take(*runtime_, *pool_, std::move(values), std::move(prepared), taken));
-    world_->run_until([&] { return taken.finished; }, seconds(1));
-    CPPUNIT_ASSERT(taken.finished);
-    return taken;
+  AcquireResult acquire_one(SessionValues values, std::optional<PreparedShape> prepared = std::nullopt) {
+    AcquireResult result;
+    runtime_->spawn("take",
+                    acquire_and_apply(*runtime_, *pool_, std::move(values), std::move(prepared), result));
+    world_->run_until([&] { return result.finished; }, seconds(1));
+    CPPUNIT_ASSERT(result.finished);
+    return result;
   }
 
   std::unique_ptr<simulation::World> world_;
--- a/tests/registered/proxy/links/statement_gate_test.cpp
+++ b/tests/registered/proxy/links/statement_gate_test.cpp
@@ -19,9 +19,9 @@
   TimePoint at{};
 };
 
-Awaitable<void> enter(runtime::Runtime& runtime, StatementGate& gate, std::uint8_t priority,
-                      Duration patience, Entry& entry) {
-  entry.entered = co_await gate.enter(priority, runtime.now() + patience);
+Awaitable<void> enter(runtime::Runtime& runtime, StatementGate& gate, std::uint8_t priority, Duration timeout,
+                      Entry& entry) {
+  entry.entered = co_await gate.enter(priority, runtime.now() + timeout);
   entry.at = runtime.now();
   entry.finished = true;
 }
@@ -30,10 +30,10 @@
 
 class StatementGateTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatementGateTest);
-  CPPUNIT_TEST(the_most_urgent_goes_first);
-  CPPUNIT_TEST(who_waited_long_enough_is_told_so);
-  CPPUNIT_TEST(who_would_wait_too_long_is_told_at_once);
-  CPPUNIT_TEST(no_place_is_lost_whatever_the_answer);
+  CPPUNIT_TEST(admits_by_priority);
+  CPPUNIT_TEST(rejects_at_deadline);
+  CPPUNIT_TEST(rejects_hopeless_wait_at_once);
+  CPPUNIT_TEST(every_leave_frees_a_slot);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -48,7 +48,7 @@
     gate_.reset();
   }
 
-  void the_most_urgent_goes_first() {
+  void admits_by_priority() {
     Entry first;
     Entry patient;
     Entry urgent;
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(patient.entered);
   }
 
-  void who_waited_long_enough_is_told_so() {
+  void rejects_at_deadline() {
     Entry first;
     Entry second;
     start(1, seconds(1), first);
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, gate_->running());
   }
 
-  void who_would_wait_too_long_is_told_at_once() {
+  void rejects_hopeless_wait_at_once() {
     for (int statement = 0; statement < 50; ++statement) {
       Entry entry;
       start(1, seconds(1), entry);
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT_MESSAGE("two statements of 100 ms are ahead", hopeless.finished && !hopeless.entered);
   }
 
-  void no_place_is_lost_whatever_the_answer() {
+  void every_leave_frees_a_slot() {
     Entry entry;
     start(1, seconds(1), entry);
     gate_->leave_busy();
@@ -107,8 +107,8 @@
   }
 
  private:
-  void start(std::uint8_t priority, Duration patience, Entry& entry) {
-    runtime_->spawn("enter", enter(*runtime_, *gate_, priority, patience, entry));
+  void start(std::uint8_t priority, Duration timeout, Entry& entry) {
+    runtime_->spawn("enter", enter(*runtime_, *gate_, priority, timeout, entry));
     world_->run_for(milliseconds(1));
   }
 
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -52,12 +52,12 @@
     auto& links = links_[address.backend];
     std::erase_if(links, [](const auto& one) { return !one->is_open(); });
     links.push_back(link);
-    most = std::max(most, links.size());
+    max_open = std::max(max_open, links.size());
     ++opened;
     co_return link;
   }
   int opened = 0;
-  std::size_t most = 0;
+  std::size_t max_open = 0;
 
  private:
   std::map<BackendName, std::vector<std::shared_ptr<OpenLink>>> links_;
@@ -67,9 +67,9 @@
   std::optional<Refusal> refusal;
   Reason reason;
   const TimePoint deadline = runtime.now() + seconds(1);
-  LinkRequest wish{std::move(tenant), {}};
+  LinkRequest link_request{std::move(tenant), {}};
   const LinkDeadlines deadlines{deadline, deadline};
-  auto link = co_await pool.acquire(std::move(wish), deadlines, refusal, reason);
+  auto link = co_await pool.acquire(std::move(link_request), deadlines, refusal, reason);
   if (!link) co_return;
   co_await runtime.sleep_for(milliseconds(25));
   pool.release(link);
@@ -83,11 +83,11 @@
 
 class TenantLinksTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantLinksTest);
-  CPPUNIT_TEST(skewed_tenants_find_their_links_open);
+  CPPUNIT_TEST(skewed_tenants_reuse_links);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void skewed_tenants_find_their_links_open() {
+  void skewed_tenants_reuse_links() {
     simulation::World world(simulation::WorldSettings{});
     runtime_ = &world.start_bare({"proxy", "10.0.0.1", ZoneName("zone-0")});
     const subset::SubsetTable table(all_proxies());
@@ -107,7 +107,8 @@
     }
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} new links for {} statements", dialer_.opened, kStatements),
                            dialer_.opened * 100 <= kMostNewLinks * kStatements);
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} links open at one backend", dialer_.most), dialer_.most <= 52);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} links open at one backend", dialer_.max_open),
+                           dialer_.max_open <= 52);
   }
 
  private:
@@ -126,11 +127,12 @@
   void run_one(const TenantName& tenant, double part, std::mt19937& random) {
     const std::vector<ZoneName> reading{ZoneName("zone-0"), ZoneName("zone-1"), ZoneName("zone-2")};
     const bool at_primary = random() % 5 == 0;
-    const ZoneName came_in(fmt::format("zone-{}", random() % 4));
-    const ZoneName zone = at_primary ? ZoneName("zone-0") : tenancy::zone_of_reads(reading, tenant, came_in);
-    const NodeName forwarder(fmt::format("{}-{}", came_in.value, random() % 20));
-    const auto order =
-        tenancy::order_for_tenant(subset::forwarding_order(serving_, forwarder, came_in), tenant, part, zone);
+    const ZoneName origin_zone(fmt::format("zone-{}", random() % 4));
+    const ZoneName zone =
+        at_primary ? ZoneName("zone-0") : tenancy::zone_of_reads(reading, tenant, origin_zone);
+    const NodeName forwarder(fmt::format("{}-{}", origin_zone.value, random() % 20));
+    const auto order = tenancy::order_for_tenant(subset::forwarding_order(serving_, forwarder, origin_zone),
+                                                 tenant, part, zone);
     runtime_->spawn("use", use_link(*runtime_, pool_of(order.front(), zone), tenant));
   }
 
@@ -145,7 +147,7 @@
     rule.max_connections = 56;
     found->second.set_limit(
         tenancy::links_of_proxy(registry::usable_connections(rule), counts_, zone, proxy->zone));
-    found->second.set_idle_life(proxy->zone == zone ? kNearIdleLinkLife : kIdleLinkLife);
+    found->second.set_idle_timeout(proxy->zone == zone ? kLocalIdleLinkTimeout : kIdleLinkTimeout);
     return found->second;
   }
 
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -289,7 +289,7 @@
   run_for(milliseconds(1));
 }
 
-Awaitable<void> SessionStand::hold_gate(std::shared_ptr<BackendUse> backend) {
+Awaitable<void> SessionStand::hold_gate(std::shared_ptr<BackendState> backend) {
   const bool entered = co_await backend->gate.enter(0, now());
   CPPUNIT_ASSERT(entered);
   const auto event = take_event(Step::kGate);
--- a/tests/registered/proxy/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -84,7 +84,7 @@
   friend class StandLink;
   class Dialer;
 
-  Awaitable<void> hold_gate(std::shared_ptr<BackendUse> backend);
+  Awaitable<void> hold_gate(std::shared_ptr<BackendState> backend);
   /// What happens during the step, if anything.
   std::function<void()> take_event(Step step);
 
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -225,14 +225,14 @@
     proxy_->script.meanwhile = [this] {
       group_->set_term({kGroup, 2, BackendName("replica"), true, 3, 2, 0});
     };
-    ask_position(*runtime_, proxy_->view, group_);
+    query_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statuses);
-    CPPUNIT_ASSERT(group_->positions.wants_newer(milliseconds(1500)));
+    CPPUNIT_ASSERT(group_->positions.needs_refresh(milliseconds(1500)));
     proxy_->script.meanwhile = nullptr;
-    ask_position(*runtime_, proxy_->view, group_);
+    query_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
-    CPPUNIT_ASSERT(!group_->positions.wants_newer(milliseconds(1500)));
+    CPPUNIT_ASSERT(!group_->positions.needs_refresh(milliseconds(1500)));
   }
 
   void a_changed_document_binds_the_next_transaction() {
--- a/tests/registered/proxy/statement/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -127,7 +127,7 @@
     world_->run_for(milliseconds(50));
     const auto group = proxy_->view.find_group(kGroup);
     const auto link = std::make_shared<ScriptedLink>(*runtime_, backends(), "one");
-    group->primary_health.begin_work(PrimaryWork{link, runtime_->now(), true});
+    group->primary_health.add_pending(PendingStatement{link, runtime_->now(), true});
     world_->run_for(seconds(1));
     for (const bool may_have_run : {false, true}) {
       StatementRequest again = order();
