--- a/src/registered/proxy/group/position_keeper.h
+++ b/src/registered/proxy/group/position_keeper.h
@@ -1,6 +1,6 @@
-// Keeps what this proxy knows of primaries' logs young enough for reads at replicas. Where tenants' writes
-// run at proxies of the primary's zone, the others see no answers of it, and each of their reads that renews
-// what is known would open a link for its tenant there.
+// Keeps the known log positions of primaries recent enough for reads at replicas. Where writes of tenants run
+// at proxies in the primary's zone, other proxies see no answers of the primary, and each read that refreshed
+// the position there would open a link for its tenant.
 #pragma once
 
 #include <memory>
@@ -11,23 +11,23 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What it refers to outlives it; it lives until the process ends.
-class PositionKeeper {
+/// Must live until the process ends. References are not owned and must outlive this object.
+class PositionRefresher {
  public:
-  PositionKeeper(runtime::Runtime& runtime, FleetView& view) : runtime_(runtime), view_(view) {}
+  PositionRefresher(runtime::Runtime& runtime, FleetView& view) : runtime_(runtime), view_(view) {}
 
   void start();
   void stop() { stopping_ = true; }
 
  private:
   Awaitable<void> run();
-  void ask_where_due();
-  /// Asks the group's primary, on any link, where its log is.
-  Awaitable<void> ask(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> primary);
+  void query_due_groups();
+  /// Queries the log position of the group's primary over a link of any tenant.
+  Awaitable<void> query_primary(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendState> primary);
 
   runtime::Runtime& runtime_;
   FleetView& view_;
-  std::set<GroupName> asking_;
+  std::set<GroupName> queried_groups_;
   bool stopping_ = false;
 };
 
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -1,5 +1,5 @@
-// When the members of a group lend their proxy a lease: all of them answer, as replicas of the term that it
-// knows, and none is paused; and control was not gone for too long.
+// Guards against member leases unless all members answer as unpaused replicas of the known term, and against
+// leases long after control was lost.
 #include "registered/proxy/group/member_lease_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,53 +12,55 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class MemberLeaseKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(MemberLeaseKeeperTest);
-  CPPUNIT_TEST(replicas_of_the_term_lend_a_lease);
-  CPPUNIT_TEST(a_member_that_is_no_replica_of_the_term_lends_none);
-  CPPUNIT_TEST(a_member_that_joins_while_others_are_asked_counts);
-  CPPUNIT_TEST(the_lease_is_the_epochs);
-  CPPUNIT_TEST(nobody_lends_to_who_never_had_one);
-  CPPUNIT_TEST(nothing_is_lent_after_control_was_gone_for_long);
-  CPPUNIT_TEST(a_lease_is_counted_from_the_question);
+class MemberLeaseRenewerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(MemberLeaseRenewerTest);
+  CPPUNIT_TEST(replicas_of_term_grant_lease);
+  CPPUNIT_TEST(unfit_member_prevents_lease);
+  CPPUNIT_TEST(member_joining_during_query_prevents_lease);
+  CPPUNIT_TEST(lease_is_bound_to_epoch);
+  CPPUNIT_TEST(no_member_lease_without_prior_control_lease);
+  CPPUNIT_TEST(no_member_lease_after_long_control_outage);
+  CPPUNIT_TEST(lease_starts_at_query);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { start(); }
   void tearDown() override { stand_.reset(); }
 
-  void replicas_of_the_term_lend_a_lease() {
+  void replicas_of_term_grant_lease() {
     lose_control();
     CPPUNIT_ASSERT(serves());
     stand_->run_for(seconds(2));
-    CPPUNIT_ASSERT_MESSAGE("it is renewed", serves());
+    CPPUNIT_ASSERT_MESSAGE("the lease is renewed", serves());
   }
 
-  void a_member_that_is_no_replica_of_the_term_lends_none() {
+  void unfit_member_prevents_lease() {
     struct Case {
       const char* name;
       void (*change)(SessionStand& stand);
     };
     const std::vector<Case> cases{
-        {"it was promoted", [](SessionStand& stand) { stand.statuses["replica"].is_primary = true; }},
-        {"it follows a newer term", [](SessionStand& stand) { stand.statuses["replica"].term = 2; }},
-        {"it follows an older term", [](SessionStand& stand) { stand.statuses["replica"].term = 0; }},
-        {"it is paused", [](SessionStand& stand) { stand.statuses["replica"].pause_term = 2; }},
-        {"it is silent", [](SessionStand& stand) { stand.silent.insert("replica"); }},
-        {"it can't be reached", [](SessionStand& stand) { stand.unreachable.insert("replica"); }},
-        {"one of two is silent",
+        {"the replica was promoted",
+         [](SessionStand& stand) { stand.statuses["replica"].is_primary = true; }},
+        {"the replica follows a newer term", [](SessionStand& stand) { stand.statuses["replica"].term = 2; }},
+        {"the replica follows an older term",
+         [](SessionStand& stand) { stand.statuses["replica"].term = 0; }},
+        {"the replica is paused", [](SessionStand& stand) { stand.statuses["replica"].pause_term = 2; }},
+        {"the replica is silent", [](SessionStand& stand) { stand.silent.insert("replica"); }},
+        {"the replica is unreachable", [](SessionStand& stand) { stand.unreachable.insert("replica"); }},
+        {"one of two replicas is silent",
          [](SessionStand& stand) {
            stand.put_member("another", false);
            stand.statuses["another"].term = 1;
            stand.silent.insert("another");
          }},
-        {"one that leaves is paused",
+        {"a leaving replica is paused",
          [](SessionStand& stand) {
            stand.put_member("another", true);
            stand.statuses["another"].term = 1;
            stand.statuses["another"].pause_term = 2;
          }},
-        {"the primary has started again",
+        {"the primary has restarted",
          [](SessionStand& stand) {
            registry::FleetDelta restarted = stand.delta();
            restarted.terms = {stand.group()->term()};
@@ -67,38 +69,38 @@
            restarted.backends[0].born_ms = 2000;
            stand.view().apply(restarted);
          }},
-        {"nobody else is there",
+        {"the group has no other member",
          [](SessionStand& stand) {
            registry::FleetDelta removed = stand.delta();
            removed.removed_backends = {BackendName("replica")};
            stand.view().apply(removed);
          }},
     };
-    for (const Case& unfit : cases) {
+    for (const Case& test_case : cases) {
       start();
-      unfit.change(*stand_);
+      test_case.change(*stand_);
       lose_control();
-      CPPUNIT_ASSERT_MESSAGE(unfit.name, !serves());
+      CPPUNIT_ASSERT_MESSAGE(test_case.name, !serves());
       stand_->run_for(seconds(2));
-      CPPUNIT_ASSERT_MESSAGE(unfit.name, !serves());
+      CPPUNIT_ASSERT_MESSAGE(test_case.name, !serves());
     }
   }
 
-  void a_member_that_joins_while_others_are_asked_counts() {
+  void member_joining_during_query_prevents_lease() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->statuses["another"].term = 2;
     stand_->during(Step::kStatus, [this] { stand_->put_member("another", false); });
-    // Control's lease has ended, and one from the first question would not have.
+    // Control's lease has expired; a lease from the first query would still be valid.
     stand_->run_for(milliseconds(560));
     CPPUNIT_ASSERT(!stand_->view().lease_valid());
     CPPUNIT_ASSERT(!serves());
   }
 
-  void the_lease_is_the_epochs() {
+  void lease_is_bound_to_epoch() {
     lose_control();
     CPPUNIT_ASSERT(serves());
     stand_->close_group();
-    CPPUNIT_ASSERT_MESSAGE("a closed group has none", !serves());
+    CPPUNIT_ASSERT_MESSAGE("a closed group has no lease", !serves());
     const TimePoint until = stand_->now() + seconds(1);
     GroupAccess& group = *stand_->group();
     const std::uint64_t closed = group.term().epoch;
@@ -111,17 +113,17 @@
     opened.terms = {term};
     stand_->view().apply(opened);
     stand_->view().extend_member_lease(group, closed, group.leadership.membership(), until);
-    CPPUNIT_ASSERT_MESSAGE("asked for another epoch", !serves());
+    CPPUNIT_ASSERT_MESSAGE("granted for another epoch", !serves());
     stand_->view().extend_member_lease(group, term.epoch, group.leadership.membership(), until);
     CPPUNIT_ASSERT(serves());
   }
 
-  void nobody_lends_to_who_never_had_one() {
+  void no_member_lease_without_prior_control_lease() {
     stand_->run_for(seconds(2));
     CPPUNIT_ASSERT(!serves());
   }
 
-  void nothing_is_lent_after_control_was_gone_for_long() {
+  void no_member_lease_after_long_control_outage() {
     lose_control();
     const TimePoint end = stand_->view().lease_until() + registry::kServeWithoutControl;
     stand_->run_for(end - stand_->now() - milliseconds(1));
@@ -134,14 +136,15 @@
     CPPUNIT_ASSERT(!serves());
   }
 
-  void a_lease_is_counted_from_the_question() {
+  void lease_starts_at_query() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->during(Step::kStatus, [] {});
-    const TimePoint begun = stand_->now();
-    // Until the first answers have come, which took kEventfulStep; there are no others.
+    const TimePoint started_at = stand_->now();
+    // Runs until the first answers have arrived, after kEventfulStep; no others follow.
     stand_->run_for(kMemberLeaseTick + kEventfulStep + milliseconds(10));
     stand_->silent.insert("replica");
-    stand_->run_for(begun + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) - stand_->now());
+    stand_->run_for(started_at + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) -
+                    stand_->now());
     CPPUNIT_ASSERT(!stand_->view().lease_valid() && serves());
     stand_->run_for(milliseconds(20));
     CPPUNIT_ASSERT(!serves());
@@ -151,10 +154,10 @@
   void start() {
     stand_.reset();
     stand_ = std::make_unique<SessionStand>();
-    keeper_ = std::make_unique<MemberLeaseKeeper>(stand_->runtime(), stand_->view(), stand_->metrics());
-    keeper_->start();
+    renewer_ = std::make_unique<MemberLeaseRenewer>(stand_->runtime(), stand_->view(), stand_->metrics());
+    renewer_->start();
   }
-  /// Control's lease has ended when it returns.
+  /// Control's lease has expired on return.
   void lose_control() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->run_for(milliseconds(600));
@@ -163,9 +166,9 @@
   [[nodiscard]] bool serves() { return stand_->view().holds_lease_for(*stand_->group()); }
 
   std::unique_ptr<SessionStand> stand_;
-  std::unique_ptr<MemberLeaseKeeper> keeper_;
+  std::unique_ptr<MemberLeaseRenewer> renewer_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(MemberLeaseKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(MemberLeaseRenewerTest);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/group/primary_health_test.cpp
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -1,4 +1,4 @@
-// When a primary counts as silent, as of no use, and when its commits count as stalled.
+// When a primary counts as silent or unusable, and when its commits count as stalled.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -39,7 +39,7 @@
   bool open_ = true;
 };
 
-/// A statement that was sent so long ago and has no answer.
+/// A statement that was sent `age` ago and has no answer.
 struct Sent {
   Duration age;
   bool commits;
@@ -49,10 +49,10 @@
 
 class PrimaryHealthTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PrimaryHealthTest);
-  CPPUNIT_TEST(silence);
-  CPPUNIT_TEST(stalled_commits);
-  CPPUNIT_TEST(a_stall_ends_with_an_answer_or_with_the_primary);
-  CPPUNIT_TEST(a_primary_that_breaks_off_everything_is_of_no_use);
+  CPPUNIT_TEST(detects_silence);
+  CPPUNIT_TEST(detects_stalled_commits);
+  CPPUNIT_TEST(stall_ends_with_answer_or_epoch);
+  CPPUNIT_TEST(dropping_all_statements_is_unusable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -67,7 +67,7 @@
     world_.reset();
   }
 
-  void silence() {
+  void detects_silence() {
     struct Row {
       std::string name;
       std::vector<Sent> sent;
@@ -75,15 +75,18 @@
       bool commits_only;
     };
     const std::vector<Row> rows{
-        {"nothing is under way", {}, false, true},
-        {"just under", {{milliseconds(299), false}}, false, true},
-        {"a read", {{milliseconds(300), false}}, true, false},
-        {"a commit", {{milliseconds(300), true}}, true, true},
-        {"a commit, and a read that is young",
+        {"no pending work", {}, false, true},
+        {"a read below the threshold", {{milliseconds(299), false}}, false, true},
+        {"a read at the threshold", {{milliseconds(300), false}}, true, false},
+        {"a commit at the threshold", {{milliseconds(300), true}}, true, true},
+        {"a silent commit and a recent read",
          {{milliseconds(300), true}, {milliseconds(1), false}},
          true,
          true},
-        {"a commit and a read", {{milliseconds(300), true}, {milliseconds(301), false}}, true, false},
+        {"a silent commit and a silent read",
+         {{milliseconds(300), true}, {milliseconds(301), false}},
+         true,
+         false},
     };
     for (const Row& row : rows) {
       start();
@@ -95,7 +98,7 @@
     }
   }
 
-  void stalled_commits() {
+  void detects_stalled_commits() {
     struct Row {
       std::string name;
       std::vector<Sent> sent;
@@ -103,12 +106,12 @@
       bool refuses;
     };
     const std::vector<Row> rows{
-        {"nothing is under way", {}, {}, false},
-        {"a read is no commit", {{milliseconds(500), false}}, {}, false},
-        {"at the bound", {{milliseconds(200), true}}, {}, false},
-        {"beyond it", {{milliseconds(201), true}}, {}, true},
-        {"one sent later was answered", {{milliseconds(500), true}}, milliseconds(400), false},
-        {"one sent before was answered", {{milliseconds(500), true}}, milliseconds(600), true},
+        {"no pending work", {}, {}, false},
+        {"a read does not count", {{milliseconds(500), false}}, {}, false},
+        {"a commit at the threshold", {{milliseconds(200), true}}, {}, false},
+        {"a commit above the threshold", {{milliseconds(201), true}}, {}, true},
+        {"a later commit was answered", {{milliseconds(500), true}}, milliseconds(400), false},
+        {"only an earlier commit was answered", {{milliseconds(500), true}}, milliseconds(600), true},
     };
     for (const Row& row : rows) {
       start();
@@ -119,32 +122,35 @@
     }
   }
 
-  void a_stall_ends_with_an_answer_or_with_the_primary() {
+  void stall_ends_with_answer_or_epoch() {
     const auto first = send({milliseconds(300), true});
     CPPUNIT_ASSERT(group_->primary_health.refuses_commits());
-    group_->primary_health.end_work(first);
-    CPPUNIT_ASSERT_MESSAGE("one goes, to see whether it is over", !group_->primary_health.refuses_commits());
+    group_->primary_health.remove_pending(first);
+    CPPUNIT_ASSERT_MESSAGE("one commit is sent to detect the end of the stall",
+                           !group_->primary_health.refuses_commits());
     send({milliseconds(0), true});
-    CPPUNIT_ASSERT_MESSAGE("one at a time", group_->primary_health.refuses_commits());
+    CPPUNIT_ASSERT_MESSAGE("only one commit at a time", group_->primary_health.refuses_commits());
     group_->primary_health.record_commit_answered(runtime_->now());
     CPPUNIT_ASSERT(!group_->primary_health.refuses_commits());
     const auto link = std::make_shared<ClosableLink>();
-    group_->primary_health.begin_work({link, runtime_->now() - milliseconds(300), true});
+    group_->primary_health.add_pending({link, runtime_->now() - milliseconds(300), true});
     group_->set_term({GroupName("group"), 1, BackendName("primary"), false, 2, 1});
-    CPPUNIT_ASSERT_MESSAGE("who waits is told at once", !link->is_open());
+    CPPUNIT_ASSERT_MESSAGE("pending work fails at once", !link->is_open());
   }
 
-  void a_primary_that_breaks_off_everything_is_of_no_use() {
-    CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
+  void dropping_all_statements_is_unusable() {
+    CPPUNIT_ASSERT(!group_->primary_health.record_dropped_statement());
     world_->run_for(milliseconds(200));
-    CPPUNIT_ASSERT_MESSAGE("two", !group_->primary_health.mark_broken_off());
-    CPPUNIT_ASSERT_MESSAGE("three, for so long", group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("two dropped statements are too few",
+                           !group_->primary_health.record_dropped_statement());
+    CPPUNIT_ASSERT_MESSAGE("three statements dropped over 200 ms",
+                           group_->primary_health.record_dropped_statement());
     group_->primary_health.record_answered();
     for (int statement = 0; statement < 5; ++statement)
-      CPPUNIT_ASSERT(!group_->primary_health.mark_broken_off());
+      CPPUNIT_ASSERT(!group_->primary_health.record_dropped_statement());
     world_->run_for(milliseconds(200));
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
-    CPPUNIT_ASSERT_MESSAGE("a term begins the count anew", !group_->primary_health.mark_broken_off());
+    CPPUNIT_ASSERT_MESSAGE("a new term resets the count", !group_->primary_health.record_dropped_statement());
   }
 
  private:
@@ -154,7 +160,7 @@
     group_->set_term({GroupName("group"), 1, BackendName("primary"), true, 1, 1});
   }
   std::uint64_t send(const Sent& sent) {
-    return group_->primary_health.begin_work(
+    return group_->primary_health.add_pending(
         {std::make_shared<ClosableLink>(), runtime_->now() - sent.age, sent.commits});
   }
 
--- a/tests/registered/proxy/group/read_need_test.cpp
+++ b/tests/registered/proxy/group/read_need_test.cpp
@@ -1,4 +1,5 @@
-// What a read must see, by its route, its session's latest commit and what is known of the primary's log.
+// What a read must see, depending on its route, its session's latest commit and the known positions of the
+// primary.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -24,8 +25,8 @@
   }
 };
 
-/// The primary showed the log's end at `index`, so long ago.
-struct Shown {
+/// The primary showed `index` as the end of its log, `age` ago.
+struct ShownPosition {
   Duration age;
   std::uint64_t index;
 };
@@ -33,12 +34,12 @@
 struct Row {
   std::string name;
   ReadPolicy reads = ReadPolicy::kBoundedStaleness;
-  std::vector<Shown> shown;
-  std::uint64_t committed = 0;  ///< by the session, 100 ms ago; 0: nothing
+  std::vector<ShownPosition> shown;
+  std::uint64_t committed = 0;  ///< by the session, 100 ms ago; 0: none
   bool open = true;
-  /// What is expected; 0: only the primary may serve it.
+  /// Expected position; 0: only the primary may serve the read.
   std::uint64_t required = 0;
-  Duration since{0};  ///< so long ago the primary had it
+  Duration since{0};  ///< expected time since the primary had it
 };
 
 constexpr Duration kStaleness = milliseconds(900);
@@ -47,9 +48,9 @@
 
 class ReadNeedTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReadNeedTest);
-  CPPUNIT_TEST(by_policy_and_positions);
-  CPPUNIT_TEST(what_a_primary_showed_is_forgotten_with_its_term);
-  CPPUNIT_TEST(a_question_is_due_once_what_is_known_gets_old);
+  CPPUNIT_TEST(depends_on_policy_and_positions);
+  CPPUNIT_TEST(new_term_discards_positions);
+  CPPUNIT_TEST(query_is_due_when_position_ages);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -63,36 +64,39 @@
     world_.reset();
   }
 
-  void by_policy_and_positions() {
-    const std::vector<Shown> young{{milliseconds(950), 10}, {milliseconds(400), 12}};
-    const std::vector<Shown> old{{milliseconds(880), 10}, {milliseconds(460), 12}};
+  void depends_on_policy_and_positions() {
+    const std::vector<ShownPosition> young{{milliseconds(950), 10}, {milliseconds(400), 12}};
+    const std::vector<ShownPosition> old{{milliseconds(880), 10}, {milliseconds(460), 12}};
     const std::vector<Row> rows{
         {"a route that reads at the primary", ReadPolicy::kPrimary, young, 0, true, 0, {}},
-        {"nothing is known", ReadPolicy::kBoundedStaleness, {}, 0, true, 0, {}},
-        {"the youngest that covers the bound", ReadPolicy::kBoundedStaleness, young, 0, true, 12,
+        {"no position is known", ReadPolicy::kBoundedStaleness, {}, 0, true, 0, {}},
+        {"the earliest position that covers the bound", ReadPolicy::kBoundedStaleness, young, 0, true, 12,
          milliseconds(400)},
-        {"a bound ignores the session", ReadPolicy::kBoundedStaleness, young, 20, true, 12,
+        {"bounded staleness ignores the session's commit", ReadPolicy::kBoundedStaleness, young, 20, true, 12,
          milliseconds(400)},
-        {"own writes: nothing committed", ReadPolicy::kReadYourWrites, young, 0, true, 12, milliseconds(400)},
-        {"own writes: committed before", ReadPolicy::kReadYourWrites, young, 11, true, 12, milliseconds(400)},
-        {"own writes: committed since", ReadPolicy::kReadYourWrites, young, 13, true, 13, milliseconds(100)},
-        {"half of the bound is over: the primary shows a newer one",
+        {"read your writes: nothing committed", ReadPolicy::kReadYourWrites, young, 0, true, 12,
+         milliseconds(400)},
+        {"read your writes: committed before", ReadPolicy::kReadYourWrites, young, 11, true, 12,
+         milliseconds(400)},
+        {"read your writes: committed since", ReadPolicy::kReadYourWrites, young, 13, true, 13,
+         milliseconds(100)},
+        {"older than half of the bound: refreshed at the primary",
          ReadPolicy::kBoundedStaleness,
          old,
          0,
          true,
          0,
          {}},
-        {"without a primary it serves on", ReadPolicy::kBoundedStaleness, old, 0, false, 10,
+        {"without a primary: an older position serves", ReadPolicy::kBoundedStaleness, old, 0, false, 10,
          milliseconds(880)},
-        {"without a primary until it is too old",
+        {"without a primary: the position is too old",
          ReadPolicy::kBoundedStaleness,
          {{milliseconds(901), 10}},
          0,
          false,
          0,
          {}},
-        {"first seen earlier than the sighting that covers",
+        {"first seen earlier than the entry that covers the bound",
          ReadPolicy::kBoundedStaleness,
          {{milliseconds(950), 12}, {milliseconds(300), 12}},
          0,
@@ -103,32 +107,32 @@
     for (const Row& row : rows) check(row);
   }
 
-  void what_a_primary_showed_is_forgotten_with_its_term() {
+  void new_term_discards_positions() {
     start(true);
     group_->positions.record(runtime_->now(), {1, 7});
     CPPUNIT_ASSERT(!need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(1, false);
-    CPPUNIT_ASSERT_MESSAGE("the same term, closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
+    CPPUNIT_ASSERT_MESSAGE("the same term is closed", !need(ReadPolicy::kBoundedStaleness, {}).primary_only);
     set_term(2, true);
     CPPUNIT_ASSERT(need(ReadPolicy::kBoundedStaleness, {}).primary_only);
-    CPPUNIT_ASSERT(!group_->positions.shown());
+    CPPUNIT_ASSERT(!group_->positions.highest_shown());
   }
 
-  void a_question_is_due_once_what_is_known_gets_old() {
+  void query_is_due_when_position_ages() {
     start(true);
-    CPPUNIT_ASSERT_MESSAGE("no such read came", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no bounded-staleness read yet", !is_position_due());
     need(ReadPolicy::kBoundedStaleness, {});
-    CPPUNIT_ASSERT_MESSAGE("nothing is known", is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no position is known", is_position_due());
     group_->positions.record(runtime_->now(), {1, 7});
     world_->run_for(milliseconds(300));
-    CPPUNIT_ASSERT_MESSAGE("a third of the bound", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("exactly a third of the bound", !is_position_due());
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT(is_position_due());
     set_term(1, false);
-    CPPUNIT_ASSERT_MESSAGE("nobody to ask", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no open primary to query", !is_position_due());
     set_term(1, true);
     world_->run_for(seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("such reads no longer come", !is_position_due());
+    CPPUNIT_ASSERT_MESSAGE("no recent bounded-staleness reads", !is_position_due());
   }
 
  private:
@@ -152,12 +156,12 @@
     return group_->need_of(route, committed);
   }
   [[nodiscard]] bool is_position_due() const {
-    return group_->term().open && group_->positions.is_question_due();
+    return group_->term().open && group_->positions.is_query_due();
   }
   void check(const Row& row) {
     start(row.open);
     const TimePoint now = runtime_->now();
-    for (const Shown& shown : row.shown) group_->positions.record(now - shown.age, {1, shown.index});
+    for (const ShownPosition& shown : row.shown) group_->positions.record(now - shown.age, {1, shown.index});
     SessionCommit committed;
     if (row.committed > 0) committed = {Position{1, row.committed}, now - milliseconds(100)};
     const ReadNeed needed = need(row.reads, committed);
