--- a/src/registered/proxy/fleet/control_conversation.cpp
+++ b/src/registered/proxy/fleet/control_conversation.cpp
@@ -9,7 +9,8 @@
   if (received != bytes) bytes_at = now;
   bytes = received;
   if (asked.empty()) return false;
-  // A first answer may have to wait behind those of many others; a large one takes its time.
+  // The first answer may queue behind those of many other proxies. A large answer counts as progress while
+  // its bytes keep arriving.
   const Duration limit = answered ? kReportTimeout : kFirstReportTimeout;
   return now - std::max(asked.begin()->second, bytes_at) > limit;
 }
--- a/src/registered/proxy/fleet/control_conversation.h
+++ b/src/registered/proxy/fleet/control_conversation.h
@@ -1,4 +1,4 @@
-// One connection of a proxy to a control node, and what was asked on it.
+// A proxy's connection to a control node and its unanswered reports.
 #pragma once
 
 #include <chrono>
@@ -10,26 +10,27 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Without an answer for this long another control node is asked.
+/// A control node that does not answer a report within this time is replaced by another one. The first report
+/// on a connection has a longer timeout.
 inline constexpr Duration kReportTimeout = std::chrono::milliseconds(600);
 inline constexpr Duration kFirstReportTimeout = std::chrono::milliseconds(900);
 
 struct ControlConversation {
   std::shared_ptr<runtime::FrameConnection> connection;
   Endpoint endpoint;
-  std::map<std::uint64_t, TimePoint> asked;  ///< when the reports not yet answered were sent, by nonce
+  std::map<std::uint64_t, TimePoint> asked;  ///< send times of unanswered reports, by nonce
   TimePoint last_asked_at{};
-  bool is_compressed = false;  ///< deltas come compressed
+  bool is_compressed = false;  ///< the control node compresses its deltas
   bool broken = false;
-  bool answered = false;    ///< at least once
-  std::uint64_t bytes = 0;  ///< that had come when last looked at
-  TimePoint bytes_at{};     ///< when more were found to have come
+  bool answered = false;    ///< at least one report has been answered
+  std::uint64_t bytes = 0;  ///< bytes received as of the last is_stalled() call
+  TimePoint bytes_at{};     ///< when is_stalled() last found that `bytes` had grown
 
   void close() {
     broken = true;
     connection->close();
   }
-  /// No answer in time, and nothing of one on its way.
+  /// Whether the oldest unanswered report has timed out and no bytes have arrived within the timeout, either.
   [[nodiscard]] bool is_stalled(TimePoint now);
 };
 
--- a/src/registered/proxy/fleet/fleet_link.cpp
+++ b/src/registered/proxy/fleet/fleet_link.cpp
@@ -74,7 +74,7 @@
     runtime_.spawn("fleet_link_read", read_updates(conversation));
     co_await converse(conversation);
     conversation->close();
-    // Proxies that lost the leader together do not come back together.
+    // Jitter, so that proxies that lost the leader together do not reconnect at the same moment.
     if (!stopping_) co_await runtime_.sleep_for(runtime_.random().between(Duration(0), kControlRetryPause));
   }
 }
@@ -176,7 +176,8 @@
   const auto closed_before = view_.closed_groups().size();
   const std::uint64_t version = view_.document_version();
   view_.apply(delta);
-  // A promotion past this proxy, once it is silent, counts on the backends that it said it knows.
+  // New backends are acknowledged at once: if this proxy falls silent, control decides promotions by the
+  // revision that it last reported.
   report_now_ = report_now_ || view_.closed_groups().size() != closed_before || !delta.backends.empty();
   if (version == view_.document_version()) return;
   runtime_.logger().log(LogLevel::kInfo, "document_in_force",
--- a/src/registered/proxy/fleet/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -1,4 +1,5 @@
-// A proxy's conversation with the leader of the control nodes: leases, changes, answers to closes.
+// A proxy's connection to the leader of the control nodes: renews leases, receives fleet changes and
+// acknowledges closed groups.
 #pragma once
 
 #include <chrono>
@@ -18,49 +19,52 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A lease is asked for this often.
+/// Interval between lease requests, unless the leader sets another one.
 inline constexpr Duration kReportInterval = std::chrono::milliseconds(400);
-/// The same primary is not reported again within this time.
+/// A suspicion of the same group and kind is not reported again within this time.
 inline constexpr Duration kSuspicionRepeat = std::chrono::milliseconds(300);
 
 /// Why a primary is suspected.
 enum class SuspicionKind : std::uint8_t {
-  kSilent,        ///< a statement has no answer
-  kCommitsStall,  ///< only commits have none
-  kUnreachable,   ///< no connection to it can be opened, or it breaks off all that it is sent
+  kSilent,        ///< a statement was not answered in time
+  kCommitsStall,  ///< only commits were not answered in time
+  kUnreachable,   ///< no connection to it can be opened, or every connection breaks once something is sent
 };
 
-/// What it refers to outlives it; it lives until the process ends.
+/// `runtime` and `view` are not owned and must outlive this object, which lives until the process ends.
 class FleetLink {
  public:
   FleetLink(runtime::Runtime& runtime, const SessionProxySettings& settings, FleetView& view);
 
   void start();
   void stop();
-  /// Tells that this proxy takes no new work from others.
+  /// Reports to control that this proxy takes no new work from other proxies.
   void set_draining();
-  /// Where the control node that is followed takes registrations; empty while none is.
+  /// The followed leader's endpoint for backend registrations. Returns std::nullopt while no leader is
+  /// followed or this proxy drains.
   [[nodiscard]] std::optional<Endpoint> registration_endpoint() const;
-  /// A report is sent at once: something must be confirmed that is newer than the last one.
+  /// Sends a report immediately. For callers that need a confirmation of something newer than the last
+  /// report.
   void ask_now();
-  /// Told with the next report, which is sent at once. Repeats within kSuspicionRepeat are dropped.
+  /// Adds the suspicion to the next report, which is sent immediately. Repeats within kSuspicionRepeat are
+  /// dropped.
   void report_suspicion(const GroupAccess& group, SuspicionKind kind);
 
  private:
   using ConversationPointer = std::shared_ptr<ControlConversation>;
 
   Awaitable<void> run();
-  /// The control nodes to ask for the leader, the likeliest first.
+  /// The control nodes to ask for the leader, most likely one first.
   [[nodiscard]] std::vector<Endpoint> candidates();
-  /// Reports until the conversation breaks.
+  /// Sends reports until the conversation breaks or this object is stopped.
   Awaitable<void> converse(ConversationPointer conversation);
-  /// Until the next report is due or wanted, or the conversation is over.
+  /// Waits until the next report is due or was requested, or the conversation has broken or stalled.
   Awaitable<void> wait_for_next_report(ConversationPointer conversation);
   Awaitable<void> read_updates(ConversationPointer conversation);
   registry::ProxyReport make_report();
   void take_update(ControlConversation& conversation, const registry::ProxyUpdate& update);
   void take_refusal(ControlConversation& conversation, const Reason& refusal);
-  /// `bytes`: of the delta on its way.
+  /// `bytes`: encoded size of the delta as it was received.
   void take_delta(const registry::FleetDelta& delta, std::size_t bytes);
   void mark_lost(const Reason& reason, const std::string& peer);
 
@@ -69,7 +73,7 @@
   FleetView& view_;
   LeaderSearch search_;
   runtime::Signal wake_;
-  std::vector<Endpoint> endpoints_;  ///< told by the leader, then the seeds
+  std::vector<Endpoint> endpoints_;  ///< endpoints announced by the leader, then the seeds
   std::optional<Endpoint> hinted_leader_;
   std::uint64_t incarnation_;
   std::uint64_t next_nonce_ = 1;
@@ -78,7 +82,7 @@
   std::map<std::pair<GroupName, SuspicionKind>, TimePoint> suspected_at_;
   bool report_now_ = false;
   bool connected_ = false;
-  std::string followed_;  ///< address of the control node that answered last
+  std::string followed_;  ///< address of the leader that is followed, or was followed last
   bool draining_ = false;
   bool stopping_ = false;
 };
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -116,7 +116,7 @@
 }
 
 void FleetView::log_evacuation(const char* event, const ZoneName& zone, std::uint64_t revision) {
-  // Known since the last answer of control, at the latest: so old may the order be.
+  // The order was given after control's last confirmation, so this is its maximum age.
   const auto confirmed = keys_confirmed_.confirmed_at();
   const std::string age = confirmed ? std::to_string(in_ms(runtime_.now() - *confirmed)) : "unknown";
   runtime_.logger().log(
@@ -215,7 +215,7 @@
   if (found == groups_.end()) return zone_;
   const auto primary = work == GroupWork::kAtPrimary ? found->second->standing.primary() : nullptr;
   if (primary) return primary->entry.zone;
-  // Who leads next may be anywhere. Without a lease others may know more than this proxy.
+  // The next primary may be in any zone. Without a lease other proxies may be better informed.
   if (work == GroupWork::kAtPrimary && holds_lease_for(*found->second)) return std::nullopt;
   if (found->second->backends.reads_in(zone_)) return zone_;
   const ZoneName reads = tenancy::zone_of_reads(found->second->backends.reading_zones(), tenant, zone_);
@@ -284,7 +284,7 @@
   for (const registry::BackendEntry& backend : delta.backends) record_zone(backend.zone);
   for (const registry::AdmittedProxy& proxy : delta.proxies) record_zone(proxy.zone);
   if (delta.routes.empty() && delta.tenants.empty()) return;
-  // These lists may be the first ones.
+  // These may be the first region lists, so the zones of all known backends and proxies are checked.
   for (const auto& [name, group] : groups_) {
     for (const auto& [backend, use] : group->backends.all()) record_zone(use->entry.zone);
   }
@@ -315,7 +315,7 @@
 }
 
 bool FleetView::changes_division(const registry::FleetDelta& delta) const {
-  // A group counts with its connections; terms and routes do not.
+  // A group's rule includes its connection limit. Terms and routes do not affect the division.
   if (delta.is_whole || !delta.proxies.empty() || !delta.removed_proxies.empty()) return true;
   if (!delta.groups.empty() || !delta.removed_backends.empty()) return true;
   return std::any_of(delta.backends.begin(), delta.backends.end(), [this](const auto& entry) {
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -1,4 +1,5 @@
-// A proxy's copy of the registered fleet: routes by database, groups, and how long it may be trusted.
+// A proxy's copy of the registered fleet: routes by database, groups, and the lease under which they are
+// valid.
 #pragma once
 
 #include <chrono>
@@ -21,20 +22,19 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// So soon after its start, or after its last lease, a proxy expects the next one. What needs it waits only
-/// then. After a common loss of power leases came 0.12
-/// to 0.52 s after the proxies' start; a proxy without one by then is cut off, and its callers are told at
-/// once.
+/// Time after process start, and after the end of the last lease, within which the next lease is expected.
+/// Work that needs a lease waits only within this time. Afterwards the proxy is taken to be cut off from
+/// control, and its callers are refused immediately.
 inline constexpr Duration kFirstLeaseExpectedWithin = std::chrono::milliseconds(700);
 inline constexpr Duration kLeaseExpectedWithin = std::chrono::milliseconds(1500);
-/// Orders of proxies for a group and a tenant that are remembered, 0.5 KB each; then they are worked out
-/// anew.
+/// Cached proxy orders per group, tenant and zone, about 0.5 KB each. The cache is cleared when it exceeds
+/// this number.
 inline constexpr std::size_t kMostTenantDivisions = 4096;
 
-/// What a group's backends are to do for a tenant.
+/// The kind of work that a group's backends do for a tenant.
 enum class GroupWork : std::uint8_t { kAtPrimary, kSingleReads };
 
-/// What it refers to outlives it; it lives until the process ends.
+/// `runtime` and `dialer` are not owned and must outlive this object, which lives until the process ends.
 class FleetView {
  public:
   FleetView(runtime::Runtime& runtime, BackendDialer& dialer, const SessionProxySettings& settings)
@@ -52,26 +52,27 @@
         renewed_(runtime),
         started_(runtime.now()) {}
 
-  /// Takes over what changed. Groups closed by it acknowledge nothing any more when this returns.
+  /// Applies the changes. When this returns, groups that the delta closes acknowledge nothing any more.
   void apply(const registry::FleetDelta& delta);
-  /// Control answered a question asked at `asked_at`, after a quorum round: the copy is the newest of then,
-  /// and may be trusted until `until`, on this process's clock.
-  /// `stable_revision`: no proxy acts on an older membership any more.
+  /// Called when control has answered, after a quorum round, a report sent at `asked_at`: the copy was the
+  /// newest one at that time and is valid until `until`. Both are times of this process's clock.
+  /// `stable_revision`: no proxy acts on a membership older than this any more.
   void extend_lease(TimePoint asked_at, TimePoint until, std::uint64_t stable_revision);
 
   [[nodiscard]] bool lease_valid() const { return runtime_.now() < lease_until_; }
   [[nodiscard]] TimePoint lease_until() const { return lease_until_; }
-  /// The group's members gave a lease for the primary of `epoch`, of use as long as control was not gone too
-  /// long.
+  /// Called when the group's members have granted a lease for the primary of `epoch`. The lease ends at
+  /// `until`, and kServeWithoutControl after control's last lease at the latest.
   void extend_member_lease(GroupAccess& group, std::uint64_t epoch, std::uint64_t membership,
                            TimePoint until);
-  /// Control's lease, or that of the group's members, lets this proxy use the group's primary.
+  /// Whether this proxy may use the group's primary, by control's lease or by one of the group's members.
   [[nodiscard]] bool holds_lease_for(const GroupAccess& group) const {
     return lease_valid() || group.leadership.has_member_lease();
   }
-  /// Some group is served by its members' lease.
+  /// Whether any group has a valid lease from its members.
   [[nodiscard]] bool has_member_lease() const;
-  /// Whether a lease is to be expected soon: the process has just started, or the last one has just run out.
+  /// Whether a lease is expected soon because the process has just started or the last lease has just
+  /// expired.
   [[nodiscard]] bool expects_lease() const {
     const TimePoint now = runtime_.now();
     return now < started_ + kFirstLeaseExpectedWithin || now < lease_until_ + kLeaseExpectedWithin;
@@ -79,72 +80,75 @@
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   [[nodiscard]] std::uint64_t document_version() const { return document_version_; }
   [[nodiscard]] Duration transaction_idle() const { return transaction_idle_; }
-  /// Null when no route names the database.
+  /// Returns nullptr if no route names the database.
   [[nodiscard]] const registry::RouteRule* find_route(const DatabaseName& database) const;
-  /// Callers prove their tenant by a key, but on public routes.
+  /// Whether callers must prove their tenant with a key, except on public routes.
   [[nodiscard]] bool requires_keys() const { return requires_keys_; }
-  /// Whether callers of the route have to prove their tenant.
+  /// Whether callers of this route must prove their tenant with a key.
   [[nodiscard]] bool needs_key(const registry::RouteRule& route) const {
     return requires_keys_ && !route.is_public;
   }
-  /// Where a statement of the route and tenant may go by the document of now. What it refers to lives as long
-  /// as this view.
+  /// The regions in which statements of the route and tenant may run, by the current document. The result
+  /// refers to data that lives as long as this view.
   [[nodiscard]] locality::PermittedRegions allowed_regions(const registry::RouteRule& route,
                                                            const TenantName& tenant) const;
   [[nodiscard]] const tenancy::TenantDirectory& tenants() const { return tenants_; }
   [[nodiscard]] const tenancy::KeyConfirmation& keys_confirmed() const { return keys_confirmed_; }
   [[nodiscard]] const EvacuatedZones& evacuated() const { return *evacuated_; }
   [[nodiscard]] const limits::LimitWindow& limit_window() const { return limit_window_; }
-  /// Empty: there is no such tenant.
+  /// Returns std::nullopt if there is no such tenant.
   [[nodiscard]] std::optional<limits::Limit> tenant_limit(const TenantName& tenant) const;
-  /// What may be sent to the backend while it is cold, whether it is now or not. Empty: it is not known here,
-  /// or its group limits nothing.
+  /// The limit on statements to the backend while it is cold, whether or not it is cold now. Returns
+  /// std::nullopt if the backend is unknown here or no limit applies to its group.
   [[nodiscard]] std::optional<limits::Limit> cold_limit(const BackendName& backend) const;
-  /// What this proxy counts for tenants and cold backends, and who counts for the others.
+  /// The quotas that this proxy owns for tenants and cold backends, and the owners of all others.
   limits::QuotaLedger& quotas() { return quotas_; }
   [[nodiscard]] const NodeName& node() const { return node_; }
   [[nodiscard]] const ZoneName& zone() const { return zone_; }
-  /// Null when it is not registered, as far as this proxy knows.
+  /// Returns nullptr if this proxy knows no registered backend of the name.
   [[nodiscard]] const registry::BackendEntry* find_backend(const BackendName& name) const;
-  /// Null when the document has no such group.
+  /// Returns nullptr if the group is unknown.
   std::shared_ptr<GroupAccess> find_group(const GroupName& group);
   [[nodiscard]] const std::map<GroupName, std::shared_ptr<GroupAccess>>& groups() const { return groups_; }
-  /// The proxies to which statements for the group are to be forwarded, first choice first. Empty: this proxy
-  /// serves it. Only so many serve a group that each has connections to work with.
+  /// The proxies to which statements for the group are forwarded, in order of preference. Empty if this proxy
+  /// serves the group itself. Only a subset of the proxies serves a group, so that each has enough
+  /// connections.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& forward_to(const GroupName& group);
-  /// The same for one tenant's statements: a tenant's links to a backend are with few of the proxies of its
-  /// zone that serve the group. This proxy is among them, behind others, where it serves the group as well.
-  /// Empty as well for work at a primary while none may be used: it waits here until its zone is known.
+  /// The same for the statements of one tenant, whose links to a backend are kept at few of the serving
+  /// proxies of the backend's zone. Contains this proxy, behind others, if it serves the group but is not the
+  /// first choice. Also empty for work at a primary while no primary may be used: such work waits at this
+  /// proxy until the primary's zone is known.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& forward_to(const GroupName& group,
                                                                     const TenantName& tenant, GroupWork work);
-  /// The other proxies that serve a group which this proxy serves as well, first choice first.
+  /// For a group that this proxy serves, the other proxies that serve it, in order of preference.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& also_serving(const GroupName& group);
-  /// Every other proxy that takes work, those of this zone first.
+  /// All other proxies that accept new work, those of this zone first.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& others() const { return others_; }
-  /// Those of `proxies` to which a statement's text may be sent, and this proxy, which has it.
+  /// Filters `proxies` by the regions into which a statement's text may be sent. This proxy is never filtered
+  /// out, since it already has the text.
   [[nodiscard]] std::vector<subset::ProxyPointer> in_regions(const std::vector<subset::ProxyPointer>& proxies,
                                                              const locality::PermittedRegions& allowed) const;
-  /// What is to be told of every closed group.
+  /// The acknowledgements of all closed groups, to be reported to control.
   [[nodiscard]] std::vector<registry::ClosedGroup> closed_groups() const;
 
-  /// Whether the primary of `epoch` may be sent to, and its answers be passed on, at this moment: not once
-  /// another incarnation has its name.
+  /// Whether statements may be sent to the primary of `epoch`, and its answers be passed on, at this moment.
+  /// False once another incarnation has registered under the primary's name.
   [[nodiscard]] bool may_use_primary(const GroupAccess& group, std::uint64_t epoch) const {
     const bool is_same =
         group.term().open && group.term().epoch == epoch && !group.backends.is_primary_restarted();
     return is_same && holds_lease_for(group);
   }
-  /// Notified when the lease was extended.
+  /// Notified whenever control's lease or a lease of group members is extended.
   runtime::Signal& renewed() { return renewed_; }
 
  private:
-  /// Whose order of proxies for work in which zone.
+  /// Cache key of a proxy order: whose statements run in which zone.
   struct TenantPlace {
     GroupName group;
     TenantName tenant;
     ZoneName zone;
   };
-  /// Finds a place by references to its parts, so that a look copies none.
+  /// Key by reference, for lookups that copy no string.
   using TenantPlaceView = std::tuple<const GroupName&, const TenantName&, const ZoneName&>;
   struct PlaceOrder {
     using is_transparent = void;
@@ -156,34 +160,35 @@
   };
 
   std::shared_ptr<GroupAccess> access(const GroupName& group);
-  /// Where the backends are that are to do a tenant's work; empty while nobody leads that may be used.
+  /// The zone of the backends that do the tenant's work. Returns std::nullopt for work at a primary if this
+  /// proxy holds a lease but no primary is known.
   [[nodiscard]] std::optional<ZoneName> zone_of_work(const GroupName& group, const TenantName& tenant,
                                                      GroupWork work) const;
-  /// Divides the group's connections among those that serve it.
+  /// Divides the group's connections among the proxies that serve it.
   void share_connections(GroupAccess& group, const std::vector<subset::ProxyPointer>& serving) const;
   void apply_routes(const registry::FleetDelta& delta);
   void apply_backends(const registry::FleetDelta& delta);
-  /// The zones that are given back by it.
+  /// Returns the zones whose evacuation the delta ends.
   std::vector<ZoneName> apply_evacuations(const registry::FleetDelta& delta);
-  /// The moment that counts for orders of the delta at hand. Now under a lease; else the end of the last one,
-  /// since the order may be that old. With no lease ever it may be of any age.
+  /// The time from which evacuation orders in the current delta count: now under a lease, otherwise the end
+  /// of the last lease, since the order may be that old. TimePoint::min() if there was never a lease.
   [[nodiscard]] TimePoint evacuation_known_since() const;
   void log_evacuation(const char* event, const ZoneName& zone, std::uint64_t revision);
   void apply_tenants(const registry::FleetDelta& delta);
-  /// Some route or tenant names the regions in which its statements run.
+  /// Whether any route or tenant restricts its statements to regions.
   [[nodiscard]] bool names_regions() const;
-  /// Logs zones that lists of regions shut out, since no setting tells where they are.
+  /// Logs zones whose region is not configured and which every region list therefore excludes.
   void record_unknown_regions(const registry::FleetDelta& delta);
   void record_zone(const ZoneName& zone);
-  /// Proxies that the delta names, as they are or were.
+  /// The proxies that the delta adds, changes or removes. Call before apply_proxies().
   [[nodiscard]] std::vector<subset::ProxyPointer> changed_proxies(const registry::FleetDelta& delta) const;
-  /// Those that take new work.
+  /// The proxies that accept new work.
   [[nodiscard]] std::vector<subset::ProxyPointer> takers() const;
   void apply_proxies(const registry::FleetDelta& delta);
-  /// Who serves each group, and how its connections are shared.
+  /// Works out which proxies serve each group and how they share its connections.
   void divide_groups(const std::vector<subset::ProxyPointer>& takers);
-  /// Whether it may change which proxies serve a group, or their shares of its connections. A backend counts
-  /// with its slots and where it is, not with what it is doing. Asked before its backends are taken over.
+  /// Whether the delta may change which proxies serve a group or their shares of its connections. Of a
+  /// backend, only its group, zone and slots matter. Call before apply_backends().
   [[nodiscard]] bool changes_division(const registry::FleetDelta& delta) const;
 
   runtime::Runtime& runtime_;
@@ -193,12 +198,13 @@
   std::shared_ptr<EvacuatedZones> evacuated_;
   const locality::RegionMap regions_;
   bool requires_keys_ = false;
-  bool keys_changed_ = false;  ///< by the delta at hand: links are divided otherwise with tenants
+  bool keys_changed_ =
+      false;  ///< the current delta toggled requires_keys, which changes how links are divided
   tenancy::TenantDirectory tenants_;
   tenancy::KeyConfirmation keys_confirmed_;
   limits::LimitWindow limit_window_;
   limits::LimitWindow cold_window_;
-  bool limits_cold_;  ///< what is sent to cold backends is bound
+  bool limits_cold_;  ///< statements to cold backends are rate limited
   limits::QuotaLedger quotas_;
   runtime::Signal renewed_;
   TimePoint started_;
@@ -208,15 +214,15 @@
   Duration transaction_idle_{0};
   std::map<RouteName, registry::RouteRule> routes_;
   bool routes_name_regions_ = false;
-  std::set<ZoneName> told_unknown_;  ///< zones that were logged
+  std::set<ZoneName> told_unknown_;  ///< zones already logged as having no known region
   std::map<DatabaseName, RouteName> by_database_;
   std::map<GroupName, std::shared_ptr<GroupAccess>> groups_;
   std::map<BackendName, GroupName> group_of_;
   std::map<NodeName, registry::AdmittedProxy> proxies_;
   std::map<GroupName, std::vector<subset::ProxyPointer>> forward_to_;
   std::map<GroupName, std::vector<subset::ProxyPointer>> also_serving_;
-  std::map<GroupName, std::vector<subset::ProxyPointer>> serving_;  ///< with this proxy, where it does
-  /// Worked out when wanted, from `serving_` and the tenants' limits.
+  std::map<GroupName, std::vector<subset::ProxyPointer>> serving_;  ///< includes this proxy where it serves
+  /// Computed on demand from `serving_` and the tenants' limits.
   std::map<TenantPlace, std::vector<subset::ProxyPointer>, PlaceOrder> forward_for_;
   std::vector<subset::ProxyPointer> others_;
 };
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -1,4 +1,4 @@
-// Which registrations say nothing new, as a proxy knows from following control.
+// Recognizes backend registrations that repeat what the proxy's copy of the fleet already contains.
 #pragma once
 
 #include "registered/proxy/fleet/fleet_link.h"
@@ -8,9 +8,9 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What it refers to outlives it. What the view holds is committed: it may be old, but then it is not newer
-/// than what the backend says, and a difference sends the backend to control. A heartbeat of an incarnation
-/// before the one that is held says nothing new either.
+/// The view contains only committed entries. It may be stale, but then a registration differs from it and the
+/// backend is sent to control. A heartbeat from an earlier incarnation than the recorded one is no news
+/// either. The referenced objects are not owned and must outlive this object.
 class KnownRegistrations : public registry::RegistrationRelay {
  public:
   KnownRegistrations(runtime::Runtime& runtime, const FleetView& view, const FleetLink& link,
--- a/src/registered/proxy/fleet/leader_search.cpp
+++ b/src/registered/proxy/fleet/leader_search.cpp
@@ -50,7 +50,7 @@
       round->waiting.push_back(endpoint);
     }
     if (round->over) co_return;
-    // Proxies that lost the leader together do not come back together.
+    // Jitter, so that proxies that lost the leader together do not reconnect at the same moment.
     co_await runtime_.sleep_for(runtime_.random().between(pause / 2, pause));
     pause = std::min<Duration>(pause * 2, kControlRetryLimit);
   }
--- a/src/registered/proxy/fleet/leader_search.h
+++ b/src/registered/proxy/fleet/leader_search.h
@@ -1,6 +1,6 @@
-// Finds the control node that leads: asks several side by side, so that one that is dark or cut off holds up
-// nobody. A control node that knows of no leader keeps the question for a moment and answers it as soon as it
-// leads or knows who does.
+// Finds the leader of the control nodes by asking several in parallel, so that an unreachable one delays no
+// search. A control node that knows no leader holds the report briefly and answers once it leads or learns
+// the leader.
 #pragma once
 
 #include <chrono>
@@ -20,40 +20,40 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Control nodes asked side by side for the leader: as many as vote where five lost disks are borne. More
-/// machines only stand by.
+/// Control nodes asked in parallel: the number of voters that tolerates five failures. Any further control
+/// nodes are standbys.
 inline constexpr std::size_t kControlNodesAskedAtOnce = 11;
-/// Longest wait for a connection to one of them. A machine that has no power lets a dial hang, and one that
-/// has it back answers a new dial at once: so dials are short, but fifty round trips between zones (2 ms on
-/// the deployments) and four between regions. Each fifth is longer, for links that are slow.
+/// Connect timeout. A dial to a machine without power hangs, while a new dial succeeds at once when power
+/// returns, so dials are short. Every fifth dial has the longer timeout, for slow networks.
 inline constexpr Duration kControlDial = std::chrono::milliseconds(100);
 inline constexpr Duration kLongControlDial = std::chrono::milliseconds(400);
 inline constexpr int kLongControlDialEvery = 5;
 inline constexpr Duration kSearchLogInterval = std::chrono::milliseconds(250);
-/// Pause before a control node is asked again, first and at most; it doubles in between.
+/// Initial and maximum pause of the exponential backoff between dials.
 inline constexpr Duration kControlRetryPause = std::chrono::milliseconds(20);
 inline constexpr Duration kControlRetryLimit = std::chrono::milliseconds(80);
 
-/// What it refers to outlives it; it lives until the process ends.
+/// `runtime` is not owned and must outlive this object, which lives until the process ends.
 class LeaderSearch {
  public:
   using MakeReport = std::function<registry::ProxyReport()>;
   struct Found {
     std::shared_ptr<ControlConversation> conversation;
-    registry::ProxyUpdate answer;  ///< to the conversation's only report so far
+    registry::ProxyUpdate answer;  ///< answer to the first and so far only report of the conversation
   };
 
   LeaderSearch(runtime::Runtime& runtime, wire::Hello hello, std::uint16_t control_port,
                MakeReport make_report);
 
-  /// Until one of `endpoints`, or one that they name, answers as leader. Empty: stopped.
+  /// Runs until one of `endpoints`, or a leader named by one of them, answers as leader. Returns std::nullopt
+  /// if the search was stopped.
   Awaitable<std::optional<Found>> run(std::vector<Endpoint> endpoints);
   void stop();
 
  private:
   struct Round {
     explicit Round(runtime::Runtime& runtime) : ended(runtime) {}
-    std::deque<Endpoint> waiting;  ///< to be asked next
+    std::deque<Endpoint> waiting;  ///< endpoints to ask next, in order
     std::set<Endpoint> being_asked;
     std::set<std::shared_ptr<ControlConversation>> open;
     std::optional<Found> found;
@@ -62,7 +62,7 @@
   };
   using RoundPointer = std::shared_ptr<Round>;
 
-  /// Asks one control node after the other until the round is over.
+  /// Asks one waiting control node after another until the round has ended.
   Awaitable<void> ask_in_turn(RoundPointer round);
   Awaitable<void> ask(RoundPointer round, Endpoint endpoint, Duration dial_limit);
   Awaitable<std::shared_ptr<ControlConversation>> open(Endpoint endpoint, Duration dial_limit,
@@ -70,12 +70,12 @@
   Awaitable<std::optional<registry::ProxyUpdate>> report(std::shared_ptr<ControlConversation> conversation,
                                                          Reason& reason);
   Awaitable<void> close_when_stalled(std::shared_ptr<ControlConversation> conversation);
-  /// A control node of a build before compressed deltas closes without a word: the next one is asked for
-  /// plain deltas, and after another such end for compressed ones again.
+  /// Called when a control node closed the connection without an answer, as builds that don't support
+  /// compressed deltas do. Toggles between compressed and plain deltas for the next attempt.
   void record_closed_unanswered();
   void take_hint(const RoundPointer& round, const Reason& refusal);
   void end(Round& round);
-  /// Told at most every kSearchLogInterval.
+  /// Logs at most once per kSearchLogInterval.
   void record_failure(const Reason& reason, const Endpoint& endpoint);
 
   runtime::Runtime& runtime_;
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -1,4 +1,4 @@
-// A proxy's copy of the fleet follows what control says of evacuated zones.
+// A zone under evacuation becomes off limits in time even if the proxy learned of the order late.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/proxy/fleet/fleet_view.h"
--- a/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -1,4 +1,4 @@
-// Who is thought to serve what, by the fleet as a proxy knows it.
+// A leaving proxy is sent nothing, and a primary is used only under a lease for its epoch and incarnation.
 #include "registered/proxy/fleet/fleet_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -1,4 +1,5 @@
-// Where statements may go by a proxy's copy of the document, and to which proxies they may be sent.
+// Region restrictions by route and tenant, and which fleet changes cause groups to be divided among proxies
+// again.
 #include "registered/proxy/fleet/fleet_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -123,7 +124,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("p2"),
                          names(view_->in_regions(view_->others(), allowed("free", "tui"))));
     CPPUNIT_ASSERT(view_->in_regions(view_->others(), allowed("northern", "tui")).empty());
-    // This proxy has the text already, wherever it is.
+    // This proxy already has the text, whatever its region.
     const auto self =
         std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p1"), ZoneName("s1"), Endpoint{}});
     CPPUNIT_ASSERT_EQUAL(std::string("p1"), names(view_->in_regions({self}, allowed("northern", ""))));
@@ -153,7 +154,7 @@
   }
 
  private:
-  /// The views of other proxies are made with each division.
+  /// Whether the delta caused a new division, which creates new ProxyView objects.
   bool is_divided_by(const registry::FleetDelta& delta) {
     const subset::ProxyPointer before = view_->others().front();
     view_->apply(delta);
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -1,4 +1,4 @@
-// What a proxy does with registrations that it can't read: they are counted by cause.
+// Refused registrations are counted by cause, and registrations of earlier incarnations are no news.
 #include "registered/proxy/fleet/known_registrations.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/proxy/fleet/leader_search_test.cpp
+++ b/tests/registered/proxy/fleet/leader_search_test.cpp
@@ -1,4 +1,5 @@
-// The control node that leads is found, whatever the others do.
+// The leader is found quickly even if other control nodes are unreachable, name another one or run an older
+// build.
 #include "registered/proxy/fleet/leader_search.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,7 +20,8 @@
 
 constexpr std::uint16_t kPort = 7440;
 
-/// A control node: gives a lease, or names who leads; may know only plain deltas, as earlier builds do.
+/// A control node that grants a lease or names the leader. Can act as an older build that supports plain
+/// deltas only.
 class ControlNode {
  public:
   explicit ControlNode(runtime::Runtime& runtime, const std::string& address) : runtime_(runtime) {
@@ -107,7 +109,7 @@
   void a_leader_that_is_named_is_asked_at_once() {
     nodes_[3]->leads = true;
     for (const auto& node : nodes_) node->names_leader = addresses_[3];
-    known_ = 2;  // the leader is none of those that the proxy knows
+    known_ = 2;  // the proxy does not know the leader's endpoint
     CPPUNIT_ASSERT(run_search() < milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(addresses_[3], found_->conversation->endpoint.address);
   }
