--- a/src/registered/proxy/forwarding/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -1,4 +1,4 @@
-// What a proxy that does not serve a group says to one that does.
+// Wire messages between a proxy that forwards statements and one that runs them or grants tokens.
 #pragma once
 
 #include <cereal/types/variant.hpp>
@@ -16,7 +16,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A StatementRequest on the way. Times are told as durations, since clocks differ.
+/// A StatementRequest on the wire. Times are sent as durations, since the proxies' clocks differ.
 struct ForwardedOrder {
   registry::RouteRule route;
   std::string id;
@@ -30,8 +30,8 @@
   Duration time_left{0};
   bool opens_transaction = false;
   bool read_only_transaction = false;
-  bool may_have_run = false;  ///< at another proxy that gave no answer
-  ApiKey key;  ///< of the caller; whoever runs the order asks its own document which tenant that is
+  bool may_have_run = false;  ///< an earlier attempt at another proxy gave no answer
+  ApiKey key;  ///< the caller's key; the proxy that runs the order finds the tenant in its own document
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -54,7 +54,7 @@
   }
 };
 
-/// A further statement of a transaction that is open at the server under `pin`, or its commit.
+/// Runs a further statement, or the commit, of the transaction that the server holds open as `pin`.
 struct ForwardInTransaction {
   std::uint64_t pin = 0;
   ForwardedOrder order;
@@ -66,7 +66,7 @@
   }
 };
 
-/// The transaction is over: rolled back unless its commit was answered.
+/// Ends the transaction: it is rolled back unless its commit was answered.
 struct ForwardEnd {
   std::uint64_t pin = 0;
   template <class Archive>
@@ -75,12 +75,12 @@
   }
 };
 
-/// Asks a quota owner of the tenant, or of the cold backend where one is named, for tokens, one for each
-/// operation or statement.
+/// Requests tokens from a quota owner of the tenant, or of `cold_backend` if it is set: one token per
+/// operation of the tenant or statement to the backend.
 struct ForwardTokens {
   TenantName tenant;
-  std::uint64_t needed = 0;  ///< by operations that wait
-  std::uint64_t ahead = 0;   ///< by those that are likely to come while a token lives
+  std::uint64_t needed = 0;  ///< tokens for operations that are waiting
+  std::uint64_t ahead = 0;   ///< tokens for operations expected within a token's lifetime
   BackendName cold_backend;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -89,7 +89,7 @@
   }
 };
 
-/// The alternatives' places are part of the format: new ones go last.
+/// The indexes of the variant's alternatives are part of the wire format: append new ones only.
 struct ForwardRequest {
   std::uint64_t correlation = 0;
   std::variant<ForwardRun, ForwardInTransaction, ForwardEnd, ForwardTokens> body;
@@ -102,11 +102,11 @@
 struct ForwardAnswer {
   std::uint64_t correlation = 0;
   Answer answer;
-  std::uint64_t pin = 0;  ///< of the transaction opened; 0: none
+  std::uint64_t pin = 0;  ///< the transaction that was opened; 0: none
   bool at_primary = false;
-  bool may_try_another = false;  ///< not run, for a reason that lies with this proxy
+  bool may_try_another = false;  ///< not run, for a reason specific to the answering proxy
   bool nothing_run = false;      ///< no backend can have run the order, in any attempt
-  limits::Grant grant;           ///< to ForwardTokens
+  limits::Grant grant;           ///< the answer to ForwardTokens
   template <class Archive>
   void serialize(Archive& archive) {
     archive(correlation, answer, pin, at_primary, may_try_another);
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -51,7 +51,7 @@
   }
   connection->ended = true;
   frames->close();
-  // Whoever forwarded is gone: what is open here can't be committed any more.
+  // The forwarding proxy has disconnected, so its open transactions can no longer be committed.
   while (!connection->pins.empty()) {
     const std::uint64_t pin = connection->pins.begin()->first;
     co_await end_transaction(connection, pin);
@@ -129,7 +129,7 @@
 
 Awaitable<ForwardAnswer> ForwardServer::run(std::shared_ptr<Connection> connection, ForwardRun request) {
   ForwardAnswer forwarded;
-  // What is in force here counts: who forwards may not have heard of it.
+  // The route of this proxy's document applies: the forwarding proxy's document may be older.
   const registry::RouteRule* route = services_.view.find_route(request.order.route.database);
   if (route != nullptr) request.order.route = *route;
   std::optional<StatementRequest> order;
@@ -191,7 +191,7 @@
       if (pin->running || !pin->link.link->link().is_open() ||
           !runner_.transactions().is_off_limits(pin->link))
         continue;
-      // Who forwarded hears of it with the transaction's next statement.
+      // The forwarding proxy learns of it with the transaction's next statement.
       runner_.transactions().abort(pin->link);
       services_.metrics.count_evacuated_transaction();
     }
--- a/src/registered/proxy/forwarding/forward_server.h
+++ b/src/registered/proxy/forwarding/forward_server.h
@@ -1,4 +1,4 @@
-// Runs statements that other proxies forward, under this proxy's own lease and links.
+// Runs statements forwarded by other proxies, under this proxy's own lease and on its own backend links.
 #pragma once
 
 #include <map>
@@ -10,25 +10,26 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What it refers to outlives it; it lives until the process ends.
+/// The referenced services are not owned and must outlive this object, which lives until the process ends.
 class ForwardServer {
  public:
   explicit ForwardServer(SessionServices services) : services_(services), runner_(services) {}
 
-  /// False when the endpoint can't be bound.
+  /// Returns false with `reason` set if the endpoint can't be bound.
   bool start(const Endpoint& endpoint, Reason& reason);
   void stop();
-  /// Gives up what other proxies' callers have open in zones that are left.
+  /// Aborts forwarded transactions in zones that evacuation has made off limits, unless a statement is
+  /// running.
   void end_evacuated_transactions();
 
  private:
-  /// One open transaction. At most one statement of it runs at a time.
+  /// An open transaction. At most one of its statements runs at a time.
   struct Pin {
     PinnedLink link;
     bool running = false;
-    bool ended = false;  ///< while a statement of it ran: who runs it ends it
+    bool ended = false;  ///< ended while a statement was running; the running coroutine releases the link
   };
-  /// One connection and the transactions that are open over it.
+  /// A connection from another proxy and the transactions opened over it.
   struct Connection {
     std::shared_ptr<runtime::FrameConnection> frames;
     std::map<std::uint64_t, std::shared_ptr<Pin>> pins;
@@ -45,10 +46,10 @@
   Awaitable<ForwardAnswer> run_in_transaction(std::shared_ptr<Connection> connection,
                                               ForwardInTransaction request);
   Awaitable<void> end_transaction(std::shared_ptr<Connection> connection, std::uint64_t pin);
-  /// Tokens of a tenant whose quota this proxy may own.
+  /// Grants tokens if this proxy owns the quota of the requested tenant or cold backend.
   limits::Grant grant(const ForwardTokens& request);
   Awaitable<void> send_answers(std::shared_ptr<Connection> connection);
-  /// Empty when this proxy knows no such group, or no tenant of the caller's key.
+  /// Returns std::nullopt if this proxy does not know the group, or no tenant with the caller's key.
   std::optional<StatementRequest> to_order(ForwardedOrder order);
 
   SessionServices services_;
--- a/src/registered/proxy/forwarding/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// No transaction has this number: the other side answers at once that it is over.
+/// Liveness probe: ends transaction 0, which never exists, so the other proxy answers immediately.
 ForwardRequest ask_whether_alive() {
   ForwardRequest request;
   request.body = ForwardEnd{0};
@@ -171,7 +171,7 @@
   while (peer->is_dialling) {
     const auto connection = co_await open(peer);
     bool is_reached = connection != nullptr;
-    // Connections to a process that is frozen are opened by its machine.
+    // The kernel accepts connections for a frozen process, so an open connection proves nothing.
     if (is_reached && peer->is_unreachable) is_reached = co_await shows_life(connection, peer->last_reason);
     if (connection && !is_reached) connection->close();
     if (is_reached) peer->connection = connection;
--- a/src/registered/proxy/forwarding/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -1,5 +1,5 @@
-// Carries statements to a proxy that serves their group: one connection to each, many statements on it. There
-// is one hop only: who gets a forwarded statement runs it or refuses it.
+// Forwards statements to the proxies that serve their groups, multiplexed on one connection per proxy. There
+// is only one hop: a proxy that receives a forwarded statement runs or refuses it.
 #pragma once
 
 #include <chrono>
@@ -16,37 +16,39 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A statement waits this long for a connection to another proxy before the next one is asked: 25 round trips
-/// between zones (2 ms on the deployments), two between regions. The dial itself goes on for the limit.
+/// Longest wait of a statement for a connection to one proxy before the next proxy is tried. The dial itself
+/// continues in the background for up to kForwardDialLimit.
 inline constexpr Duration kForwardDialPatience = std::chrono::milliseconds(50);
 inline constexpr Duration kForwardDialLimit = std::chrono::milliseconds(400);
-/// Pause before a proxy out of reach is dialled again, first and at most; it doubles in between. It is
-/// dialled as long as a statement was to be sent there within the interest.
+/// Initial and maximum pause of the exponential backoff between dials of an unreachable proxy. Dialling stops
+/// when no statement was to be sent there within kForwardInterest.
 inline constexpr Duration kForwardRedialPause = std::chrono::milliseconds(100);
 inline constexpr Duration kForwardRedialLimit = std::chrono::milliseconds(800);
 inline constexpr Duration kForwardInterest = std::chrono::seconds(10);
-/// A proxy that answers nothing for this long while it is waited for is asked for a sign of life, which it
-/// gives before all else; without one it is given up. A process whose share of a core is spent stands still
-/// for up to 100 ms, and is not to be given up for that. Looked at no more often than the pause.
+/// Liveness check of a connection with unanswered calls: after kForwardSilence without a frame a probe is
+/// sent, which the other proxy answers immediately, and after kForwardAnswerLimit without an answer the
+/// connection is closed. Together they must exceed 100 ms, for which CPU throttling can stop a healthy
+/// process. kForwardWatchPause is the shortest interval between two checks.
 inline constexpr Duration kForwardSilence = std::chrono::milliseconds(80);
 inline constexpr Duration kForwardAnswerLimit = std::chrono::milliseconds(170);
 inline constexpr Duration kForwardWatchPause = std::chrono::milliseconds(20);
-/// A proxy that could not serve a group is not sent its statements for this long, where another can.
+/// A proxy that could not serve a group is avoided for this long if another one can serve it.
 inline constexpr Duration kAvoidProxy = std::chrono::seconds(1);
 
-/// One connection to another proxy, shared by the statements that are forwarded over it.
+/// A connection to another proxy, shared by all statements forwarded to it.
 class ForwardConnection {
  public:
   ForwardConnection(runtime::Runtime& runtime, std::shared_ptr<runtime::FrameConnection> frames)
       : runtime_(runtime), frames_(std::move(frames)), queued_(runtime), called_(runtime) {}
 
-  /// Empty when no answer came by `deadline`; then the other side may have run it.
+  /// Returns std::nullopt if no answer arrived by `deadline` or the connection was lost. The other proxy may
+  /// have run the request in that case.
   Awaitable<std::optional<ForwardAnswer>> call(ForwardRequest request, TimePoint deadline, Reason& reason);
-  /// Reads and writes until the connection ends; `self` keeps this object alive meanwhile.
+  /// Read and write until the connection closes. `self` keeps this object alive meanwhile.
   Awaitable<void> read(std::shared_ptr<ForwardConnection> self);
   Awaitable<void> write(std::shared_ptr<ForwardConnection> self);
-  /// Ends the connection when calls wait and the other side is silent, also to a question that it answers at
-  /// once: it is dead, cut off or frozen, and what waits for it is told so.
+  /// Closes the connection if calls are pending and the other proxy has neither sent anything nor answered a
+  /// liveness probe, since it is then stopped, unreachable or frozen. The pending calls fail.
   Awaitable<void> watch(std::shared_ptr<ForwardConnection> self);
   void close();
   [[nodiscard]] bool is_open() const { return open_; }
@@ -54,7 +56,7 @@
  private:
   void ask_for_life();
 
-  /// An answer came too late: the transaction that it opened is nobody's.
+  /// Ends the transaction opened by an answer for which no call waits any more.
   void end_unwanted(const ForwardAnswer& answer);
 
   struct Pending {
@@ -70,47 +72,50 @@
   std::vector<std::string> outgoing_;
   std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
   std::uint64_t next_correlation_ = 1;
-  TimePoint heard_at_{};               ///< when the other side last sent something
-  std::optional<TimePoint> asked_at_;  ///< since when a sign of life is waited for
+  TimePoint heard_at_{};               ///< last frame received, or first call after an idle period
+  std::optional<TimePoint> asked_at_;  ///< when the unanswered liveness probe was sent
   bool open_ = true;
 };
 
-/// Another proxy as this one reaches it.
+/// Connection state of another proxy.
 struct ForwardPeer {
   ForwardPeer(runtime::Runtime& runtime, NodeName name) : name(std::move(name)), dialled(runtime) {}
 
   NodeName name;
   Endpoint endpoint;
   std::shared_ptr<ForwardConnection> connection;
-  /// It could not be reached, or gave no answer, and no sign of life has come since.
+  /// It could not be reached or did not answer, and has answered no liveness probe since.
   bool is_unreachable = false;
   TimePoint unreachable_since{};
   bool is_dialling = false;
   TimePoint dialling_since{};
-  TimePoint wanted_at{};  ///< when a statement was last to be sent there
+  TimePoint wanted_at{};  ///< when a connection was last requested
   Reason last_reason;
   runtime::Signal dialled;  ///< notified after each dial
 
   [[nodiscard]] bool is_open() const { return connection && connection->is_open(); }
 };
 
-/// Lives until the process ends, as `runtime` does.
+/// Connects to other proxies on demand. `runtime` is not owned; both live until the process ends.
 ///
-/// Invariant: a statement waits for a dial to one proxy for kForwardDialPatience at most, however many
-/// proxies are out of reach; those are dialled again in the background, and used again after a sign of life.
+/// Invariant: a statement waits at most kForwardDialPatience for the dial of one proxy, however many proxies
+/// are unreachable. Unreachable proxies are redialled in the background and used again once they answer a
+/// probe.
 class Forwarder {
  public:
   Forwarder(runtime::Runtime& runtime, NodeName node, ZoneName zone)
       : runtime_(runtime), node_(std::move(node)), zone_(std::move(zone)) {}
 
-  /// An open connection to the proxy; null when it can't be had by `deadline`, or is not to be had soon.
+  /// Returns an open connection to the proxy, or nullptr with `reason` set if there is none by `deadline` or
+  /// within kForwardDialPatience, or if the proxy is already known to be unreachable.
   Awaitable<std::shared_ptr<ForwardConnection>> connect(subset::ProxyPointer proxy, TimePoint deadline,
                                                         Reason& reason);
-  /// A statement of the group had no answer: others are tried first until the proxy shows life.
+  /// Called when a statement of the group was not answered. Other proxies are preferred for the group for
+  /// kAvoidProxy and, if the connection is lost, for all groups until the proxy answers a liveness probe.
   void record_no_answer(const NodeName& proxy, const GroupName& group);
-  /// The proxy can't serve the group now: others are tried first for a while.
+  /// Called when the proxy can't serve the group now. Other proxies are preferred for kAvoidProxy.
   void avoid_for(const NodeName& proxy, const GroupName& group);
-  /// It was not reached when it was wanted last, and has shown no life since.
+  /// Whether the last attempt to reach the proxy failed and it has not been reached since.
   [[nodiscard]] bool is_unreachable(const NodeName& proxy) const;
   [[nodiscard]] bool is_avoided(const NodeName& proxy, const GroupName& group) const;
 
@@ -120,11 +125,11 @@
   void mark_unreachable(ForwardPeer& peer);
   void record_reached(ForwardPeer& peer);
   void start_dialling(const PeerPointer& peer);
-  /// Until the peer is reached, or nobody has wanted it for a while: then nothing is known of it any more,
-  /// and the next statement finds out.
+  /// Dials until the peer is reached or no connection to it was requested within kForwardInterest. In both
+  /// cases it no longer counts as unreachable, so the next statement tries it.
   Awaitable<void> dial(PeerPointer peer);
   Awaitable<std::shared_ptr<ForwardConnection>> open(PeerPointer peer);
-  /// Whether the other side answers.
+  /// Whether the other proxy answers a liveness probe.
   Awaitable<bool> shows_life(std::shared_ptr<ForwardConnection> connection, Reason& reason);
 
   runtime::Runtime& runtime_;
--- a/tests/registered/proxy/forwarding/forward_server_test.cpp
+++ b/tests/registered/proxy/forwarding/forward_server_test.cpp
@@ -1,4 +1,5 @@
-// What another proxy forwards is run under this one's lease, for the tenant that its key proves here.
+// Forwarded statements run only under this proxy's own lease and for the tenant of the key in its own
+// document.
 #include "registered/proxy/forwarding/forward_server.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -37,7 +38,7 @@
     forwarder_ = std::make_unique<Forwarder>(other, NodeName("other"), ZoneName("a"));
   }
   void tearDown() override {
-    // Connections end in their world.
+    // The world must outlive the connections.
     connection_.reset();
     forwarder_.reset();
     server_.reset();
--- a/tests/registered/proxy/forwarding/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -1,4 +1,5 @@
-// A forwarder waits for a proxy that lives, however slow its statements, and gives up one that is silent.
+// A slow proxy that answers liveness probes is waited for; a silent or unreachable one delays statements
+// briefly.
 #include "registered/proxy/forwarding/forwarder.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,7 +17,7 @@
 const Endpoint kPeer{"10.0.0.2", 7440};
 const GroupName kGroup("group");
 
-/// The other proxy: answers ends at once and runs after a while, or nothing at all.
+/// The other proxy: answers ForwardEnd immediately and other requests after `run_takes`, or nothing at all.
 class Peer {
  public:
   explicit Peer(runtime::Runtime& runtime) : runtime_(runtime) {
@@ -115,7 +116,7 @@
     proxy_ = std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("peer"), ZoneName("a"), kPeer});
   }
   void tearDown() override {
-    // Connections end in their world.
+    // The world must outlive the connections.
     forwarder_.reset();
     peer_.reset();
     world_.reset();
@@ -192,7 +193,7 @@
     world_->network().faults().cut_machines(kPeer.address, "10.0.0.1");
   }
 
-  /// How long a statement waited for the connection, which it did not get.
+  /// Returns how long a statement waited for the connection; asserts that it got none.
   Duration run_connect() {
     const TimePoint begun = runtime_->now();
     Connect result;
