--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-/// Longest wait for a caller's first line. Chosen, not measured.
+/// Longest wait for a caller's first line.
 constexpr Duration kStartTimeout = std::chrono::seconds(5);
-/// A new session waits this long for a serving lease, e.g. while the fleet starts. Chosen, not measured.
+/// Longest wait of a new session for a serving lease, for example while the fleet starts.
 constexpr Duration kStartPatience = std::chrono::milliseconds(700);
-/// Values, or prepared statements, of one session. Chosen, not measured.
+/// Maximum number of session values, and of prepared statements, per session.
 constexpr std::size_t kMaxSessionEntries = 1024;
 
 constexpr const char* kEvacuated =
@@ -126,7 +126,7 @@
 
 bool CallerSession::may_open() const {
   if (services_.view.lease_valid()) return true;
-  // Others may hold a lease and serve its statements.
+  // Another proxy may hold a lease and serve the statements.
   return services_.view.find_route(database_) != nullptr && !services_.view.others().empty();
 }
 
@@ -358,7 +358,7 @@
     co_return refuse(Refusal::kAborted, "the transaction had failed; nothing of it is kept");
   }
   Answer refusal;
-  statement.kind = StatementKind::kRead;  // as far as the order is concerned
+  statement.kind = StatementKind::kRead;  // a commit by itself writes nothing and names no prepared statement
   auto order = make_order(statement, refusal);
   if (!order) {
     co_await end_transaction();
--- a/src/registered/proxy/callers/caller_session.h
+++ b/src/registered/proxy/callers/caller_session.h
@@ -1,4 +1,4 @@
-// One caller's session: its values, prepared statements and transaction, from its first line to its end.
+// A caller's session: its session values, prepared statements and transaction.
 #pragma once
 
 #include <map>
@@ -17,23 +17,25 @@
   CallerSession(SessionServices services, std::shared_ptr<CallerConnection> caller)
       : services_(services), runner_(services), caller_(std::move(caller)) {}
 
-  /// Until the caller ends it, goes away, or is let go.
+  /// Serves the caller until it ends the session, disconnects, or the session is closed by this proxy.
   Awaitable<void> run();
 
-  /// A statement was read and is not answered yet.
+  /// Whether a statement has been read and not been answered yet.
   [[nodiscard]] bool is_answering() const { return answering_; }
-  /// Whether nothing is asked and no transaction is open.
+  /// Whether no statement is being answered and no transaction is open.
   [[nodiscard]] bool is_idle() const { return !answering_ && !transaction_; }
-  /// Gives up a transaction that has rested for longer than `limit`; the caller hears of it with its next
-  /// statement.
+  /// Aborts the transaction if it has been idle for `limit` or longer. The next statement is answered with
+  /// the reason.
   void end_resting_transaction(TimePoint now, Duration limit);
-  /// Gives up a transaction that is open in a zone that is left, unless a statement of it is being answered.
+  /// Aborts a transaction in a zone that evacuation has made off limits, unless a statement is being
+  /// answered.
   void end_evacuated_transaction();
-  /// Gives up the transaction that is open, unless a statement of it is being answered.
+  /// Aborts the open transaction, unless a statement is being answered.
   void abort_transaction();
-  /// Ends the session now, or after the answer that is owed.
+  /// Closes the session now, or after the pending answer if a statement is being answered.
   void let_go();
-  /// Ends the session after its next answer outside a transaction: then its caller asks nothing.
+  /// Closes the session after its next answer outside a transaction, when no statement of the caller is
+  /// pending.
   void let_go_after_answer() { leaving_ = true; }
 
  private:
@@ -43,24 +45,24 @@
     bool wrote = false;
     registry::RouteRule route;
     std::shared_ptr<GroupAccess> group;
-    locality::PermittedRegions allowed;  ///< as it began: a changed document binds the next one
-    std::optional<PinnedLink> pinned;    ///< from the first statement on
+    locality::PermittedRegions allowed;  ///< as of the begin; document changes apply to later transactions
+    std::optional<PinnedLink> pinned;    ///< set by the first statement
     TimePoint last_used{};
-    std::string failure;  ///< why it was given up, not yet told
+    std::string failure;  ///< why it was aborted; empty once the caller has been told
   };
 
   Awaitable<bool> open();
   /// Whether the session's statements are likely to be served, here or elsewhere.
   [[nodiscard]] bool may_open() const;
-  /// Whether the caller may have a session on the route; else why not. A key that is not in this proxy's
-  /// document may be newer than that: control is asked before it is refused.
+  /// Returns std::nullopt if the caller may open a session, otherwise the refusal. A key that is missing in
+  /// this proxy's document may be newer than the document, so control is asked before the key is refused.
   Awaitable<std::optional<Refusal>> check_key();
-  /// The tenant that the session's key proves now; empty with the refusal to answer. Ends the session after
-  /// that.
+  /// Sets the order's key and tenant if the route requires a key. Returns false and sets `refusal` if the key
+  /// does not prove a tenant now; the session is then closed after that answer.
   [[nodiscard]] bool find_tenant(StatementRequest& order, Answer& refusal);
-  /// Refused because this proxy does not reach the group's primary, or may not use it, and reached no other
-  /// proxy that does. The session is ended then, so that its caller comes back through another proxy: on this
-  /// one every further attempt would meet the same.
+  /// Whether the statement was refused because this proxy can't reach, or may not use, the group's primary
+  /// and reached no other proxy that can. Further attempts here would fail alike, so the session is then
+  /// closed and the caller reconnects through another proxy.
   [[nodiscard]] bool is_unserved_here(const Answer& answer);
   Awaitable<Answer> handle(Statement statement);
   Answer begin(const Statement& statement);
@@ -72,11 +74,13 @@
   Answer prepare(const Statement& statement);
   Answer deallocate(const Statement& statement);
 
-  /// Whether the tenant may begin one more operation now; else the refusal to answer. Sets the order's token.
+  /// Whether the tenant may begin one more operation now. Sets `token` to the expiry of the token taken, if
+  /// any, and `refusal` if the result is false.
   Awaitable<bool> admit(const StatementRequest& order, std::optional<TimePoint>& token, Answer& refusal);
-  /// Runs an operation, or opens a transaction, if its tenant may begin one.
+  /// Runs an operation or opens a transaction, if the tenant's limit admits it.
   Awaitable<RunResult> run_admitted(StatementRequest order);
-  /// The route and group that bind now; empty with the refusal to answer.
+  /// Makes a request with the current route and group, or with those of the open transaction. Returns
+  /// std::nullopt and sets `refusal` if the statement can't be run.
   std::optional<StatementRequest> make_order(const Statement& statement, Answer& refusal);
   [[nodiscard]] bool find_shape(const Statement& statement, StatementRequest& order) const;
   [[nodiscard]] Answer refuse(Refusal refusal, std::string detail) const;
--- a/tests/registered/proxy/callers/caller_session_test.cpp
+++ b/tests/registered/proxy/callers/caller_session_test.cpp
@@ -1,4 +1,4 @@
-// What a caller's key lets it do: a session, and each of its statements, as long as the key is confirmed.
+// A session and each of its statements require a key that proves a tenant and was confirmed recently enough.
 #include "registered/proxy/callers/caller_session.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr Duration kLong = seconds(4);
-/// As long as a confirmation of just now is worth.
+/// Validity of a confirmation given just now.
 constexpr Duration kWhole = milliseconds(4900);
 
-/// A caller that says what the test wants it to say, and keeps what it is told.
+/// A caller whose statements are scripted by the test and which records the answers.
 class ScriptedCaller : public CallerConnection {
  public:
   ScriptedCaller(runtime::Runtime& runtime, std::string key) : key_(std::move(key)), asked_(runtime) {}
@@ -108,7 +108,7 @@
     stand_->confirm(kLong, kLong);
     open("unknown");
     CPPUNIT_ASSERT_MESSAGE("it may be newer than the document", !caller_->refused);
-    // To a question that was asked after the caller came.
+    // Confirms a report sent after the caller connected.
     stand_->view().extend_lease(stand_->now(), stand_->now() + kLong, 0);
     stand_->run_for(milliseconds(1));
     CPPUNIT_ASSERT(caller_->refused == Refusal::kUnauthorized);
@@ -117,7 +117,7 @@
   void an_unknown_key_is_not_refused_for_good_without_control() {
     stand_->confirm(kLong, kLong);
     open("unknown");
-    // An answer to an older question tells nothing.
+    // The answer to a report sent before the caller connected proves nothing about its key.
     stand_->view().extend_lease(stand_->now() - seconds(1), stand_->now() + kLong, 0);
     stand_->run_for(seconds(2));
     CPPUNIT_ASSERT(caller_->refused == Refusal::kBusy);
@@ -188,7 +188,7 @@
   }
 
   void an_operation_that_nobody_counts_does_not_begin() {
-    // Long enough ago that this proxy may not count.
+    // The confirmation is too old for this proxy to grant tokens.
     stand_->confirm(kLong, milliseconds(500));
     stand_->limit_tenant(10);
     open(SessionStand::kKey);
@@ -204,7 +204,7 @@
     stand_->run_for(kLong);
     stand_->confirm(kLong, kWhole);
     stand_->close_group();
-    // Nobody expects the next primary soon any more, so that each statement is refused at once.
+    // A new primary is no longer expected soon, so each statement is refused immediately.
     stand_->run_for(kLong);
     stand_->confirm(kLong, kWhole);
     open(SessionStand::kKey);
@@ -229,7 +229,7 @@
     caller_->say(kind, text);
     for (int wait = 0; wait < 300 && caller_->answers.size() == before; ++wait)
       stand_->run_for(milliseconds(10));
-    // What it does after its answer.
+    // Lets the session finish its work after the answer, such as closing the connection.
     stand_->run_for(milliseconds(1));
     CPPUNIT_ASSERT_EQUAL(before + 1, caller_->answers.size());
     return caller_->answers.back();
