--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -56,7 +56,7 @@
   bool answered = true;
   do {
     if (!std::exchange(account->asking, true)) runtime_.spawn("ask_homes", ask_owners(limit, account));
-    // Where this process counts itself, all is answered before the spawn returns.
+    // If this proxy is an owner itself, ask_owners() may finish before spawn() returns.
     answered = !account->asking;
     if (!answered) answered = co_await account->answered.wait_until(begun + kAdmissionLimit);
     token = account->stock.take(runtime_.now());
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -1,5 +1,5 @@
-// Asks the owners of what is limited for tokens: one for each operation of a tenant, and for each statement
-// to a cold backend.
+// Obtains tokens from quota owners: one for each operation of a limited tenant and for each statement to a
+// cold backend.
 #pragma once
 
 #include <chrono>
@@ -16,37 +16,37 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A quota owner is waited for this long for tokens: as long as a dial to another proxy, and a little
-/// for the answer; then the next one is asked. All three fit into the limit.
+/// Longest wait for one quota owner before the next one is asked: kForwardDialPatience plus time for the
+/// answer. The waits for all three owners must fit into kAdmissionLimit.
 inline constexpr Duration kOwnerPatience = std::chrono::milliseconds(60);
 inline constexpr Duration kAdmissionLimit = std::chrono::milliseconds(200);
-/// After all owners of a tenant's quota had no token, none of its operations here asks again for this long: a
-/// tenant at several times its limit would ask three of them for each refusal. No token is lost by it: the
-/// owners hold them.
+/// After no quota owner granted a token, this proxy refuses without asking again for this long, so that a
+/// tenant far above its limit does not cause requests to three owners per refusal. The owners keep their
+/// tokens meanwhile.
 inline constexpr Duration kLeastRefusalPause = std::chrono::milliseconds(20);
 
-/// What an operation is told that wants to begin, or a statement that wants to be sent: what may pass has
-/// passed, or no proxy that counts answered.
+/// The answer to a request for a token: admitted, over the limit, or not counted because no quota owner that
+/// may count has answered.
 struct AdmissionAnswer {
   AdmissionOutcome outcome = AdmissionOutcome::kNotCounted;
-  Duration retry_after{0};  ///< when the next token is likely to be there
-  /// Of the token; empty where none was needed.
+  Duration retry_after{0};  ///< time until the next token is likely to be available
+  /// Expiry of the token; empty if none was needed or none was granted.
   std::optional<TimePoint> expires_at;
 };
 
-/// What it refers to outlives it; it lives until the process ends.
+/// The referenced objects are not owned and must outlive this object, which lives until the process ends.
 class LimitClient {
  public:
   LimitClient(runtime::Runtime& runtime, FleetView& view, Forwarder& forwarder, SessionMetrics& metrics)
       : runtime_(runtime), view_(view), forwarder_(forwarder), metrics_(metrics) {}
 
-  /// A token for one operation of the tenant, to be run at once. A tenant that is not known, or has no limit,
-  /// needs none.
+  /// Takes a token for one operation of the tenant, which must be run immediately. A tenant that is unknown
+  /// or has no limit needs none.
   Awaitable<AdmissionAnswer> admit(TenantName tenant);
-  /// A token for one statement to the backend, to be sent before it expires. One that has no limit now needs
-  /// none, and the answer has none.
+  /// Takes a token for one statement to the backend, which must be sent before the token expires. If the
+  /// backend has no limit now, the answer is kAdmitted without a token.
   Awaitable<AdmissionAnswer> admit_to_cold(BackendName backend);
-  /// Nothing was run with a token that expires then.
+  /// Returns a token that expires at `expires_at` and with which nothing was run.
   void give_back(const limits::LimitedName& limited, TimePoint expires_at);
 
  private:
@@ -54,8 +54,8 @@
     explicit Account(runtime::Runtime& runtime) : answered(runtime) {}
     limits::TokenStock stock;
     bool asking = false;
-    std::uint64_t waiting = 0;  ///< operations
-    AdmissionAnswer last;       ///< of the question asked last
+    std::uint64_t waiting = 0;  ///< number of operations waiting for an answer
+    AdmissionAnswer last;       ///< the owners' answer to the last request
     TimePoint refused_until{};
     runtime::Signal answered;
   };
@@ -64,7 +64,8 @@
   Awaitable<AdmissionAnswer> take_or_ask(limits::Limit limit);
   Awaitable<void> ask_owners(limits::Limit limit, AccountPointer account);
   Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenRequest wanted, subset::ProxyPointer owner);
-  /// This proxy, those of its zone, the others; those that did not answer a moment ago last.
+  /// The quota owners in the order in which to ask them: this proxy, those of its zone, those of other zones,
+  /// and last those that recently did not answer or are unreachable.
   [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitedName& limited) const;
 
   runtime::Runtime& runtime_;
--- a/tests/registered/proxy/limits/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -1,4 +1,4 @@
-// Operations of a tenant begin as soon as one of its owners has a token, also where that owner is this proxy.
+// An operation is admitted as soon as a quota owner grants a token, also if that owner is this proxy.
 #include "registered/proxy/limits/limit_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -55,7 +55,7 @@
     limits_ = std::make_unique<LimitClient>(*runtime_, *view_, *forwarder_, *metrics_);
     view_->apply(fleet());
     view_->extend_lease(runtime_->now(), runtime_->now() + seconds(60), 1);
-    begin();  // the bucket of an owner that was not asked before is empty
+    begin();  // an owner's bucket starts empty and fills from the first request on
     world_->run_for(seconds(2));
   }
   void tearDown() override {
