--- a/src/registered/proxy/session_metrics.h
+++ b/src/registered/proxy/session_metrics.h
@@ -1,4 +1,4 @@
-// Counters and latencies of a proxy's sessions.
+// Metrics of a proxy's sessions: counters, gauges and latency histograms.
 #pragma once
 
 #include <array>
@@ -15,10 +15,10 @@
 /// Where a statement was served.
 enum class ServedBy : std::uint8_t { kProxy, kPrimary, kReplica };
 
-/// What became of an operation of a tenant that wanted to begin.
+/// The result of a request to begin a tenant's operation or to send a statement to a cold backend.
 enum class AdmissionOutcome : std::uint8_t { kAdmitted, kOverLimit, kNotCounted };
 
-/// Tenants that have no label of their own.
+/// Metric label of all tenants without a label of their own.
 inline constexpr const char* kOtherTenants = "others";
 
 class SessionMetrics {
@@ -31,20 +31,20 @@
   void count_forwarded(placement::ForwardCause cause) {
     forwarded_[static_cast<std::size_t>(cause)]->Increment();
   }
-  /// This proxy itself refused a statement, or ended a transaction.
+  /// Counts a statement refused, or a transaction ended, by this proxy itself.
   void count_unplaced(placement::RejectionReason rejection) {
     unplaced_[static_cast<std::size_t>(rejection)]->Increment();
   }
   void count_token_question() { token_questions_.Increment(); }
-  /// An operation of a tenant wanted to begin. `label`: the tenant's name, or that of all that are not named.
+  /// Counts a tenant's request to begin an operation. `label`: the tenant's name, or kOtherTenants.
   void count_admission(const std::string& label, AdmissionOutcome outcome);
   void count_registration_refused(registry::RegistrationFault fault) {
     registrations_refused_[static_cast<std::size_t>(fault)]->Increment();
   }
-  /// A transaction was given up since its backend's zone is evacuated.
+  /// Counts a transaction aborted because its backend's zone is evacuated.
   void count_evacuated_transaction() { evacuated_transactions_.Increment(); }
   void set_evacuated_zones(std::size_t zones) { evacuated_zones_.Set(static_cast<double>(zones)); }
-  /// A statement was to be sent to a cold backend.
+  /// Counts a request to send a statement to a cold backend.
   void count_cold_statement(AdmissionOutcome outcome) {
     cold_statements_[static_cast<std::size_t>(outcome)]->Increment();
   }
@@ -64,7 +64,7 @@
   std::array<prometheus::Counter*, placement::kRejectionReasonCount> unplaced_{};
   std::array<prometheus::Counter*, registry::kRegistrationFaults> registrations_refused_{};
   std::map<std::pair<std::string, AdmissionOutcome>, prometheus::Counter*>
-      admissions_;  ///< by tenant's label
+      admissions_;  ///< by tenant label and outcome
   std::array<prometheus::Counter*, 3> cold_statements_{};
   prometheus::Counter& lost_answers_;
   prometheus::Counter& token_questions_;
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -22,19 +22,21 @@
 
 namespace {
 
-/// A proxy that is left with less of its lease takes no new sessions: two renewals in a row have failed.
+/// With less than this left of its lease a proxy is not ready for new sessions: two renewals in a row have
+/// failed.
 inline constexpr Duration kReadyLeaseLeft = std::chrono::milliseconds(500);
-/// Without a lease for this long, idle sessions are let go: their callers find another proxy.
+/// Idle sessions are closed after this time without a lease, so that their callers reconnect to another
+/// proxy.
 inline constexpr Duration kLetGoAfter = std::chrono::milliseconds(2300);
-/// After SIGTERM: how long callers are still sent here, and idle sessions are kept.
+/// Time after SIGTERM for which new callers may still arrive and idle sessions are kept.
 inline constexpr Duration kDrainIdleAfter = std::chrono::milliseconds(2300);
-/// How long before the end of the drain nothing more is read; what was read is answered until shortly before
-/// the end.
+/// Reading of statements stops kDrainMargin before the drain limit. Statements already read are answered
+/// until kDrainLastMargin before it, polled every kDrainLastTick.
 inline constexpr Duration kDrainMargin = std::chrono::milliseconds(800);
 inline constexpr Duration kDrainLastMargin = std::chrono::milliseconds(200);
 inline constexpr Duration kDrainLastTick = std::chrono::milliseconds(20);
 
-/// Answers whether the proxy takes sessions, and its metrics.
+/// Serves readiness probes and metrics over HTTP.
 class ReadinessCalls : public runtime::HttpHandler {
  public:
   ReadinessCalls(std::string path, std::function<bool()> is_ready, std::function<std::string()> render)
@@ -60,7 +62,7 @@
   std::function<std::string()> render_;
 };
 
-/// The parts' coroutines refer to it until the process ends.
+/// Must live until the process ends, because the coroutines of its members refer to it.
 class SessionProxy : public runtime::Role {
  public:
   SessionProxy(runtime::Runtime& runtime, SessionProxySettings settings, const SessionEdge& edge)
@@ -97,9 +99,9 @@
   void let_idle_go();
   void watch_lease(TimePoint now);
   void trim_links(TimePoint now);
-  /// Ends what is open in zones that are left.
+  /// Aborts transactions and closes backend links in evacuated zones.
   void leave_evacuated();
-  /// Callers go elsewhere before the lease runs out: they are sent here for a while after this turns false.
+  /// Turns false before the lease expires, since new callers keep arriving for a while afterwards.
   [[nodiscard]] bool is_ready() const {
     return !draining_ && runtime_.now() + kReadyLeaseLeft < view_.lease_until();
   }
@@ -126,7 +128,7 @@
   std::unique_ptr<runtime::HttpServer> readiness_server_;
   std::unique_ptr<runtime::HttpServer> metrics_server_;
   std::map<std::uint64_t, std::shared_ptr<CallerSession>> sessions_;
-  std::set<GroupName> checked_;  ///< groups whose primary is being dialled to see whether it is in reach
+  std::set<GroupName> checked_;  ///< groups whose primary is being test-dialled
   std::uint64_t next_session_ = 1;
   bool lease_held_ = false;
   bool draining_ = false;
@@ -186,7 +188,7 @@
   }
 }
 
-/// Slow or out of reach: a new connection tells.
+/// Opens a test connection to tell a slow primary from an unreachable one.
 void SessionProxy::check_primary(const std::shared_ptr<GroupAccess>& group) {
   if (!checked_.insert(group->name).second) return;
   runtime_.spawn("check_primary", dial_primary(group));
@@ -230,11 +232,11 @@
 
 Awaitable<void> SessionProxy::warm_links() {
   while (!stopped_) {
-    // Proxies that start together do not open their links together.
+    // Jitter, so that proxies that start together do not open their links at the same moment.
     const Duration pause = runtime_.random().between(kWarmInterval / 2, kWarmInterval * 3 / 2);
     co_await runtime_.sleep_for(pause);
-    // Who serves what, and whether links are of one tenant each, is known with the document: before it each
-    // proxy would open links to groups that others serve.
+    // Without a document it is unknown which groups this proxy serves and whether links are per tenant, so
+    // warming would open links to groups that other proxies serve.
     if (!is_ready() || view_.document_version() == 0 || view_.requires_keys()) continue;
     for (const auto& [name, group] : view_.groups()) {
       if (view_.forward_to(name).empty() && warm_one(runtime_, *group)) break;
@@ -244,9 +246,9 @@
 
 void SessionProxy::trim_links(TimePoint now) {
   for (const auto& [name, group] : view_.groups()) {
-    // Links to groups that others serve take connections from those.
+    // Links to groups that this proxy does not serve take connections from the proxies that do.
     const bool serves = view_.forward_to(name).empty();
-    // None is kept for a tenant, either: there are more tenants than links.
+    // No idle link is kept per tenant, either: there are more tenants than links.
     const std::size_t kept = serves && !view_.requires_keys() ? 1 : 0;
     for (const auto& [backend, use] : group->backends.all()) use->pool.trim(now, kept);
   }
@@ -306,7 +308,7 @@
   link_.stop();
 }
 
-/// What was read is answered: no session reads any more, and those that answer are waited for.
+/// Stops all sessions from reading further statements and waits until `last` for their pending answers.
 Awaitable<void> SessionProxy::finish_answers(TimePoint last) {
   const auto is_answering = [](const auto& entry) { return entry.second->is_answering(); };
   bool answering = true;
--- a/src/registered/proxy/session_proxy.h
+++ b/src/registered/proxy/session_proxy.h
@@ -1,4 +1,4 @@
-// The proxy of a registered fleet: sessions of callers in front of its database groups.
+// The proxy role of a registered fleet: serves caller sessions in front of the fleet's database groups.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// How the proxy speaks with callers and backends. Made once, at the start.
+/// The protocols that the proxy speaks with callers and backends. Created once at start.
 struct SessionEdge {
   std::function<std::unique_ptr<CallerProtocol>()> make_callers;
   std::function<std::unique_ptr<BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
-  /// What backends call; null: they are not answered here.
+  /// Creates the handler of backend registrations; null if this proxy takes none.
   std::function<std::unique_ptr<runtime::HttpHandler>(const registry::RegistrationRelay&)> make_registrations;
-  std::string readiness_path;  ///< on which the node says whether it takes sessions
+  std::string
+      readiness_path;  ///< HTTP path that answers 200 while the proxy takes new sessions, otherwise 503
 };
 
-/// Creates a proxy on `runtime`, which outlives it.
+/// Creates a proxy on `runtime`, which is not owned and must outlive it.
 std::unique_ptr<runtime::Role> make_session_proxy(runtime::Runtime& runtime, SessionProxySettings settings,
                                                   const SessionEdge& edge);
 
--- a/src/registered/proxy/session_services.h
+++ b/src/registered/proxy/session_services.h
@@ -1,4 +1,4 @@
-// What the sessions of one proxy share.
+// The services shared by all sessions of a proxy.
 #pragma once
 
 #include "registered/proxy/fleet/fleet_link.h"
--- a/src/registered/proxy/watch_tick.h
+++ b/src/registered/proxy/watch_tick.h
@@ -1,12 +1,12 @@
-// How often a proxy looks after what only time changes.
+// The polling interval for conditions that change with time only.
 #pragma once
 
 #include "base/types.h"
 
 namespace cairnhollow::registered::proxy {
 
-/// Between two rounds of the watches of primaries, of wanted positions, of evacuated zones and of the search
-/// for a leader. Chosen, not measured: a third of the silence after which a primary is suspected.
+/// Interval of the checks of primaries, replication positions, evacuated zones and stalled leader searches: a
+/// third of kPrimarySilence.
 inline constexpr Duration kWatchTick = std::chrono::milliseconds(100);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -89,7 +89,7 @@
   return "";
 }
 
-/// A connection to a backend. Closing it ends what is under way.
+/// A link to a fake backend. close() ends a running request without an answer.
 class StandLink : public BackendLink {
  public:
   StandLink(SessionStand& stand, std::string backend)
@@ -188,11 +188,11 @@
   first.proxies = {{NodeName("proxy"), 1, ZoneName("a"), {"10.0.0.1", 7440}, false}};
   view_->apply(first);
   for (const char* backend : {kPrimary, kReplica}) statuses[backend].term = 1;
-  // Past the first moments, in which any clock's beginning looks recent.
+  // Time points at the clock's epoch, which mean "never", must not count as recent.
   run_for(seconds(30));
 }
 
-// What still waits refers to the rest.
+// Coroutines that still wait in the world refer to the other members.
 SessionStand::~SessionStand() { world_.reset(); }
 
 SessionServices SessionStand::services() {
--- a/tests/registered/proxy/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -1,5 +1,5 @@
-// A proxy's sessions on a bare runtime: its view is fed by hand, its backends note what they are sent, and
-// something can be made to happen while one step of a statement is under way.
+// Test fixture with the session services of a proxy in a simulated world. Tests set the fleet view by hand,
+// read what the fake backends were sent, and can run an event in the middle of a step of a statement.
 #pragma once
 
 #include <functional>
@@ -16,11 +16,11 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// What a backend is asked, and what is waited for before that.
+/// The steps of a statement during which a test can run an event.
 enum class Step : std::uint8_t { kGate, kDial, kSetValue, kPrepare, kBegin, kStatement, kRollback, kStatus };
 const char* step_name(Step step);
 
-/// How long a step takes during which something happens; that happens in its middle.
+/// Duration of a step with an event; the event runs in its middle.
 inline constexpr Duration kEventfulStep = std::chrono::milliseconds(200);
 
 class SessionStand {
@@ -30,8 +30,8 @@
   static constexpr const char* kKey = "key";
   static constexpr const char* kTenant = "tenant";
 
-  /// With a primary and a replica of one group, a route that needs a key, and one tenant who has kKey. No
-  /// lease and nothing confirmed yet.
+  /// Starts with a primary and a replica of one group, a route that requires a key, the tenant kTenant with
+  /// kKey and another tenant. There is no lease and no confirmation yet.
   SessionStand();
   ~SessionStand();
   SessionStand(const SessionStand&) = delete;
@@ -40,44 +40,46 @@
   [[nodiscard]] TimePoint now() const { return runtime().now(); }
   [[nodiscard]] runtime::Runtime& runtime() const { return *runtime_; }
   void run_for(Duration duration) { world_->run_for(duration); }
-  /// Runs the task to its end; false when `limit` has passed first.
+  /// Runs the task to completion. Returns false if it has not finished within `limit`.
   bool finish(Awaitable<void> task, Duration limit = std::chrono::seconds(20));
 
-  /// Control confirms the view now: the lease and the keys hold for so long.
+  /// Confirms the view as control does: from now on the lease is valid for `lease` and keys for `keys`.
   void confirm(Duration lease, Duration keys);
-  /// A delta that changes nothing, to be filled.
+  /// Returns a delta of the next revision without changes.
   [[nodiscard]] registry::FleetDelta delta();
   void close_group();
-  /// Closes the group and opens it under the other backend.
+  /// Closes the group and reopens it with the other backend as primary.
   void change_primary();
-  /// The key proves no tenant any more, or another one.
+  /// Remove kKey from its tenant, or give it to the other tenant.
   void remove_key();
   void move_key();
   void put_member(const std::string& name, bool leaving);
-  /// The tenant of kKey may begin so many operations a second.
+  /// Limits the tenant of kKey to `rate_per_s` operations per second.
   void limit_tenant(std::uint64_t rate_per_s);
-  /// Another process of this fleet, with an address of its own.
+  /// Starts another process in the same world.
   runtime::Runtime& start_process(const std::string& name, const std::string& address);
 
-  /// `event` happens once, in the middle of the next such step, which takes kEventfulStep.
+  /// Runs `event` once, in the middle of the next such step, which takes kEventfulStep.
   void during(Step step, std::function<void()> event);
-  /// What the backend was sent that is of callers: texts, executions and begins.
+  /// The statement texts, executions and begins that were sent to the backend on behalf of callers.
   [[nodiscard]] const std::vector<std::string>& sent_to(const std::string& backend) { return sent_[backend]; }
-  /// Values and prepared statements that were put on links.
+  /// Number of session values and prepared statements that were set up on links.
   [[nodiscard]] int set_ups() const { return set_ups_; }
   [[nodiscard]] const std::vector<std::string>& dialled_for() const { return dialled_for_; }
-  /// What backends say that they are.
+  /// The status that each backend reports.
   std::map<std::string, BackendStatus> statuses;
-  std::set<std::string> silent;       ///< backends that answer no question of what they are
-  std::set<std::string> unreachable;  ///< backends that take no connection
+  std::set<std::string> silent;       ///< backends that answer status requests a second late
+  std::set<std::string> unreachable;  ///< backends that accept no connection
 
   [[nodiscard]] std::shared_ptr<GroupAccess> group() { return view().find_group(GroupName("group")); }
   [[nodiscard]] FleetView& view() { return *view_; }
   [[nodiscard]] SessionMetrics& metrics() { return metrics_; }
   [[nodiscard]] SessionServices services();
-  /// Of the tenant, with a value and something prepared to be put on its link.
+  /// Returns a prepared write of kTenant that needs a session value and a prepared statement set up on its
+  /// link.
   [[nodiscard]] StatementRequest write(const std::string& id);
-  /// One statement at its backend's gate goes before the next one until the event of kGate is over.
+  /// Occupies a slot of the backend's statement gate for kEventfulStep, so that the next statement waits
+  /// there.
   void occupy_gate(const std::string& backend);
 
  private:
@@ -85,7 +87,7 @@
   class Dialer;
 
   Awaitable<void> hold_gate(std::shared_ptr<BackendUse> backend);
-  /// What happens during the step, if anything.
+  /// Returns and removes the event of the step; empty if there is none.
   std::function<void()> take_event(Step step);
 
   std::unique_ptr<simulation::World> world_;
