--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxSessionEntries = 1024;
 
 constexpr const char* kEvacuated =
-    "the zone of the transaction's backend is evacuated; nothing of it is kept";
+    "the zone of the transaction's backend is evacuated; the transaction was rolled back";
 
 }  // namespace
 
@@ -59,13 +59,14 @@
     co_await services_.view.renewed().wait_until(patience);
   const bool leased = services_.view.lease_valid();
   Refusal refusal = leased ? Refusal::kUnknownDatabase : Refusal::kBusy;
-  std::string why = leased ? "no route names this database" : "no serving lease; come back later";
+  std::string why =
+      leased ? "no route names this database" : "this proxy holds no serving lease; retry later";
   if (services_.view.find_route(database_) != nullptr) {
     const auto fault = co_await check_key();
     if (!fault) co_return co_await caller_->accept(reason);
     refusal = *fault;
-    why = refusal == Refusal::kUnauthorized ? "the key is not known"
-                                            : "keys can't be confirmed now; come back soon";
+    why =
+        refusal == Refusal::kUnauthorized ? "unknown key" : "keys can't be confirmed at present; retry soon";
   }
   services_.metrics.count_refused(refusal);
   services_.runtime.logger().log(LogLevel::kWarning, "session_refused",
@@ -107,8 +108,8 @@
   }
   const bool unknown = rejection == placement::RejectionReason::kKeyUnauthorized;
   refusal = refuse(refusal_of(rejection),
-                   unknown ? "the key proves no tenant any more"
-                           : "keys can't be confirmed without control; come back through another proxy");
+                   unknown ? "the key no longer belongs to any tenant"
+                           : "keys can't be confirmed without control; reconnect through another proxy");
   services_.metrics.count_unplaced(rejection);
   services_.runtime.logger().log(
       LogLevel::kWarning, "key_refused",
@@ -164,7 +165,8 @@
   if (transaction_ && transaction_->failed && !ends) {
     std::string failure = std::exchange(transaction_->failure, std::string());
     if (!failure.empty()) co_return refuse(Refusal::kAborted, std::move(failure));
-    co_return refuse(Refusal::kMalformed, "the transaction has failed; end it first");
+    co_return refuse(Refusal::kMalformed,
+                     "the transaction has failed; end it before sending further statements");
   }
   switch (kind) {
     case StatementKind::kBegin:
@@ -188,26 +190,26 @@
     case StatementKind::kUnknown:
       break;
   }
-  co_return refuse(Refusal::kMalformed, "not a statement");
+  co_return refuse(Refusal::kMalformed, "unknown kind of statement");
 }
 
 Answer CallerSession::set_value(const Statement& statement) {
   if (values_.size() >= kMaxSessionEntries && values_.count(statement.name) == 0)
-    return refuse(Refusal::kMalformed, "too many values in one session");
+    return refuse(Refusal::kMalformed, "too many values in this session");
   values_[statement.name] = statement.argument;
   return done();
 }
 
 Answer CallerSession::prepare(const Statement& statement) {
   if (prepared_.size() >= kMaxSessionEntries && prepared_.count(statement.name) == 0)
-    return refuse(Refusal::kMalformed, "too many prepared statements in one session");
+    return refuse(Refusal::kMalformed, "too many prepared statements in this session");
   prepared_[statement.name] = PreparedShape{statement.writes, statement.argument};
   return done();
 }
 
 Answer CallerSession::deallocate(const Statement& statement) {
   if (prepared_.erase(statement.name) > 0) return done();
-  return refuse(Refusal::kUnknownStatement, "no prepared statement of this name");
+  return refuse(Refusal::kUnknownStatement, "no prepared statement has this name");
 }
 
 bool CallerSession::find_shape(const Statement& statement, StatementRequest& order) const {
@@ -231,7 +233,7 @@
   } else {
     const registry::RouteRule* route = services_.view.find_route(database_);
     if (route == nullptr) {
-      refusal = refuse(Refusal::kUnknownDatabase, "no route names this database any more");
+      refusal = refuse(Refusal::kUnknownDatabase, "the database no longer has a route");
       return std::nullopt;
     }
     order.route = *route;
@@ -242,7 +244,7 @@
     return std::nullopt;
   }
   if (!find_shape(statement, order)) {
-    refusal = refuse(Refusal::kUnknownStatement, "no prepared statement of this name");
+    refusal = refuse(Refusal::kUnknownStatement, "no prepared statement has this name");
     return std::nullopt;
   }
   order.id = statement.id;
@@ -258,7 +260,7 @@
 }
 
 Answer CallerSession::begin(const Statement& statement) {
-  if (transaction_) return refuse(Refusal::kMalformed, "a transaction is open already");
+  if (transaction_) return refuse(Refusal::kMalformed, "a transaction is already open");
   Answer refusal;
   Statement nothing;
   nothing.kind = StatementKind::kRead;
@@ -289,8 +291,9 @@
   const bool is_over = admission.outcome == AdmissionOutcome::kOverLimit;
   if (is_over) services_.metrics.count_unplaced(placement::RejectionReason::kOverLimit);
   refusal = refuse(is_over ? Refusal::kOverLimit : Refusal::kBusy,
-                   fmt::format("{}; come back in {} ms",
-                               is_over ? "the tenant is over its limit" : "the tenant can't be counted now",
+                   fmt::format("{}; retry in {} ms",
+                               is_over ? "the tenant has exceeded its limit"
+                                       : "no quota owner is available for the tenant",
                                in_ms(admission.retry_after)));
   services_.runtime.logger().log(LogLevel::kInfo, "operation_not_admitted",
                                  {{"id", order.id},
@@ -355,7 +358,7 @@
   if (!transaction_) co_return refuse(Refusal::kMalformed, "no transaction is open");
   if (transaction_->failed) {
     co_await end_transaction();
-    co_return refuse(Refusal::kAborted, "the transaction had failed; nothing of it is kept");
+    co_return refuse(Refusal::kAborted, "the transaction had failed and was rolled back");
   }
   Answer refusal;
   statement.kind = StatementKind::kRead;  // a commit by itself writes nothing and names no prepared statement
@@ -422,7 +425,7 @@
 void CallerSession::abort_transaction() {
   if (answering_ || !transaction_ || transaction_->failed) return;
   transaction_->failed = true;
-  transaction_->failure = "the transaction was given up; nothing of it is kept";
+  transaction_->failure = "the transaction was aborted by the proxy and rolled back";
   if (transaction_->pinned) runner_.transactions().abort(*transaction_->pinned);
 }
 
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -136,8 +136,8 @@
   if (route != nullptr) order = to_order(std::move(request.order));
   if (!order || !services_.view.holds_lease_for(*order->group)) {
     forwarded.answer.refusal = Refusal::kBusy;
-    forwarded.answer.detail =
-        order ? "no serving lease" : "the database, its group or the key is not known here";
+    forwarded.answer.detail = order ? "the proxy holds no serving lease"
+                                    : "the database, its group or the key is unknown to the proxy";
     forwarded.may_try_another = true;
     forwarded.nothing_run = true;
     co_return forwarded;
@@ -169,7 +169,7 @@
   if (found == connection->pins.end() || found->second->running || !order) {
     forwarded.answer.refusal = Refusal::kAborted;
     forwarded.answer.state = TransactionState::kFailed;
-    forwarded.answer.detail = "the transaction is not open here; nothing of it is kept";
+    forwarded.answer.detail = "the transaction can't be continued at this proxy and is rolled back";
     co_return forwarded;
   }
   const std::shared_ptr<Pin> pin = found->second;
--- a/src/registered/proxy/forwarding/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -46,7 +46,7 @@
   pending_.erase(correlation);
   if (!pending->answer) {
     const ReasonCode code = open_ ? ReasonCode::kDeadlineExceeded : ReasonCode::kConnectionLost;
-    reason = Reason{code, "forward", frames_->peer(), "no answer from the proxy that serves the group"};
+    reason = Reason{code, "forward", frames_->peer(), "the proxy did not answer the forwarded request"};
   }
   co_return pending->answer;
 }
@@ -144,7 +144,7 @@
 void Forwarder::mark_unreachable(ForwardPeer& peer) {
   if (!peer.last_reason.failed())
     peer.last_reason = Reason{ReasonCode::kDeadlineExceeded, "open_connection", peer.endpoint.to_string(),
-                              "not opened soon"};
+                              "connection not opened in time; dialling continues"};
   if (std::exchange(peer.is_unreachable, true)) return;
   peer.unreachable_since = runtime_.now();
   runtime_.logger().log(runtime::LogLevel::kWarning, "proxy_unreachable", peer.last_reason,
@@ -221,7 +221,7 @@
   if (found == peers_.end() || found->second->is_open()) return;
   ForwardPeer& peer = *found->second;
   peer.last_reason = Reason{ReasonCode::kConnectionLost, "forward", peer.endpoint.to_string(),
-                            "no answer and no sign of life"};
+                            "connection closed before the statement was answered; redialling"};
   mark_unreachable(peer);
   start_dialling(found->second);
 }
--- a/src/registered/proxy/session_metrics.cpp
+++ b/src/registered/proxy/session_metrics.cpp
@@ -15,54 +15,56 @@
 
 SessionMetrics::SessionMetrics()
     : lost_answers_(metrics_.counter("cairnhollow_session_lost_answers_total",
-                                     "Statements sent to a backend that gave no answer.")),
+                                     "Statements sent to a backend that did not answer.")),
       token_questions_(metrics_.counter("cairnhollow_session_token_questions_total",
-                                        "Questions to other proxies that count for a tenant.")),
+                                        "Token requests sent to other proxies.")),
       evacuated_transactions_(
           metrics_.counter("cairnhollow_session_evacuated_transactions_total",
-                           "Transactions given up as their backend's zone is evacuated.")),
+                           "Transactions aborted because their backend's zone is evacuated.")),
       evacuated_zones_(metrics_.gauge("cairnhollow_session_evacuated_zones",
-                                      "Zones to whose backends this proxy sends nothing new.")),
-      sessions_(metrics_.gauge("cairnhollow_session_open", "Sessions that are open.")),
-      lease_valid_(metrics_.gauge("cairnhollow_session_lease_valid", "1 while the serving lease holds.")),
-      member_leases_(metrics_.gauge("cairnhollow_session_member_leases",
-                                    "Groups served by their members' leases, out of control's reach.")) {
+                                      "Evacuated zones, to which this proxy sends no new work.")),
+      sessions_(metrics_.gauge("cairnhollow_session_open", "Open sessions.")),
+      lease_valid_(metrics_.gauge("cairnhollow_session_lease_valid",
+                                  "1 while the proxy holds a serving lease, otherwise 0.")),
+      member_leases_(
+          metrics_.gauge("cairnhollow_session_member_leases",
+                         "Groups served under leases of their members while control is unreachable.")) {
   for (std::size_t place = 0; place < kPlaces.size(); ++place) {
     const runtime::MetricLabels labels{{"by", kPlaces[place]}};
     served_[place] =
-        &metrics_.counter("cairnhollow_session_served_total", "Statements answered with success.", labels);
+        &metrics_.counter("cairnhollow_session_served_total", "Statements answered successfully.", labels);
     latency_[place] = &metrics_.histogram("cairnhollow_session_latency_seconds",
-                                          "From a statement's arrival to its answer.",
+                                          "Time from a statement's arrival to its answer, in seconds.",
                                           runtime::latency_buckets_seconds(), labels);
   }
   for (std::size_t cause = 0; cause < placement::kForwardCauseCount; ++cause) {
     forwarded_[cause] = &metrics_.counter(
-        "cairnhollow_session_forwarded_total", "Statements passed on to another proxy.",
+        "cairnhollow_session_forwarded_total", "Statements forwarded to another proxy.",
         {{"cause", placement::forward_cause_name(static_cast<placement::ForwardCause>(cause))}});
   }
   for (std::size_t rejection = 0; rejection < placement::kRejectionReasonCount; ++rejection) {
     unplaced_[rejection] = &metrics_.counter(
-        "cairnhollow_session_unplaced_total", "Statements that this proxy refused by itself.",
+        "cairnhollow_session_unplaced_total",
+        "Statements refused or transactions ended by this proxy itself.",
         {{"since", placement::rejection_name(static_cast<placement::RejectionReason>(rejection))}});
   }
   for (std::size_t fault = 0; fault < registry::kRegistrationFaults; ++fault) {
     const auto cause = registry::registration_fault_name(static_cast<registry::RegistrationFault>(fault));
     registrations_refused_[fault] =
-        &metrics_.counter("cairnhollow_session_registrations_refused_total",
-                          "Registrations that name no backend to use.", {{"cause", std::string(cause)}});
+        &metrics_.counter("cairnhollow_session_registrations_refused_total", "Refused backend registrations.",
+                          {{"cause", std::string(cause)}});
   }
   for (std::size_t outcome = 0; outcome < kAdmissions.size(); ++outcome) {
     cold_statements_[outcome] = &metrics_.counter(
         "cairnhollow_session_cold_statements_total",
-        "Statements that were to be sent to a cold backend: a token each, or refused there.",
-        {{"outcome", kAdmissions[outcome]}});
+        "Requests for a token to send a statement to a cold backend.", {{"outcome", kAdmissions[outcome]}});
   }
   for (std::size_t code = 0; code < kRefusalCount; ++code) {
     const runtime::MetricLabels labels{{"reason", refusal_name(static_cast<Refusal>(code))}};
     refused_[code] =
         &metrics_.counter("cairnhollow_session_refused_total", "Statements answered with a refusal.", labels);
     retries_[code] = &metrics_.counter("cairnhollow_session_retries_total",
-                                       "Attempts refused by a backend and made again.", labels);
+                                       "Attempts refused by a backend and retried.", labels);
   }
 }
 
@@ -76,7 +78,7 @@
   prometheus::Counter*& counter = admissions_[{label, outcome}];
   if (counter == nullptr) {
     counter = &metrics_.counter(
-        "cairnhollow_session_tenant_operations_total", "Operations of tenants that wanted to begin.",
+        "cairnhollow_session_tenant_operations_total", "Tenant operations that requested admission.",
         {{"tenant", label}, {"outcome", kAdmissions[static_cast<std::size_t>(outcome)]}});
   }
   counter->Increment();
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -169,7 +169,8 @@
 Awaitable<void> SessionProxy::serve(std::shared_ptr<runtime::LineConnection> lines) {
   const auto caller = callers_->wrap(std::move(lines));
   if (sessions_.size() >= settings_.session_limit) {
-    co_await caller->refuse(Refusal::kBusy, "this proxy has as many sessions as it can hold");
+    co_await caller->refuse(Refusal::kBusy,
+                            "this proxy has reached its session limit; retry through another proxy");
     co_return;
   }
   const std::uint64_t id = next_session_++;
--- a/tests/registered/proxy/callers/caller_session_test.cpp
+++ b/tests/registered/proxy/callers/caller_session_test.cpp
@@ -107,7 +107,7 @@
   void an_unknown_key_is_refused_when_control_has_said_so() {
     stand_->confirm(kLong, kLong);
     open("unknown");
-    CPPUNIT_ASSERT_MESSAGE("it may be newer than the document", !caller_->refused);
+    CPPUNIT_ASSERT_MESSAGE("the key may be newer than the document", !caller_->refused);
     // Confirms a report sent after the caller connected.
     stand_->view().extend_lease(stand_->now(), stand_->now() + kLong, 0);
     stand_->run_for(milliseconds(1));
@@ -145,9 +145,10 @@
       stand_->run_for(milliseconds(200));
       const Answer answer = ask(kind, "x");
       CPPUNIT_ASSERT(answer.refusal == Refusal::kBusy);
-      CPPUNIT_ASSERT_MESSAGE("nothing is open", answer.state == TransactionState::kIdle);
+      CPPUNIT_ASSERT_MESSAGE("no transaction is open", answer.state == TransactionState::kIdle);
       CPPUNIT_ASSERT(stand_->sent_to(SessionStand::kPrimary).empty());
-      CPPUNIT_ASSERT_MESSAGE("it meets the same here each time", !caller_->is_open());
+      CPPUNIT_ASSERT_MESSAGE("the session is closed, since any retry would be refused alike",
+                             !caller_->is_open());
     }
   }
 
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -86,14 +86,14 @@
     world_->run_for(seconds(2));
     view_->apply(delta(false, 2, {{ZoneName("erie")}}));
     world_->run_for(milliseconds(1900));
-    CPPUNIT_ASSERT_MESSAGE("the order may be as old as the lease's end", !is_off_limits());
+    CPPUNIT_ASSERT_MESSAGE("the order may date from the end of the lease", !is_off_limits());
     world_->run_for(milliseconds(200));
     CPPUNIT_ASSERT(is_off_limits());
     view_->apply(delta(false, 3, {}, {ZoneName("erie")}));
     confirm();
     world_->run_for(seconds(6));
     view_->apply(delta(true, 4, {{ZoneName("erie")}}));
-    CPPUNIT_ASSERT_MESSAGE("of a whole copy as well", is_off_limits());
+    CPPUNIT_ASSERT_MESSAGE("the same for an order in a whole copy", is_off_limits());
   }
 
   void who_was_never_confirmed_has_no_time() {
--- a/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -34,9 +34,9 @@
     CPPUNIT_ASSERT_MESSAGE("without a lease", !view.may_use_primary(group, epoch));
     stand_->confirm(std::chrono::seconds(1), std::chrono::seconds(1));
     CPPUNIT_ASSERT(view.may_use_primary(group, epoch));
-    CPPUNIT_ASSERT_MESSAGE("of another epoch", !view.may_use_primary(group, epoch + 1));
+    CPPUNIT_ASSERT_MESSAGE("for another epoch", !view.may_use_primary(group, epoch + 1));
     stand_->close_group();
-    CPPUNIT_ASSERT_MESSAGE("of a closed group", !view.may_use_primary(group, epoch + 1));
+    CPPUNIT_ASSERT_MESSAGE("for a closed group", !view.may_use_primary(group, epoch + 1));
   }
 
   void the_next_incarnation_of_a_primary_is_not_used() {
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -112,7 +112,8 @@
     delta.removed_tenants = {TenantName("ako")};
     view_->apply(delta);
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("free", "tui").to_string());
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("what began before", std::string("south"), before.to_string());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("regions determined before the change", std::string("south"),
+                                 before.to_string());
     CPPUNIT_ASSERT(!view_->tenants().any_names_regions());
   }
 
@@ -136,12 +137,12 @@
     backend.group = GroupName("group");
     backend.zone = ZoneName("n1");
     backend.slots = 2;
-    CPPUNIT_ASSERT_MESSAGE("a new one", is_divided_by(backend));
-    CPPUNIT_ASSERT_MESSAGE("as before", !is_divided_by(backend));
+    CPPUNIT_ASSERT_MESSAGE("new backend", is_divided_by(backend));
+    CPPUNIT_ASSERT_MESSAGE("unchanged backend", !is_divided_by(backend));
     backend.cold_ms = 4000;
-    CPPUNIT_ASSERT_MESSAGE("it turned cold", !is_divided_by(backend));
+    CPPUNIT_ASSERT_MESSAGE("backend turned cold", !is_divided_by(backend));
     backend.leaving = true;
-    CPPUNIT_ASSERT_MESSAGE("it leaves", !is_divided_by(backend));
+    CPPUNIT_ASSERT_MESSAGE("backend is leaving", !is_divided_by(backend));
     backend.slots = 3;
     CPPUNIT_ASSERT_MESSAGE("more slots", is_divided_by(backend));
     backend.zone = ZoneName("n2");
@@ -150,7 +151,7 @@
     CPPUNIT_ASSERT_MESSAGE("another group", is_divided_by(backend));
     registry::FleetDelta delta;
     delta.removed_backends = {BackendName("db-1")};
-    CPPUNIT_ASSERT_MESSAGE("it is gone", is_divided_by(delta));
+    CPPUNIT_ASSERT_MESSAGE("backend removed", is_divided_by(delta));
   }
 
  private:
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -62,7 +62,7 @@
     held.group = GroupName("records");
     held.born_ms = 2000;
     held.sequence = 3;
-    CPPUNIT_ASSERT_MESSAGE("nobody is known yet", !proxy.known.knows(held));
+    CPPUNIT_ASSERT_MESSAGE("no backend is known yet", !proxy.known.knows(held));
     registry::FleetDelta delta;
     delta.revision = 1;
     delta.groups = {registry::GroupRule{held.group}};
@@ -77,7 +77,7 @@
     former.leaving = true;
     CPPUNIT_ASSERT(proxy.known.knows(former));
     held.leaving = true;
-    CPPUNIT_ASSERT_MESSAGE("news of this life", !proxy.known.knows(held));
+    CPPUNIT_ASSERT_MESSAGE("changed entry of the same incarnation", !proxy.known.knows(held));
   }
 };
 
--- a/tests/registered/proxy/forwarding/forward_server_test.cpp
+++ b/tests/registered/proxy/forwarding/forward_server_test.cpp
@@ -69,7 +69,7 @@
     const ForwardAnswer answer = call(ForwardRun{order("w")});
     CPPUNIT_ASSERT(answer.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(answer.may_try_another && answer.nothing_run);
-    CPPUNIT_ASSERT_MESSAGE("its own wait for a lease would cost the caller another's answer",
+    CPPUNIT_ASSERT_MESSAGE("refused immediately, without waiting for a lease",
                            stand_->now() - asked_at < milliseconds(100));
   }
 
--- a/tests/registered/proxy/forwarding/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -126,7 +126,7 @@
     peer_->run_takes = seconds(2);
     const Call result = run_call();
     CPPUNIT_ASSERT(result.answered);
-    CPPUNIT_ASSERT_MESSAGE("it was asked for signs of life", peer_->ends > 2);
+    CPPUNIT_ASSERT_MESSAGE("liveness probes were sent", peer_->ends > 2);
   }
 
   void a_silent_proxy_is_given_up() {
@@ -169,7 +169,7 @@
     cut();
     run_connect();
     world_->run_for(kForwardInterest + kForwardDialLimit + kForwardRedialLimit);
-    CPPUNIT_ASSERT_MESSAGE("avoided proxies are not asked: one would stay so for good",
+    CPPUNIT_ASSERT_MESSAGE("avoided proxies are sent nothing, so it would stay avoided forever",
                            !forwarder_->is_avoided(proxy_->name, kGroup));
     world_->heal();
     CPPUNIT_ASSERT(run_call().answered);
--- a/tests/registered/proxy/limits/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -70,7 +70,7 @@
     const Admission& admission = begin();
     world_->run_for(milliseconds(300));
     CPPUNIT_ASSERT(admission.answer && admission.answer->outcome == AdmissionOutcome::kAdmitted);
-    CPPUNIT_ASSERT_MESSAGE("nothing is waited for", admission.took == Duration(0));
+    CPPUNIT_ASSERT_MESSAGE("admitted without waiting", admission.took == Duration(0));
   }
 
   void operations_that_come_together_all_begin() {
@@ -92,7 +92,7 @@
       CPPUNIT_ASSERT(admission->answer);
       if (admission->answer->outcome == AdmissionOutcome::kOverLimit) ++refused;
     }
-    CPPUNIT_ASSERT_MESSAGE("a bucket of 3 owners holds less than 200", refused > 50);
+    CPPUNIT_ASSERT_MESSAGE("the buckets of 3 owners hold fewer than 200 tokens", refused > 50);
   }
 
  private:
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -111,7 +111,7 @@
     if (step == Step::kStatus && stand_.silent.count(backend_) > 0)
       co_await closed_.wait_until(stand_.now() + seconds(1));
     if (!open_) {
-      reason = Reason{ReasonCode::kConnectionLost, "run_statement", backend_, "closed"};
+      reason = Reason{ReasonCode::kConnectionLost, "run_statement", backend_, "link closed"};
       co_return std::nullopt;
     }
     co_return answer_to(request);
