--- a/simulation/registered_fleet_regions.cpp
+++ b/simulation/registered_fleet_regions.cpp
@@ -30,7 +30,7 @@
   const auto* run = std::get_if<registered::proxy::ForwardRun>(&request->body);
   const auto* further = std::get_if<registered::proxy::ForwardInTransaction>(&request->body);
   if (run == nullptr && further == nullptr) return;
-  const registered::proxy::ForwardedOrder& order = run != nullptr ? run->order : further->order;
+  const registered::proxy::ForwardedStatement& order = run != nullptr ? run->statement : further->statement;
   const ZoneName zone(kZones[(std::stoull(receiver.substr(receiver.rfind('-') + 1)) - 1) % kZones.size()]);
   region_history_.placed.push_back({order.id, zone, false, world_.now()});
 }
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -16,11 +16,11 @@
 /// Longest wait for a caller's first line.
 constexpr Duration kStartTimeout = std::chrono::seconds(5);
 /// Longest wait of a new session for a serving lease, for example while the fleet starts.
-constexpr Duration kStartPatience = std::chrono::milliseconds(700);
+constexpr Duration kStartLeaseWait = std::chrono::milliseconds(700);
 /// Maximum number of session values, and of prepared statements, per session.
 constexpr std::size_t kMaxSessionEntries = 1024;
 
-constexpr const char* kEvacuated =
+constexpr const char* kEvacuatedDetail =
     "the zone of the transaction's backend is evacuated; the transaction was rolled back";
 
 }  // namespace
@@ -28,7 +28,7 @@
 Awaitable<void> CallerSession::run() {
   const auto self = shared_from_this();
   const bool opened = co_await open();
-  while (opened && (!leaving_ || transaction_ || !answered_since_leaving_)) {
+  while (opened && (!closing_ || transaction_ || !answered_since_closing_)) {
     Reason reason;
     auto statement = co_await caller_->read_statement(reason);
     if (!statement) break;
@@ -38,11 +38,11 @@
     const Answer answer = co_await handle(std::move(*statement));
     if (answer.refusal) services_.metrics.count_refused(*answer.refusal);
     if (!answer.refusal) services_.metrics.count_served(served_by_, services_.runtime.now() - arrived);
-    const bool told = co_await caller_->answer(answer, reason);
+    const bool answer_sent = co_await caller_->answer(answer, reason);
     answering_ = false;
-    if (!told) break;
-    if (is_unserved_here(answer)) let_go_after_answer();
-    answered_since_leaving_ = leaving_;
+    if (!answer_sent) break;
+    if (needs_another_proxy(answer)) close_after_answer();
+    answered_since_closing_ = closing_;
   }
   co_await end_transaction();
   caller_->close();
@@ -54,18 +54,18 @@
   if (!start) co_return false;
   database_ = start->database;
   key_ = start->key;
-  const TimePoint patience = services_.runtime.now() + kStartPatience;
-  while (!may_open() && services_.view.expects_lease() && services_.runtime.now() < patience)
-    co_await services_.view.renewed().wait_until(patience);
-  const bool leased = services_.view.lease_valid();
-  Refusal refusal = leased ? Refusal::kUnknownDatabase : Refusal::kBusy;
-  std::string why =
-      leased ? "no route names this database" : "this proxy holds no serving lease; retry later";
+  const TimePoint give_up_at = services_.runtime.now() + kStartLeaseWait;
+  while (!may_open() && services_.view.expects_lease() && services_.runtime.now() < give_up_at)
+    co_await services_.view.renewed().wait_until(give_up_at);
+  const bool has_lease = services_.view.lease_valid();
+  Refusal refusal = has_lease ? Refusal::kUnknownDatabase : Refusal::kBusy;
+  std::string detail =
+      has_lease ? "no route names this database" : "this proxy holds no serving lease; retry later";
   if (services_.view.find_route(database_) != nullptr) {
     const auto fault = co_await check_key();
     if (!fault) co_return co_await caller_->accept(reason);
     refusal = *fault;
-    why =
+    detail =
         refusal == Refusal::kUnauthorized ? "unknown key" : "keys can't be confirmed at present; retry soon";
   }
   services_.metrics.count_refused(refusal);
@@ -73,37 +73,37 @@
                                  {{"refusal", refusal_name(refusal)},
                                   {"database", database_.value},
                                   {"version", std::to_string(services_.view.document_version())}});
-  co_await caller_->refuse(refusal, std::move(why));
+  co_await caller_->refuse(refusal, std::move(detail));
   co_return false;
 }
 
 Awaitable<std::optional<Refusal>> CallerSession::check_key() {
   const TimePoint arrived = services_.runtime.now();
-  const TimePoint patience = arrived + kStartPatience;
+  const TimePoint give_up_at = arrived + kStartLeaseWait;
   FleetView& view = services_.view;
   const auto proves_tenant = [&] {
     const registry::RouteRule* route = view.find_route(database_);
     const bool needs_key = route == nullptr ? view.requires_keys() : view.needs_key(*route);
     return !needs_key || view.tenants().find_by_key(key_) != nullptr;
   };
-  if (!proves_tenant() && view.lease_valid()) services_.link.ask_now();
+  if (!proves_tenant() && view.lease_valid()) services_.link.request_report();
   while (!proves_tenant() && view.expects_lease() && !view.keys_confirmed().is_confirmed_since(arrived) &&
-         services_.runtime.now() < patience)
-    co_await view.renewed().wait_until(patience);
+         services_.runtime.now() < give_up_at)
+    co_await view.renewed().wait_until(give_up_at);
   if (proves_tenant()) co_return std::nullopt;
   co_return view.keys_confirmed().is_confirmed_since(arrived) ? Refusal::kUnauthorized : Refusal::kBusy;
 }
 
-bool CallerSession::find_tenant(StatementRequest& order, Answer& refusal) {
+bool CallerSession::authenticate(StatementRequest& request, Answer& refusal) {
   const FleetView& view = services_.view;
-  if (!view.needs_key(order.route)) return true;
+  if (!view.needs_key(request.route)) return true;
   const registry::TenantRule* tenant = view.tenants().find_by_key(key_);
   const placement::KeyFacts key{true, tenant != nullptr,
                                 view.keys_confirmed().allows(services_.runtime.now())};
   const auto rejection = placement::key_rejection(key);
   if (rejection == placement::RejectionReason::kNone) {
-    order.key = key_;
-    order.tenant = tenant->name;
+    request.key = key_;
+    request.tenant = tenant->name;
     return true;
   }
   const bool unknown = rejection == placement::RejectionReason::kKeyUnauthorized;
@@ -113,7 +113,7 @@
   services_.metrics.count_unplaced(rejection);
   services_.runtime.logger().log(
       LogLevel::kWarning, "key_refused",
-      {{"id", order.id},
+      {{"id", request.id},
        {"database", database_.value},
        {"tenant", unknown ? "" : tenant->name.value},
        {"version", std::to_string(view.document_version())},
@@ -121,17 +121,17 @@
         view.keys_confirmed().confirmed_at()
             ? std::to_string(in_ms(services_.runtime.now() - *view.keys_confirmed().confirmed_at()))
             : "never"}});
-  let_go_after_answer();
+  close_after_answer();
   return false;
 }
 
 bool CallerSession::may_open() const {
   if (services_.view.lease_valid()) return true;
   // Another proxy may hold a lease and serve the statements.
-  return services_.view.find_route(database_) != nullptr && !services_.view.others().empty();
+  return services_.view.find_route(database_) != nullptr && !services_.view.other_proxies().empty();
 }
 
-bool CallerSession::is_unserved_here(const Answer& answer) {
+bool CallerSession::needs_another_proxy(const Answer& answer) {
   if (answer.refusal != Refusal::kBusy) return false;
   const registry::RouteRule* route = services_.view.find_route(database_);
   const auto group = route == nullptr ? nullptr : services_.view.find_group(route->group);
@@ -143,7 +143,7 @@
   return transaction_->failed ? TransactionState::kFailed : TransactionState::kOpen;
 }
 
-Answer CallerSession::done() const {
+Answer CallerSession::success_answer() const {
   Answer answer;
   answer.signature = "-";
   answer.state = state();
@@ -197,153 +197,153 @@
   if (values_.size() >= kMaxSessionEntries && values_.count(statement.name) == 0)
     return refuse(Refusal::kMalformed, "too many values in this session");
   values_[statement.name] = statement.argument;
-  return done();
+  return success_answer();
 }
 
 Answer CallerSession::prepare(const Statement& statement) {
   if (prepared_.size() >= kMaxSessionEntries && prepared_.count(statement.name) == 0)
     return refuse(Refusal::kMalformed, "too many prepared statements in this session");
   prepared_[statement.name] = PreparedShape{statement.writes, statement.argument};
-  return done();
+  return success_answer();
 }
 
 Answer CallerSession::deallocate(const Statement& statement) {
-  if (prepared_.erase(statement.name) > 0) return done();
+  if (prepared_.erase(statement.name) > 0) return success_answer();
   return refuse(Refusal::kUnknownStatement, "no prepared statement has this name");
 }
 
-bool CallerSession::find_shape(const Statement& statement, StatementRequest& order) const {
+bool CallerSession::resolve_prepared(const Statement& statement, StatementRequest& request) const {
   if (statement.kind != StatementKind::kExecute) {
-    order.writes = statement.kind == StatementKind::kWrite;
+    request.writes = statement.kind == StatementKind::kWrite;
     return true;
   }
   const auto found = prepared_.find(statement.name);
   if (found == prepared_.end()) return false;
-  order.prepared = found->second;
-  order.argument = statement.argument;
-  order.writes = found->second.writes;
+  request.prepared = found->second;
+  request.argument = statement.argument;
+  request.writes = found->second.writes;
   return true;
 }
 
-std::optional<StatementRequest> CallerSession::make_order(const Statement& statement, Answer& refusal) {
-  StatementRequest order;
+std::optional<StatementRequest> CallerSession::make_request(const Statement& statement, Answer& refusal) {
+  StatementRequest request;
   if (transaction_) {
-    order.route = transaction_->route;
-    order.group = transaction_->group;
+    request.route = transaction_->route;
+    request.group = transaction_->group;
   } else {
     const registry::RouteRule* route = services_.view.find_route(database_);
     if (route == nullptr) {
       refusal = refuse(Refusal::kUnknownDatabase, "the database no longer has a route");
       return std::nullopt;
     }
-    order.route = *route;
-    order.group = services_.view.find_group(route->group);
+    request.route = *route;
+    request.group = services_.view.find_group(route->group);
   }
-  if (!order.group) {
+  if (!request.group) {
     refusal = refuse(Refusal::kBusy, "no backend of the group is known yet");
     return std::nullopt;
   }
-  if (!find_shape(statement, order)) {
+  if (!resolve_prepared(statement, request)) {
     refusal = refuse(Refusal::kUnknownStatement, "no prepared statement has this name");
     return std::nullopt;
   }
-  order.id = statement.id;
-  if (!find_tenant(order, refusal)) return std::nullopt;
-  order.allowed =
-      transaction_ ? transaction_->allowed : services_.view.allowed_regions(order.route, order.tenant);
-  order.text = statement.text;
-  order.values = values_;
-  if (committed_in_ == order.group->name) order.committed = committed_;
-  order.arrived = services_.runtime.now();
-  order.deadline = order.arrived + std::chrono::milliseconds(order.route.timeout_ms);
-  return order;
+  request.id = statement.id;
+  if (!authenticate(request, refusal)) return std::nullopt;
+  request.allowed =
+      transaction_ ? transaction_->allowed : services_.view.allowed_regions(request.route, request.tenant);
+  request.text = statement.text;
+  request.values = values_;
+  if (committed_group_ == request.group->name) request.committed = committed_;
+  request.arrived = services_.runtime.now();
+  request.deadline = request.arrived + std::chrono::milliseconds(request.route.timeout_ms);
+  return request;
 }
 
 Answer CallerSession::begin(const Statement& statement) {
   if (transaction_) return refuse(Refusal::kMalformed, "a transaction is already open");
   Answer refusal;
-  Statement nothing;
-  nothing.kind = StatementKind::kRead;
-  const auto order = make_order(nothing, refusal);
-  if (!order) return refusal;
+  Statement placeholder;
+  placeholder.kind = StatementKind::kRead;
+  const auto request = make_request(placeholder, refusal);
+  if (!request) return refusal;
   Transaction transaction;
   transaction.read_only = statement.kind == StatementKind::kBeginReadOnly;
-  transaction.route = order->route;
-  transaction.group = order->group;
-  transaction.allowed = order->allowed;
+  transaction.route = request->route;
+  transaction.group = request->group;
+  transaction.allowed = request->allowed;
   transaction.last_used = services_.runtime.now();
   transaction_ = std::move(transaction);
-  return done();
+  return success_answer();
 }
 
-void CallerSession::record_committed(const StatementRequest& order, const Answer& answer) {
+void CallerSession::record_committed(const StatementRequest& request, const Answer& answer) {
   if (!answer.succeeded() || !answer.position) return;
   committed_ = SessionCommit{answer.position, services_.runtime.now()};
-  committed_in_ = order.group->name;
+  committed_group_ = request.group->name;
 }
 
-Awaitable<bool> CallerSession::admit(const StatementRequest& order, std::optional<TimePoint>& token,
+Awaitable<bool> CallerSession::admit(const StatementRequest& request, std::optional<TimePoint>& token,
                                      Answer& refusal) {
-  if (order.tenant.empty()) co_return true;
-  const AdmissionAnswer admission = co_await services_.limits.admit(order.tenant);
+  if (request.tenant.empty()) co_return true;
+  const AdmissionAnswer admission = co_await services_.limits.admit(request.tenant);
   token = admission.expires_at;
   if (admission.outcome == AdmissionOutcome::kAdmitted) co_return true;
-  const bool is_over = admission.outcome == AdmissionOutcome::kOverLimit;
-  if (is_over) services_.metrics.count_unplaced(placement::RejectionReason::kOverLimit);
-  refusal = refuse(is_over ? Refusal::kOverLimit : Refusal::kBusy,
+  const bool is_over_limit = admission.outcome == AdmissionOutcome::kOverLimit;
+  if (is_over_limit) services_.metrics.count_unplaced(placement::RejectionReason::kOverLimit);
+  refusal = refuse(is_over_limit ? Refusal::kOverLimit : Refusal::kBusy,
                    fmt::format("{}; retry in {} ms",
-                               is_over ? "the tenant has exceeded its limit"
-                                       : "no quota owner is available for the tenant",
+                               is_over_limit ? "the tenant has exceeded its limit"
+                                             : "no quota owner is available for the tenant",
                                in_ms(admission.retry_after)));
   services_.runtime.logger().log(LogLevel::kInfo, "operation_not_admitted",
-                                 {{"id", order.id},
-                                  {"tenant", order.tenant.value},
+                                 {{"id", request.id},
+                                  {"tenant", request.tenant.value},
                                   {"why", refusal.detail},
                                   {"version", std::to_string(services_.view.document_version())}});
   co_return false;
 }
 
-Awaitable<RunResult> CallerSession::run_admitted(StatementRequest order) {
+Awaitable<RunResult> CallerSession::run_admitted(StatementRequest request) {
   RunResult result;
   std::optional<TimePoint> token;
-  const bool admitted = co_await admit(order, token, result.answer);
+  const bool admitted = co_await admit(request, token, result.answer);
   if (!admitted) co_return result;
-  const TenantName tenant = order.tenant;
-  result = co_await runner_.run(std::move(order));
+  const TenantName tenant = request.tenant;
+  result = co_await runner_.run(std::move(request));
   if (result.nothing_run && token) services_.limits.give_back(tenancy::limited(tenant), *token);
   co_return result;
 }
 
 Awaitable<Answer> CallerSession::run_single(Statement statement) {
   Answer refusal;
-  auto order = make_order(statement, refusal);
-  if (!order) co_return refusal;
-  const bool writes = order->writes;
-  const StatementRequest kept = *order;
-  RunResult result = co_await run_admitted(std::move(*order));
-  if (writes) record_committed(kept, result.answer);
+  auto request = make_request(statement, refusal);
+  if (!request) co_return refusal;
+  const bool writes = request->writes;
+  const StatementRequest sent_request = *request;
+  RunResult result = co_await run_admitted(std::move(*request));
+  if (writes) record_committed(sent_request, result.answer);
   served_by_ = result.served_by;
   co_return std::move(result.answer);
 }
 
 Awaitable<Answer> CallerSession::run_in_transaction(Statement statement) {
   Answer refusal;
-  auto order = make_order(statement, refusal);
-  if (!order) {
+  auto request = make_request(statement, refusal);
+  if (!request) {
     transaction_->failed = true;
     refusal.state = state();
     co_return refusal;
   }
-  order->read_only_transaction = transaction_->read_only;
-  transaction_->wrote = transaction_->wrote || order->writes;
+  request->read_only_transaction = transaction_->read_only;
+  transaction_->wrote = transaction_->wrote || request->writes;
   Answer answer;
   if (transaction_->pinned) {
     const PinnedLink pinned = *transaction_->pinned;
-    answer = co_await runner_.transactions().run(pinned, std::move(*order), false, false);
+    answer = co_await runner_.transactions().run(pinned, std::move(*request), false, false);
     served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   } else {
-    order->opens_transaction = true;
-    RunResult result = co_await run_admitted(std::move(*order));
+    request->opens_transaction = true;
+    RunResult result = co_await run_admitted(std::move(*request));
     transaction_->pinned = result.pinned;
     served_by_ = result.served_by;
     answer = std::move(result.answer);
@@ -361,17 +361,17 @@
     co_return refuse(Refusal::kAborted, "the transaction had failed and was rolled back");
   }
   Answer refusal;
-  statement.kind = StatementKind::kRead;  // a commit by itself writes nothing and names no prepared statement
-  auto order = make_order(statement, refusal);
-  if (!order) {
+  statement.kind = StatementKind::kRead;  // a commit writes nothing itself and names no prepared statement
+  auto request = make_request(statement, refusal);
+  if (!request) {
     co_await end_transaction();
     refusal.state = TransactionState::kIdle;
     co_return refusal;
   }
-  order->read_only_transaction = transaction_->read_only;
+  request->read_only_transaction = transaction_->read_only;
   if (!transaction_->pinned) {
-    order->opens_transaction = true;
-    RunResult result = co_await run_admitted(std::move(*order));
+    request->opens_transaction = true;
+    RunResult result = co_await run_admitted(std::move(*request));
     if (result.pinned && result.answer.state == TransactionState::kIdle) {
       runner_.transactions().give_back(*result.pinned);
     } else if (result.pinned) {
@@ -383,10 +383,10 @@
   }
   const PinnedLink pinned = *transaction_->pinned;
   const bool wrote = transaction_->wrote;
-  const StatementRequest kept = *order;
-  Answer answer = co_await runner_.transactions().run(pinned, std::move(*order), true, wrote);
+  const StatementRequest sent_request = *request;
+  Answer answer = co_await runner_.transactions().run(pinned, std::move(*request), true, wrote);
   served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
-  if (wrote) record_committed(kept, answer);
+  if (wrote) record_committed(sent_request, answer);
   if (answer.state == TransactionState::kIdle) {
     runner_.transactions().give_back(pinned);
   } else {
@@ -400,7 +400,7 @@
 Awaitable<Answer> CallerSession::roll_back() {
   if (!transaction_) co_return refuse(Refusal::kMalformed, "no transaction is open");
   co_await end_transaction();
-  co_return done();
+  co_return success_answer();
 }
 
 Awaitable<void> CallerSession::end_transaction() {
@@ -410,15 +410,15 @@
   if (pinned) co_await runner_.transactions().roll_back(*pinned);
 }
 
-void CallerSession::end_resting_transaction(TimePoint now, Duration limit) {
+void CallerSession::abort_idle_transaction(TimePoint now, Duration limit) {
   if (transaction_ && now - transaction_->last_used >= limit) abort_transaction();
 }
 
-void CallerSession::end_evacuated_transaction() {
+void CallerSession::abort_evacuated_transaction() {
   if (!transaction_ || !transaction_->pinned || transaction_->failed) return;
   if (answering_ || !runner_.transactions().is_off_limits(*transaction_->pinned)) return;
   abort_transaction();
-  transaction_->failure = kEvacuated;
+  transaction_->failure = kEvacuatedDetail;
   services_.metrics.count_evacuated_transaction();
 }
 
@@ -429,9 +429,9 @@
   if (transaction_->pinned) runner_.transactions().abort(*transaction_->pinned);
 }
 
-void CallerSession::let_go() {
-  leaving_ = true;
-  answered_since_leaving_ = true;
+void CallerSession::close_session() {
+  closing_ = true;
+  answered_since_closing_ = true;
   if (!answering_) caller_->close();
 }
 
--- a/src/registered/proxy/callers/caller_session.h
+++ b/src/registered/proxy/callers/caller_session.h
@@ -26,17 +26,17 @@
   [[nodiscard]] bool is_idle() const { return !answering_ && !transaction_; }
   /// Aborts the transaction if it has been idle for `limit` or longer. The next statement is answered with
   /// the reason.
-  void end_resting_transaction(TimePoint now, Duration limit);
+  void abort_idle_transaction(TimePoint now, Duration limit);
   /// Aborts a transaction in a zone that evacuation has made off limits, unless a statement is being
   /// answered.
-  void end_evacuated_transaction();
+  void abort_evacuated_transaction();
   /// Aborts the open transaction, unless a statement is being answered.
   void abort_transaction();
   /// Closes the session now, or after the pending answer if a statement is being answered.
-  void let_go();
+  void close_session();
   /// Closes the session after its next answer outside a transaction, when no statement of the caller is
   /// pending.
-  void let_go_after_answer() { leaving_ = true; }
+  void close_after_answer() { closing_ = true; }
 
  private:
   struct Transaction {
@@ -57,13 +57,13 @@
   /// Returns std::nullopt if the caller may open a session, otherwise the refusal. A key that is missing in
   /// this proxy's document may be newer than the document, so control is asked before the key is refused.
   Awaitable<std::optional<Refusal>> check_key();
-  /// Sets the order's key and tenant if the route requires a key. Returns false and sets `refusal` if the key
-  /// does not prove a tenant now; the session is then closed after that answer.
-  [[nodiscard]] bool find_tenant(StatementRequest& order, Answer& refusal);
+  /// Sets the request's key and tenant if the route requires a key. Returns false and sets `refusal` if the
+  /// key does not prove a tenant now; the session is then closed after that answer.
+  [[nodiscard]] bool authenticate(StatementRequest& request, Answer& refusal);
   /// Whether the statement was refused because this proxy can't reach, or may not use, the group's primary
   /// and reached no other proxy that can. Further attempts here would fail alike, so the session is then
   /// closed and the caller reconnects through another proxy.
-  [[nodiscard]] bool is_unserved_here(const Answer& answer);
+  [[nodiscard]] bool needs_another_proxy(const Answer& answer);
   Awaitable<Answer> handle(Statement statement);
   Answer begin(const Statement& statement);
   Awaitable<Answer> run_single(Statement statement);
@@ -76,18 +76,18 @@
 
   /// Whether the tenant may begin one more operation now. Sets `token` to the expiry of the token taken, if
   /// any, and `refusal` if the result is false.
-  Awaitable<bool> admit(const StatementRequest& order, std::optional<TimePoint>& token, Answer& refusal);
+  Awaitable<bool> admit(const StatementRequest& request, std::optional<TimePoint>& token, Answer& refusal);
   /// Runs an operation or opens a transaction, if the tenant's limit admits it.
-  Awaitable<RunResult> run_admitted(StatementRequest order);
+  Awaitable<RunResult> run_admitted(StatementRequest request);
   /// Makes a request with the current route and group, or with those of the open transaction. Returns
   /// std::nullopt and sets `refusal` if the statement can't be run.
-  std::optional<StatementRequest> make_order(const Statement& statement, Answer& refusal);
-  [[nodiscard]] bool find_shape(const Statement& statement, StatementRequest& order) const;
+  std::optional<StatementRequest> make_request(const Statement& statement, Answer& refusal);
+  [[nodiscard]] bool resolve_prepared(const Statement& statement, StatementRequest& request) const;
   [[nodiscard]] Answer refuse(Refusal refusal, std::string detail) const;
-  [[nodiscard]] Answer done() const;
+  [[nodiscard]] Answer success_answer() const;
   [[nodiscard]] TransactionState state() const;
   Awaitable<void> end_transaction();
-  void record_committed(const StatementRequest& order, const Answer& answer);
+  void record_committed(const StatementRequest& request, const Answer& answer);
 
   SessionServices services_;
   StatementRunner runner_;
@@ -98,11 +98,11 @@
   std::map<std::string, PreparedShape> prepared_;
   std::optional<Transaction> transaction_;
   SessionCommit committed_;
-  GroupName committed_in_;
+  GroupName committed_group_;
   ServedBy served_by_ = ServedBy::kProxy;
   bool answering_ = false;
-  bool leaving_ = false;
-  bool answered_since_leaving_ = false;
+  bool closing_ = false;
+  bool answered_since_closing_ = false;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/control_conversation.h
+++ b/src/registered/proxy/fleet/control_conversation.h
@@ -18,13 +18,13 @@
 struct ControlConversation {
   std::shared_ptr<runtime::FrameConnection> connection;
   Endpoint endpoint;
-  std::map<std::uint64_t, TimePoint> asked;  ///< send times of unanswered reports, by nonce
-  TimePoint last_asked_at{};
+  std::map<std::uint64_t, TimePoint> unanswered;  ///< send times of unanswered reports, by nonce
+  TimePoint last_report_at{};
   bool is_compressed = false;  ///< the control node compresses its deltas
   bool broken = false;
-  bool answered = false;    ///< at least one report has been answered
-  std::uint64_t bytes = 0;  ///< bytes received as of the last is_stalled() call
-  TimePoint bytes_at{};     ///< when is_stalled() last found that `bytes` had grown
+  bool answered = false;         ///< at least one report has been answered
+  std::uint64_t bytes_seen = 0;  ///< bytes received as of the last is_stalled() call
+  TimePoint last_progress_at{};  ///< when is_stalled() last found that `bytes_seen` had grown
 
   void close() {
     broken = true;
--- a/src/registered/proxy/fleet/fleet_link.cpp
+++ b/src/registered/proxy/fleet/fleet_link.cpp
@@ -36,14 +36,14 @@
 
 std::optional<Endpoint> FleetLink::registration_endpoint() const {
   if (!connected_ || draining_ || settings_.seeds.empty()) return std::nullopt;
-  return Endpoint{followed_, settings_.seeds.front().port};
+  return Endpoint{leader_address_, settings_.seeds.front().port};
 }
 
 void FleetLink::start() { runtime_.spawn("fleet_link", run()); }
 
 void FleetLink::set_draining() {
   draining_ = true;
-  report_now_ = true;
+  report_requested_ = true;
   wake_.notify_all();
 }
 
@@ -60,7 +60,7 @@
   return endpoints;
 }
 
-void FleetLink::mark_lost(const Reason& reason, const std::string& peer) {
+void FleetLink::mark_disconnected(const Reason& reason, const std::string& peer) {
   if (!std::exchange(connected_, false)) return;
   runtime_.logger().log(LogLevel::kWarning, "control_lost", reason, {{"control", peer}});
 }
@@ -70,12 +70,12 @@
     auto found = co_await search_.run(candidates());
     if (!found) continue;
     const ConversationPointer conversation = found->conversation;
-    take_update(*conversation, found->answer);
+    handle_update(*conversation, found->answer);
     runtime_.spawn("fleet_link_read", read_updates(conversation));
-    co_await converse(conversation);
+    co_await send_reports(conversation);
     conversation->close();
     // Jitter, so that proxies that lost the leader together do not reconnect at the same moment.
-    if (!stopping_) co_await runtime_.sleep_for(runtime_.random().between(Duration(0), kControlRetryPause));
+    if (!stopping_) co_await runtime_.sleep_for(runtime_.random().between(Duration(0), kControlRetryBackoff));
   }
 }
 
@@ -92,29 +92,30 @@
 }
 
 Awaitable<void> FleetLink::wait_for_next_report(ConversationPointer conversation) {
-  const TimePoint due = conversation->last_asked_at + report_interval_;
-  while (!stopping_ && !conversation->broken && !report_now_ && runtime_.now() < due &&
+  const TimePoint due = conversation->last_report_at + report_interval_;
+  while (!stopping_ && !conversation->broken && !report_requested_ && runtime_.now() < due &&
          !conversation->is_stalled(runtime_.now()))
     co_await wake_.wait_until(due);
 }
 
-Awaitable<void> FleetLink::converse(ConversationPointer conversation) {
+Awaitable<void> FleetLink::send_reports(ConversationPointer conversation) {
   while (true) {
     co_await wait_for_next_report(conversation);
     if (stopping_ || conversation->broken) co_return;
     const std::string peer = conversation->connection->peer();
     if (conversation->is_stalled(runtime_.now())) {
-      mark_lost(Reason{ReasonCode::kDeadlineExceeded, "renew_lease", peer, "no answer in time"}, peer);
+      mark_disconnected(Reason{ReasonCode::kDeadlineExceeded, "renew_lease", peer, "no answer in time"},
+                        peer);
       co_return;
     }
     const registry::ProxyReport report = make_report();
     suspicions_.clear();
-    report_now_ = false;
-    conversation->last_asked_at = runtime_.now();
-    conversation->asked[report.nonce] = conversation->last_asked_at;
+    report_requested_ = false;
+    conversation->last_report_at = runtime_.now();
+    conversation->unanswered[report.nonce] = conversation->last_report_at;
     Reason reason;
     const bool sent = co_await conversation->connection->send(wire::encode(report), reason);
-    if (!sent) mark_lost(reason, peer);
+    if (!sent) mark_disconnected(reason, peer);
     if (!sent) co_return;
   }
 }
@@ -127,24 +128,24 @@
     if (frame) update = wire::decode<registry::ProxyUpdate>(*frame, reason);
     if (conversation->broken) co_return;
     if (!update) {
-      mark_lost(reason, conversation->connection->peer());
+      mark_disconnected(reason, conversation->connection->peer());
       conversation->broken = true;
     } else {
-      take_update(*conversation, *update);
+      handle_update(*conversation, *update);
     }
     wake_.notify_all();
   }
 }
 
-void FleetLink::take_refusal(ControlConversation& conversation, const Reason& refusal) {
-  mark_lost(refusal, conversation.connection->peer());
+void FleetLink::handle_refusal(ControlConversation& conversation, const Reason& refusal) {
+  mark_disconnected(refusal, conversation.connection->peer());
   conversation.broken = true;
   if (refusal.code == ReasonCode::kNotLeader && !refusal.peer.empty())
     hinted_leader_ = Endpoint{refusal.peer, settings_.control_port};
 }
 
-void FleetLink::take_update(ControlConversation& conversation, const registry::ProxyUpdate& update) {
-  if (update.refusal) return take_refusal(conversation, *update.refusal);
+void FleetLink::handle_update(ControlConversation& conversation, const registry::ProxyUpdate& update) {
+  if (update.refusal) return handle_refusal(conversation, *update.refusal);
   if (!update.control_endpoints.empty()) {
     endpoints_ = update.control_endpoints;
     for (const Endpoint& seed : settings_.seeds)
@@ -157,28 +158,29 @@
     if (conversation.is_compressed) plain = wire::decompress(update.delta, reason);
     std::optional<registry::FleetDelta> delta;
     if (plain) delta = wire::decode<registry::FleetDelta>(*plain, reason);
-    if (!delta) return take_refusal(conversation, reason);
-    take_delta(*delta, update.delta.size());
+    if (!delta) return handle_refusal(conversation, reason);
+    apply_delta(*delta, update.delta.size());
   }
-  const auto asked = conversation.asked.find(update.nonce);
-  if (asked == conversation.asked.end()) return;
+  const auto report = conversation.unanswered.find(update.nonce);
+  if (report == conversation.unanswered.end()) return;
   if (update.lease > Duration(0))
-    view_.extend_lease(asked->second, asked->second + update.lease, update.stable_revision);
-  conversation.asked.erase(conversation.asked.begin(), std::next(asked));
+    view_.extend_lease(report->second, report->second + update.lease, update.stable_revision);
+  conversation.unanswered.erase(conversation.unanswered.begin(), std::next(report));
   conversation.answered = true;
   if (connected_) return;
   connected_ = true;
-  followed_ = conversation.endpoint.address;
+  leader_address_ = conversation.endpoint.address;
   runtime_.logger().log(LogLevel::kInfo, "control_found", {{"control", conversation.connection->peer()}});
 }
 
-void FleetLink::take_delta(const registry::FleetDelta& delta, std::size_t bytes) {
+void FleetLink::apply_delta(const registry::FleetDelta& delta, std::size_t bytes) {
   const auto closed_before = view_.closed_groups().size();
   const std::uint64_t version = view_.document_version();
   view_.apply(delta);
   // New backends are acknowledged at once: if this proxy falls silent, control decides promotions by the
   // revision that it last reported.
-  report_now_ = report_now_ || view_.closed_groups().size() != closed_before || !delta.backends.empty();
+  report_requested_ =
+      report_requested_ || view_.closed_groups().size() != closed_before || !delta.backends.empty();
   if (version == view_.document_version()) return;
   runtime_.logger().log(LogLevel::kInfo, "document_in_force",
                         {{"version", std::to_string(view_.document_version())},
@@ -187,8 +189,8 @@
                          {"revision", std::to_string(view_.revision())}});
 }
 
-void FleetLink::ask_now() {
-  report_now_ = true;
+void FleetLink::request_report() {
+  report_requested_ = true;
   wake_.notify_all();
 }
 
@@ -197,12 +199,12 @@
   if (!term.open) return;
   const TimePoint now = runtime_.now();
   auto& suspected_at = suspected_at_[{term.group, kind}];
-  if (suspected_at != TimePoint{} && now - suspected_at < kSuspicionRepeat) return;
+  if (suspected_at != TimePoint{} && now - suspected_at < kSuspicionRepeatInterval) return;
   suspected_at = now;
   const bool commits_stall = kind == SuspicionKind::kCommitsStall;
   const bool unreachable = kind == SuspicionKind::kUnreachable;
   suspicions_.push_back({term.group, term.primary, term.term, commits_stall, unreachable});
-  report_now_ = true;
+  report_requested_ = true;
   runtime_.logger().log(LogLevel::kWarning, "primary_suspected",
                         {{"group", term.group.value},
                          {"primary", term.primary.value},
--- a/src/registered/proxy/fleet/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -22,7 +22,7 @@
 /// Interval between lease requests, unless the leader sets another one.
 inline constexpr Duration kReportInterval = std::chrono::milliseconds(400);
 /// A suspicion of the same group and kind is not reported again within this time.
-inline constexpr Duration kSuspicionRepeat = std::chrono::milliseconds(300);
+inline constexpr Duration kSuspicionRepeatInterval = std::chrono::milliseconds(300);
 
 /// Why a primary is suspected.
 enum class SuspicionKind : std::uint8_t {
@@ -45,9 +45,9 @@
   [[nodiscard]] std::optional<Endpoint> registration_endpoint() const;
   /// Sends a report immediately. For callers that need a confirmation of something newer than the last
   /// report.
-  void ask_now();
-  /// Adds the suspicion to the next report, which is sent immediately. Repeats within kSuspicionRepeat are
-  /// dropped.
+  void request_report();
+  /// Adds the suspicion to the next report, which is sent immediately. Repeats within
+  /// kSuspicionRepeatInterval are dropped.
   void report_suspicion(const GroupAccess& group, SuspicionKind kind);
 
  private:
@@ -57,16 +57,16 @@
   /// The control nodes to ask for the leader, most likely one first.
   [[nodiscard]] std::vector<Endpoint> candidates();
   /// Sends reports until the conversation breaks or this object is stopped.
-  Awaitable<void> converse(ConversationPointer conversation);
+  Awaitable<void> send_reports(ConversationPointer conversation);
   /// Waits until the next report is due or was requested, or the conversation has broken or stalled.
   Awaitable<void> wait_for_next_report(ConversationPointer conversation);
   Awaitable<void> read_updates(ConversationPointer conversation);
   registry::ProxyReport make_report();
-  void take_update(ControlConversation& conversation, const registry::ProxyUpdate& update);
-  void take_refusal(ControlConversation& conversation, const Reason& refusal);
+  void handle_update(ControlConversation& conversation, const registry::ProxyUpdate& update);
+  void handle_refusal(ControlConversation& conversation, const Reason& refusal);
   /// `bytes`: encoded size of the delta as it was received.
-  void take_delta(const registry::FleetDelta& delta, std::size_t bytes);
-  void mark_lost(const Reason& reason, const std::string& peer);
+  void apply_delta(const registry::FleetDelta& delta, std::size_t bytes);
+  void mark_disconnected(const Reason& reason, const std::string& peer);
 
   runtime::Runtime& runtime_;
   SessionProxySettings settings_;
@@ -80,9 +80,9 @@
   Duration report_interval_ = kReportInterval;
   std::vector<registry::PrimarySuspicion> suspicions_;
   std::map<std::pair<GroupName, SuspicionKind>, TimePoint> suspected_at_;
-  bool report_now_ = false;
+  bool report_requested_ = false;
   bool connected_ = false;
-  std::string followed_;  ///< address of the leader that is followed, or was followed last
+  std::string leader_address_;  ///< address of the leader that is followed, or was followed last
   bool draining_ = false;
   bool stopping_ = false;
 };
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -11,11 +11,11 @@
 
 namespace cairnhollow::registered::proxy {
 
-std::shared_ptr<GroupAccess> FleetView::access(const GroupName& group) {
+std::shared_ptr<GroupAccess> FleetView::get_or_create_group(const GroupName& group) {
   auto& access = groups_[group];
   if (!access)
     access = std::make_shared<GroupAccess>(runtime_, dialer_, group, zone_, evacuated_,
-                                           limits_cold_ ? &keys_confirmed_ : nullptr);
+                                           limits_cold_backends_ ? &keys_confirmed_ : nullptr);
   return access;
 }
 
@@ -44,7 +44,7 @@
   const auto group = group_of_.find(backend);
   if (group == group_of_.end()) return std::nullopt;
   const double rate = groups_.at(group->second)->cold.rate_per_s();
-  if (rate <= 0 || !limits_cold_) return std::nullopt;
+  if (rate <= 0 || !limits_cold_backends_) return std::nullopt;
   return proxy::cold_limit(backend, rate, cold_window_);
 }
 
@@ -59,39 +59,39 @@
   for (const registry::RouteRule& route : delta.routes) routes_[route.name] = route;
   if (!delta.is_whole && delta.removed_routes.empty() && delta.routes.empty()) return;
   by_database_.clear();
-  routes_name_regions_ = false;
+  routes_restrict_regions_ = false;
   for (const auto& [name, route] : routes_) {
     by_database_.emplace(route.database, name);
-    routes_name_regions_ = routes_name_regions_ || !route.allowed_regions.empty();
+    routes_restrict_regions_ = routes_restrict_regions_ || !route.allowed_regions.empty();
   }
 }
 
 void FleetView::apply_backends(const registry::FleetDelta& delta) {
-  std::set<BackendName> kept;
-  for (const registry::BackendEntry& entry : delta.backends) kept.insert(entry.name);
+  std::set<BackendName> listed;
+  for (const registry::BackendEntry& entry : delta.backends) listed.insert(entry.name);
   std::vector<BackendName> removed = delta.removed_backends;
   if (delta.is_whole) {
     for (const auto& [name, group] : group_of_) {
-      if (kept.count(name) == 0) removed.push_back(name);
+      if (listed.count(name) == 0) removed.push_back(name);
     }
   }
   for (const BackendName& name : removed) {
     const auto group = group_of_.find(name);
     if (group == group_of_.end()) continue;
-    access(group->second)->remove_backend(name);
+    get_or_create_group(group->second)->remove_backend(name);
     group_of_.erase(group);
   }
   for (const registry::BackendEntry& entry : delta.backends) {
     group_of_[entry.name] = entry.group;
-    access(entry.group)->put_backend(entry);
+    get_or_create_group(entry.group)->put_backend(entry);
   }
 }
 
 std::vector<ZoneName> FleetView::apply_evacuations(const registry::FleetDelta& delta) {
-  std::set<ZoneName> begun;
-  for (const registry::Evacuation& evacuation : delta.evacuations) begun.insert(evacuation.zone);
+  std::set<ZoneName> active;
+  for (const registry::Evacuation& evacuation : delta.evacuations) active.insert(evacuation.zone);
   std::vector<ZoneName> ended = delta.ended_evacuations;
-  if (delta.is_whole) ended = evacuated_->others_than(begun);
+  if (delta.is_whole) ended = evacuated_->others_than(active);
   bool changed = false;
   for (const ZoneName& zone : ended) {
     if (!evacuated_->end(zone)) continue;
@@ -99,7 +99,7 @@
     log_evacuation("evacuation_over", zone, delta.revision);
   }
   const TimePoint since = evacuation_known_since();
-  for (const ZoneName& zone : begun) {
+  for (const ZoneName& zone : active) {
     if (!evacuated_->begin(zone, since)) continue;
     changed = true;
     log_evacuation("evacuation_in_force", zone, delta.revision);
@@ -125,15 +125,15 @@
 }
 
 void FleetView::apply_tenants(const registry::FleetDelta& delta) {
-  keys_changed_ = std::exchange(requires_keys_, delta.requires_keys) != delta.requires_keys;
+  requires_keys_changed_ = std::exchange(requires_keys_, delta.requires_keys) != delta.requires_keys;
   if (delta.is_whole) tenants_.clear();
   for (const TenantName& name : delta.removed_tenants) tenants_.remove(name);
   for (const registry::TenantRule& tenant : delta.tenants) {
-    const auto former = tenant_limit(tenant.name);
+    const auto previous = tenant_limit(tenant.name);
     tenants_.put(tenant);
-    if (former) quotas_.record_limit(*former, *tenant_limit(tenant.name), runtime_.now());
+    if (previous) quotas_.record_limit(*previous, *tenant_limit(tenant.name), runtime_.now());
   }
-  if (!delta.tenants.empty() || !delta.removed_tenants.empty()) forward_for_.clear();
+  if (!delta.tenants.empty() || !delta.removed_tenants.empty()) tenant_forwarding_targets_.clear();
 }
 
 void FleetView::apply_proxies(const registry::FleetDelta& delta) {
@@ -154,38 +154,38 @@
   std::vector<subset::ProxyPointer> changed;
   for (const registry::AdmittedProxy& proxy : delta.proxies) changed.push_back(view_of(proxy));
   for (const NodeName& node : delta.removed_proxies) {
-    const auto held = proxies_.find(node);
-    if (held != proxies_.end()) changed.push_back(view_of(held->second));
+    const auto known = proxies_.find(node);
+    if (known != proxies_.end()) changed.push_back(view_of(known->second));
   }
   if (!delta.is_whole) return changed;
   for (const auto& [node, proxy] : proxies_) changed.push_back(view_of(proxy));
   return changed;
 }
 
-std::vector<subset::ProxyPointer> FleetView::takers() const {
-  std::vector<subset::ProxyPointer> takers;
+std::vector<subset::ProxyPointer> FleetView::accepting_proxies() const {
+  std::vector<subset::ProxyPointer> accepting_proxies;
   for (const auto& [node, proxy] : proxies_) {
-    if (!proxy.leaving) takers.push_back(view_of(proxy));
+    if (!proxy.leaving) accepting_proxies.push_back(view_of(proxy));
   }
-  return takers;
+  return accepting_proxies;
 }
 
-void FleetView::divide_groups(const std::vector<subset::ProxyPointer>& takers) {
-  others_ = subset::forwarding_order(takers, node_, zone_);
-  std::erase_if(others_, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
-  const subset::SubsetTable table(takers);
-  forward_to_.clear();
+void FleetView::divide_groups(const std::vector<subset::ProxyPointer>& accepting_proxies) {
+  other_proxies_ = subset::forwarding_order(accepting_proxies, node_, zone_);
+  std::erase_if(other_proxies_, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
+  const subset::SubsetTable table(accepting_proxies);
+  forwarding_targets_.clear();
   also_serving_.clear();
   serving_.clear();
-  forward_for_.clear();
+  tenant_forwarding_targets_.clear();
   for (const auto& [name, group] : groups_) {
-    const std::size_t size =
-        registry::serving_proxies(group->rule, group->backends.slots(), takers.size(), requires_keys_);
-    if (size >= takers.size()) {
-      if (requires_keys_) share_connections(*group, takers);
+    const std::size_t size = registry::serving_proxies(group->rule, group->backends.slots(),
+                                                       accepting_proxies.size(), requires_keys_);
+    if (size >= accepting_proxies.size()) {
+      if (requires_keys_) share_connections(*group, accepting_proxies);
       if (!requires_keys_) group->backends.share_connections(proxies_.size());
-      also_serving_[name] = others_;
-      serving_[name] = subset::forwarding_order(takers, node_, zone_);
+      also_serving_[name] = other_proxies_;
+      serving_[name] = subset::forwarding_order(accepting_proxies, node_, zone_);
       continue;
     }
     const auto serving = table.serving(name, static_cast<std::uint32_t>(size));
@@ -196,7 +196,7 @@
     auto order = subset::forwarding_order(serving, node_, zone_);
     serving_[name] = order;
     std::erase_if(order, [this](const subset::ProxyPointer& proxy) { return proxy->name == node_; });
-    (serves ? also_serving_ : forward_to_)[name] = std::move(order);
+    (serves ? also_serving_ : forwarding_targets_)[name] = std::move(order);
   }
 }
 
@@ -209,8 +209,8 @@
   group.backends.share_connections(std::move(counts));
 }
 
-std::optional<ZoneName> FleetView::zone_of_work(const GroupName& group, const TenantName& tenant,
-                                                GroupWork work) const {
+std::optional<ZoneName> FleetView::work_zone(const GroupName& group, const TenantName& tenant,
+                                             GroupWork work) const {
   const auto found = groups_.find(group);
   if (found == groups_.end()) return zone_;
   const auto primary = work == GroupWork::kAtPrimary ? found->second->standing.primary() : nullptr;
@@ -224,29 +224,31 @@
 
 namespace {
 
-const std::vector<subset::ProxyPointer>& nobody() {
+const std::vector<subset::ProxyPointer>& no_proxies() {
   static const std::vector<subset::ProxyPointer> none;
   return none;
 }
 
 }  // namespace
 
-const std::vector<subset::ProxyPointer>& FleetView::forward_to(const GroupName& group) {
-  const auto found = forward_to_.find(group);
-  return found == forward_to_.end() ? nobody() : found->second;
+const std::vector<subset::ProxyPointer>& FleetView::forwarding_targets(const GroupName& group) {
+  const auto found = forwarding_targets_.find(group);
+  return found == forwarding_targets_.end() ? no_proxies() : found->second;
 }
 
-const std::vector<subset::ProxyPointer>& FleetView::forward_to(const GroupName& group,
-                                                               const TenantName& tenant, GroupWork work) {
-  if (tenant.empty()) return forward_to(group);
-  if (forward_for_.size() > kMostTenantDivisions) forward_for_.clear();
-  const auto zone = zone_of_work(group, tenant, work);
-  if (!zone) return nobody();
-  const auto found = forward_for_.find(std::tie(group, tenant, *zone));
-  if (found != forward_for_.end()) return found->second;
+const std::vector<subset::ProxyPointer>& FleetView::forwarding_targets(const GroupName& group,
+                                                                       const TenantName& tenant,
+                                                                       GroupWork work) {
+  if (tenant.empty()) return forwarding_targets(group);
+  if (tenant_forwarding_targets_.size() > kMaxCachedTenantOrders) tenant_forwarding_targets_.clear();
+  const auto zone = work_zone(group, tenant, work);
+  if (!zone) return no_proxies();
+  const auto found = tenant_forwarding_targets_.find(std::tie(group, tenant, *zone));
+  if (found != tenant_forwarding_targets_.end()) return found->second;
   auto order = tenancy::order_for_tenant(serving_[group], tenant, tenants_.part_of(tenant), *zone);
   if (!order.empty() && order.front()->name == node_) order.clear();
-  return forward_for_.emplace(TenantPlace{group, tenant, *zone}, std::move(order)).first->second;
+  return tenant_forwarding_targets_.emplace(TenantOrderKey{group, tenant, *zone}, std::move(order))
+      .first->second;
 }
 
 const std::vector<subset::ProxyPointer>& FleetView::also_serving(const GroupName& group) {
@@ -262,56 +264,58 @@
   return {regions_, route.allowed_regions, {}};
 }
 
-std::vector<subset::ProxyPointer> FleetView::in_regions(const std::vector<subset::ProxyPointer>& proxies,
-                                                        const locality::PermittedRegions& allowed) const {
-  std::vector<subset::ProxyPointer> inside = proxies;
-  std::erase_if(inside, [&](const subset::ProxyPointer& proxy) {
+std::vector<subset::ProxyPointer> FleetView::filter_by_region(
+    const std::vector<subset::ProxyPointer>& proxies, const locality::PermittedRegions& allowed) const {
+  std::vector<subset::ProxyPointer> permitted = proxies;
+  std::erase_if(permitted, [&](const subset::ProxyPointer& proxy) {
     return proxy->name != node_ && !allowed.allows(proxy->zone);
   });
-  return inside;
+  return permitted;
 }
 
-bool FleetView::names_regions() const { return routes_name_regions_ || tenants_.any_names_regions(); }
+bool FleetView::has_region_restrictions() const {
+  return routes_restrict_regions_ || tenants_.any_names_regions();
+}
 
-void FleetView::record_zone(const ZoneName& zone) {
-  if (regions_.find(zone) != nullptr || !told_unknown_.insert(zone).second) return;
+void FleetView::log_if_region_unknown(const ZoneName& zone) {
+  if (regions_.find(zone) != nullptr || !logged_zones_.insert(zone).second) return;
   runtime_.logger().log(runtime::LogLevel::kWarning, "region_unknown",
                         {{"zone", zone.value}, {"version", std::to_string(document_version_)}});
 }
 
-void FleetView::record_unknown_regions(const registry::FleetDelta& delta) {
-  if (!names_regions()) return;
-  for (const registry::BackendEntry& backend : delta.backends) record_zone(backend.zone);
-  for (const registry::AdmittedProxy& proxy : delta.proxies) record_zone(proxy.zone);
+void FleetView::log_unknown_regions(const registry::FleetDelta& delta) {
+  if (!has_region_restrictions()) return;
+  for (const registry::BackendEntry& backend : delta.backends) log_if_region_unknown(backend.zone);
+  for (const registry::AdmittedProxy& proxy : delta.proxies) log_if_region_unknown(proxy.zone);
   if (delta.routes.empty() && delta.tenants.empty()) return;
   // These may be the first region lists, so the zones of all known backends and proxies are checked.
   for (const auto& [name, group] : groups_) {
-    for (const auto& [backend, use] : group->backends.all()) record_zone(use->entry.zone);
+    for (const auto& [backend, use] : group->backends.all()) log_if_region_unknown(use->entry.zone);
   }
-  for (const auto& [node, proxy] : proxies_) record_zone(proxy.zone);
+  for (const auto& [node, proxy] : proxies_) log_if_region_unknown(proxy.zone);
 }
 
 void FleetView::apply(const registry::FleetDelta& delta) {
   revision_ = delta.revision;
   document_version_ = delta.document_version;
   transaction_idle_ = std::chrono::milliseconds(delta.transaction_idle_ms);
-  const std::vector<ZoneName> given_back = apply_evacuations(delta);
+  const std::vector<ZoneName> ended_zones = apply_evacuations(delta);
   apply_routes(delta);
   apply_tenants(delta);
-  for (const registry::GroupRule& rule : delta.groups) access(rule.name)->rule = rule;
-  const bool divides = keys_changed_ || changes_division(delta);
+  for (const registry::GroupRule& rule : delta.groups) get_or_create_group(rule.name)->rule = rule;
+  const bool division_changes = requires_keys_changed_ || changes_division(delta);
   apply_backends(delta);
-  for (const ZoneName& zone : given_back) {
+  for (const ZoneName& zone : ended_zones) {
     for (const auto& [name, group] : groups_) group->backends.record_evacuation_ended(zone);
   }
-  for (const registry::GroupTerm& term : delta.terms) access(term.group)->set_term(term);
+  for (const registry::GroupTerm& term : delta.terms) get_or_create_group(term.group)->set_term(term);
   const auto changed = changed_proxies(delta);
   apply_proxies(delta);
-  record_unknown_regions(delta);
-  if (!divides) return;
-  const auto takers = this->takers();
-  if (!changed.empty()) quotas_.set_owners(limits::QuotaOwners(takers, changed), revision_);
-  divide_groups(takers);
+  log_unknown_regions(delta);
+  if (!division_changes) return;
+  const auto accepting_proxies = this->accepting_proxies();
+  if (!changed.empty()) quotas_.set_owners(limits::QuotaOwners(accepting_proxies, changed), revision_);
+  divide_groups(accepting_proxies);
 }
 
 bool FleetView::changes_division(const registry::FleetDelta& delta) const {
@@ -319,9 +323,9 @@
   if (delta.is_whole || !delta.proxies.empty() || !delta.removed_proxies.empty()) return true;
   if (!delta.groups.empty() || !delta.removed_backends.empty()) return true;
   return std::any_of(delta.backends.begin(), delta.backends.end(), [this](const auto& entry) {
-    const registry::BackendEntry* held = find_backend(entry.name);
-    return held == nullptr || held->group != entry.group || held->zone != entry.zone ||
-           held->slots != entry.slots;
+    const registry::BackendEntry* known = find_backend(entry.name);
+    return known == nullptr || known->group != entry.group || known->zone != entry.zone ||
+           known->slots != entry.slots;
   });
 }
 
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -29,7 +29,7 @@
 inline constexpr Duration kLeaseExpectedWithin = std::chrono::milliseconds(1500);
 /// Cached proxy orders per group, tenant and zone, about 0.5 KB each. The cache is cleared when it exceeds
 /// this number.
-inline constexpr std::size_t kMostTenantDivisions = 4096;
+inline constexpr std::size_t kMaxCachedTenantOrders = 4096;
 
 /// The kind of work that a group's backends do for a tenant.
 enum class GroupWork : std::uint8_t { kAtPrimary, kSingleReads };
@@ -47,7 +47,7 @@
         keys_confirmed_(settings.key_bound),
         limit_window_(settings.limit_window),
         cold_window_{kColdWindow, settings.cold_overshoot - 1, settings.cold_slack},
-        limits_cold_(settings.cold_overshoot > 0 || settings.cold_slack > 0),
+        limits_cold_backends_(settings.cold_overshoot > 0 || settings.cold_slack > 0),
         quotas_(settings.node),
         renewed_(runtime),
         started_(runtime.now()) {}
@@ -113,21 +113,22 @@
   /// The proxies to which statements for the group are forwarded, in order of preference. Empty if this proxy
   /// serves the group itself. Only a subset of the proxies serves a group, so that each has enough
   /// connections.
-  [[nodiscard]] const std::vector<subset::ProxyPointer>& forward_to(const GroupName& group);
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& forwarding_targets(const GroupName& group);
   /// The same for the statements of one tenant, whose links to a backend are kept at few of the serving
   /// proxies of the backend's zone. Contains this proxy, behind others, if it serves the group but is not the
   /// first choice. Also empty for work at a primary while no primary may be used: such work waits at this
   /// proxy until the primary's zone is known.
-  [[nodiscard]] const std::vector<subset::ProxyPointer>& forward_to(const GroupName& group,
-                                                                    const TenantName& tenant, GroupWork work);
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& forwarding_targets(const GroupName& group,
+                                                                            const TenantName& tenant,
+                                                                            GroupWork work);
   /// For a group that this proxy serves, the other proxies that serve it, in order of preference.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& also_serving(const GroupName& group);
   /// All other proxies that accept new work, those of this zone first.
-  [[nodiscard]] const std::vector<subset::ProxyPointer>& others() const { return others_; }
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& other_proxies() const { return other_proxies_; }
   /// Filters `proxies` by the regions into which a statement's text may be sent. This proxy is never filtered
   /// out, since it already has the text.
-  [[nodiscard]] std::vector<subset::ProxyPointer> in_regions(const std::vector<subset::ProxyPointer>& proxies,
-                                                             const locality::PermittedRegions& allowed) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> filter_by_region(
+      const std::vector<subset::ProxyPointer>& proxies, const locality::PermittedRegions& allowed) const;
   /// The acknowledgements of all closed groups, to be reported to control.
   [[nodiscard]] std::vector<registry::ClosedGroup> closed_groups() const;
 
@@ -143,27 +144,27 @@
 
  private:
   /// Cache key of a proxy order: whose statements run in which zone.
-  struct TenantPlace {
+  struct TenantOrderKey {
     GroupName group;
     TenantName tenant;
     ZoneName zone;
   };
   /// Key by reference, for lookups that copy no string.
-  using TenantPlaceView = std::tuple<const GroupName&, const TenantName&, const ZoneName&>;
-  struct PlaceOrder {
+  using TenantOrderKeyView = std::tuple<const GroupName&, const TenantName&, const ZoneName&>;
+  struct TenantOrderKeyLess {
     using is_transparent = void;
-    static TenantPlaceView view(const TenantPlace& place) {
-      return std::tie(place.group, place.tenant, place.zone);
+    static TenantOrderKeyView view(const TenantOrderKey& key) {
+      return std::tie(key.group, key.tenant, key.zone);
     }
-    static const TenantPlaceView& view(const TenantPlaceView& place) { return place; }
+    static const TenantOrderKeyView& view(const TenantOrderKeyView& key) { return key; }
     bool operator()(const auto& one, const auto& other) const { return view(one) < view(other); }
   };
 
-  std::shared_ptr<GroupAccess> access(const GroupName& group);
+  std::shared_ptr<GroupAccess> get_or_create_group(const GroupName& group);
   /// The zone of the backends that do the tenant's work. Returns std::nullopt for work at a primary if this
   /// proxy holds a lease but no primary is known.
-  [[nodiscard]] std::optional<ZoneName> zone_of_work(const GroupName& group, const TenantName& tenant,
-                                                     GroupWork work) const;
+  [[nodiscard]] std::optional<ZoneName> work_zone(const GroupName& group, const TenantName& tenant,
+                                                  GroupWork work) const;
   /// Divides the group's connections among the proxies that serve it.
   void share_connections(GroupAccess& group, const std::vector<subset::ProxyPointer>& serving) const;
   void apply_routes(const registry::FleetDelta& delta);
@@ -176,17 +177,17 @@
   void log_evacuation(const char* event, const ZoneName& zone, std::uint64_t revision);
   void apply_tenants(const registry::FleetDelta& delta);
   /// Whether any route or tenant restricts its statements to regions.
-  [[nodiscard]] bool names_regions() const;
+  [[nodiscard]] bool has_region_restrictions() const;
   /// Logs zones whose region is not configured and which every region list therefore excludes.
-  void record_unknown_regions(const registry::FleetDelta& delta);
-  void record_zone(const ZoneName& zone);
+  void log_unknown_regions(const registry::FleetDelta& delta);
+  void log_if_region_unknown(const ZoneName& zone);
   /// The proxies that the delta adds, changes or removes. Call before apply_proxies().
   [[nodiscard]] std::vector<subset::ProxyPointer> changed_proxies(const registry::FleetDelta& delta) const;
   /// The proxies that accept new work.
-  [[nodiscard]] std::vector<subset::ProxyPointer> takers() const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> accepting_proxies() const;
   void apply_proxies(const registry::FleetDelta& delta);
   /// Works out which proxies serve each group and how they share its connections.
-  void divide_groups(const std::vector<subset::ProxyPointer>& takers);
+  void divide_groups(const std::vector<subset::ProxyPointer>& accepting_proxies);
   /// Whether the delta may change which proxies serve a group or their shares of its connections. Of a
   /// backend, only its group, zone and slots matter. Call before apply_backends().
   [[nodiscard]] bool changes_division(const registry::FleetDelta& delta) const;
@@ -198,13 +199,13 @@
   std::shared_ptr<EvacuatedZones> evacuated_;
   const locality::RegionMap regions_;
   bool requires_keys_ = false;
-  bool keys_changed_ =
+  bool requires_keys_changed_ =
       false;  ///< the current delta toggled requires_keys, which changes how links are divided
   tenancy::TenantDirectory tenants_;
   tenancy::KeyConfirmation keys_confirmed_;
   limits::LimitWindow limit_window_;
   limits::LimitWindow cold_window_;
-  bool limits_cold_;  ///< statements to cold backends are rate limited
+  bool limits_cold_backends_;  ///< statements to cold backends are rate limited
   limits::QuotaLedger quotas_;
   runtime::Signal renewed_;
   TimePoint started_;
@@ -213,18 +214,18 @@
   std::uint64_t document_version_ = 0;
   Duration transaction_idle_{0};
   std::map<RouteName, registry::RouteRule> routes_;
-  bool routes_name_regions_ = false;
-  std::set<ZoneName> told_unknown_;  ///< zones already logged as having no known region
+  bool routes_restrict_regions_ = false;
+  std::set<ZoneName> logged_zones_;  ///< zones already logged as having no known region
   std::map<DatabaseName, RouteName> by_database_;
   std::map<GroupName, std::shared_ptr<GroupAccess>> groups_;
   std::map<BackendName, GroupName> group_of_;
   std::map<NodeName, registry::AdmittedProxy> proxies_;
-  std::map<GroupName, std::vector<subset::ProxyPointer>> forward_to_;
+  std::map<GroupName, std::vector<subset::ProxyPointer>> forwarding_targets_;
   std::map<GroupName, std::vector<subset::ProxyPointer>> also_serving_;
   std::map<GroupName, std::vector<subset::ProxyPointer>> serving_;  ///< includes this proxy where it serves
   /// Computed on demand from `serving_` and the tenants' limits.
-  std::map<TenantPlace, std::vector<subset::ProxyPointer>, PlaceOrder> forward_for_;
-  std::vector<subset::ProxyPointer> others_;
+  std::map<TenantOrderKey, std::vector<subset::ProxyPointer>, TenantOrderKeyLess> tenant_forwarding_targets_;
+  std::vector<subset::ProxyPointer> other_proxies_;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -18,10 +18,10 @@
       : runtime_(runtime), view_(view), link_(link), metrics_(metrics) {}
 
   [[nodiscard]] bool knows(const registry::BackendEntry& entry) const override {
-    const registry::BackendEntry* held = view_.find_backend(entry.name);
-    if (held == nullptr) return false;
-    const bool is_late = entry.tells_birth() && entry.is_of_earlier_incarnation_than(*held);
-    return is_late || held->same_facts(entry);
+    const registry::BackendEntry* known = view_.find_backend(entry.name);
+    if (known == nullptr) return false;
+    const bool is_stale = entry.tells_birth() && entry.is_of_earlier_incarnation_than(*known);
+    return is_stale || known->same_facts(entry);
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override {
     return link_.registration_endpoint();
--- a/src/registered/proxy/fleet/leader_search.h
+++ b/src/registered/proxy/fleet/leader_search.h
@@ -22,16 +22,16 @@
 
 /// Control nodes asked in parallel: the number of voters that tolerates five failures. Any further control
 /// nodes are standbys.
-inline constexpr std::size_t kControlNodesAskedAtOnce = 11;
+inline constexpr std::size_t kMaxParallelLeaderQueries = 11;
 /// Connect timeout. A dial to a machine without power hangs, while a new dial succeeds at once when power
 /// returns, so dials are short. Every fifth dial has the longer timeout, for slow networks.
-inline constexpr Duration kControlDial = std::chrono::milliseconds(100);
-inline constexpr Duration kLongControlDial = std::chrono::milliseconds(400);
+inline constexpr Duration kControlDialTimeout = std::chrono::milliseconds(100);
+inline constexpr Duration kLongControlDialTimeout = std::chrono::milliseconds(400);
 inline constexpr int kLongControlDialEvery = 5;
 inline constexpr Duration kSearchLogInterval = std::chrono::milliseconds(250);
 /// Initial and maximum pause of the exponential backoff between dials.
-inline constexpr Duration kControlRetryPause = std::chrono::milliseconds(20);
-inline constexpr Duration kControlRetryLimit = std::chrono::milliseconds(80);
+inline constexpr Duration kControlRetryBackoff = std::chrono::milliseconds(20);
+inline constexpr Duration kControlRetryMaxBackoff = std::chrono::milliseconds(80);
 
 /// `runtime` is not owned and must outlive this object, which lives until the process ends.
 class LeaderSearch {
@@ -54,26 +54,26 @@
   struct Round {
     explicit Round(runtime::Runtime& runtime) : ended(runtime) {}
     std::deque<Endpoint> waiting;  ///< endpoints to ask next, in order
-    std::set<Endpoint> being_asked;
+    std::set<Endpoint> in_progress;
     std::set<std::shared_ptr<ControlConversation>> open;
     std::optional<Found> found;
-    bool over = false;
+    bool finished = false;
     runtime::Signal ended;
   };
   using RoundPointer = std::shared_ptr<Round>;
 
   /// Asks one waiting control node after another until the round has ended.
-  Awaitable<void> ask_in_turn(RoundPointer round);
-  Awaitable<void> ask(RoundPointer round, Endpoint endpoint, Duration dial_limit);
-  Awaitable<std::shared_ptr<ControlConversation>> open(Endpoint endpoint, Duration dial_limit,
+  Awaitable<void> ask_control_nodes(RoundPointer round);
+  Awaitable<void> ask(RoundPointer round, Endpoint endpoint, Duration dial_timeout);
+  Awaitable<std::shared_ptr<ControlConversation>> open(Endpoint endpoint, Duration dial_timeout,
                                                        Reason& reason);
   Awaitable<std::optional<registry::ProxyUpdate>> report(std::shared_ptr<ControlConversation> conversation,
                                                          Reason& reason);
   Awaitable<void> close_when_stalled(std::shared_ptr<ControlConversation> conversation);
   /// Called when a control node closed the connection without an answer, as builds that don't support
   /// compressed deltas do. Toggles between compressed and plain deltas for the next attempt.
-  void record_closed_unanswered();
-  void take_hint(const RoundPointer& round, const Reason& refusal);
+  void toggle_compression();
+  void follow_leader_hint(const RoundPointer& round, const Reason& refusal);
   void end(Round& round);
   /// Logs at most once per kSearchLogInterval.
   void record_failure(const Reason& reason, const Endpoint& endpoint);
--- a/src/registered/proxy/forwarding/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -17,7 +17,7 @@
 namespace cairnhollow::registered::proxy {
 
 /// A StatementRequest on the wire. Times are sent as durations, since the proxies' clocks differ.
-struct ForwardedOrder {
+struct ForwardedStatement {
   registry::RouteRule route;
   std::string id;
   std::string text;
@@ -31,7 +31,7 @@
   bool opens_transaction = false;
   bool read_only_transaction = false;
   bool may_have_run = false;  ///< an earlier attempt at another proxy gave no answer
-  ApiKey key;  ///< the caller's key; the proxy that runs the order finds the tenant in its own document
+  ApiKey key;  ///< the caller's key; the proxy that runs the statement finds the tenant in its own document
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -47,22 +47,22 @@
 };
 
 struct ForwardRun {
-  ForwardedOrder order;
+  ForwardedStatement statement;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(order);
+    archive(statement);
   }
 };
 
 /// Runs a further statement, or the commit, of the transaction that the server holds open as `pin`.
 struct ForwardInTransaction {
   std::uint64_t pin = 0;
-  ForwardedOrder order;
+  ForwardedStatement statement;
   bool commits = false;
   bool wrote = false;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(pin, order, commits, wrote);
+    archive(pin, statement, commits, wrote);
   }
 };
 
@@ -105,7 +105,7 @@
   std::uint64_t pin = 0;  ///< the transaction that was opened; 0: none
   bool at_primary = false;
   bool may_try_another = false;  ///< not run, for a reason specific to the answering proxy
-  bool nothing_run = false;      ///< no backend can have run the order, in any attempt
+  bool nothing_run = false;      ///< no backend can have run the statement, in any attempt
   limits::Grant grant;           ///< the answer to ForwardTokens
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -40,7 +40,7 @@
   }
   const auto connection = std::make_shared<Connection>();
   connection->frames = frames;
-  std::erase_if(connections_, [](const auto& known) { return known.expired(); });
+  std::erase_if(connections_, [](const auto& weak) { return weak.expired(); });
   connections_.push_back(connection);
   while (!stopping_) {
     const auto frame = co_await frames->receive(reason);
@@ -58,32 +58,32 @@
   }
 }
 
-std::optional<StatementRequest> ForwardServer::to_order(ForwardedOrder forwarded) {
-  StatementRequest order;
-  order.group = services_.view.find_group(forwarded.route.group);
-  if (!order.group) return std::nullopt;
+std::optional<StatementRequest> ForwardServer::to_statement_request(ForwardedStatement forwarded) {
+  StatementRequest statement;
+  statement.group = services_.view.find_group(forwarded.route.group);
+  if (!statement.group) return std::nullopt;
   if (services_.view.needs_key(forwarded.route)) {
     const registry::TenantRule* tenant = services_.view.tenants().find_by_key(forwarded.key);
     if (tenant == nullptr) return std::nullopt;
-    order.key = std::move(forwarded.key);
-    order.tenant = tenant->name;
+    statement.key = std::move(forwarded.key);
+    statement.tenant = tenant->name;
   }
-  order.route = std::move(forwarded.route);
-  order.allowed = services_.view.allowed_regions(order.route, order.tenant);
-  order.id = std::move(forwarded.id);
-  order.text = std::move(forwarded.text);
-  order.prepared = std::move(forwarded.prepared);
-  order.argument = std::move(forwarded.argument);
-  order.writes = forwarded.writes;
-  order.values = std::move(forwarded.values);
-  order.arrived = services_.runtime.now();
-  order.committed = SessionCommit{forwarded.committed, order.arrived - forwarded.committed_ago};
-  order.deadline = order.arrived + forwarded.time_left;
-  order.opens_transaction = forwarded.opens_transaction;
-  order.read_only_transaction = forwarded.read_only_transaction;
-  order.is_forwarded = true;
-  order.may_have_run = forwarded.may_have_run;
-  return order;
+  statement.route = std::move(forwarded.route);
+  statement.allowed = services_.view.allowed_regions(statement.route, statement.tenant);
+  statement.id = std::move(forwarded.id);
+  statement.text = std::move(forwarded.text);
+  statement.prepared = std::move(forwarded.prepared);
+  statement.argument = std::move(forwarded.argument);
+  statement.writes = forwarded.writes;
+  statement.values = std::move(forwarded.values);
+  statement.arrived = services_.runtime.now();
+  statement.committed = SessionCommit{forwarded.committed, statement.arrived - forwarded.committed_ago};
+  statement.deadline = statement.arrived + forwarded.time_left;
+  statement.opens_transaction = forwarded.opens_transaction;
+  statement.read_only_transaction = forwarded.read_only_transaction;
+  statement.is_forwarded = true;
+  statement.may_have_run = forwarded.may_have_run;
+  return statement;
 }
 
 Awaitable<void> ForwardServer::handle(std::shared_ptr<Connection> connection, ForwardRequest request) {
@@ -91,8 +91,8 @@
   bool is_grant = false;
   if (auto* run_request = std::get_if<ForwardRun>(&request.body)) {
     answer = co_await run(connection, std::move(*run_request));
-  } else if (auto* further = std::get_if<ForwardInTransaction>(&request.body)) {
-    answer = co_await run_in_transaction(connection, std::move(*further));
+  } else if (auto* in_transaction = std::get_if<ForwardInTransaction>(&request.body)) {
+    answer = co_await run_in_transaction(connection, std::move(*in_transaction));
   } else if (const auto* tokens = std::get_if<ForwardTokens>(&request.body)) {
     answer.grant = grant(*tokens);
     is_grant = true;
@@ -130,20 +130,20 @@
 Awaitable<ForwardAnswer> ForwardServer::run(std::shared_ptr<Connection> connection, ForwardRun request) {
   ForwardAnswer forwarded;
   // The route of this proxy's document applies: the forwarding proxy's document may be older.
-  const registry::RouteRule* route = services_.view.find_route(request.order.route.database);
-  if (route != nullptr) request.order.route = *route;
-  std::optional<StatementRequest> order;
-  if (route != nullptr) order = to_order(std::move(request.order));
-  if (!order || !services_.view.holds_lease_for(*order->group)) {
+  const registry::RouteRule* route = services_.view.find_route(request.statement.route.database);
+  if (route != nullptr) request.statement.route = *route;
+  std::optional<StatementRequest> statement;
+  if (route != nullptr) statement = to_statement_request(std::move(request.statement));
+  if (!statement || !services_.view.holds_lease_for(*statement->group)) {
     forwarded.answer.refusal = Refusal::kBusy;
-    forwarded.answer.detail = order ? "the proxy holds no serving lease"
-                                    : "the database, its group or the key is unknown to the proxy";
+    forwarded.answer.detail = statement ? "the proxy holds no serving lease"
+                                        : "the database, its group or the key is unknown to the proxy";
     forwarded.may_try_another = true;
     forwarded.nothing_run = true;
     co_return forwarded;
   }
-  const auto group = order->group;
-  RunResult result = co_await runner_.run(std::move(*order));
+  const auto group = statement->group;
+  RunResult result = co_await runner_.run(std::move(*statement));
   forwarded.answer = std::move(result.answer);
   forwarded.nothing_run = result.nothing_run;
   forwarded.at_primary = result.served_by == ServedBy::kPrimary;
@@ -165,8 +165,8 @@
                                                            ForwardInTransaction request) {
   ForwardAnswer forwarded;
   const auto found = connection->pins.find(request.pin);
-  auto order = to_order(std::move(request.order));
-  if (found == connection->pins.end() || found->second->running || !order) {
+  auto statement = to_statement_request(std::move(request.statement));
+  if (found == connection->pins.end() || found->second->running || !statement) {
     forwarded.answer.refusal = Refusal::kAborted;
     forwarded.answer.state = TransactionState::kFailed;
     forwarded.answer.detail = "the transaction can't be continued at this proxy and is rolled back";
@@ -177,15 +177,15 @@
   forwarded.at_primary = pinned.at_primary;
   pin->running = true;
   forwarded.answer =
-      co_await runner_.transactions().run(pinned, std::move(*order), request.commits, request.wrote);
+      co_await runner_.transactions().run(pinned, std::move(*statement), request.commits, request.wrote);
   pin->running = false;
   if (pin->ended) co_await runner_.transactions().end(pinned);
   co_return forwarded;
 }
 
-void ForwardServer::end_evacuated_transactions() {
-  for (const auto& known : connections_) {
-    const auto connection = known.lock();
+void ForwardServer::abort_evacuated_transactions() {
+  for (const auto& weak : connections_) {
+    const auto connection = weak.lock();
     if (!connection) continue;
     for (const auto& [number, pin] : connection->pins) {
       if (pin->running || !pin->link.link->link().is_open() ||
--- a/src/registered/proxy/forwarding/forward_server.h
+++ b/src/registered/proxy/forwarding/forward_server.h
@@ -20,7 +20,7 @@
   void stop();
   /// Aborts forwarded transactions in zones that evacuation has made off limits, unless a statement is
   /// running.
-  void end_evacuated_transactions();
+  void abort_evacuated_transactions();
 
  private:
   /// An open transaction. At most one of its statements runs at a time.
@@ -50,7 +50,7 @@
   limits::Grant grant(const ForwardTokens& request);
   Awaitable<void> send_answers(std::shared_ptr<Connection> connection);
   /// Returns std::nullopt if this proxy does not know the group, or no tenant with the caller's key.
-  std::optional<StatementRequest> to_order(ForwardedOrder order);
+  std::optional<StatementRequest> to_statement_request(ForwardedStatement forwarded);
 
   SessionServices services_;
   StatementRunner runner_;
--- a/src/registered/proxy/forwarding/forwarder.cpp
+++ b/src/registered/proxy/forwarding/forwarder.cpp
@@ -10,23 +10,24 @@
 namespace {
 
 /// Liveness probe: ends transaction 0, which never exists, so the other proxy answers immediately.
-ForwardRequest ask_whether_alive() {
+ForwardRequest make_probe() {
   ForwardRequest request;
   request.body = ForwardEnd{0};
   return request;
 }
 
-const ForwardedOrder* order_of(const ForwardRequest& request) {
-  if (const auto* run = std::get_if<ForwardRun>(&request.body)) return &run->order;
-  if (const auto* further = std::get_if<ForwardInTransaction>(&request.body)) return &further->order;
+const ForwardedStatement* statement_of(const ForwardRequest& request) {
+  if (const auto* run = std::get_if<ForwardRun>(&request.body)) return &run->statement;
+  if (const auto* in_transaction = std::get_if<ForwardInTransaction>(&request.body))
+    return &in_transaction->statement;
   return nullptr;
 }
 
 std::string encode_request(const ForwardRequest& request) {
-  const ForwardedOrder* order = order_of(request);
+  const ForwardedStatement* statement = statement_of(request);
   const bool asks_tokens = std::holds_alternative<ForwardTokens>(request.body);
   const bool has_tenants =
-      asks_tokens || (order != nullptr && (!order->key.empty() || order->route.is_public));
+      asks_tokens || (statement != nullptr && (!statement->key.empty() || statement->route.is_public));
   return wire::encode_from(request, wire::format_with_tenants(has_tenants));
 }
 
@@ -39,8 +40,8 @@
   const auto pending = std::make_shared<Pending>(runtime_);
   pending_[correlation] = pending;
   outgoing_.push_back(encode_request(request));
-  queued_.notify_all();
-  called_.notify_all();
+  frame_queued_.notify_all();
+  call_added_.notify_all();
   bool in_time = true;
   while (open_ && !pending->answer && in_time) in_time = co_await pending->answered.wait_until(deadline);
   pending_.erase(correlation);
@@ -58,11 +59,11 @@
     std::optional<ForwardAnswer> answer;
     if (frame) answer = wire::decode<ForwardAnswer>(*frame, reason);
     if (!answer) break;
-    heard_at_ = runtime_.now();
-    asked_at_.reset();
+    last_received_at_ = runtime_.now();
+    probe_sent_at_.reset();
     const auto pending = pending_.find(answer->correlation);
     if (pending == pending_.end()) {
-      end_unwanted(*answer);
+      end_orphaned_transaction(*answer);
       continue;
     }
     pending->second->answer = std::move(answer);
@@ -74,34 +75,35 @@
 Awaitable<void> ForwardConnection::watch(std::shared_ptr<ForwardConnection> /*self*/) {
   while (open_) {
     if (pending_.empty()) {
-      co_await called_.wait();
-      heard_at_ = runtime_.now();
-      asked_at_.reset();
+      co_await call_added_.wait();
+      last_received_at_ = runtime_.now();
+      probe_sent_at_.reset();
     }
-    const TimePoint due = asked_at_ ? *asked_at_ + kForwardAnswerLimit : heard_at_ + kForwardSilence;
-    co_await runtime_.sleep_for(std::max<Duration>(due - runtime_.now(), kForwardWatchPause));
+    const TimePoint due =
+        probe_sent_at_ ? *probe_sent_at_ + kForwardProbeTimeout : last_received_at_ + kForwardProbeAfter;
+    co_await runtime_.sleep_for(std::max<Duration>(due - runtime_.now(), kForwardWatchInterval));
     const TimePoint now = runtime_.now();
     if (pending_.empty()) continue;
-    if (asked_at_ && now - *asked_at_ >= kForwardAnswerLimit) close();
-    if (open_ && !asked_at_ && now - heard_at_ >= kForwardSilence) ask_for_life();
+    if (probe_sent_at_ && now - *probe_sent_at_ >= kForwardProbeTimeout) close();
+    if (open_ && !probe_sent_at_ && now - last_received_at_ >= kForwardProbeAfter) send_probe();
   }
 }
 
-void ForwardConnection::ask_for_life() {
-  asked_at_ = runtime_.now();
-  ForwardRequest request = ask_whether_alive();
+void ForwardConnection::send_probe() {
+  probe_sent_at_ = runtime_.now();
+  ForwardRequest request = make_probe();
   request.correlation = next_correlation_++;
   outgoing_.push_back(wire::encode(request));
-  queued_.notify_all();
+  frame_queued_.notify_all();
 }
 
-void ForwardConnection::end_unwanted(const ForwardAnswer& answer) {
+void ForwardConnection::end_orphaned_transaction(const ForwardAnswer& answer) {
   if (answer.pin == 0) return;
   ForwardRequest request;
   request.correlation = next_correlation_++;
   request.body = ForwardEnd{answer.pin};
   outgoing_.push_back(wire::encode(request));
-  queued_.notify_all();
+  frame_queued_.notify_all();
 }
 
 Awaitable<void> ForwardConnection::write(std::shared_ptr<ForwardConnection> /*self*/) {
@@ -111,30 +113,30 @@
       const bool sent = co_await frames_->send(std::move(frame), reason);
       if (!sent) close();
     }
-    if (open_ && outgoing_.empty()) co_await queued_.wait();
+    if (open_ && outgoing_.empty()) co_await frame_queued_.wait();
   }
 }
 
 void ForwardConnection::close() {
   if (!std::exchange(open_, false)) return;
   frames_->close();
-  queued_.notify_all();
-  called_.notify_all();
+  frame_queued_.notify_all();
+  call_added_.notify_all();
   for (const auto& [correlation, pending] : pending_) pending->answered.notify_all();
 }
 
 Awaitable<std::shared_ptr<ForwardConnection>> Forwarder::connect(subset::ProxyPointer proxy,
                                                                  TimePoint deadline, Reason& reason) {
-  auto& held = peers_[proxy->name];
-  if (!held) held = std::make_shared<ForwardPeer>(runtime_, proxy->name);
-  const PeerPointer peer = held;
+  auto& slot = peers_[proxy->name];
+  if (!slot) slot = std::make_shared<ForwardPeer>(runtime_, proxy->name);
+  const PeerPointer peer = slot;
   peer->endpoint = proxy->endpoint;
-  peer->wanted_at = runtime_.now();
+  peer->last_requested_at = runtime_.now();
   if (peer->is_open()) co_return peer->connection;
   start_dialling(peer);
-  const TimePoint patience = std::min(deadline, peer->dialling_since + kForwardDialPatience);
-  while (!peer->is_open() && peer->is_dialling && !peer->is_unreachable && runtime_.now() < patience)
-    co_await peer->dialled.wait_until(patience);
+  const TimePoint give_up_at = std::min(deadline, peer->dialling_since + kForwardConnectWait);
+  while (!peer->is_open() && peer->is_dialling && !peer->is_unreachable && runtime_.now() < give_up_at)
+    co_await peer->dialled.wait_until(give_up_at);
   if (peer->is_open()) co_return peer->connection;
   mark_unreachable(*peer);
   reason = peer->last_reason;
@@ -153,9 +155,9 @@
 
 void Forwarder::record_reached(ForwardPeer& peer) {
   if (!std::exchange(peer.is_unreachable, false)) return;
-  const std::int64_t away = in_ms(runtime_.now() - peer.unreachable_since);
+  const std::int64_t unreachable_ms = in_ms(runtime_.now() - peer.unreachable_since);
   runtime_.logger().log(runtime::LogLevel::kInfo, "proxy_reached",
-                        {{"proxy", peer.name.value}, {"after_ms", std::to_string(away)}});
+                        {{"proxy", peer.name.value}, {"after_ms", std::to_string(unreachable_ms)}});
 }
 
 void Forwarder::start_dialling(const PeerPointer& peer) {
@@ -167,28 +169,29 @@
 }
 
 Awaitable<void> Forwarder::dial(PeerPointer peer) {
-  Duration pause = kForwardRedialPause;
+  Duration pause = kForwardRedialBackoff;
   while (peer->is_dialling) {
     const auto connection = co_await open(peer);
     bool is_reached = connection != nullptr;
     // The kernel accepts connections for a frozen process, so an open connection proves nothing.
-    if (is_reached && peer->is_unreachable) is_reached = co_await shows_life(connection, peer->last_reason);
+    if (is_reached && peer->is_unreachable)
+      is_reached = co_await answers_probe(connection, peer->last_reason);
     if (connection && !is_reached) connection->close();
     if (is_reached) peer->connection = connection;
     if (is_reached) record_reached(*peer);
     if (!is_reached) mark_unreachable(*peer);
     peer->dialled.notify_all();
     if (!is_reached) co_await runtime_.sleep_for(runtime_.random().between(pause / 2, pause));
-    pause = std::min<Duration>(pause * 2, kForwardRedialLimit);
-    const bool is_wanted = runtime_.now() - peer->wanted_at < kForwardInterest;
-    peer->is_dialling = !is_reached && is_wanted;
+    pause = std::min<Duration>(pause * 2, kForwardRedialMaxBackoff);
+    const bool is_requested = runtime_.now() - peer->last_requested_at < kForwardRedialWindow;
+    peer->is_dialling = !is_reached && is_requested;
   }
   peer->is_unreachable = false;
   peer->dialled.notify_all();
 }
 
 Awaitable<std::shared_ptr<ForwardConnection>> Forwarder::open(PeerPointer peer) {
-  const TimePoint limit = runtime_.now() + kForwardDialLimit;
+  const TimePoint limit = runtime_.now() + kForwardDialTimeout;
   auto frames = co_await runtime_.network().connect(peer->endpoint, limit, peer->last_reason);
   if (!frames) co_return nullptr;
   wire::Hello hello;
@@ -196,8 +199,8 @@
   hello.node = node_;
   hello.zone = zone_;
   hello.highest_version = hello.protocol_version;
-  const bool greeted = co_await frames->send(wire::encode(hello), peer->last_reason);
-  if (!greeted) {
+  const bool hello_sent = co_await frames->send(wire::encode(hello), peer->last_reason);
+  if (!hello_sent) {
     frames->close();
     co_return nullptr;
   }
@@ -208,15 +211,15 @@
   co_return connection;
 }
 
-Awaitable<bool> Forwarder::shows_life(std::shared_ptr<ForwardConnection> connection, Reason& reason) {
-  ForwardRequest request = ask_whether_alive();
+Awaitable<bool> Forwarder::answers_probe(std::shared_ptr<ForwardConnection> connection, Reason& reason) {
+  ForwardRequest request = make_probe();
   const auto answer =
-      co_await connection->call(std::move(request), runtime_.now() + kForwardAnswerLimit, reason);
+      co_await connection->call(std::move(request), runtime_.now() + kForwardProbeTimeout, reason);
   co_return answer.has_value();
 }
 
 void Forwarder::record_no_answer(const NodeName& proxy, const GroupName& group) {
-  avoid_for(proxy, group);
+  avoid(proxy, group);
   const auto found = peers_.find(proxy);
   if (found == peers_.end() || found->second->is_open()) return;
   ForwardPeer& peer = *found->second;
@@ -226,8 +229,8 @@
   start_dialling(found->second);
 }
 
-void Forwarder::avoid_for(const NodeName& proxy, const GroupName& group) {
-  avoided_for_until_[{proxy, group}] = runtime_.now() + kAvoidProxy;
+void Forwarder::avoid(const NodeName& proxy, const GroupName& group) {
+  avoided_until_[{proxy, group}] = runtime_.now() + kAvoidProxyFor;
 }
 
 bool Forwarder::is_unreachable(const NodeName& proxy) const {
@@ -237,8 +240,8 @@
 
 bool Forwarder::is_avoided(const NodeName& proxy, const GroupName& group) const {
   if (is_unreachable(proxy)) return true;
-  const auto for_group = avoided_for_until_.find({proxy, group});
-  return for_group != avoided_for_until_.end() && runtime_.now() < for_group->second;
+  const auto for_group = avoided_until_.find({proxy, group});
+  return for_group != avoided_until_.end() && runtime_.now() < for_group->second;
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/forwarding/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -17,29 +17,29 @@
 namespace cairnhollow::registered::proxy {
 
 /// Longest wait of a statement for a connection to one proxy before the next proxy is tried. The dial itself
-/// continues in the background for up to kForwardDialLimit.
-inline constexpr Duration kForwardDialPatience = std::chrono::milliseconds(50);
-inline constexpr Duration kForwardDialLimit = std::chrono::milliseconds(400);
+/// continues in the background for up to kForwardDialTimeout.
+inline constexpr Duration kForwardConnectWait = std::chrono::milliseconds(50);
+inline constexpr Duration kForwardDialTimeout = std::chrono::milliseconds(400);
 /// Initial and maximum pause of the exponential backoff between dials of an unreachable proxy. Dialling stops
-/// when no statement was to be sent there within kForwardInterest.
-inline constexpr Duration kForwardRedialPause = std::chrono::milliseconds(100);
-inline constexpr Duration kForwardRedialLimit = std::chrono::milliseconds(800);
-inline constexpr Duration kForwardInterest = std::chrono::seconds(10);
-/// Liveness check of a connection with unanswered calls: after kForwardSilence without a frame a probe is
-/// sent, which the other proxy answers immediately, and after kForwardAnswerLimit without an answer the
+/// when no statement was to be sent there within kForwardRedialWindow.
+inline constexpr Duration kForwardRedialBackoff = std::chrono::milliseconds(100);
+inline constexpr Duration kForwardRedialMaxBackoff = std::chrono::milliseconds(800);
+inline constexpr Duration kForwardRedialWindow = std::chrono::seconds(10);
+/// Liveness check of a connection with unanswered calls: after kForwardProbeAfter without a frame a probe is
+/// sent, which the other proxy answers immediately, and after kForwardProbeTimeout without an answer the
 /// connection is closed. Together they must exceed 100 ms, for which CPU throttling can stop a healthy
-/// process. kForwardWatchPause is the shortest interval between two checks.
-inline constexpr Duration kForwardSilence = std::chrono::milliseconds(80);
-inline constexpr Duration kForwardAnswerLimit = std::chrono::milliseconds(170);
-inline constexpr Duration kForwardWatchPause = std::chrono::milliseconds(20);
+/// process. kForwardWatchInterval is the shortest interval between two checks.
+inline constexpr Duration kForwardProbeAfter = std::chrono::milliseconds(80);
+inline constexpr Duration kForwardProbeTimeout = std::chrono::milliseconds(170);
+inline constexpr Duration kForwardWatchInterval = std::chrono::milliseconds(20);
 /// A proxy that could not serve a group is avoided for this long if another one can serve it.
-inline constexpr Duration kAvoidProxy = std::chrono::seconds(1);
+inline constexpr Duration kAvoidProxyFor = std::chrono::seconds(1);
 
 /// A connection to another proxy, shared by all statements forwarded to it.
 class ForwardConnection {
  public:
   ForwardConnection(runtime::Runtime& runtime, std::shared_ptr<runtime::FrameConnection> frames)
-      : runtime_(runtime), frames_(std::move(frames)), queued_(runtime), called_(runtime) {}
+      : runtime_(runtime), frames_(std::move(frames)), frame_queued_(runtime), call_added_(runtime) {}
 
   /// Returns std::nullopt if no answer arrived by `deadline` or the connection was lost. The other proxy may
   /// have run the request in that case.
@@ -54,10 +54,10 @@
   [[nodiscard]] bool is_open() const { return open_; }
 
  private:
-  void ask_for_life();
+  void send_probe();
 
   /// Ends the transaction opened by an answer for which no call waits any more.
-  void end_unwanted(const ForwardAnswer& answer);
+  void end_orphaned_transaction(const ForwardAnswer& answer);
 
   struct Pending {
     explicit Pending(runtime::Runtime& runtime) : answered(runtime) {}
@@ -67,13 +67,13 @@
 
   runtime::Runtime& runtime_;
   std::shared_ptr<runtime::FrameConnection> frames_;
-  runtime::Signal queued_;
-  runtime::Signal called_;
+  runtime::Signal frame_queued_;
+  runtime::Signal call_added_;
   std::vector<std::string> outgoing_;
   std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
   std::uint64_t next_correlation_ = 1;
-  TimePoint heard_at_{};               ///< last frame received, or first call after an idle period
-  std::optional<TimePoint> asked_at_;  ///< when the unanswered liveness probe was sent
+  TimePoint last_received_at_{};            ///< last frame received, or first call after an idle period
+  std::optional<TimePoint> probe_sent_at_;  ///< when the unanswered liveness probe was sent
   bool open_ = true;
 };
 
@@ -89,7 +89,7 @@
   TimePoint unreachable_since{};
   bool is_dialling = false;
   TimePoint dialling_since{};
-  TimePoint wanted_at{};  ///< when a connection was last requested
+  TimePoint last_requested_at{};  ///< when a connection was last requested
   Reason last_reason;
   runtime::Signal dialled;  ///< notified after each dial
 
@@ -98,7 +98,7 @@
 
 /// Connects to other proxies on demand. `runtime` is not owned; both live until the process ends.
 ///
-/// Invariant: a statement waits at most kForwardDialPatience for the dial of one proxy, however many proxies
+/// Invariant: a statement waits at most kForwardConnectWait for the dial of one proxy, however many proxies
 /// are unreachable. Unreachable proxies are redialled in the background and used again once they answer a
 /// probe.
 class Forwarder {
@@ -107,14 +107,14 @@
       : runtime_(runtime), node_(std::move(node)), zone_(std::move(zone)) {}
 
   /// Returns an open connection to the proxy, or nullptr with `reason` set if there is none by `deadline` or
-  /// within kForwardDialPatience, or if the proxy is already known to be unreachable.
+  /// within kForwardConnectWait, or if the proxy is already known to be unreachable.
   Awaitable<std::shared_ptr<ForwardConnection>> connect(subset::ProxyPointer proxy, TimePoint deadline,
                                                         Reason& reason);
   /// Called when a statement of the group was not answered. Other proxies are preferred for the group for
-  /// kAvoidProxy and, if the connection is lost, for all groups until the proxy answers a liveness probe.
+  /// kAvoidProxyFor and, if the connection is lost, for all groups until the proxy answers a liveness probe.
   void record_no_answer(const NodeName& proxy, const GroupName& group);
-  /// Called when the proxy can't serve the group now. Other proxies are preferred for kAvoidProxy.
-  void avoid_for(const NodeName& proxy, const GroupName& group);
+  /// Called when the proxy can't serve the group now. Other proxies are preferred for kAvoidProxyFor.
+  void avoid(const NodeName& proxy, const GroupName& group);
   /// Whether the last attempt to reach the proxy failed and it has not been reached since.
   [[nodiscard]] bool is_unreachable(const NodeName& proxy) const;
   [[nodiscard]] bool is_avoided(const NodeName& proxy, const GroupName& group) const;
@@ -125,18 +125,18 @@
   void mark_unreachable(ForwardPeer& peer);
   void record_reached(ForwardPeer& peer);
   void start_dialling(const PeerPointer& peer);
-  /// Dials until the peer is reached or no connection to it was requested within kForwardInterest. In both
-  /// cases it no longer counts as unreachable, so the next statement tries it.
+  /// Dials until the peer is reached or no connection to it was requested within kForwardRedialWindow. In
+  /// both cases it no longer counts as unreachable, so the next statement tries it.
   Awaitable<void> dial(PeerPointer peer);
   Awaitable<std::shared_ptr<ForwardConnection>> open(PeerPointer peer);
   /// Whether the other proxy answers a liveness probe.
-  Awaitable<bool> shows_life(std::shared_ptr<ForwardConnection> connection, Reason& reason);
+  Awaitable<bool> answers_probe(std::shared_ptr<ForwardConnection> connection, Reason& reason);
 
   runtime::Runtime& runtime_;
   NodeName node_;
   ZoneName zone_;
   std::map<NodeName, PeerPointer> peers_;
-  std::map<std::pair<NodeName, GroupName>, TimePoint> avoided_for_until_;
+  std::map<std::pair<NodeName, GroupName>, TimePoint> avoided_until_;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -42,7 +42,7 @@
 
 void MemberLeaseKeeper::begin_rounds() {
   for (const auto& [name, group] : view_.groups()) {
-    if (!group->term().open || !view_.forward_to(name).empty()) continue;
+    if (!group->term().open || !view_.forwarding_targets(name).empty()) continue;
     if (!asking_.insert(name).second) continue;
     runtime_.spawn("member_lease", renew(group));
   }
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-ForwardTokens question(const limits::LimitedName& limited, const limits::TokenRequest& request) {
+ForwardTokens make_token_request(const limits::LimitedName& limited, const limits::TokenRequest& request) {
   ForwardTokens tokens{TenantName(), request.needed, request.ahead, BackendName()};
   if (limited.kind == limits::LimitedKind::kTenant) {
     tokens.tenant = TenantName(limited.name);
@@ -29,36 +29,37 @@
   const registry::TenantRule* rule = view_.tenants().find(tenant);
   AdmissionAnswer answer{AdmissionOutcome::kAdmitted, Duration(0), {}};
   const bool is_limited = rule != nullptr && rule->is_limited();
-  if (is_limited) answer = co_await take_or_ask(tenancy::limit_of(*rule, view_.limit_window()));
+  if (is_limited) answer = co_await take_or_request_token(tenancy::limit_of(*rule, view_.limit_window()));
   const bool is_named = view_.tenants().is_large(tenant);
-  metrics_.count_admission(is_named ? tenant.value : kOtherTenants, answer.outcome);
+  metrics_.count_admission(is_named ? tenant.value : kOtherTenantsLabel, answer.outcome);
   co_return answer;
 }
 
 Awaitable<AdmissionAnswer> LimitClient::admit_to_cold(BackendName backend) {
   auto limit = view_.cold_limit(backend);
   if (!limit) co_return AdmissionAnswer{AdmissionOutcome::kAdmitted, Duration(0), {}};
-  const AdmissionAnswer answer = co_await take_or_ask(std::move(*limit));
+  const AdmissionAnswer answer = co_await take_or_request_token(std::move(*limit));
   metrics_.count_cold_statement(answer.outcome);
   co_return answer;
 }
 
-Awaitable<AdmissionAnswer> LimitClient::take_or_ask(limits::Limit limit) {
-  auto& held = accounts_[limit.of];
-  if (!held) held = std::make_shared<Account>(runtime_);
-  const AccountPointer account = held;
-  const TimePoint begun = runtime_.now();
-  account->stock.record_demand(begun);
-  auto token = account->stock.take(begun);
+Awaitable<AdmissionAnswer> LimitClient::take_or_request_token(limits::Limit limit) {
+  auto& account_slot = accounts_[limit.of];
+  if (!account_slot) account_slot = std::make_shared<TokenAccount>(runtime_);
+  const TokenAccountPointer account = account_slot;
+  const TimePoint started_at = runtime_.now();
+  account->stock.record_demand(started_at);
+  auto token = account->stock.take(started_at);
   if (token) co_return AdmissionAnswer{AdmissionOutcome::kAdmitted, Duration(0), token};
-  if (begun < account->refused_until) co_return account->last;
+  if (started_at < account->refused_until) co_return account->last;
   ++account->waiting;
   bool answered = true;
   do {
-    if (!std::exchange(account->asking, true)) runtime_.spawn("ask_homes", ask_owners(limit, account));
-    // If this proxy is an owner itself, ask_owners() may finish before spawn() returns.
-    answered = !account->asking;
-    if (!answered) answered = co_await account->answered.wait_until(begun + kAdmissionLimit);
+    if (!std::exchange(account->requesting, true))
+      runtime_.spawn("ask_homes", request_tokens(limit, account));
+    // If this proxy is an owner itself, request_tokens() may finish before spawn() returns.
+    answered = !account->requesting;
+    if (!answered) answered = co_await account->answered.wait_until(started_at + kAdmissionTimeout);
     token = account->stock.take(runtime_.now());
   } while (!token && answered && account->last.outcome == AdmissionOutcome::kAdmitted);
   --account->waiting;
@@ -68,13 +69,13 @@
   co_return account->last;
 }
 
-Awaitable<void> LimitClient::ask_owners(limits::Limit limit, AccountPointer account) {
+Awaitable<void> LimitClient::request_tokens(limits::Limit limit, TokenAccountPointer account) {
   const TimePoint asked_at = runtime_.now();
   const limits::TokenRequest request{std::max<std::uint64_t>(account->waiting, 1),
                                      account->stock.expected(asked_at)};
   AdmissionAnswer answer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
-  for (const subset::ProxyPointer& owner : order_of(limit.of)) {
-    const Grant grant = co_await ask(limit, request, owner);
+  for (const subset::ProxyPointer& owner : owners_by_preference(limit.of)) {
+    const Grant grant = co_await request_from(limit, request, owner);
     if (grant.outcome == GrantOutcome::kNotCounting) continue;
     if (grant.outcome == GrantOutcome::kGranted) {
       account->stock.put(grant.tokens, asked_at);
@@ -87,19 +88,20 @@
   account->last = answer;
   if (answer.outcome != AdmissionOutcome::kAdmitted) {
     account->last.retry_after =
-        std::clamp<Duration>(answer.retry_after, kLeastRefusalPause, placement::kRetryAfterWithoutPrimary);
-    account->refused_until = runtime_.now() + kLeastRefusalPause;
+        std::clamp<Duration>(answer.retry_after, kMinRefusalPause, placement::kRetryAfterWithoutPrimary);
+    account->refused_until = runtime_.now() + kMinRefusalPause;
   }
-  account->asking = false;
+  account->requesting = false;
   account->answered.notify_all();
 }
 
-std::vector<subset::ProxyPointer> LimitClient::order_of(const limits::LimitedName& limited) const {
+std::vector<subset::ProxyPointer> LimitClient::owners_by_preference(
+    const limits::LimitedName& limited) const {
   auto owners = view_.quotas().owners().of(limited);
   const TimePoint now = runtime_.now();
   const auto rank = [&](const subset::ProxyPointer& owner) {
-    const auto silent = silent_until_.find(owner->name);
-    if (silent != silent_until_.end() && now < silent->second) return 3;
+    const auto silent = unresponsive_until_.find(owner->name);
+    if (silent != unresponsive_until_.end() && now < silent->second) return 3;
     if (forwarder_.is_unreachable(owner->name)) return 3;
     if (owner->name == view_.node()) return 0;
     return owner->zone == view_.zone() ? 1 : 2;
@@ -109,21 +111,21 @@
   return owners;
 }
 
-Awaitable<Grant> LimitClient::ask(limits::Limit limit, limits::TokenRequest wanted,
-                                  subset::ProxyPointer owner) {
-  if (owner->name == view_.node()) co_return view_.quotas().grant(limit, wanted, runtime_.now());
-  metrics_.count_token_question();
+Awaitable<Grant> LimitClient::request_from(limits::Limit limit, limits::TokenRequest request,
+                                           subset::ProxyPointer owner) {
+  if (owner->name == view_.node()) co_return view_.quotas().grant(limit, request, runtime_.now());
+  metrics_.count_token_request();
   Reason reason;
-  const TimePoint deadline = runtime_.now() + kOwnerPatience;
+  const TimePoint deadline = runtime_.now() + kOwnerTimeout;
   const auto connection = co_await forwarder_.connect(owner, deadline, reason);
   std::optional<ForwardAnswer> answer;
   if (connection) {
-    ForwardRequest request;
-    request.body = question(limit.of, wanted);
-    answer = co_await connection->call(std::move(request), deadline, reason);
+    ForwardRequest forward;
+    forward.body = make_token_request(limit.of, request);
+    answer = co_await connection->call(std::move(forward), deadline, reason);
   }
   if (answer) co_return answer->grant;
-  silent_until_[owner->name] = runtime_.now() + kAvoidProxy;
+  unresponsive_until_[owner->name] = runtime_.now() + kAvoidProxyFor;
   runtime_.logger().log(runtime::LogLevel::kWarning, "tokens_not_granted", reason,
                         {{limits::field_name(limit.of.kind), limit.of.name}, {"home", owner->name.value}});
   co_return Grant{};
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -16,14 +16,14 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Longest wait for one quota owner before the next one is asked: kForwardDialPatience plus time for the
-/// answer. The waits for all three owners must fit into kAdmissionLimit.
-inline constexpr Duration kOwnerPatience = std::chrono::milliseconds(60);
-inline constexpr Duration kAdmissionLimit = std::chrono::milliseconds(200);
-/// After no quota owner granted a token, this proxy refuses without asking again for this long, so that a
+/// Longest wait for one quota owner before the next one is asked: kForwardConnectWait plus time for the
+/// answer. The waits for all three owners must fit into kAdmissionTimeout.
+inline constexpr Duration kOwnerTimeout = std::chrono::milliseconds(60);
+inline constexpr Duration kAdmissionTimeout = std::chrono::milliseconds(200);
+/// After no quota owner granted a token, this proxy refuses without requesting again for this long, so that a
 /// tenant far above its limit does not cause requests to three owners per refusal. The owners keep their
 /// tokens meanwhile.
-inline constexpr Duration kLeastRefusalPause = std::chrono::milliseconds(20);
+inline constexpr Duration kMinRefusalPause = std::chrono::milliseconds(20);
 
 /// The answer to a request for a token: admitted, over the limit, or not counted because no quota owner that
 /// may count has answered.
@@ -50,30 +50,32 @@
   void give_back(const limits::LimitedName& limited, TimePoint expires_at);
 
  private:
-  struct Account {
-    explicit Account(runtime::Runtime& runtime) : answered(runtime) {}
+  struct TokenAccount {
+    explicit TokenAccount(runtime::Runtime& runtime) : answered(runtime) {}
     limits::TokenStock stock;
-    bool asking = false;
+    bool requesting = false;
     std::uint64_t waiting = 0;  ///< number of operations waiting for an answer
     AdmissionAnswer last;       ///< the owners' answer to the last request
     TimePoint refused_until{};
     runtime::Signal answered;
   };
-  using AccountPointer = std::shared_ptr<Account>;
+  using TokenAccountPointer = std::shared_ptr<TokenAccount>;
 
-  Awaitable<AdmissionAnswer> take_or_ask(limits::Limit limit);
-  Awaitable<void> ask_owners(limits::Limit limit, AccountPointer account);
-  Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenRequest wanted, subset::ProxyPointer owner);
+  Awaitable<AdmissionAnswer> take_or_request_token(limits::Limit limit);
+  Awaitable<void> request_tokens(limits::Limit limit, TokenAccountPointer account);
+  Awaitable<limits::Grant> request_from(limits::Limit limit, limits::TokenRequest request,
+                                        subset::ProxyPointer owner);
   /// The quota owners in the order in which to ask them: this proxy, those of its zone, those of other zones,
   /// and last those that recently did not answer or are unreachable.
-  [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitedName& limited) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> owners_by_preference(
+      const limits::LimitedName& limited) const;
 
   runtime::Runtime& runtime_;
   FleetView& view_;
   Forwarder& forwarder_;
   SessionMetrics& metrics_;
-  std::map<limits::LimitedName, AccountPointer> accounts_;
-  std::map<NodeName, TimePoint> silent_until_;
+  std::map<limits::LimitedName, TokenAccountPointer> accounts_;
+  std::map<NodeName, TimePoint> unresponsive_until_;
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_metrics.cpp
+++ b/src/registered/proxy/session_metrics.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr std::array<const char*, 3> kAdmissions{"admitted", "over_limit", "not_counted"};
-constexpr std::array<const char*, 3> kPlaces{"proxy", "primary", "replica"};
+constexpr std::array<const char*, 3> kAdmissionLabels{"admitted", "over_limit", "not_counted"};
+constexpr std::array<const char*, 3> kServedByLabels{"proxy", "primary", "replica"};
 
 }  // namespace
 
 SessionMetrics::SessionMetrics()
     : lost_answers_(metrics_.counter("cairnhollow_session_lost_answers_total",
                                      "Statements sent to a backend that did not answer.")),
-      token_questions_(metrics_.counter("cairnhollow_session_token_questions_total",
-                                        "Token requests sent to other proxies.")),
+      token_requests_(metrics_.counter("cairnhollow_session_token_questions_total",
+                                       "Token requests sent to other proxies.")),
       evacuated_transactions_(
           metrics_.counter("cairnhollow_session_evacuated_transactions_total",
                            "Transactions aborted because their backend's zone is evacuated.")),
@@ -29,13 +29,13 @@
       member_leases_(
           metrics_.gauge("cairnhollow_session_member_leases",
                          "Groups served under leases of their members while control is unreachable.")) {
-  for (std::size_t place = 0; place < kPlaces.size(); ++place) {
-    const runtime::MetricLabels labels{{"by", kPlaces[place]}};
-    served_[place] =
+  for (std::size_t served_by = 0; served_by < kServedByLabels.size(); ++served_by) {
+    const runtime::MetricLabels labels{{"by", kServedByLabels[served_by]}};
+    served_[served_by] =
         &metrics_.counter("cairnhollow_session_served_total", "Statements answered successfully.", labels);
-    latency_[place] = &metrics_.histogram("cairnhollow_session_latency_seconds",
-                                          "Time from a statement's arrival to its answer, in seconds.",
-                                          runtime::latency_buckets_seconds(), labels);
+    latency_[served_by] = &metrics_.histogram("cairnhollow_session_latency_seconds",
+                                              "Time from a statement's arrival to its answer, in seconds.",
+                                              runtime::latency_buckets_seconds(), labels);
   }
   for (std::size_t cause = 0; cause < placement::kForwardCauseCount; ++cause) {
     forwarded_[cause] = &metrics_.counter(
@@ -54,10 +54,11 @@
         &metrics_.counter("cairnhollow_session_registrations_refused_total", "Refused backend registrations.",
                           {{"cause", std::string(cause)}});
   }
-  for (std::size_t outcome = 0; outcome < kAdmissions.size(); ++outcome) {
-    cold_statements_[outcome] = &metrics_.counter(
-        "cairnhollow_session_cold_statements_total",
-        "Requests for a token to send a statement to a cold backend.", {{"outcome", kAdmissions[outcome]}});
+  for (std::size_t outcome = 0; outcome < kAdmissionLabels.size(); ++outcome) {
+    cold_statements_[outcome] =
+        &metrics_.counter("cairnhollow_session_cold_statements_total",
+                          "Requests for a token to send a statement to a cold backend.",
+                          {{"outcome", kAdmissionLabels[outcome]}});
   }
   for (std::size_t code = 0; code < kRefusalCount; ++code) {
     const runtime::MetricLabels labels{{"reason", refusal_name(static_cast<Refusal>(code))}};
@@ -69,9 +70,9 @@
 }
 
 void SessionMetrics::count_served(ServedBy by, Duration took) {
-  const auto place = static_cast<std::size_t>(by);
-  served_[place]->Increment();
-  latency_[place]->Observe(std::chrono::duration<double>(took).count());
+  const auto served_by = static_cast<std::size_t>(by);
+  served_[served_by]->Increment();
+  latency_[served_by]->Observe(std::chrono::duration<double>(took).count());
 }
 
 void SessionMetrics::count_admission(const std::string& label, AdmissionOutcome outcome) {
@@ -79,7 +80,7 @@
   if (counter == nullptr) {
     counter = &metrics_.counter(
         "cairnhollow_session_tenant_operations_total", "Tenant operations that requested admission.",
-        {{"tenant", label}, {"outcome", kAdmissions[static_cast<std::size_t>(outcome)]}});
+        {{"tenant", label}, {"outcome", kAdmissionLabels[static_cast<std::size_t>(outcome)]}});
   }
   counter->Increment();
 }
--- a/src/registered/proxy/session_metrics.h
+++ b/src/registered/proxy/session_metrics.h
@@ -19,7 +19,7 @@
 enum class AdmissionOutcome : std::uint8_t { kAdmitted, kOverLimit, kNotCounted };
 
 /// Metric label of all tenants without a label of their own.
-inline constexpr const char* kOtherTenants = "others";
+inline constexpr const char* kOtherTenantsLabel = "others";
 
 class SessionMetrics {
  public:
@@ -35,8 +35,8 @@
   void count_unplaced(placement::RejectionReason rejection) {
     unplaced_[static_cast<std::size_t>(rejection)]->Increment();
   }
-  void count_token_question() { token_questions_.Increment(); }
-  /// Counts a tenant's request to begin an operation. `label`: the tenant's name, or kOtherTenants.
+  void count_token_request() { token_requests_.Increment(); }
+  /// Counts a tenant's request to begin an operation. `label`: the tenant's name, or kOtherTenantsLabel.
   void count_admission(const std::string& label, AdmissionOutcome outcome);
   void count_registration_refused(registry::RegistrationFault fault) {
     registrations_refused_[static_cast<std::size_t>(fault)]->Increment();
@@ -67,7 +67,7 @@
       admissions_;  ///< by tenant label and outcome
   std::array<prometheus::Counter*, 3> cold_statements_{};
   prometheus::Counter& lost_answers_;
-  prometheus::Counter& token_questions_;
+  prometheus::Counter& token_requests_;
   prometheus::Counter& evacuated_transactions_;
   prometheus::Gauge& evacuated_zones_;
   prometheus::Gauge& sessions_;
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -24,10 +24,10 @@
 
 /// With less than this left of its lease a proxy is not ready for new sessions: two renewals in a row have
 /// failed.
-inline constexpr Duration kReadyLeaseLeft = std::chrono::milliseconds(500);
+inline constexpr Duration kMinReadyLease = std::chrono::milliseconds(500);
 /// Idle sessions are closed after this time without a lease, so that their callers reconnect to another
 /// proxy.
-inline constexpr Duration kLetGoAfter = std::chrono::milliseconds(2300);
+inline constexpr Duration kCloseIdleAfter = std::chrono::milliseconds(2300);
 /// Time after SIGTERM for which new callers may still arrive and idle sessions are kept.
 inline constexpr Duration kDrainIdleAfter = std::chrono::milliseconds(2300);
 /// Reading of statements stops kDrainMargin before the drain limit. Statements already read are answered
@@ -37,9 +37,9 @@
 inline constexpr Duration kDrainLastTick = std::chrono::milliseconds(20);
 
 /// Serves readiness probes and metrics over HTTP.
-class ReadinessCalls : public runtime::HttpHandler {
+class ReadinessHandler : public runtime::HttpHandler {
  public:
-  ReadinessCalls(std::string path, std::function<bool()> is_ready, std::function<std::string()> render)
+  ReadinessHandler(std::string path, std::function<bool()> is_ready, std::function<std::string()> render)
       : path_(std::move(path)), is_ready_(std::move(is_ready)), render_(std::move(render)) {}
 
   Awaitable<runtime::HttpResponse> handle(runtime::HttpRequest request,
@@ -65,11 +65,11 @@
 /// Must live until the process ends, because the coroutines of its members refer to it.
 class SessionProxy : public runtime::Role {
  public:
-  SessionProxy(runtime::Runtime& runtime, SessionProxySettings settings, const SessionEdge& edge)
+  SessionProxy(runtime::Runtime& runtime, SessionProxySettings settings, const SessionProtocols& protocols)
       : runtime_(runtime),
         settings_(std::move(settings)),
-        callers_(edge.make_callers()),
-        dialer_(edge.make_dialer(runtime, settings_.node)),
+        callers_(protocols.make_callers()),
+        dialer_(protocols.make_dialer(runtime, settings_.node)),
         view_(runtime, *dialer_, settings_),
         link_(runtime, settings_, view_),
         member_leases_(runtime, view_, metrics_),
@@ -80,15 +80,15 @@
         forward_server_(services_),
         known_registrations_(runtime, view_, link_, metrics_),
         readiness_(
-            edge.readiness_path, [this] { return is_ready(); }, [this] { return render_metrics(); }) {
-    if (edge.make_registrations) registrations_ = edge.make_registrations(known_registrations_);
+            protocols.readiness_path, [this] { return is_ready(); }, [this] { return render_metrics(); }) {
+    if (protocols.make_registrations) registrations_ = protocols.make_registrations(known_registrations_);
   }
 
   Awaitable<bool> start(Reason& reason) override;
   Awaitable<void> drain() override;
 
  private:
-  Awaitable<void> finish_answers(TimePoint last);
+  Awaitable<void> finish_answers(TimePoint deadline);
   Awaitable<void> accept_callers();
   Awaitable<void> serve(std::shared_ptr<runtime::LineConnection> lines);
   Awaitable<void> watch();
@@ -96,14 +96,14 @@
   void watch_primaries(TimePoint now);
   void check_primary(const std::shared_ptr<GroupAccess>& group);
   Awaitable<void> dial_primary(std::shared_ptr<GroupAccess> group);
-  void let_idle_go();
+  void close_idle_sessions();
   void watch_lease(TimePoint now);
   void trim_links(TimePoint now);
   /// Aborts transactions and closes backend links in evacuated zones.
-  void leave_evacuated();
+  void end_evacuated_work();
   /// Turns false before the lease expires, since new callers keep arriving for a while afterwards.
   [[nodiscard]] bool is_ready() const {
-    return !draining_ && runtime_.now() + kReadyLeaseLeft < view_.lease_until();
+    return !draining_ && runtime_.now() + kMinReadyLease < view_.lease_until();
   }
   std::string render_metrics();
 
@@ -122,15 +122,15 @@
   ForwardServer forward_server_;
   KnownRegistrations known_registrations_;
   std::unique_ptr<runtime::HttpHandler> registrations_;
-  ReadinessCalls readiness_;
+  ReadinessHandler readiness_;
   std::unique_ptr<runtime::LineListener> listener_;
   std::unique_ptr<runtime::HttpServer> registration_server_;
   std::unique_ptr<runtime::HttpServer> readiness_server_;
   std::unique_ptr<runtime::HttpServer> metrics_server_;
   std::map<std::uint64_t, std::shared_ptr<CallerSession>> sessions_;
-  std::set<GroupName> checked_;  ///< groups whose primary is being test-dialled
+  std::set<GroupName> primaries_being_checked_;  ///< groups whose primary is being test-dialled
   std::uint64_t next_session_ = 1;
-  bool lease_held_ = false;
+  bool had_lease_ = false;
   bool draining_ = false;
   bool stopped_ = false;
 };
@@ -191,7 +191,7 @@
 
 /// Opens a test connection to tell a slow primary from an unreachable one.
 void SessionProxy::check_primary(const std::shared_ptr<GroupAccess>& group) {
-  if (!checked_.insert(group->name).second) return;
+  if (!primaries_being_checked_.insert(group->name).second) return;
   runtime_.spawn("check_primary", dial_primary(group));
 }
 
@@ -210,23 +210,25 @@
     group->leadership.mark_primary_unreachable();
     link_.report_suspicion(*group, SuspicionKind::kUnreachable);
   }
-  checked_.erase(group->name);
+  primaries_being_checked_.erase(group->name);
 }
 
-void SessionProxy::let_idle_go() {
+void SessionProxy::close_idle_sessions() {
   const auto sessions = sessions_;
   for (const auto& [id, session] : sessions) {
-    if (session->is_idle()) session->let_go();
+    if (session->is_idle()) session->close_session();
   }
 }
 
 void SessionProxy::watch_lease(TimePoint now) {
-  const bool held = view_.lease_valid();
-  if (!held && now - view_.lease_until() > kLetGoAfter && !view_.has_member_lease()) let_idle_go();
-  metrics_.set_lease(held);
-  if (held == lease_held_) return;
-  lease_held_ = held;
-  runtime_.logger().log(held ? LogLevel::kInfo : LogLevel::kWarning, held ? "lease_held" : "lease_lost",
+  const bool has_lease = view_.lease_valid();
+  if (!has_lease && now - view_.lease_until() > kCloseIdleAfter && !view_.has_member_lease())
+    close_idle_sessions();
+  metrics_.set_lease(has_lease);
+  if (has_lease == had_lease_) return;
+  had_lease_ = has_lease;
+  runtime_.logger().log(has_lease ? LogLevel::kInfo : LogLevel::kWarning,
+                        has_lease ? "lease_held" : "lease_lost",
                         {{"revision", std::to_string(view_.revision())},
                          {"version", std::to_string(view_.document_version())}});
 }
@@ -240,7 +242,7 @@
     // warming would open links to groups that other proxies serve.
     if (!is_ready() || view_.document_version() == 0 || view_.requires_keys()) continue;
     for (const auto& [name, group] : view_.groups()) {
-      if (view_.forward_to(name).empty() && warm_one(runtime_, *group)) break;
+      if (view_.forwarding_targets(name).empty() && warm_one(runtime_, *group)) break;
     }
   }
 }
@@ -248,18 +250,18 @@
 void SessionProxy::trim_links(TimePoint now) {
   for (const auto& [name, group] : view_.groups()) {
     // Links to groups that this proxy does not serve take connections from the proxies that do.
-    const bool serves = view_.forward_to(name).empty();
+    const bool serves = view_.forwarding_targets(name).empty();
     // No idle link is kept per tenant, either: there are more tenants than links.
     const std::size_t kept = serves && !view_.requires_keys() ? 1 : 0;
     for (const auto& [backend, use] : group->backends.all()) use->pool.trim(now, kept);
   }
 }
 
-void SessionProxy::leave_evacuated() {
+void SessionProxy::end_evacuated_work() {
   metrics_.set_evacuated_zones(view_.evacuated().size());
   if (view_.evacuated().size() == 0) return;
-  for (const auto& [id, session] : sessions_) session->end_evacuated_transaction();
-  forward_server_.end_evacuated_transactions();
+  for (const auto& [id, session] : sessions_) session->abort_evacuated_transaction();
+  forward_server_.abort_evacuated_transactions();
   for (const auto& [name, group] : view_.groups()) group->backends.close_evacuated_links();
 }
 
@@ -270,10 +272,10 @@
     watch_lease(now);
     watch_primaries(now);
     trim_links(now);
-    leave_evacuated();
+    end_evacuated_work();
     const Duration idle_limit = view_.transaction_idle();
     if (idle_limit == Duration(0)) continue;
-    for (const auto& [id, session] : sessions_) session->end_resting_transaction(now, idle_limit);
+    for (const auto& [id, session] : sessions_) session->abort_idle_transaction(now, idle_limit);
   }
 }
 
@@ -283,24 +285,24 @@
 }
 
 Awaitable<void> SessionProxy::drain() {
-  const TimePoint begun = runtime_.now();
-  const TimePoint end = begun + settings_.drain_limit - kDrainMargin;
-  const TimePoint abort_at = begun + settings_.drain_limit / 2;
-  const TimePoint idle_end = begun + settings_.drain_limit * 2 / 3;
+  const TimePoint started_at = runtime_.now();
+  const TimePoint end = started_at + settings_.drain_limit - kDrainMargin;
+  const TimePoint abort_at = started_at + settings_.drain_limit / 2;
+  const TimePoint idle_end = started_at + settings_.drain_limit * 2 / 3;
   draining_ = true;
   link_.set_draining();
   co_await runtime_.sleep_for(kDrainIdleAfter);
   while (!sessions_.empty() && runtime_.now() < end) {
     for (const auto& [id, session] : sessions_) {
-      session->let_go_after_answer();
+      session->close_after_answer();
       if (runtime_.now() > abort_at) session->abort_transaction();
     }
-    if (runtime_.now() > idle_end) let_idle_go();
+    if (runtime_.now() > idle_end) close_idle_sessions();
     co_await runtime_.sleep_for(kWatchTick);
   }
   stopped_ = true;
   listener_->close();
-  co_await finish_answers(begun + settings_.drain_limit - kDrainLastMargin);
+  co_await finish_answers(started_at + settings_.drain_limit - kDrainLastMargin);
   if (registration_server_) registration_server_->close();
   readiness_server_->close();
   forward_server_.stop();
@@ -309,13 +311,13 @@
   link_.stop();
 }
 
-/// Stops all sessions from reading further statements and waits until `last` for their pending answers.
-Awaitable<void> SessionProxy::finish_answers(TimePoint last) {
+/// Stops all sessions from reading further statements and waits until `deadline` for their pending answers.
+Awaitable<void> SessionProxy::finish_answers(TimePoint deadline) {
   const auto is_answering = [](const auto& entry) { return entry.second->is_answering(); };
   bool answering = true;
-  while (answering && runtime_.now() < last) {
+  while (answering && runtime_.now() < deadline) {
     const auto sessions = sessions_;
-    for (const auto& [id, session] : sessions) session->let_go();
+    for (const auto& [id, session] : sessions) session->close_session();
     answering = std::any_of(sessions_.begin(), sessions_.end(), is_answering);
     if (answering) co_await runtime_.sleep_for(kDrainLastTick);
   }
@@ -324,8 +326,8 @@
 }  // namespace
 
 std::unique_ptr<runtime::Role> make_session_proxy(runtime::Runtime& runtime, SessionProxySettings settings,
-                                                  const SessionEdge& edge) {
-  return std::make_unique<SessionProxy>(runtime, std::move(settings), edge);
+                                                  const SessionProtocols& protocols) {
+  return std::make_unique<SessionProxy>(runtime, std::move(settings), protocols);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/session_proxy.h
+++ b/src/registered/proxy/session_proxy.h
@@ -14,7 +14,7 @@
 namespace cairnhollow::registered::proxy {
 
 /// The protocols that the proxy speaks with callers and backends. Created once at start.
-struct SessionEdge {
+struct SessionProtocols {
   std::function<std::unique_ptr<CallerProtocol>()> make_callers;
   std::function<std::unique_ptr<BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
   /// Creates the handler of backend registrations; null if this proxy takes none.
@@ -25,6 +25,6 @@
 
 /// Creates a proxy on `runtime`, which is not owned and must outlive it.
 std::unique_ptr<runtime::Role> make_session_proxy(runtime::Runtime& runtime, SessionProxySettings settings,
-                                                  const SessionEdge& edge);
+                                                  const SessionProtocols& protocols);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -9,8 +9,8 @@
 
 namespace cairnhollow::registered::proxy {
 
-ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now) {
-  ForwardedOrder forwarded;
+ForwardedStatement to_forwarded(const StatementRequest& order, TimePoint now) {
+  ForwardedStatement forwarded;
   forwarded.route = order.route;
   forwarded.key = order.key;
   forwarded.may_have_run = order.may_have_run;
@@ -107,7 +107,7 @@
     co_return result;
   }
   may_try_another = answer->may_try_another;
-  if (may_try_another) services_.forwarder.avoid_for(proxy->name, order.group->name);
+  if (may_try_another) services_.forwarder.avoid(proxy->name, order.group->name);
   result.answer = std::move(answer->answer);
   result.nothing_run = answer->nothing_run;
   result.served_by = answer->at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
--- a/src/registered/proxy/statement/statement_forwarding.h
+++ b/src/registered/proxy/statement/statement_forwarding.h
@@ -20,7 +20,7 @@
 inline constexpr Duration kForwardSlack = std::chrono::milliseconds(60);
 
 /// The order as it is sent to another proxy.
-ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now);
+ForwardedStatement to_forwarded(const StatementRequest& order, TimePoint now);
 
 enum class ForwardedNext : std::uint8_t {
   kAnswer,    ///< with `result`
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -13,7 +13,7 @@
                                                          const StatementRequest& order,
                                                          placement::ProxyList& kept) const {
   if (order.allowed.is_anywhere()) return &proxies;
-  kept = services_.view.in_regions(proxies, order.allowed);
+  kept = services_.view.filter_by_region(proxies, order.allowed);
   // The first choice is this proxy: nothing is to be passed on.
   if (!kept.empty() && kept.front()->name == services_.view.node()) kept.clear();
   return &kept;
@@ -24,11 +24,11 @@
   FleetView& view = services_.view;
   GroupAccess& group = *order.group;
   placement::ProxyFacts proxy = proxy_facts(view, group);
-  proxy.serving =
-      keep_inside(view.forward_to(group.name, order.tenant,
-                                  order.may_use_replicas() ? GroupWork::kSingleReads : GroupWork::kAtPrimary),
-                  order, inside.serving);
-  proxy.others = keep_inside(view.others(), order, inside.others);
+  proxy.serving = keep_inside(
+      view.forwarding_targets(group.name, order.tenant,
+                              order.may_use_replicas() ? GroupWork::kSingleReads : GroupWork::kAtPrimary),
+      order, inside.serving);
+  proxy.others = keep_inside(view.other_proxies(), order, inside.others);
   if (proxy.primary_full)
     proxy.also_serving = keep_inside(view.also_serving(group.name), order, inside.also_serving);
   placement::StatementNeed need;
--- a/tests/registered/proxy/callers/caller_session_test.cpp
+++ b/tests/registered/proxy/callers/caller_session_test.cpp
@@ -16,12 +16,13 @@
 
 constexpr Duration kLong = seconds(4);
 /// Validity of a confirmation given just now.
-constexpr Duration kWhole = milliseconds(4900);
+constexpr Duration kFullKeyValidity = milliseconds(4900);
 
 /// A caller whose statements are scripted by the test and which records the answers.
 class ScriptedCaller : public CallerConnection {
  public:
-  ScriptedCaller(runtime::Runtime& runtime, std::string key) : key_(std::move(key)), asked_(runtime) {}
+  ScriptedCaller(runtime::Runtime& runtime, std::string key)
+      : key_(std::move(key)), statement_added_(runtime) {}
 
   Awaitable<std::optional<SessionStart>> read_start(TimePoint /*deadline*/, Reason& /*reason*/) override {
     co_return SessionStart{DatabaseName("database"), ApiKey(key_)};
@@ -35,7 +36,7 @@
     co_return;
   }
   Awaitable<std::optional<Statement>> read_statement(Reason& /*reason*/) override {
-    while (open_ && statements_.empty()) co_await asked_.wait();
+    while (open_ && statements_.empty()) co_await statement_added_.wait();
     if (!open_) co_return std::nullopt;
     Statement statement = std::move(statements_.front());
     statements_.pop_front();
@@ -47,18 +48,18 @@
   }
   void close() override {
     open_ = false;
-    asked_.notify_all();
+    statement_added_.notify_all();
   }
   [[nodiscard]] bool is_open() const override { return open_; }
   [[nodiscard]] std::string peer() const override { return "caller"; }
 
-  void say(StatementKind kind, const std::string& text) {
+  void send(StatementKind kind, const std::string& text) {
     Statement statement;
     statement.kind = kind;
     statement.id = text;
     statement.text = text;
     statements_.push_back(std::move(statement));
-    asked_.notify_all();
+    statement_added_.notify_all();
   }
 
   bool accepted = false;
@@ -67,7 +68,7 @@
 
  private:
   std::string key_;
-  runtime::Signal asked_;
+  runtime::Signal statement_added_;
   std::deque<Statement> statements_;
   bool open_ = true;
 };
@@ -76,16 +77,16 @@
 
 class CallerSessionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallerSessionTest);
-  CPPUNIT_TEST(a_known_key_opens_a_session);
-  CPPUNIT_TEST(an_unknown_key_is_refused_when_control_has_said_so);
-  CPPUNIT_TEST(an_unknown_key_is_not_refused_for_good_without_control);
-  CPPUNIT_TEST(a_key_that_arrives_in_time_is_let_in);
-  CPPUNIT_TEST(a_statement_without_confirmation_sends_its_caller_elsewhere);
-  CPPUNIT_TEST(a_statement_of_a_removed_key_ends_the_session);
-  CPPUNIT_TEST(a_transaction_fails_with_its_key);
-  CPPUNIT_TEST(a_commit_without_confirmation_keeps_nothing);
-  CPPUNIT_TEST(an_operation_that_nobody_counts_does_not_begin);
-  CPPUNIT_TEST(a_token_of_what_was_not_run_is_given_back);
+  CPPUNIT_TEST(opens_session_with_known_key);
+  CPPUNIT_TEST(refuses_unknown_key_after_confirmation);
+  CPPUNIT_TEST(answers_busy_to_unknown_key_without_confirmation);
+  CPPUNIT_TEST(accepts_key_that_arrives_while_waiting);
+  CPPUNIT_TEST(closes_session_when_key_confirmation_expired);
+  CPPUNIT_TEST(closes_session_when_key_was_removed);
+  CPPUNIT_TEST(transaction_fails_when_key_confirmation_expires);
+  CPPUNIT_TEST(commit_is_not_sent_without_key_confirmation);
+  CPPUNIT_TEST(refuses_operation_that_no_owner_counts);
+  CPPUNIT_TEST(returns_token_of_statement_not_run);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -96,7 +97,7 @@
     caller_.reset();
   }
 
-  void a_known_key_opens_a_session() {
+  void opens_session_with_known_key() {
     stand_->confirm(kLong, kLong);
     open(SessionStand::kKey);
     CPPUNIT_ASSERT(caller_->accepted);
@@ -104,7 +105,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stand_->sent_to(SessionStand::kPrimary).size());
   }
 
-  void an_unknown_key_is_refused_when_control_has_said_so() {
+  void refuses_unknown_key_after_confirmation() {
     stand_->confirm(kLong, kLong);
     open("unknown");
     CPPUNIT_ASSERT_MESSAGE("the key may be newer than the document", !caller_->refused);
@@ -114,7 +115,7 @@
     CPPUNIT_ASSERT(caller_->refused == Refusal::kUnauthorized);
   }
 
-  void an_unknown_key_is_not_refused_for_good_without_control() {
+  void answers_busy_to_unknown_key_without_confirmation() {
     stand_->confirm(kLong, kLong);
     open("unknown");
     // The answer to a report sent before the caller connected proves nothing about its key.
@@ -123,7 +124,7 @@
     CPPUNIT_ASSERT(caller_->refused == Refusal::kBusy);
   }
 
-  void a_key_that_arrives_in_time_is_let_in() {
+  void accepts_key_that_arrives_while_waiting() {
     stand_->confirm(kLong, kLong);
     open("new");
     registry::FleetDelta delta = stand_->delta();
@@ -137,7 +138,7 @@
     CPPUNIT_ASSERT(caller_->accepted && !caller_->refused);
   }
 
-  void a_statement_without_confirmation_sends_its_caller_elsewhere() {
+  void closes_session_when_key_confirmation_expired() {
     for (const StatementKind kind : {StatementKind::kWrite, StatementKind::kRead, StatementKind::kBegin}) {
       stand_ = std::make_unique<SessionStand>();
       stand_->confirm(kLong, milliseconds(100));
@@ -152,7 +153,7 @@
     }
   }
 
-  void a_statement_of_a_removed_key_ends_the_session() {
+  void closes_session_when_key_was_removed() {
     stand_->confirm(kLong, kLong);
     open(SessionStand::kKey);
     CPPUNIT_ASSERT(ask(StatementKind::kWrite, "w").succeeded());
@@ -162,7 +163,7 @@
     CPPUNIT_ASSERT(!caller_->is_open());
   }
 
-  void a_transaction_fails_with_its_key() {
+  void transaction_fails_when_key_confirmation_expires() {
     stand_->confirm(kLong, milliseconds(100));
     open(SessionStand::kKey);
     CPPUNIT_ASSERT(ask(StatementKind::kBegin, "begin").succeeded());
@@ -176,7 +177,7 @@
     CPPUNIT_ASSERT(!caller_->is_open());
   }
 
-  void a_commit_without_confirmation_keeps_nothing() {
+  void commit_is_not_sent_without_key_confirmation() {
     stand_->confirm(kLong, milliseconds(100));
     open(SessionStand::kKey);
     ask(StatementKind::kBegin, "begin");
@@ -188,7 +189,7 @@
     CPPUNIT_ASSERT(stand_->sent_to(SessionStand::kPrimary) == (std::vector<std::string>{"begin", "w"}));
   }
 
-  void an_operation_that_nobody_counts_does_not_begin() {
+  void refuses_operation_that_no_owner_counts() {
     // The confirmation is too old for this proxy to grant tokens.
     stand_->confirm(kLong, milliseconds(500));
     stand_->limit_tenant(10);
@@ -199,18 +200,18 @@
     CPPUNIT_ASSERT(stand_->sent_to(SessionStand::kPrimary).empty());
   }
 
-  void a_token_of_what_was_not_run_is_given_back() {
+  void returns_token_of_statement_not_run() {
     stand_->limit_tenant(10);
-    stand_->confirm(kLong, kWhole);
+    stand_->confirm(kLong, kFullKeyValidity);
     stand_->run_for(kLong);
-    stand_->confirm(kLong, kWhole);
+    stand_->confirm(kLong, kFullKeyValidity);
     stand_->close_group();
     // A new primary is no longer expected soon, so each statement is refused immediately.
     stand_->run_for(kLong);
-    stand_->confirm(kLong, kWhole);
+    stand_->confirm(kLong, kFullKeyValidity);
     open(SessionStand::kKey);
     for (int statement = 0; statement < 100; ++statement) {
-      stand_->confirm(kLong, kWhole);
+      stand_->confirm(kLong, kFullKeyValidity);
       CPPUNIT_ASSERT(ask(StatementKind::kWrite, "w").refusal == Refusal::kBusy);
       const std::string& why = caller_->answers.back().detail;
       CPPUNIT_ASSERT_MESSAGE(why, why.starts_with("the group has no primary"));
@@ -227,7 +228,7 @@
 
   Answer ask(StatementKind kind, const std::string& text) {
     const std::size_t before = caller_->answers.size();
-    caller_->say(kind, text);
+    caller_->send(kind, text);
     for (int wait = 0; wait < 300 && caller_->answers.size() == before; ++wait)
       stand_->run_for(milliseconds(10));
     // Lets the session finish its work after the answer, such as closing the connection.
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-class NoDialer : public BackendDialer {
+class FailingDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/,
@@ -20,12 +20,12 @@
   }
 };
 
-registry::FleetDelta delta(bool is_whole, std::uint64_t revision, std::vector<registry::Evacuation> begun,
+registry::FleetDelta delta(bool is_whole, std::uint64_t revision, std::vector<registry::Evacuation> started,
                            std::vector<ZoneName> ended = {}) {
   registry::FleetDelta delta;
   delta.is_whole = is_whole;
   delta.revision = revision;
-  delta.evacuations = std::move(begun);
+  delta.evacuations = std::move(started);
   delta.ended_evacuations = std::move(ended);
   return delta;
 }
@@ -34,11 +34,11 @@
 
 class EvacuationViewTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuationViewTest);
-  CPPUNIT_TEST(what_begins_and_ends_is_followed);
-  CPPUNIT_TEST(a_whole_copy_replaces_all_and_keeps_the_moment);
-  CPPUNIT_TEST(who_holds_a_lease_has_the_whole_time);
-  CPPUNIT_TEST(who_hears_late_has_less_time);
-  CPPUNIT_TEST(who_was_never_confirmed_has_no_time);
+  CPPUNIT_TEST(applies_begin_and_end_of_evacuations);
+  CPPUNIT_TEST(whole_copy_replaces_evacuations_and_keeps_start_times);
+  CPPUNIT_TEST(grace_period_is_full_under_a_lease);
+  CPPUNIT_TEST(grace_period_counts_from_end_of_last_lease);
+  CPPUNIT_TEST(no_grace_period_without_any_confirmation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -52,7 +52,7 @@
     world_.reset();
   }
 
-  void what_begins_and_ends_is_followed() {
+  void applies_begin_and_end_of_evacuations() {
     view_->apply(delta(false, 2, {{ZoneName("erie")}, {ZoneName("huron")}}));
     CPPUNIT_ASSERT(view_->evacuated().is_evacuated(ZoneName("erie")));
     view_->apply(delta(false, 3, {}, {ZoneName("erie")}));
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(view_->evacuated().is_evacuated(ZoneName("huron")));
   }
 
-  void a_whole_copy_replaces_all_and_keeps_the_moment() {
+  void whole_copy_replaces_evacuations_and_keeps_start_times() {
     confirm();
     view_->apply(delta(false, 2, {{ZoneName("erie")}, {ZoneName("huron")}}));
     world_->run_for(seconds(2));
@@ -70,7 +70,7 @@
     CPPUNIT_ASSERT(view_->evacuated().is_off_limits(ZoneName("huron"), runtime_->now()));
   }
 
-  void who_holds_a_lease_has_the_whole_time() {
+  void grace_period_is_full_under_a_lease() {
     world_->run_for(seconds(20));
     confirm();
     world_->run_for(milliseconds(1400));
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT(is_off_limits());
   }
 
-  void who_hears_late_has_less_time() {
+  void grace_period_counts_from_end_of_last_lease() {
     confirm();
     world_->run_for(seconds(2));
     view_->apply(delta(false, 2, {{ZoneName("erie")}}));
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_MESSAGE("the same for an order in a whole copy", is_off_limits());
   }
 
-  void who_was_never_confirmed_has_no_time() {
+  void no_grace_period_without_any_confirmation() {
     view_->apply(delta(true, 2, {{ZoneName("erie")}}));
     CPPUNIT_ASSERT(is_off_limits());
   }
@@ -109,7 +109,7 @@
 
   std::unique_ptr<simulation::World> world_;
   runtime::Runtime* runtime_ = nullptr;
-  NoDialer dialer_;
+  FailingDialer dialer_;
   std::unique_ptr<FleetView> view_;
 };
 
--- a/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -11,23 +11,23 @@
 
 class FleetViewGuardsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetViewGuardsTest);
-  CPPUNIT_TEST(nothing_is_forwarded_to_a_proxy_that_leaves);
-  CPPUNIT_TEST(a_primary_is_used_under_a_lease_of_its_epoch);
-  CPPUNIT_TEST(the_next_incarnation_of_a_primary_is_not_used);
+  CPPUNIT_TEST(forwards_nothing_to_leaving_proxy);
+  CPPUNIT_TEST(uses_primary_only_under_lease_for_its_epoch);
+  CPPUNIT_TEST(does_not_use_restarted_primary);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { stand_ = std::make_unique<SessionStand>(); }
   void tearDown() override { stand_.reset(); }
 
-  void nothing_is_forwarded_to_a_proxy_that_leaves() {
+  void forwards_nothing_to_leaving_proxy() {
     put_proxy("other", false);
-    CPPUNIT_ASSERT(knows("other"));
+    CPPUNIT_ASSERT(is_target("other"));
     put_proxy("other", true);
-    CPPUNIT_ASSERT(!knows("other"));
+    CPPUNIT_ASSERT(!is_target("other"));
   }
 
-  void a_primary_is_used_under_a_lease_of_its_epoch() {
+  void uses_primary_only_under_lease_for_its_epoch() {
     FleetView& view = stand_->view();
     const GroupAccess& group = *stand_->group();
     const std::uint64_t epoch = group.term().epoch;
@@ -39,21 +39,21 @@
     CPPUNIT_ASSERT_MESSAGE("for a closed group", !view.may_use_primary(group, epoch + 1));
   }
 
-  void the_next_incarnation_of_a_primary_is_not_used() {
+  void does_not_use_restarted_primary() {
     const GroupAccess& group = *stand_->group();
-    registry::FleetDelta known = stand_->delta();
-    known.terms = {group.term()};
-    known.terms[0].primary_born_ms = 1000;
-    stand_->view().apply(known);
-    put_primary(1000);
+    registry::FleetDelta restarted = stand_->delta();
+    restarted.terms = {group.term()};
+    restarted.terms[0].primary_born_ms = 1000;
+    stand_->view().apply(restarted);
+    set_primary_birth(1000);
     stand_->confirm(std::chrono::seconds(1), std::chrono::seconds(1));
     CPPUNIT_ASSERT(stand_->view().may_use_primary(group, group.term().epoch));
-    put_primary(2000);
+    set_primary_birth(2000);
     CPPUNIT_ASSERT(!stand_->view().may_use_primary(group, group.term().epoch));
   }
 
  private:
-  void put_primary(std::uint64_t born_ms) {
+  void set_primary_birth(std::uint64_t born_ms) {
     registry::FleetDelta delta = stand_->delta();
     delta.backends = {*stand_->view().find_backend(BackendName(SessionStand::kPrimary))};
     delta.backends[0].born_ms = born_ms;
@@ -64,12 +64,12 @@
     delta.proxies = {{NodeName(name), 1, ZoneName("a"), {"10.0.0.2", 7440}, leaving}};
     stand_->view().apply(delta);
   }
-  [[nodiscard]] bool knows(const std::string& name) {
+  [[nodiscard]] bool is_target(const std::string& name) {
     const auto holds = [&](const std::vector<subset::ProxyPointer>& proxies) {
       return std::any_of(proxies.begin(), proxies.end(),
                          [&](const subset::ProxyPointer& proxy) { return proxy->name.value == name; });
     };
-    return holds(stand_->view().others()) || holds(stand_->view().also_serving(GroupName("group")));
+    return holds(stand_->view().other_proxies()) || holds(stand_->view().also_serving(GroupName("group")));
   }
 
   std::unique_ptr<SessionStand> stand_;
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-class NoDialer : public BackendDialer {
+class FailingDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/,
@@ -67,10 +67,10 @@
 
 class FleetViewTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetViewTest);
-  CPPUNIT_TEST(route_and_tenant_both_bind);
-  CPPUNIT_TEST(a_changed_document_binds_from_then_on);
-  CPPUNIT_TEST(statements_are_sent_into_allowed_regions_only);
-  CPPUNIT_TEST(groups_are_divided_anew_only_by_what_counts);
+  CPPUNIT_TEST(intersects_regions_of_route_and_tenant);
+  CPPUNIT_TEST(document_change_applies_to_later_statements);
+  CPPUNIT_TEST(filters_proxies_by_allowed_regions);
+  CPPUNIT_TEST(divides_groups_again_only_on_relevant_changes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -92,7 +92,7 @@
     world_.reset();
   }
 
-  void route_and_tenant_both_bind() {
+  void intersects_regions_of_route_and_tenant() {
     CPPUNIT_ASSERT(allowed("free", "").is_anywhere());
     CPPUNIT_ASSERT(allowed("free", "kea").is_anywhere());
     CPPUNIT_ASSERT(allowed("free", "nobody").is_anywhere());
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT(allowed("northern", "tui").is_nowhere());
   }
 
-  void a_changed_document_binds_from_then_on() {
+  void document_change_applies_to_later_statements() {
     const auto before = allowed("free", "tui");
     registry::FleetDelta delta;
     delta.revision = 2;
@@ -117,21 +117,21 @@
     CPPUNIT_ASSERT(!view_->tenants().any_names_regions());
   }
 
-  void statements_are_sent_into_allowed_regions_only() {
-    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, view_->others().size());
-    const auto to_north = view_->in_regions(view_->others(), allowed("northern", ""));
+  void filters_proxies_by_allowed_regions() {
+    CPPUNIT_ASSERT_EQUAL(std::size_t{4}, view_->other_proxies().size());
+    const auto to_north = view_->filter_by_region(view_->other_proxies(), allowed("northern", ""));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, to_north.size());
     for (const auto& one : to_north) CPPUNIT_ASSERT(one->zone.value.front() == 'n');
     CPPUNIT_ASSERT_EQUAL(std::string("p2"),
-                         names(view_->in_regions(view_->others(), allowed("free", "tui"))));
-    CPPUNIT_ASSERT(view_->in_regions(view_->others(), allowed("northern", "tui")).empty());
+                         names(view_->filter_by_region(view_->other_proxies(), allowed("free", "tui"))));
+    CPPUNIT_ASSERT(view_->filter_by_region(view_->other_proxies(), allowed("northern", "tui")).empty());
     // This proxy already has the text, whatever its region.
     const auto self =
         std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p1"), ZoneName("s1"), Endpoint{}});
-    CPPUNIT_ASSERT_EQUAL(std::string("p1"), names(view_->in_regions({self}, allowed("northern", ""))));
+    CPPUNIT_ASSERT_EQUAL(std::string("p1"), names(view_->filter_by_region({self}, allowed("northern", ""))));
   }
 
-  void groups_are_divided_anew_only_by_what_counts() {
+  void divides_groups_again_only_on_relevant_changes() {
     registry::BackendEntry backend;
     backend.name = BackendName("db-1");
     backend.group = GroupName("group");
@@ -157,9 +157,9 @@
  private:
   /// Whether the delta caused a new division, which creates new ProxyView objects.
   bool is_divided_by(const registry::FleetDelta& delta) {
-    const subset::ProxyPointer before = view_->others().front();
+    const subset::ProxyPointer before = view_->other_proxies().front();
     view_->apply(delta);
-    return view_->others().front() != before;
+    return view_->other_proxies().front() != before;
   }
   bool is_divided_by(const registry::BackendEntry& backend) {
     registry::FleetDelta delta;
@@ -171,7 +171,7 @@
     return view_->allowed_regions(*view_->find_route(DatabaseName(route_name)), TenantName(tenant_name));
   }
 
-  NoDialer dialer_;
+  FailingDialer dialer_;
   std::unique_ptr<simulation::World> world_;
   std::unique_ptr<FleetView> view_;
 };
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-class NoBackends : public BackendDialer {
+class FailingDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress, TimePoint, std::optional<Refusal>&,
                                                Reason&) override {
@@ -26,26 +26,26 @@
 struct Proxy {
   simulation::World world{simulation::WorldSettings{}};
   runtime::Runtime& runtime = world.start_bare({"node", "10.0.0.1", ZoneName("a")});
-  NoBackends dialer;
+  FailingDialer dialer;
   SessionProxySettings settings = settings_of_proxy();
   FleetView view{runtime, dialer, settings};
   FleetLink link{runtime, settings, view};
   SessionMetrics metrics;
-  KnownRegistrations known{runtime, view, link, metrics};
+  KnownRegistrations registrations{runtime, view, link, metrics};
 };
 
 }  // namespace
 
 class KnownRegistrationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(KnownRegistrationsTest);
-  CPPUNIT_TEST(refused_registrations_are_counted_by_cause);
-  CPPUNIT_TEST(a_next_incarnation_is_news_and_a_former_one_is_not);
+  CPPUNIT_TEST(counts_refused_registrations_by_cause);
+  CPPUNIT_TEST(knows_earlier_incarnations_but_not_later_ones);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void refused_registrations_are_counted_by_cause() {
+  void counts_refused_registrations_by_cause() {
     Proxy proxy;
-    const registry::RegistrationRelay& relay = proxy.known;
+    const registry::RegistrationRelay& relay = proxy.registrations;
     const Reason reason{ReasonCode::kInvalidArgument, "read_body", "", "Slots: is missing"};
     relay.record_refused({registry::RegistrationFault::kMissingField, "i-1", reason});
     relay.record_refused({registry::RegistrationFault::kMissingField, "i-2", reason});
@@ -55,29 +55,29 @@
     CPPUNIT_ASSERT(text.find(name + "{cause=\"unreadable\"} 0") != std::string::npos);
   }
 
-  void a_next_incarnation_is_news_and_a_former_one_is_not() {
+  void knows_earlier_incarnations_but_not_later_ones() {
     Proxy proxy;
-    registry::BackendEntry held;
-    held.name = BackendName("b-1");
-    held.group = GroupName("records");
-    held.born_ms = 2000;
-    held.sequence = 3;
-    CPPUNIT_ASSERT_MESSAGE("no backend is known yet", !proxy.known.knows(held));
+    registry::BackendEntry known;
+    known.name = BackendName("b-1");
+    known.group = GroupName("records");
+    known.born_ms = 2000;
+    known.sequence = 3;
+    CPPUNIT_ASSERT_MESSAGE("no backend is known yet", !proxy.registrations.knows(known));
     registry::FleetDelta delta;
     delta.revision = 1;
-    delta.groups = {registry::GroupRule{held.group}};
-    delta.backends = {held};
+    delta.groups = {registry::GroupRule{known.group}};
+    delta.backends = {known};
     proxy.view.apply(delta);
-    CPPUNIT_ASSERT(proxy.known.knows(held));
-    registry::BackendEntry next = held;
+    CPPUNIT_ASSERT(proxy.registrations.knows(known));
+    registry::BackendEntry next = known;
     next.born_ms = 3000;
-    CPPUNIT_ASSERT(!proxy.known.knows(next));
-    registry::BackendEntry former = held;
-    former.born_ms = 1000;
-    former.leaving = true;
-    CPPUNIT_ASSERT(proxy.known.knows(former));
-    held.leaving = true;
-    CPPUNIT_ASSERT_MESSAGE("changed entry of the same incarnation", !proxy.known.knows(held));
+    CPPUNIT_ASSERT(!proxy.registrations.knows(next));
+    registry::BackendEntry earlier = known;
+    earlier.born_ms = 1000;
+    earlier.leaving = true;
+    CPPUNIT_ASSERT(proxy.registrations.knows(earlier));
+    known.leaving = true;
+    CPPUNIT_ASSERT_MESSAGE("changed entry of the same incarnation", !proxy.registrations.knows(known));
   }
 };
 
--- a/tests/registered/proxy/fleet/leader_search_test.cpp
+++ b/tests/registered/proxy/fleet/leader_search_test.cpp
@@ -30,8 +30,8 @@
     runtime_.spawn("control", accept());
   }
   bool leads = false;
-  bool knows_compressed = true;
-  std::string names_leader;
+  bool supports_compressed = true;
+  std::string leader_hint;
   int asked = 0;
 
  private:
@@ -46,7 +46,7 @@
     std::optional<wire::Hello> hello;
     if (first) hello = wire::decode<wire::Hello>(*first, reason);
     const bool compressed = hello && hello->conversation == wire::Conversation::kServingCompressed;
-    if (!hello || (compressed && !knows_compressed)) {
+    if (!hello || (compressed && !supports_compressed)) {
       frames->close();
       co_return;
     }
@@ -56,7 +56,7 @@
       registry::ProxyUpdate update;
       update.nonce = report->nonce;
       update.lease = seconds(1);
-      if (!leads) update.refusal = Reason{ReasonCode::kNotLeader, "renew_lease", names_leader, ""};
+      if (!leads) update.refusal = Reason{ReasonCode::kNotLeader, "renew_lease", leader_hint, ""};
       co_await frames->send(wire::encode(update), reason);
     }
   }
@@ -69,11 +69,11 @@
 
 class LeaderSearchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaderSearchTest);
-  CPPUNIT_TEST(control_nodes_that_are_dark_hold_up_nobody);
-  CPPUNIT_TEST(a_leader_that_is_named_is_asked_at_once);
-  CPPUNIT_TEST(a_machine_that_gets_its_power_back_is_found_soon);
-  CPPUNIT_TEST(a_control_node_of_an_earlier_build_is_asked_for_plain_deltas);
-  CPPUNIT_TEST(a_search_that_is_stopped_ends);
+  CPPUNIT_TEST(unreachable_control_nodes_do_not_delay_the_search);
+  CPPUNIT_TEST(asks_named_leader_immediately);
+  CPPUNIT_TEST(finds_leader_soon_after_power_returns);
+  CPPUNIT_TEST(falls_back_to_plain_deltas_for_older_builds);
+  CPPUNIT_TEST(stop_ends_the_search);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -98,23 +98,23 @@
     world_.reset();
   }
 
-  void control_nodes_that_are_dark_hold_up_nobody() {
+  void unreachable_control_nodes_do_not_delay_the_search() {
     nodes_[4]->leads = true;
-    for (int dark = 0; dark < 4; ++dark) cut(addresses_[dark]);
+    for (int unreachable = 0; unreachable < 4; ++unreachable) cut(addresses_[unreachable]);
     CPPUNIT_ASSERT(run_search() < milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(addresses_[4], found_->conversation->endpoint.address);
     CPPUNIT_ASSERT(found_->conversation->is_compressed);
   }
 
-  void a_leader_that_is_named_is_asked_at_once() {
+  void asks_named_leader_immediately() {
     nodes_[3]->leads = true;
-    for (const auto& node : nodes_) node->names_leader = addresses_[3];
-    known_ = 2;  // the proxy does not know the leader's endpoint
+    for (const auto& node : nodes_) node->leader_hint = addresses_[3];
+    known_count_ = 2;  // the proxy does not know the leader's endpoint
     CPPUNIT_ASSERT(run_search() < milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(addresses_[3], found_->conversation->endpoint.address);
   }
 
-  void a_machine_that_gets_its_power_back_is_found_soon() {
+  void finds_leader_soon_after_power_returns() {
     nodes_[0]->leads = true;
     for (const std::string& address : addresses_) cut(address);
     runtime_->spawn("search", search());
@@ -123,17 +123,18 @@
     world_->heal();
     const TimePoint back = runtime_->now();
     world_->run_until([this] { return found_.has_value(); }, seconds(2));
-    CPPUNIT_ASSERT(runtime_->now() - back < kLongControlDial + kControlRetryLimit + milliseconds(20));
+    CPPUNIT_ASSERT(runtime_->now() - back <
+                   kLongControlDialTimeout + kControlRetryMaxBackoff + milliseconds(20));
   }
 
-  void a_control_node_of_an_earlier_build_is_asked_for_plain_deltas() {
-    for (const auto& node : nodes_) node->knows_compressed = false;
+  void falls_back_to_plain_deltas_for_older_builds() {
+    for (const auto& node : nodes_) node->supports_compressed = false;
     nodes_[0]->leads = true;
     CPPUNIT_ASSERT(run_search() < seconds(1));
     CPPUNIT_ASSERT(!found_->conversation->is_compressed);
   }
 
-  void a_search_that_is_stopped_ends() {
+  void stop_ends_the_search() {
     runtime_->spawn("search", search());
     world_->run_for(milliseconds(300));
     search_->stop();
@@ -157,17 +158,18 @@
   }
   Awaitable<void> search() {
     std::vector<Endpoint> endpoints;
-    for (std::size_t number = 0; number < known_; ++number) endpoints.push_back({addresses_[number], kPort});
+    for (std::size_t number = 0; number < known_count_; ++number)
+      endpoints.push_back({addresses_[number], kPort});
     auto found = co_await search_->run(std::move(endpoints));
     if (found) found_ = std::move(found);
     ended_ = true;
   }
   Duration run_search() {
-    const TimePoint begun = runtime_->now();
+    const TimePoint started_at = runtime_->now();
     runtime_->spawn("search", search());
     world_->run_until([this] { return ended_; }, seconds(10));
     CPPUNIT_ASSERT(found_.has_value());
-    return runtime_->now() - begun;
+    return runtime_->now() - started_at;
   }
 
   const std::vector<std::string> addresses_{"10.0.1.1", "10.0.1.2", "10.0.1.3", "10.0.1.4", "10.0.1.5"};
@@ -176,7 +178,7 @@
   std::vector<std::unique_ptr<ControlNode>> nodes_;
   std::unique_ptr<LeaderSearch> search_;
   std::optional<LeaderSearch::Found> found_;
-  std::size_t known_ = 5;
+  std::size_t known_count_ = 5;
   std::uint64_t next_nonce_ = 1;
   bool ended_ = false;
 };
--- a/tests/registered/proxy/forwarding/forward_server_test.cpp
+++ b/tests/registered/proxy/forwarding/forward_server_test.cpp
@@ -21,11 +21,11 @@
 
 class ForwardServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwardServerTest);
-  CPPUNIT_TEST(a_forwarded_write_is_run);
-  CPPUNIT_TEST(a_key_that_is_not_known_here_may_be_known_elsewhere);
-  CPPUNIT_TEST(without_a_lease_another_is_to_be_tried_at_once);
-  CPPUNIT_TEST(a_transaction_goes_on_with_its_key_only);
-  CPPUNIT_TEST(what_is_open_for_who_is_gone_is_rolled_back);
+  CPPUNIT_TEST(runs_forwarded_write);
+  CPPUNIT_TEST(unknown_key_may_be_tried_at_another_proxy);
+  CPPUNIT_TEST(refuses_immediately_without_lease);
+  CPPUNIT_TEST(transaction_fails_once_key_is_removed);
+  CPPUNIT_TEST(rolls_back_transactions_of_lost_connection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -45,50 +45,51 @@
     stand_.reset();
   }
 
-  void a_forwarded_write_is_run() {
+  void runs_forwarded_write() {
     stand_->confirm(kLong, kLong);
-    const ForwardAnswer answer = call(ForwardRun{order("w")});
+    const ForwardAnswer answer = call(ForwardRun{statement("w")});
     CPPUNIT_ASSERT(answer.answer.succeeded() && answer.at_primary);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stand_->sent_to(SessionStand::kPrimary).size());
-    CPPUNIT_ASSERT_EQUAL(std::string(SessionStand::kTenant), stand_->dialled_for().front());
+    CPPUNIT_ASSERT_EQUAL(std::string(SessionStand::kTenant), stand_->dialled_tenants().front());
   }
 
-  void a_key_that_is_not_known_here_may_be_known_elsewhere() {
+  void unknown_key_may_be_tried_at_another_proxy() {
     stand_->confirm(kLong, kLong);
     stand_->remove_key();
-    const ForwardAnswer answer = call(ForwardRun{order("w")});
+    const ForwardAnswer answer = call(ForwardRun{statement("w")});
     CPPUNIT_ASSERT(answer.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(answer.may_try_another && answer.nothing_run);
     CPPUNIT_ASSERT(stand_->sent_to(SessionStand::kPrimary).empty());
   }
 
-  void without_a_lease_another_is_to_be_tried_at_once() {
+  void refuses_immediately_without_lease() {
     stand_->confirm(milliseconds(10), kLong);
     stand_->run_for(milliseconds(100));
     const TimePoint asked_at = stand_->now();
-    const ForwardAnswer answer = call(ForwardRun{order("w")});
+    const ForwardAnswer answer = call(ForwardRun{statement("w")});
     CPPUNIT_ASSERT(answer.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(answer.may_try_another && answer.nothing_run);
     CPPUNIT_ASSERT_MESSAGE("refused immediately, without waiting for a lease",
                            stand_->now() - asked_at < milliseconds(100));
   }
 
-  void a_transaction_goes_on_with_its_key_only() {
+  void transaction_fails_once_key_is_removed() {
     stand_->confirm(kLong, kLong);
-    ForwardedOrder first = order("first");
+    ForwardedStatement first = statement("first");
     first.opens_transaction = true;
     const ForwardAnswer opened = call(ForwardRun{first});
     CPPUNIT_ASSERT(opened.pin > 0);
-    CPPUNIT_ASSERT(call(ForwardInTransaction{opened.pin, order("second"), false, true}).answer.succeeded());
+    CPPUNIT_ASSERT(
+        call(ForwardInTransaction{opened.pin, statement("second"), false, true}).answer.succeeded());
     stand_->remove_key();
-    const ForwardAnswer late = call(ForwardInTransaction{opened.pin, order("late"), false, true});
+    const ForwardAnswer late = call(ForwardInTransaction{opened.pin, statement("late"), false, true});
     CPPUNIT_ASSERT(late.answer.refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, stand_->sent_to(SessionStand::kPrimary).size());
   }
 
-  void what_is_open_for_who_is_gone_is_rolled_back() {
+  void rolls_back_transactions_of_lost_connection() {
     stand_->confirm(kLong, kLong);
-    ForwardedOrder first = order("first");
+    ForwardedStatement first = statement("first");
     first.opens_transaction = true;
     CPPUNIT_ASSERT(call(ForwardRun{first}).pin > 0);
     bool rolled_back = false;
@@ -99,28 +100,28 @@
   }
 
  private:
-  static ForwardedOrder order(const std::string& id) {
-    ForwardedOrder order;
-    order.route.database = DatabaseName("database");
-    order.route.group = GroupName("group");
-    order.key = ApiKey(SessionStand::kKey);
-    order.id = id;
-    order.text = id;
-    order.writes = true;
-    order.time_left = seconds(3);
-    return order;
+  static ForwardedStatement statement(const std::string& id) {
+    ForwardedStatement statement;
+    statement.route.database = DatabaseName("database");
+    statement.route.group = GroupName("group");
+    statement.key = ApiKey(SessionStand::kKey);
+    statement.id = id;
+    statement.text = id;
+    statement.writes = true;
+    statement.time_left = seconds(3);
+    return statement;
   }
 
   template <class Body>
   ForwardAnswer call(Body body) {
     const auto task = [](ForwardServerTest& test, ForwardRequest request,
-                         std::optional<ForwardAnswer>& told) -> Awaitable<void> {
+                         std::optional<ForwardAnswer>& result) -> Awaitable<void> {
       Reason reason;
       const TimePoint deadline = test.stand_->now() + seconds(4);
       const auto proxy =
           std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("proxy"), ZoneName("a"), kEndpoint});
       if (!test.connection_) test.connection_ = co_await test.forwarder_->connect(proxy, deadline, reason);
-      if (test.connection_) told = co_await test.connection_->call(request, deadline, reason);
+      if (test.connection_) result = co_await test.connection_->call(request, deadline, reason);
     };
     ForwardRequest request;
     request.body = std::move(body);
--- a/tests/registered/proxy/forwarding/forwarder_test.cpp
+++ b/tests/registered/proxy/forwarding/forwarder_test.cpp
@@ -98,13 +98,13 @@
 
 class ForwarderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwarderTest);
-  CPPUNIT_TEST(a_slow_statement_is_waited_for);
-  CPPUNIT_TEST(a_silent_proxy_is_given_up);
-  CPPUNIT_TEST(nothing_is_asked_while_nothing_is_waited_for);
-  CPPUNIT_TEST(a_proxy_out_of_reach_holds_statements_up_once_and_shortly);
-  CPPUNIT_TEST(a_proxy_out_of_reach_is_used_again_once_it_is_back);
-  CPPUNIT_TEST(a_proxy_that_nobody_asked_for_a_while_is_tried_again);
-  CPPUNIT_TEST(a_frozen_proxy_is_avoided_until_it_wakes);
+  CPPUNIT_TEST(waits_for_slow_statement);
+  CPPUNIT_TEST(gives_up_silent_proxy);
+  CPPUNIT_TEST(sends_no_probes_without_pending_calls);
+  CPPUNIT_TEST(unreachable_proxy_delays_only_first_statement);
+  CPPUNIT_TEST(reuses_proxy_after_it_becomes_reachable);
+  CPPUNIT_TEST(retries_unreachable_proxy_after_redial_window);
+  CPPUNIT_TEST(avoids_frozen_proxy_until_it_thaws);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -122,32 +122,32 @@
     world_.reset();
   }
 
-  void a_slow_statement_is_waited_for() {
+  void waits_for_slow_statement() {
     peer_->run_takes = seconds(2);
     const Call result = run_call();
     CPPUNIT_ASSERT(result.answered);
     CPPUNIT_ASSERT_MESSAGE("liveness probes were sent", peer_->ends > 2);
   }
 
-  void a_silent_proxy_is_given_up() {
+  void gives_up_silent_proxy() {
     peer_->answers = false;
-    const TimePoint begun = runtime_->now();
+    const TimePoint started_at = runtime_->now();
     const Call result = run_call();
     CPPUNIT_ASSERT(!result.answered);
     CPPUNIT_ASSERT(result.reason.code == ReasonCode::kConnectionLost);
-    CPPUNIT_ASSERT(result.ended - begun < milliseconds(700));
+    CPPUNIT_ASSERT(result.ended - started_at < milliseconds(700));
   }
 
-  void nothing_is_asked_while_nothing_is_waited_for() {
+  void sends_no_probes_without_pending_calls() {
     const Call result = run_call();
     CPPUNIT_ASSERT(result.answered);
     world_->run_for(seconds(5));
     CPPUNIT_ASSERT_EQUAL(0, peer_->ends);
   }
 
-  void a_proxy_out_of_reach_holds_statements_up_once_and_shortly() {
+  void unreachable_proxy_delays_only_first_statement() {
     cut();
-    CPPUNIT_ASSERT(run_connect() <= kForwardDialPatience + milliseconds(5));
+    CPPUNIT_ASSERT(run_connect() <= kForwardConnectWait + milliseconds(5));
     for (int statement = 0; statement < 20; ++statement) {
       CPPUNIT_ASSERT(forwarder_->is_avoided(proxy_->name, kGroup));
       CPPUNIT_ASSERT(run_connect() <= milliseconds(1));
@@ -155,27 +155,27 @@
     }
   }
 
-  void a_proxy_out_of_reach_is_used_again_once_it_is_back() {
+  void reuses_proxy_after_it_becomes_reachable() {
     cut();
     run_connect();
     world_->run_for(seconds(3));
     world_->heal();
-    world_->run_for(kForwardRedialLimit + kForwardDialLimit + milliseconds(50));
+    world_->run_for(kForwardRedialMaxBackoff + kForwardDialTimeout + milliseconds(50));
     CPPUNIT_ASSERT(!forwarder_->is_avoided(proxy_->name, kGroup));
     CPPUNIT_ASSERT(run_call().answered);
   }
 
-  void a_proxy_that_nobody_asked_for_a_while_is_tried_again() {
+  void retries_unreachable_proxy_after_redial_window() {
     cut();
     run_connect();
-    world_->run_for(kForwardInterest + kForwardDialLimit + kForwardRedialLimit);
+    world_->run_for(kForwardRedialWindow + kForwardDialTimeout + kForwardRedialMaxBackoff);
     CPPUNIT_ASSERT_MESSAGE("avoided proxies are sent nothing, so it would stay avoided forever",
                            !forwarder_->is_avoided(proxy_->name, kGroup));
     world_->heal();
     CPPUNIT_ASSERT(run_call().answered);
   }
 
-  void a_frozen_proxy_is_avoided_until_it_wakes() {
+  void avoids_frozen_proxy_until_it_thaws() {
     CPPUNIT_ASSERT(run_call().answered);
     world_->freeze("peer");
     CPPUNIT_ASSERT(!run_call().answered);
@@ -183,7 +183,7 @@
     world_->run_for(seconds(3));
     CPPUNIT_ASSERT(forwarder_->is_avoided(proxy_->name, kGroup));
     world_->thaw("peer");
-    world_->run_for(kForwardRedialLimit + kForwardAnswerLimit + milliseconds(50));
+    world_->run_for(kForwardRedialMaxBackoff + kForwardProbeTimeout + milliseconds(50));
     CPPUNIT_ASSERT(!forwarder_->is_avoided(proxy_->name, kGroup));
   }
 
@@ -195,12 +195,12 @@
 
   /// Returns how long a statement waited for the connection; asserts that it got none.
   Duration run_connect() {
-    const TimePoint begun = runtime_->now();
+    const TimePoint started_at = runtime_->now();
     Connect result;
     runtime_->spawn("connect", connect(*runtime_, *forwarder_, proxy_, result));
     world_->run_until([&] { return result.finished; }, seconds(6));
     CPPUNIT_ASSERT(result.finished && !result.connected);
-    return result.ended - begun;
+    return result.ended - started_at;
   }
 
   Call run_call() {
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -48,13 +48,13 @@
         {"it can't be reached", [](SessionStand& stand) { stand.unreachable.insert("replica"); }},
         {"one of two is silent",
          [](SessionStand& stand) {
-           stand.put_member("another", false);
+           stand.update_backend("another", false);
            stand.statuses["another"].term = 1;
            stand.silent.insert("another");
          }},
         {"one that leaves is paused",
          [](SessionStand& stand) {
-           stand.put_member("another", true);
+           stand.update_backend("another", true);
            stand.statuses["another"].term = 1;
            stand.statuses["another"].pause_term = 2;
          }},
@@ -87,7 +87,7 @@
   void a_member_that_joins_while_others_are_asked_counts() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->statuses["another"].term = 2;
-    stand_->during(Step::kStatus, [this] { stand_->put_member("another", false); });
+    stand_->during(Step::kStatus, [this] { stand_->update_backend("another", false); });
     // Control's lease has ended, and one from the first question would not have.
     stand_->run_for(milliseconds(560));
     CPPUNIT_ASSERT(!stand_->view().lease_valid());
@@ -138,8 +138,8 @@
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->during(Step::kStatus, [] {});
     const TimePoint begun = stand_->now();
-    // Until the first answers have come, which took kEventfulStep; there are no others.
-    stand_->run_for(kMemberLeaseTick + kEventfulStep + milliseconds(10));
+    // Until the first answers have come, which took kEventStepDuration; there are no others.
+    stand_->run_for(kMemberLeaseTick + kEventStepDuration + milliseconds(10));
     stand_->silent.insert("replica");
     stand_->run_for(begun + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) - stand_->now());
     CPPUNIT_ASSERT(!stand_->view().lease_valid() && serves());
--- a/tests/registered/proxy/limits/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-class NoDialer : public BackendDialer {
+class FailingDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/,
@@ -27,18 +27,18 @@
 };
 
 Awaitable<void> admit(runtime::Runtime& runtime, LimitClient& limits, Admission& admission) {
-  const TimePoint begun = runtime.now();
+  const TimePoint started_at = runtime.now();
   admission.answer = co_await limits.admit(TenantName("tenant"));
-  admission.took = runtime.now() - begun;
+  admission.took = runtime.now() - started_at;
 }
 
 }  // namespace
 
 class LimitClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LimitClientTest);
-  CPPUNIT_TEST(the_own_home_answers_at_once);
-  CPPUNIT_TEST(operations_that_come_together_all_begin);
-  CPPUNIT_TEST(above_the_limit_is_told_at_once);
+  CPPUNIT_TEST(local_owner_grants_immediately);
+  CPPUNIT_TEST(admits_concurrent_operations);
+  CPPUNIT_TEST(refuses_immediately_above_limit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -66,14 +66,14 @@
     view_.reset();
   }
 
-  void the_own_home_answers_at_once() {
+  void local_owner_grants_immediately() {
     const Admission& admission = begin();
     world_->run_for(milliseconds(300));
     CPPUNIT_ASSERT(admission.answer && admission.answer->outcome == AdmissionOutcome::kAdmitted);
     CPPUNIT_ASSERT_MESSAGE("admitted without waiting", admission.took == Duration(0));
   }
 
-  void operations_that_come_together_all_begin() {
+  void admits_concurrent_operations() {
     for (int operation = 0; operation < 5; ++operation) begin();
     world_->run_for(milliseconds(100));
     for (int operation = 0; operation < 5; ++operation) begin();
@@ -84,7 +84,7 @@
     }
   }
 
-  void above_the_limit_is_told_at_once() {
+  void refuses_immediately_above_limit() {
     for (int operation = 0; operation < 200; ++operation) begin();
     world_->run_for(milliseconds(1));
     int refused = 0;
@@ -123,7 +123,7 @@
 
   std::unique_ptr<simulation::World> world_;
   simulation::VirtualRuntime* runtime_ = nullptr;
-  NoDialer dialer_;
+  FailingDialer dialer_;
   std::unique_ptr<FleetView> view_;
   std::unique_ptr<SessionMetrics> metrics_;
   std::unique_ptr<Forwarder> forwarder_;
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -90,22 +90,22 @@
 }
 
 /// A link to a fake backend. close() ends a running request without an answer.
-class StandLink : public BackendLink {
+class FakeBackendLink : public BackendLink {
  public:
-  StandLink(SessionStand& stand, std::string backend)
+  FakeBackendLink(SessionStand& stand, std::string backend)
       : stand_(stand), backend_(std::move(backend)), closed_(stand.runtime()) {}
 
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
                                        runtime::SendState& sent, Reason& reason) override {
     sent = open_ ? runtime::SendState::kMaybeSent : runtime::SendState::kNotSent;
     const Step step = step_of(request);
-    if (open_ && (step == Step::kSetValue || step == Step::kPrepare)) ++stand_.set_ups_;
+    if (open_ && (step == Step::kSetValue || step == Step::kPrepare)) ++stand_.setup_count_;
     if (open_ && step == Step::kBegin) stand_.sent_[backend_].emplace_back("begin");
     if (open_ && step == Step::kStatement) stand_.sent_[backend_].push_back(text_of(request));
     if (const auto event = stand_.take_event(step)) {
-      co_await closed_.wait_until(stand_.now() + kEventfulStep / 2);
+      co_await closed_.wait_until(stand_.now() + kEventStepDuration / 2);
       event();
-      if (open_) co_await closed_.wait_until(stand_.now() + kEventfulStep / 2);
+      if (open_) co_await closed_.wait_until(stand_.now() + kEventStepDuration / 2);
     }
     if (step == Step::kStatus) co_await closed_.wait_until(stand_.now() + milliseconds(1));
     if (step == Step::kStatus && stand_.silent.count(backend_) > 0)
@@ -155,13 +155,13 @@
       co_await stand_.runtime().sleep_for(milliseconds(1));
       co_return nullptr;
     }
-    stand_.dialled_for_.push_back(address.tenant.value);
+    stand_.dialled_tenants_.push_back(address.tenant.value);
     if (const auto event = stand_.take_event(Step::kDial)) {
-      co_await stand_.runtime().sleep_for(kEventfulStep / 2);
+      co_await stand_.runtime().sleep_for(kEventStepDuration / 2);
       event();
-      co_await stand_.runtime().sleep_for(kEventfulStep / 2);
+      co_await stand_.runtime().sleep_for(kEventStepDuration / 2);
     }
-    co_return std::make_shared<StandLink>(stand_, address.backend.value);
+    co_return std::make_shared<FakeBackendLink>(stand_, address.backend.value);
   }
 
  private:
@@ -249,13 +249,13 @@
   view_->apply(removed);
 }
 
-void SessionStand::move_key() {
+void SessionStand::reassign_key() {
   registry::FleetDelta moved = delta();
   moved.tenants = {tenant_of(kTenant, {}), tenant_of("other", {ApiKey("others"), ApiKey(kKey)})};
   view_->apply(moved);
 }
 
-void SessionStand::put_member(const std::string& name, bool leaving) {
+void SessionStand::update_backend(const std::string& name, bool leaving) {
   registry::FleetDelta changed = delta();
   changed.backends = {entry_of(name, leaving)};
   view_->apply(changed);
@@ -293,26 +293,26 @@
   const bool entered = co_await backend->gate.enter(0, now());
   CPPUNIT_ASSERT(entered);
   const auto event = take_event(Step::kGate);
-  co_await runtime_->sleep_for(kEventfulStep / 2);
+  co_await runtime_->sleep_for(kEventStepDuration / 2);
   if (event) event();
-  co_await runtime_->sleep_for(kEventfulStep / 2);
+  co_await runtime_->sleep_for(kEventStepDuration / 2);
   backend->gate.leave_unanswered();
 }
 
 StatementRequest SessionStand::write(const std::string& id) {
-  StatementRequest order;
-  order.route = route_of();
-  order.group = group();
-  order.key = ApiKey(kKey);
-  order.tenant = TenantName(kTenant);
-  order.id = id;
-  order.argument = id;
-  order.prepared = PreparedShape{true, "shape"};
-  order.values = {{"tag", "a"}};
-  order.writes = true;
-  order.arrived = now();
-  order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
-  return order;
+  StatementRequest request;
+  request.route = route_of();
+  request.group = group();
+  request.key = ApiKey(kKey);
+  request.tenant = TenantName(kTenant);
+  request.id = id;
+  request.argument = id;
+  request.prepared = PreparedShape{true, "shape"};
+  request.values = {{"tag", "a"}};
+  request.writes = true;
+  request.arrived = now();
+  request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
+  return request;
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/proxy/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -21,7 +21,7 @@
 const char* step_name(Step step);
 
 /// Duration of a step with an event; the event runs in its middle.
-inline constexpr Duration kEventfulStep = std::chrono::milliseconds(200);
+inline constexpr Duration kEventStepDuration = std::chrono::milliseconds(200);
 
 class SessionStand {
  public:
@@ -52,20 +52,20 @@
   void change_primary();
   /// Remove kKey from its tenant, or give it to the other tenant.
   void remove_key();
-  void move_key();
-  void put_member(const std::string& name, bool leaving);
+  void reassign_key();
+  void update_backend(const std::string& name, bool leaving);
   /// Limits the tenant of kKey to `rate_per_s` operations per second.
   void limit_tenant(std::uint64_t rate_per_s);
   /// Starts another process in the same world.
   runtime::Runtime& start_process(const std::string& name, const std::string& address);
 
-  /// Runs `event` once, in the middle of the next such step, which takes kEventfulStep.
+  /// Runs `event` once, in the middle of the next such step, which takes kEventStepDuration.
   void during(Step step, std::function<void()> event);
   /// The statement texts, executions and begins that were sent to the backend on behalf of callers.
   [[nodiscard]] const std::vector<std::string>& sent_to(const std::string& backend) { return sent_[backend]; }
   /// Number of session values and prepared statements that were set up on links.
-  [[nodiscard]] int set_ups() const { return set_ups_; }
-  [[nodiscard]] const std::vector<std::string>& dialled_for() const { return dialled_for_; }
+  [[nodiscard]] int setup_count() const { return setup_count_; }
+  [[nodiscard]] const std::vector<std::string>& dialled_tenants() const { return dialled_tenants_; }
   /// The status that each backend reports.
   std::map<std::string, BackendStatus> statuses;
   std::set<std::string> silent;       ///< backends that answer status requests a second late
@@ -78,12 +78,12 @@
   /// Returns a prepared write of kTenant that needs a session value and a prepared statement set up on its
   /// link.
   [[nodiscard]] StatementRequest write(const std::string& id);
-  /// Occupies a slot of the backend's statement gate for kEventfulStep, so that the next statement waits
+  /// Occupies a slot of the backend's statement gate for kEventStepDuration, so that the next statement waits
   /// there.
   void occupy_gate(const std::string& backend);
 
  private:
-  friend class StandLink;
+  friend class FakeBackendLink;
   class Dialer;
 
   Awaitable<void> hold_gate(std::shared_ptr<BackendUse> backend);
@@ -100,8 +100,8 @@
   std::unique_ptr<LimitClient> limits_;
   std::map<Step, std::function<void()>> events_;
   std::map<std::string, std::vector<std::string>> sent_;
-  std::vector<std::string> dialled_for_;  ///< tenants
-  int set_ups_ = 0;
+  std::vector<std::string> dialled_tenants_;  ///< tenants
+  int setup_count_ = 0;
   std::uint64_t position_ = 10;
 };
 
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr Duration kLong = seconds(4);
 /// Ends within any step that something happens in.
-constexpr Duration kShort = kEventfulStep / 2;
+constexpr Duration kShort = kEventStepDuration / 2;
 
 /// Something that takes the right to send away.
 struct Change {
@@ -32,7 +32,7 @@
   static const std::vector<Change> changes{
       {"the key is removed", kLong, kLong, [](SessionStand& stand) { stand.remove_key(); },
        Refusal::kUnauthorized},
-      {"the key is another tenant's", kLong, kLong, [](SessionStand& stand) { stand.move_key(); },
+      {"the key is another tenant's", kLong, kLong, [](SessionStand& stand) { stand.reassign_key(); },
        Refusal::kUnauthorized},
       {"keys are not confirmed any more", kLong, kShort, nothing, Refusal::kBusy},
   };
@@ -101,7 +101,7 @@
     };
     stand_->runtime().spawn("renew", renew(*stand_));
     CPPUNIT_ASSERT(run(stand_->write("w")).answer.succeeded());
-    CPPUNIT_ASSERT_MESSAGE("nothing is opened for it before", stand_->dialled_for().size() == 1);
+    CPPUNIT_ASSERT_MESSAGE("nothing is opened for it before", stand_->dialled_tenants().size() == 1);
   }
 
   void nothing_of_a_write_is_sent_after_a_change() {
@@ -162,11 +162,11 @@
       start();
       prepare(change, Step::kDial);
       run(stand_->write("w"));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(change.name, 0, stand_->set_ups());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(change.name, 0, stand_->setup_count());
       start();
       prepare(change, Step::kGate);
       run(stand_->write("w"));
-      CPPUNIT_ASSERT_MESSAGE(change.name, stand_->dialled_for().empty());
+      CPPUNIT_ASSERT_MESSAGE(change.name, stand_->dialled_tenants().empty());
       start();
       prepare(change, Step::kPrepare);
       StatementRequest first = stand_->write("w");
@@ -184,12 +184,12 @@
     stand_->confirm(kLong, kLong);
     const PinnedLink pinned = begin();
     stand_->change_primary();
-    const int set_ups = stand_->set_ups();
+    const int set_ups = stand_->setup_count();
     StatementRequest late = stand_->write("late");
     late.values["tag"] = "b";
     const Answer answer = run_pinned(pinned, late, false);
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("not even its values", set_ups, stand_->set_ups());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("not even its values", set_ups, stand_->setup_count());
     CPPUNIT_ASSERT(!pinned.link->link().is_open());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent(SessionStand::kPrimary).size());
   }
@@ -201,7 +201,7 @@
     order.read_only_transaction = true;
     const RunResult opened = run(order);
     CPPUNIT_ASSERT(opened.pinned && !opened.pinned->at_primary);
-    stand_->run_for(kEventfulStep);
+    stand_->run_for(kEventStepDuration);
     order.opens_transaction = false;
     CPPUNIT_ASSERT(run_pinned(*opened.pinned, order, false).succeeded());
     stand_->remove_key();
@@ -236,7 +236,7 @@
       const TimePoint asked_at = stand_->now();
       const Answer answer = pinned ? run_pinned(*pinned, commit(), true) : run(stand_->write("w")).answer;
       CPPUNIT_ASSERT(answer.refusal == Refusal::kInDoubt);
-      CPPUNIT_ASSERT(stand_->now() - asked_at < kEventfulStep);
+      CPPUNIT_ASSERT(stand_->now() - asked_at < kEventStepDuration);
     }
   }
 
@@ -284,7 +284,7 @@
     order.key = ApiKey("others");
     order.tenant = TenantName("other");
     run(order);
-    CPPUNIT_ASSERT(stand_->dialled_for() == (std::vector<std::string>{SessionStand::kTenant, "other"}));
+    CPPUNIT_ASSERT(stand_->dialled_tenants() == (std::vector<std::string>{SessionStand::kTenant, "other"}));
   }
 
  private:
--- a/tests/registered/proxy/statement/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -155,7 +155,7 @@
   }
   /// The first proxy that the tenant's work is passed on to; empty: none.
   std::string handed_to(const std::string& tenant, GroupWork work) {
-    const auto& order = proxy_->view.forward_to(kGroup, TenantName(tenant), work);
+    const auto& order = proxy_->view.forwarding_targets(kGroup, TenantName(tenant), work);
     return order.empty() ? std::string() : order.front()->name.value;
   }
   void close_group() {
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -138,7 +138,7 @@
   update.lease = std::chrono::milliseconds(1500);
   update.stable_revision = 11;
   add_with_tenants(samples, "proxy_update_with_settled_revision", update);
-  registered::proxy::ForwardedOrder order;
+  registered::proxy::ForwardedStatement order;
   order.route = any_route();
   order.id = "5c0e7a21d94b36f8";
   order.text = "READ 1a4";
@@ -261,7 +261,7 @@
 void add_forwarding(Samples& samples) {
   using namespace registered;
   using namespace registered::proxy;
-  ForwardedOrder order;
+  ForwardedStatement order;
   order.route = any_route();
   order.id = "5c0e7a21d94b36f8";
   order.text = "READ 1a4";
