--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -199,8 +199,8 @@
   std::shared_ptr<EvacuatedZones> evacuated_;
   const locality::RegionMap regions_;
   bool requires_keys_ = false;
-  bool requires_keys_changed_ =
-      false;  ///< the current delta toggled requires_keys, which changes how links are divided
+  /// The current delta toggled requires_keys, which changes how links are divided.
+  bool requires_keys_changed_ = false;
   tenancy::TenantDirectory tenants_;
   tenancy::KeyConfirmation keys_confirmed_;
   limits::LimitWindow limit_window_;
--- a/src/registered/proxy/forwarding/forwarder.h
+++ b/src/registered/proxy/forwarding/forwarder.h
@@ -27,7 +27,7 @@
 inline constexpr Duration kForwardRedialWindow = std::chrono::seconds(10);
 /// Liveness check of a connection with unanswered calls: after kForwardProbeAfter without a frame a probe is
 /// sent, which the other proxy answers immediately, and after kForwardProbeTimeout without an answer the
-/// connection is closed. Together they must exceed 100 ms, for which CPU throttling can stop a healthy
+/// connection is closed. kForwardProbeTimeout must exceed 100 ms, for which CPU throttling can stop a healthy
 /// process. kForwardWatchInterval is the shortest interval between two checks.
 inline constexpr Duration kForwardProbeAfter = std::chrono::milliseconds(80);
 inline constexpr Duration kForwardProbeTimeout = std::chrono::milliseconds(170);
--- a/src/registered/proxy/session_proxy.h
+++ b/src/registered/proxy/session_proxy.h
@@ -19,8 +19,8 @@
   std::function<std::unique_ptr<BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
   /// Creates the handler of backend registrations; null if this proxy takes none.
   std::function<std::unique_ptr<runtime::HttpHandler>(const registry::RegistrationRelay&)> make_registrations;
-  std::string
-      readiness_path;  ///< HTTP path that answers 200 while the proxy takes new sessions, otherwise 503
+  /// HTTP path that answers 200 while the proxy takes new sessions, otherwise 503.
+  std::string readiness_path;
 };
 
 /// Creates a proxy on `runtime`, which is not owned and must outlive it.
