--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -50,13 +50,13 @@
         {"the replica is unreachable", [](SessionStand& stand) { stand.unreachable.insert("replica"); }},
         {"one of two replicas is silent",
          [](SessionStand& stand) {
-           stand.put_member("another", false);
+           stand.update_backend("another", false);
            stand.statuses["another"].term = 1;
            stand.silent.insert("another");
          }},
         {"a leaving replica is paused",
          [](SessionStand& stand) {
-           stand.put_member("another", true);
+           stand.update_backend("another", true);
            stand.statuses["another"].term = 1;
            stand.statuses["another"].pause_term = 2;
          }},
@@ -89,7 +89,7 @@
   void member_joining_during_query_prevents_lease() {
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->statuses["another"].term = 2;
-    stand_->during(Step::kStatus, [this] { stand_->put_member("another", false); });
+    stand_->during(Step::kStatus, [this] { stand_->update_backend("another", false); });
     // Control's lease has expired; a lease from the first query would still be valid.
     stand_->run_for(milliseconds(560));
     CPPUNIT_ASSERT(!stand_->view().lease_valid());
@@ -140,8 +140,8 @@
     stand_->confirm(milliseconds(500), seconds(4));
     stand_->during(Step::kStatus, [] {});
     const TimePoint started_at = stand_->now();
-    // Runs until the first answers have arrived, after kEventfulStep; no others follow.
-    stand_->run_for(kMemberLeaseTick + kEventfulStep + milliseconds(10));
+    // Runs until the first answers have arrived, after kEventStepDuration; no others follow.
+    stand_->run_for(kMemberLeaseTick + kEventStepDuration + milliseconds(10));
     stand_->silent.insert("replica");
     stand_->run_for(started_at + kMemberLeaseTick + registry::kMemberLease - milliseconds(10) -
                     stand_->now());
