--- a/src/registered/placement/attempt_outcome.cpp
+++ b/src/registered/placement/attempt_outcome.cpp
@@ -34,7 +34,7 @@
 
 RefusalEffects effects_of_refusal(Refusal refusal, const AttemptFacts& attempt) {
   RefusalEffects effects;
-  // A primary without what it showed before has started again.
+  // A primary that lacks a position which it reported before has restarted without its log.
   const bool lost_its_log = refusal == Refusal::kTooStale && attempt.primary_only;
   effects.record_lag = refusal == Refusal::kTooStale && !attempt.primary_only;
   effects.forget_prepared = refusal == Refusal::kUnknownStatement;
--- a/src/registered/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -12,19 +12,20 @@
   return may_lead(backend) && rejection_of_new_work(backend) == RejectionReason::kNone;
 }
 
-/// Whether it might run the statement in a moment, as far as its own rejection reasons tell.
+/// Whether the backend may accept the statement after a short wait.
 bool may_come_round(const BackendFacts& backend) {
   return rejection_of_new_work(backend) == RejectionReason::kNone && (!backend.leaving || may_lead(backend));
 }
 
-/// What is over the soonest is what a caller is best told of.
+/// Ranks the reasons that are final for now: the higher, the sooner it is expected to end. 0: not final.
 int nearness(RejectionReason rejection) {
   if (rejection == RejectionReason::kColdLimit) return 3;
   if (rejection == RejectionReason::kZoneEvacuated) return 2;
   return rejection == RejectionReason::kOutsideRegions ? 1 : 0;
 }
 
-/// `choice` without a backend, by what keeps new work away from all that are left.
+/// Sets the rejection of a `choice` without a backend if no backend accepts new work: the reason expected to
+/// end first, with its shortest retry delay.
 void explain_closed(BackendChoice& choice, Backends backends) {
   for (const BackendFacts& backend : backends) {
     const RejectionReason rejection = rejection_of_new_work(backend);
--- a/src/registered/placement/backend_choice.h
+++ b/src/registered/placement/backend_choice.h
@@ -1,4 +1,5 @@
-// Which backend of a group runs a statement, and why each other one does not. Pure.
+// Chooses the backend of a group that runs a statement, and explains why the others are rejected. Pure
+// functions.
 #pragma once
 
 #include <cstddef>
@@ -10,33 +11,34 @@
 
 namespace cairnhollow::registered::placement {
 
-/// What keeps all new work away from the backend, whatever the work is; kNone when nothing does.
+/// Why the backend accepts no new work of any kind; kNone if it does.
 RejectionReason rejection_of_new_work(const BackendFacts& backend);
-/// Whether it leads, as far as this proxy knows, and may still be believed.
+/// Whether this proxy may treat the backend as the group's primary: its term is open, and it has not been
+/// leaving for too long.
 bool may_lead(const BackendFacts& backend);
-/// Whether links to the backend are opened ahead of need.
+/// Whether links to the backend may be opened in advance.
 bool may_be_warmed(const BackendFacts& backend);
-/// Why a read passes over the backend; `has_leader`: a primary could run it instead.
+/// Why the backend does not run a read; kNone if it may. `has_leader`: a primary could run it instead.
 RejectionReason rejection_of_read(const BackendFacts& backend, bool has_leader);
-/// Why what needs the primary does not run at this one.
+/// Why this primary does not run a statement that needs the primary; kNone if it may.
 RejectionReason rejection_as_primary(const BackendFacts& backend);
-/// Why the statement does not go to the backend, for the log.
+/// Why the backend does not run the statement, for the log. `all`: the backends of the group.
 RejectionReason rejection_at(const BackendFacts& backend, bool primary_only,
                              std::span<const BackendFacts> all);
 
 struct BackendChoice {
-  std::optional<std::size_t> backend;  ///< place in the list of facts
+  std::optional<std::size_t> backend;  ///< index into the list of facts
   RejectionReason rejection =
-      RejectionReason::kNone;  ///< of the backend nearest to running it, when none is chosen
-  /// Nothing but what keeps new work away stands in the way: waiting a moment would not help.
+      RejectionReason::kNone;  ///< if none is chosen: of the backend likely to be available first
+  /// Every candidate accepts no new work at all, so a short wait would not help.
   bool is_final = false;
-  Duration retry_after{0};  ///< with `is_final`: when to come back; 0: not known
+  Duration retry_after{0};  ///< with `is_final`: suggested delay before a retry; 0: unknown
 };
 
-/// What needs the primary goes there or nowhere. A read goes where it costs least among those that have its
-/// data; then to the primary; then to one that failed a moment ago.
+/// A statement that needs the primary runs there or nowhere. A read goes to the cheapest backend that has its
+/// data; failing that to the primary; failing that to one that recently failed or rejected a connection.
 BackendChoice choose_backend(bool primary_only, std::span<const BackendFacts> backends);
-/// Whether a backend other than those tried is likely to serve such a read now.
+/// Whether an untried backend that is neither avoided nor lagging can run the read now.
 bool has_other_reader(bool primary_only, std::span<const BackendFacts> backends);
 
 }  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -1,5 +1,5 @@
-// What is known when a statement's place is decided: of the statement, of each backend of its group, of this
-// proxy, and of how long may be waited. Plain values, made right before the decision and never kept.
+// Inputs of the placement decision: facts about the statement, the group's backends, this proxy and the time
+// left. Plain values, built right before each decision and never stored.
 #pragma once
 
 #include <string_view>
@@ -11,78 +11,80 @@
 namespace cairnhollow::registered::placement {
 
 struct StatementNeed {
-  bool reads = false;         ///< and no more: it, or the transaction that it opens
-  bool primary_only = false;  ///< of a read: no replica is known to have what it must see
-  bool is_forwarded = false;  ///< by another proxy: it is run here or refused
+  bool reads = false;         ///< the statement, or the transaction that it opens, is read-only
+  bool primary_only = false;  ///< for reads: no replica is known to hold the required position
+  bool is_forwarded = false;  ///< by another proxy: run here or refused, never forwarded again
   [[nodiscard]] bool needs_primary() const { return !reads || primary_only; }
 };
 
-/// A backend as it stands to one statement. Who knows nothing of a fact leaves it as it is.
+/// A backend's state with respect to one statement. Unknown facts keep their defaults.
 struct BackendFacts {
-  std::string_view name;  ///< of the backend, which outlives the decision
+  std::string_view name;  ///< not owned; must outlive the decision
   bool is_primary = false;
-  bool of_closed_term = false;      ///< it led, and may not be believed until a primary is known again
-  bool leaving = false;             ///< it drains; a primary still leads for a while
-  bool leaving_grace_over = false;  ///< it has been leaving for so long that it is not used as primary either
-  // Each of these keeps all new work away, also from a primary.
+  bool of_closed_term =
+      false;  ///< it was the primary of a term that is closed; not trusted until a primary is known
+  bool leaving = false;             ///< draining; a primary keeps its role for a grace period
+  bool leaving_grace_over = false;  ///< that grace period has ended: not used as primary either
+  // Each of the next three excludes the backend from all new work, even as primary.
   bool zone_evacuated = false;
   bool region_allowed = true;
   bool cold_limit_reached = false;
-  /// With `zone_evacuated`: transactions that are open there had their time, too.
+  /// With `zone_evacuated`: the grace period of open transactions has ended, too.
   bool transaction_grace_over = false;
-  bool tried = false;    ///< by this statement
-  bool avoided = false;  ///< it failed a moment ago
-  bool refused = false;  ///< it takes no connection now, and this proxy has none
-  bool lags = false;     ///< as a replica, for this statement
-  double cost = 0;       ///< of a read there; the lower the better
-  /// When what keeps new work away is likely to be over, counted from now; 0: not known.
+  bool tried = false;    ///< this statement has been tried there
+  bool avoided = false;  ///< it recently failed
+  bool refused = false;  ///< it rejects connections now, and this proxy has none
+  bool lags = false;     ///< a replica not known to have reached what this statement must see
+  double cost = 0;       ///< relative cost of a read there; lower is better
+  /// Expected time from now until new work is accepted again; 0: unknown.
   Duration retry_after{0};
 };
 
-/// Proxies in the order in which they are to be asked. Null stands for none.
+/// Proxies in order of preference. A null pointer to a list means an empty list.
 using ProxyList = std::vector<subset::ProxyPointer>;
 
-/// What this proxy may do in the statement's group, and who could stand in.
+/// What this proxy may do in the statement's group, and which proxies could serve instead. The lists are not
+/// owned and must outlive the decision.
 struct ProxyFacts {
-  bool holds_lease = false;            ///< control's or the members': it may use the primary
-  bool expects_lease = false;          ///< soon
-  bool group_open = false;             ///< a primary is known that may be believed
-  bool group_changing = false;         ///< a primary is to be expected soon
-  bool primary_unreachable = false;    ///< from here
-  bool primary_full = false;           ///< without a link from here
-  const ProxyList* serving = nullptr;  ///< they serve the group, or the tenant there; none: this proxy does
-  const ProxyList* also_serving = nullptr;  ///< the others that serve the group as well
-  const ProxyList* others = nullptr;        ///< all others
+  bool holds_lease = false;          ///< granted by control or by the group's members: it may use the primary
+  bool expects_lease = false;        ///< a lease is expected soon
+  bool group_open = false;           ///< the group has a known, trusted primary
+  bool group_changing = false;       ///< a new primary is expected soon
+  bool primary_unreachable = false;  ///< from this proxy
+  bool primary_full = false;         ///< it rejects further connections, and this proxy has none
+  const ProxyList* serving = nullptr;  ///< proxies that serve the group or the tenant; empty: this proxy does
+  const ProxyList* also_serving = nullptr;  ///< the other proxies that serve the group
+  const ProxyList* others = nullptr;        ///< all other proxies
 };
 
-/// How far a statement may go on.
+/// What the statement's remaining time and attempts allow.
 struct Patience {
-  bool may_try = true;   ///< it has time and attempts left
-  bool may_wait = true;  ///< and may wait for somebody who can serve it
-  bool offered = false;  ///< a backend that could run it was asked already
+  bool may_try = true;   ///< time and attempts are left
+  bool may_wait = true;  ///< it may wait for a lease, a primary or a backend
+  bool offered = false;  ///< it was already sent to a backend
 };
 
-/// A caller's key, and what it has to prove.
+/// Whether a caller's API key is required and valid.
 struct KeyFacts {
   bool is_needed = false;
-  bool proves_tenant = false;  ///< the same as when the statement came
-  bool is_confirmed = false;   ///< by control, lately enough
+  bool proves_tenant = false;  ///< the same tenant as when the statement arrived
+  bool is_confirmed = false;   ///< by control, within the allowed age
 };
 
-/// A transaction that is open at a backend, and the statement that is to go on in it.
+/// A transaction that is open at a backend, and its next statement.
 struct TransactionFacts {
   bool at_primary = false;
   bool read_only = false;
-  bool may_use_primary = false;  ///< that of the term in which it was opened
-  bool commits_stall = false;    ///< and this would be a commit
+  bool may_use_primary = false;  ///< the primary of the term in which it was opened
+  bool commits_stall = false;    ///< the statement is a commit, and earlier commits have no answer
   KeyFacts key;
 };
 
-/// What is asked once more right before a statement goes to the backend that was chosen.
+/// Facts that are checked again right before a statement is sent to the chosen backend.
 struct SendFacts {
-  bool needs_primary = false;    ///< the answer counts only while that primary may be used
-  bool may_use_primary = false;  ///< that of the term in which it was chosen
-  bool lacks_token = false;      ///< it may have run before, and its tenant has no token for one more
+  bool needs_primary = false;    ///< the answer is valid only while that primary may be used
+  bool may_use_primary = false;  ///< the primary of the term in which the backend was chosen
+  bool lacks_token = false;  ///< it may have run before, and the tenant's rate limit has no token for a rerun
   KeyFacts key;
 };
 
--- a/src/registered/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -29,7 +29,7 @@
   return waits;
 }
 
-/// What is most worth telling a caller that gets nothing.
+/// The reason that is most useful to a caller whose statement is not run.
 RejectionReason main_rejection(const StatementNeed& need, const ProxyFacts& proxy, const Patience& patience,
                                RejectionReason at_backends) {
   if (patience.offered) return RejectionReason::kBackendsBusy;
@@ -57,7 +57,7 @@
     return Forwarding{proxy.others,
                       proxy.holds_lease ? ForwardCause::kPrimaryUnreachable : ForwardCause::kNoLease};
   }
-  // Another that serves the group may have links.
+  // Another proxy that serves the group may already have links to the primary.
   if (proxy.primary_full && !is_empty(proxy.also_serving))
     return Forwarding{proxy.also_serving, ForwardCause::kPrimaryFull};
   return std::nullopt;
@@ -78,7 +78,7 @@
 }
 
 NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy) {
-  // Without a lease the others may well be without one, too: they are not asked each time.
+  // If this proxy has no lease, other proxies probably have none either, so an unresponsive one is skipped.
   if (turn.gave_no_answer && !proxy.holds_lease) return NextProxyAction::kSkip;
   if (!turn.is_this_proxy) return NextProxyAction::kSend;
   return proxy.holds_lease ? NextProxyAction::kRunHere : NextProxyAction::kSkip;
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -1,6 +1,6 @@
-// Where a statement may go now, and why not elsewhere. Pure: no network, no clock, no runtime; the same facts
-// give the same answer, and nothing is touched. The runner makes the facts, carries the answer out and asks
-// again after each wait (docs/design/placement.md).
+// Decides where a statement may run now: at a backend, through another proxy, after a wait, or nowhere. Pure
+// functions of the given facts, without network, clock or runtime. StatementRunner collects the facts, acts
+// on the decision and decides anew after each wait (docs/design/placement.md).
 #pragma once
 
 #include <cstddef>
@@ -14,53 +14,53 @@
 
 namespace cairnhollow::registered::placement {
 
-/// Pass the statement on to one of these, first choice first.
+/// Forward the statement to one of these proxies, in order of preference.
 struct Forwarding {
-  const ProxyList* proxies = nullptr;  ///< not empty; one of ProxyFacts
+  const ProxyList* proxies = nullptr;  ///< not empty; points to one of the lists of ProxyFacts
   ForwardCause since = ForwardCause::kServedElsewhere;
 };
-/// Whether the statement is another proxy's; empty: it is decided by place_here.
+/// Whether another proxy is to run the statement. Returns std::nullopt if place_here decides.
 std::optional<Forwarding> place_elsewhere(const StatementNeed& need, const ProxyFacts& proxy);
 
 enum class Action : std::uint8_t {
   kRun,     ///< at `backend`
-  kWait,    ///< until something of the group or the lease has changed, or a moment; then ask again
-  kRefuse,  ///< since `rejection`; come back in `retry_after`
+  kWait,    ///< for a change of the group or the lease, or a short time; then decide anew
+  kRefuse,  ///< because of `rejection`; the caller may retry after `retry_after`
 };
 
 struct Placement {
   Action action = Action::kRefuse;
-  std::size_t backend = 0;                             ///< of kRun: place in the list of facts
-  RejectionReason rejection = RejectionReason::kNone;  ///< what is waited for to go, or why it is refused
-  Duration retry_after{0};                             ///< of kRefuse
+  std::size_t backend = 0;                             ///< for kRun: index into the list of facts
+  RejectionReason rejection = RejectionReason::kNone;  ///< why it waits or is refused
+  Duration retry_after{0};                             ///< for kRefuse
 };
-/// What becomes of a statement that this proxy is to run.
+/// Decides what happens to a statement that this proxy is responsible for.
 Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
                      std::span<const BackendFacts> backends, const Patience& patience);
 
-/// Proxies that one statement is forwarded to, one after the other. Chosen, not measured.
+/// Maximum number of proxies that one statement is forwarded to, one after the other.
 inline constexpr int kMaxForwards = 3;
-/// What becomes of the next proxy in the order of a forwarding.
+/// The next proxy in the preference order of a forwarding.
 struct NextProxy {
   bool is_this_proxy = false;
-  bool gave_no_answer = false;  ///< a moment ago
+  bool gave_no_answer = false;  ///< recently
 };
 enum class NextProxyAction : std::uint8_t { kSkip, kRunHere, kSend };
 NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy);
-/// How a forwarding ended that no proxy answered with success.
+/// How a forwarding ended without a success from any proxy.
 struct ForwardingEnd {
-  bool may_try_another = true;  ///< it has certainly not run, or may run once more
-  bool has_waited = false;      ///< for the lease, since then
+  bool may_try_another = true;  ///< it did not run, or can safely run again
+  bool has_waited = false;      ///< it has waited for the lease since then
 };
-/// Run it again from the start (kRun), wait for the lease (kWait), or let it be (kRefuse).
+/// Decides to start over (kRun), wait for the lease (kWait) or give up (kRefuse).
 Placement place_unforwarded(const ForwardingEnd& end, const ProxyFacts& proxy, const Patience& patience);
 
-/// Whether what this proxy did not run may well run at another one: what stands in the way is its own.
+/// Whether another proxy may be able to run what this one can't, because the obstacle is local to this proxy.
 bool may_another_serve(const ProxyFacts& proxy);
 
-/// Whether a caller's key lets its statements be sent.
+/// Why the caller's key does not permit its statements to be sent; kNone if it does.
 RejectionReason key_rejection(const KeyFacts& key);
-/// Whether a write may begin; `commits_stall`: commits sent before have no answer.
+/// Why a write may not begin; kNone if it may. `commits_stall`: earlier commits have no answer.
 RejectionReason commit_rejection(bool writes, bool commits_stall);
 
 enum class SendAction : std::uint8_t { kSend, kChooseAgain, kRefuse };
@@ -68,10 +68,11 @@
   SendAction action = SendAction::kSend;
   RejectionReason rejection = RejectionReason::kNone;
 };
-/// The last look at a statement that has waited for a place and a link at `backend`.
+/// The final check of a statement that has waited for a slot and a link at `backend`.
 SendDecision before_sending(const SendFacts& facts, const BackendFacts& backend);
 
-/// Why a transaction may not go on at the backend where it is open: it is ended and nothing of it is kept.
+/// Why an open transaction may not continue at its backend; kNone if it may. Otherwise the transaction must
+/// be aborted, and none of its changes are kept.
 RejectionReason rejection_in_transaction(const TransactionFacts& facts, const BackendFacts& backend);
 
 }  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/rejection_reason.cpp
+++ b/src/registered/placement/rejection_reason.cpp
@@ -11,7 +11,7 @@
   const char* text;
 };
 
-/// In the order of Obstacle.
+/// Indexed by RejectionReason.
 constexpr std::array<Words, kRejectionReasonCount> kRejectionReasons{{
     {"none", ""},
     {"outside_regions", "it may run in no region that has a backend of the group"},
--- a/src/registered/placement/rejection_reason.h
+++ b/src/registered/placement/rejection_reason.h
@@ -1,5 +1,5 @@
-// Why a statement does not run at a backend, or here at all: one list for the log, the metrics and the
-// caller.
+// Reasons why a statement is not run at a backend or by this proxy, as used in logs, metrics and answers to
+// callers.
 #pragma once
 
 #include <cstddef>
@@ -9,44 +9,44 @@
 
 namespace cairnhollow::registered::placement {
 
-/// The places are part of nothing that is stored or sent: names are what others see.
+/// The numeric values are neither stored nor sent; only the names are visible outside.
 enum class RejectionReason : std::uint8_t {
   kNone,
-  // Of one backend.
-  kOutsideRegions,  ///< neither its route nor its tenant lets the statement run in the backend's region
-  kZoneEvacuated,   ///< the backend's zone is to get no new work
-  kColdLimit,       ///< the backend started a moment ago and has had what it takes until it is warm
-  kLeaving,         ///< the backend drains
-  kLags,            ///< a replica is thought not to have what the read must see
-  kTried,           ///< this statement has been there
-  // Of the group.
-  kGroupClosed,         ///< no primary that may be believed
-  kPrimaryGivenUp,      ///< the primary that was to run it is not the one of now, or may not be used any more
-  kPrimaryUnreachable,  ///< this proxy opens no connection to it
-  kPrimaryFull,         ///< it takes no more connections, and this proxy has none
-  kCommitsStall,        ///< commits sent before have no answer
-  kBackendsBusy,        ///< those that could run it were asked and had no room
-  kNoBackend,           ///< none is known that could
-  // Of this proxy and its peers.
-  kNoLease,  ///< this proxy may use no primary
-  kNoProxy,  ///< none of the proxies that may serve the group took it
-  // Of the caller.
-  kKeyUnauthorized,  ///< the key proves no tenant, or another one than when the statement came
-  kKeyUnconfirmed,   ///< control did not confirm the key lately enough
-  kOverLimit,        ///< the tenant has no token for one more operation
+  // Concerning one backend.
+  kOutsideRegions,  ///< the statement's route or tenant does not permit the backend's region
+  kZoneEvacuated,   ///< the backend's zone is evacuated and gets no new work
+  kColdLimit,       ///< the backend recently started and its rate limit for that time is used up
+  kLeaving,         ///< the backend is draining
+  kLags,            ///< the replica is not known to have reached what the read must see
+  kTried,           ///< the statement has already been tried there
+  // Concerning the group.
+  kGroupClosed,         ///< the group has no trusted primary
+  kPrimaryGivenUp,      ///< the chosen primary was replaced or may not be used any more
+  kPrimaryUnreachable,  ///< this proxy can't connect to the primary
+  kPrimaryFull,         ///< the primary rejects further connections, and this proxy has none
+  kCommitsStall,        ///< earlier commits have no answer
+  kBackendsBusy,        ///< the suitable backends were tried and had no capacity
+  kNoBackend,           ///< no suitable backend is known
+  // Concerning this proxy and its peers.
+  kNoLease,  ///< this proxy holds no serving lease, so it may use no primary
+  kNoProxy,  ///< none of the proxies that may serve the group accepted the statement
+  // Concerning the caller.
+  kKeyUnauthorized,  ///< the key proves no tenant, or a different one than when the statement arrived
+  kKeyUnconfirmed,   ///< control has not confirmed the key recently enough
+  kOverLimit,        ///< the tenant's rate limit has no token for a rerun
 };
 inline constexpr std::size_t kRejectionReasonCount =
     static_cast<std::size_t>(RejectionReason::kOverLimit) + 1;
 
 /// Stable lower-case name for logs and metrics, e.g. "zone_evacuated".
 const char* rejection_name(RejectionReason rejection);
-/// For people, as a part of a sentence: "the group has no primary now".
+/// Human-readable clause for messages, e.g. "the group has no primary now"; empty for kNone.
 const char* rejection_text(RejectionReason rejection);
 
-/// The rejection reason of that name; empty when there is none.
+/// Returns std::nullopt if no reason has that name.
 std::optional<RejectionReason> find_rejection(std::string_view name);
 
-/// Why a statement is passed on to another proxy.
+/// Why a statement is forwarded to another proxy.
 enum class ForwardCause : std::uint8_t { kServedElsewhere, kNoLease, kPrimaryUnreachable, kPrimaryFull };
 inline constexpr std::size_t kForwardCauseCount = static_cast<std::size_t>(ForwardCause::kPrimaryFull) + 1;
 
--- a/src/registered/placement/retry_after.h
+++ b/src/registered/placement/retry_after.h
@@ -1,18 +1,17 @@
-// What a refused caller is told to wait, where nothing better is known than the reason.
+// Default retry delays that a refused caller is given when only the reason of the refusal is known.
 #pragma once
 
 #include "base/types.h"
 
 namespace cairnhollow::registered::placement {
 
-/// While a group has no primary, a proxy no lease, or the backends no room. Chosen, not measured.
+/// The group has no primary, the proxy no lease, or the backends no capacity.
 inline constexpr Duration kRetryAfterWithoutPrimary = std::chrono::milliseconds(300);
-/// Where only backends of evacuated zones could run the statement: until operators end the evacuation, or the
-/// group's primary is moved out. Chosen, not measured.
+/// Only backends in evacuated zones could run the statement. This lasts until operators end the evacuation or
+/// the group's primary is moved.
 inline constexpr Duration kRetryAfterEvacuation = std::chrono::seconds(1);
-/// Where all backends that could run the statement are outside the regions that it may be run in. Only a
-/// change of primary, of backends or of the document helps, and those come a few times an hour at most.
-/// Chosen, not measured.
+/// All suitable backends are outside the permitted regions. Only a change of the primary, the backends or the
+/// configuration document helps, and these are rare.
 inline constexpr Duration kRetryAfterOutsideRegions = std::chrono::seconds(5);
 
 }  // namespace cairnhollow::registered::placement
--- a/tests/registered/placement/attempt_outcome_test.cpp
+++ b/tests/registered/placement/attempt_outcome_test.cpp
@@ -1,4 +1,5 @@
-// What an attempt's end means: one row for each refusal, loss and failure of each kind of statement.
+// Retries, side effects and in-doubt outcomes after each refusal, lost answer and link failure, by kind of
+// statement.
 #include "registered/placement/attempt_outcome.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -28,7 +29,7 @@
   facts.reads = true;
   return facts;
 }
-/// Of a replica that is chosen for it.
+/// A read that any backend may serve, at a replica.
 AttemptFacts replica_read() {
   AttemptFacts facts = primary_read();
   facts.needs_primary = false;
--- a/tests/registered/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -1,4 +1,4 @@
-// Which backend of a group runs a statement: one row for each case.
+// Choice of the backend that runs a statement, and the reason given if there is none.
 #include "registered/placement/backend_choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -68,7 +68,7 @@
 struct Row {
   std::string what;
   Backends backends;
-  std::string chosen;  ///< empty: none
+  std::string chosen;  ///< empty: no backend
   RejectionReason rejection = RejectionReason::kNone;
   bool is_final = false;
 };
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where a statement may go now: one row for each case of what the proxy knows.
+// Placement decisions for each state of the lease, the group, the backends and the other proxies.
 #include "registered/placement/placement.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,7 +14,7 @@
 
 constexpr Duration kBackAfter = milliseconds(300);
 
-/// Leased, with a primary.
+/// Holds a lease, and the group has a primary.
 ProxyFacts healthy() {
   ProxyFacts facts;
   facts.holds_lease = true;
@@ -75,7 +75,7 @@
   return action == Action::kWait ? "wait" : "refuse";
 }
 
-/// "run", or what is done and since when.
+/// "run" with the backend's index, or the action and its reason.
 std::string text_of(const Placement& placed) {
   if (placed.action == Action::kRun) return "run " + std::to_string(placed.backend);
   return std::string(action_name(placed.action)) + " " + rejection_name(placed.rejection);
@@ -102,7 +102,7 @@
       std::string what;
       StatementNeed need;
       ProxyFacts proxy;
-      std::string answer;  ///< empty: run here
+      std::string answer;  ///< empty: not forwarded
     };
     const auto among = [this](ProxyFacts proxy) {
       proxy.others = &others_;
--- a/tests/registered/placement/sending_test.cpp
+++ b/tests/registered/placement/sending_test.cpp
@@ -1,4 +1,4 @@
-// The last look before a statement is sent, at its key as well, and the look at open transactions.
+// Checks right before a statement is sent, including its API key, and checks of open transactions.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/placement/placement.h"
--- a/tests/registered/placement/statement_progress_test.cpp
+++ b/tests/registered/placement/statement_progress_test.cpp
@@ -1,4 +1,4 @@
-// How often and how long one statement is tried: one row for each case of its times.
+// Limits on the attempts and waits of one statement.
 #include "registered/placement/statement_progress.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,7 +13,7 @@
 
 TimePoint at(int ms) { return TimePoint{} + milliseconds(ms); }
 
-/// Arrived at 1,000 ms with 900 ms until its deadline; callers aim at 600 ms.
+/// Arrives at 1,000 ms; its deadline is 900 ms later and its target latency 600 ms.
 StatementProgress fresh() {
   StatementProgress progress;
   progress.arrived = at(1000);
