--- a/src/registered/placement/statement_progress.h
+++ b/src/registered/placement/statement_progress.h
@@ -22,8 +22,9 @@
 /// refused. Most leases and primaries return within that time; refusing at once would make callers retry in
 /// vain.
 inline constexpr int kRefusalDivisor = 3;
-/// A statement waits for a slot at a full backend for at most the route's target latency divided by this.
-/// Longer waits make other statements late under overload (docs/design/shifted_work.md).
+/// A statement waits for a slot at a full backend for at most the route's target latency divided by this: a
+/// longer wait makes other statements late, a shorter one refuses more than necessary
+/// (docs/design/shifted_work.md).
 inline constexpr int kSlotWaitDivisor = 2;
 /// A read leaves a replica that gives no answer after the route's target latency divided by this, but not
 /// before kShortestReadWait.
--- a/src/registered/proxy/statement/cold_tokens.cpp
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -50,7 +50,7 @@
     if (entered && holds(*group, *backend, token)) co_return true;
     give_back(*backend, token);
     if (!entered) co_return false;
-    // It expired meanwhile, or the backend turned cold.
+    // The token expired during the wait, or the backend became cold.
     backend->gate.leave_unanswered();
   }
 }
@@ -67,7 +67,7 @@
       token = admission.expires_at;
       co_return true;
     }
-    // One that is not known any more gets no tokens.
+    // A backend that is no longer registered gets no tokens.
     const bool is_gone = admission.outcome == AdmissionOutcome::kAdmitted && !admission.expires_at;
     if (is_gone || now + admission.retry_after >= deadline) co_return false;
     co_await runtime.sleep_for(std::max<Duration>(admission.retry_after, placement::kRetryPause));
--- a/src/registered/proxy/statement/cold_tokens.h
+++ b/src/registered/proxy/statement/cold_tokens.h
@@ -1,5 +1,6 @@
-// Tokens for statements to cold backends (links/cold_backend.h): one for each statement, good until it
-// expires. The proxies that count for a backend give them out (limits/limit_client.h).
+// Acquires the rate-limit tokens that statements to cold backends need (links/cold_backend.h). Each statement
+// takes one token, which is valid until it expires. The proxies that own the backend's quota grant them
+// (limits/limit_client.h).
 #pragma once
 
 #include <memory>
@@ -11,29 +12,30 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// `token`: until when it is good; empty: there is none.
+/// In all functions, `token` is the time at which the statement's token expires; std::nullopt if it has none.
 class ColdTokens {
  public:
   explicit ColdTokens(SessionServices services) : services_(services) {}
 
-  /// Whether a statement with this token may be sent to the backend now: it is not cold, or the token is
-  /// good.
+  /// Whether a statement with this token may be sent to the backend now: the backend is not cold, or the
+  /// token has not expired.
   [[nodiscard]] bool holds(const GroupAccess& group, const BackendUse& backend,
                            const std::optional<TimePoint>& token) const;
-  /// A token for a statement that can go elsewhere. Where there is none the backend's facts say so from then
-  /// on.
+  /// Requests a token for a statement that may also run at another backend. If none is granted, the backend's
+  /// facts show its cold limit as reached until the answer's `retry_after` has passed.
   Awaitable<AdmissionAnswer> take(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend);
-  /// It was not used; without effect where there is none.
+  /// Gives an unused token back to the limit. No effect if `token` is empty.
   void give_back(const BackendUse& backend, const std::optional<TimePoint>& token) const;
-  /// For a statement that can go nowhere else: it waits for a token where the backend is cold, then for a
-  /// place there. True: it holds a place, and a token that is good now. False: its time ended first;
-  /// `rejection` is set where the token was missing.
+  /// For a statement that can run at no other backend: waits for a token if the backend is cold, then for a
+  /// slot there, until `deadline`. Returns true if it holds a slot and, if needed, a valid token; the caller
+  /// must release the slot. Returns false otherwise, and sets `rejection` if no token was available.
   Awaitable<bool> enter(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
                         TimePoint deadline, placement::RejectionReason& rejection);
 
  private:
   void record_limit(const GroupAccess& group, BackendUse& backend, const AdmissionAnswer& admission) const;
-  /// `token` stays empty where the backend is not cold. False: its time ended first.
+  /// Leaves `token` empty if the backend is not cold. Returns false if no token is available before
+  /// `deadline`.
   Awaitable<bool> wait_for_token(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
                                  TimePoint deadline, std::optional<TimePoint>& token);
 
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Why a transaction was ended, for its caller.
+/// The message that tells the caller why its transaction was aborted.
 std::string ending(RejectionReason rejection) {
   const char* why = "the transaction's backend was given up";
   if (rejection == RejectionReason::kCommitsStall) why = placement::rejection_text(rejection);
@@ -127,7 +127,7 @@
   Reason reason;
   SendState sent = SendState::kNotSent;
   const TimePoint deadline = services_.runtime.now() + kLinkSetupTimeout;
-  // The end of its link ends it as well.
+  // Closing the link makes the backend roll the transaction back.
   if (pinned.backend->is_off_limits(services_.runtime.now())) pinned.link->link().close();
   if (pinned.link->link().is_open()) {
     BackendRequest request = Rollback{};
--- a/src/registered/proxy/statement/pinned_transactions.h
+++ b/src/registered/proxy/statement/pinned_transactions.h
@@ -1,5 +1,5 @@
-// Transactions that are open: their further statements, their commit and their end, at the backend where they
-// began, or through the proxy that opened them.
+// Runs further statements, commits and rollbacks of open transactions, at the backend where they were opened
+// or through the proxy that opened them.
 #pragma once
 
 #include "registered/placement/rejection_reason.h"
@@ -15,22 +15,27 @@
   explicit PinnedTransactions(SessionServices services)
       : services_(services), cold_tokens_(services), log_(services) {}
 
-  /// A further statement of a transaction, or its commit. A missing answer leaves the link closed.
+  /// Runs a further statement of a transaction, or its commit. `wrote`: the transaction contains writes. The
+  /// link is closed if no answer arrives.
   Awaitable<Answer> run(PinnedLink pinned, StatementRequest order, bool commits, bool wrote);
-  /// Ends a transaction without commit and gives the link back.
+  /// Rolls the transaction back and returns the link to its pool. A transaction at another proxy is ended
+  /// there.
   Awaitable<void> roll_back(PinnedLink pinned);
-  /// The same, unless nothing is open there any more.
+  /// Returns the link to its pool, after a rollback if the transaction is still open.
   Awaitable<void> end(PinnedLink pinned);
+  /// Returns the link to its pool without a rollback. A transaction at another proxy is ended there in the
+  /// background.
   void give_back(const PinnedLink& pinned);
-  /// Whether nothing may be sent to the transaction's backend any more since its zone is left.
+  /// Whether nothing more may be sent to the transaction's backend, because its zone is evacuated and the
+  /// grace period of open transactions has ended.
   [[nodiscard]] bool is_off_limits(const PinnedLink& pinned) const {
     return pinned.backend && pinned.backend->is_off_limits(services_.runtime.now());
   }
-  /// Gives the transaction up at once: a commit can't be sent any more.
+  /// Aborts the transaction immediately by closing its link; it can't be committed afterwards.
   void abort(const PinnedLink& pinned);
 
  private:
-  /// Why it may not go on, as far as this proxy knows now.
+  /// Why the transaction may not continue, by this proxy's current state; kNone if it may.
   [[nodiscard]] placement::RejectionReason rejection_of(const PinnedLink& pinned,
                                                         const StatementRequest& order,
                                                         bool commits_stall) const;
--- a/src/registered/proxy/statement/placement_facts.h
+++ b/src/registered/proxy/statement/placement_facts.h
@@ -1,4 +1,4 @@
-// What the placement of a statement is decided by, as this proxy knows it now (placement/facts.h).
+// Builds the inputs of placement decisions (placement/facts.h) from this proxy's current state.
 #pragma once
 
 #include "registered/placement/facts.h"
@@ -8,13 +8,13 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Without lists of proxies.
+/// Leaves the lists of other proxies empty.
 placement::ProxyFacts proxy_facts(const FleetView& view, const GroupAccess& group);
-/// A caller's key on a route; `tenant`: what it proved when the statement came, empty where none was asked
-/// for.
+/// The state of a caller's API key on a route. `tenant`: the tenant that the key proved when the statement
+/// arrived; empty if no key was required.
 placement::KeyFacts key_facts(const FleetView& view, const registry::RouteRule& route, const ApiKey& key,
                               const TenantName& tenant, TimePoint now);
-/// What the caller is told of the rejection reason.
+/// The refusal that the caller gets for a rejection reason.
 Refusal refusal_of(placement::RejectionReason rejection);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/pre_send_check.cpp
+++ b/src/registered/proxy/statement/pre_send_check.cpp
@@ -17,7 +17,7 @@
                                              const placement::SendFacts& facts) const {
   const GroupAccess& group = *attempt.order.group;
   placement::BackendFacts backend = group.standing.facts_of(*attempt.backend, attempt.question());
-  // Its token is its own, whoever had none; and without one it is not sent, whatever others had.
+  // The cold limit is checked by the statement's own token, not by the limit state that other statements saw.
   backend.cold_limit_reached = !cold_tokens_.holds(group, *attempt.backend, attempt.cold_token);
   return placement::before_sending(facts, backend);
 }
@@ -32,7 +32,7 @@
   const FleetView& view = services_.view;
   bool lacks_token = false;
   const bool runs_again = order.may_have_run && !order.tenant.empty();
-  // What can't be sent in any case takes no token.
+  // Do not spend a token on a statement that can't be sent anyway.
   if (runs_again && decide(*attempt, send_facts(*attempt)).action == SendAction::kSend) {
     const AdmissionAnswer admission = co_await services_.limits.admit(order.tenant);
     lacks_token = admission.outcome != AdmissionOutcome::kAdmitted;
--- a/src/registered/proxy/statement/pre_send_check.h
+++ b/src/registered/proxy/statement/pre_send_check.h
@@ -1,5 +1,5 @@
-// Checks a statement once more while it is on its way to the backend that was chosen for it, and last before
-// it is sent: while it waited, its key, its proxy's lease, the primary and the backend may have changed.
+// Checks a statement again before it is sent to the chosen backend. While it waited, its API key, the proxy's
+// lease, the primary or the backend may have changed.
 #pragma once
 
 #include <memory>
@@ -15,13 +15,15 @@
  public:
   explicit PreSendCheck(SessionServices services) : services_(services), cold_tokens_(services) {}
 
-  /// After each wait on the way, all but the key; kept as the attempt's `pre_send_check`.
+  /// To be called after each wait. Checks everything except the key and stores the decision in the attempt's
+  /// `pre_send_check`. Returns false if the statement must not be sent.
   bool may_go_on(StatementAttempt& attempt) const;
-  /// Right before it is sent, its key as well: what runs again takes a token of its tenant.
+  /// The final check right before sending, including the key. A statement that may have run before also needs
+  /// a token of its tenant's rate limit.
   Awaitable<placement::SendDecision> check(std::shared_ptr<StatementAttempt> attempt) const;
 
  private:
-  /// What may have changed while it waited for the backend, but the key.
+  /// What may have changed while the statement waited for the backend, except the key.
   [[nodiscard]] placement::SendFacts send_facts(const StatementAttempt& attempt) const;
   [[nodiscard]] placement::SendDecision decide(const StatementAttempt& attempt,
                                                const placement::SendFacts& facts) const;
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -1,4 +1,4 @@
-// The bookkeeping of one statement that this proxy runs itself, over all its attempts.
+// State of one statement that this proxy runs itself, across all of its attempts.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,6 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// One statement on its way, over all its attempts.
 struct StatementAttempt {
   explicit StatementAttempt(StatementRequest run_order)
       : order(std::move(run_order)), progress(order.progress()) {}
@@ -21,35 +20,35 @@
   placement::StatementProgress progress;
   std::set<BackendName> excluded;
   ReadNeed need;
-  Reason reason;      ///< of the last failure
-  Unplaced unplaced;  ///< why this proxy refuses it
+  Reason reason;      ///< the last failure
+  Unplaced unplaced;  ///< why this proxy refuses the statement, if it does
   RunResult result;
-  /// Not empty: it has waited, and is to be passed on to these.
+  /// If not empty: after a wait, the statement is to be forwarded to these proxies.
   std::vector<subset::ProxyPointer> moved_to;
 
-  // Of the attempt under way.
+  // Current attempt.
   std::shared_ptr<BackendUse> backend;
   std::shared_ptr<StatefulLink> link;
   std::uint64_t epoch = 0;
   bool at_primary = false;
-  bool needs_primary = false;           ///< the answer counts only while the primary of `epoch` may be used
-  std::optional<TimePoint> cold_token;  ///< not used yet, and of use until then
+  bool needs_primary = false;           ///< the answer is valid only while the primary of `epoch` may be used
+  std::optional<TimePoint> cold_token;  ///< expiry of a token that is not used yet
   placement::SendDecision pre_send_check;
   TimePoint sent_at{};
   runtime::SendState sent = runtime::SendState::kNotSent;
 
-  // Where the time went, over all attempts.
+  // Time spent per phase, and the backends used, over all attempts.
   Duration at_gate{0};
   Duration at_pool{0};
   Duration at_backend{0};
-  std::string path;  ///< backends tried and how each attempt ended
+  std::string path;  ///< names of the backends tried, each followed by a space
 
   [[nodiscard]] PlacementRequest question() const { return {&need, &excluded, &order.allowed}; }
-  /// The transaction that it has opened.
+  /// The transaction that the statement has opened.
   [[nodiscard]] PinnedLink pinned() const {
     return PinnedLink{backend, link, std::nullopt, epoch, at_primary};
   }
-  /// What its end is judged by; `may_use_primary`: that of `epoch`.
+  /// Input for attempt_outcome.h. `may_use_primary`: the primary of `epoch` may still be used.
   [[nodiscard]] placement::AttemptFacts facts(bool may_use_primary) const {
     placement::AttemptFacts facts;
     facts.reads = order.reads();
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -30,7 +30,7 @@
 
 Awaitable<Forwarded> StatementForwarding::forward(StatementRequest order,
                                                   std::vector<subset::ProxyPointer> proxies) {
-  // Those that did not answer a moment ago go last.
+  // Proxies that recently failed or did not answer go last.
   const GroupName group = order.group->name;
   std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const subset::ProxyPointer& proxy) {
     return !services_.forwarder.is_avoided(proxy->name, group);
@@ -39,7 +39,7 @@
   result.nothing_run = !order.may_have_run;
   result.answer.refusal = Refusal::kBusy;
   Reason reason;
-  // Whoever runs it does so under its own lease; this proxy needs none to pass it on.
+  // The proxy that runs the statement needs a lease; this proxy needs none to forward it.
   const auto tries = std::min<std::size_t>(proxies.size(), placement::kMaxForwards);
   bool may_try_another = true;
   bool is_answered = false;
@@ -98,8 +98,8 @@
   if (!answer) {
     services_.metrics.count_lost_answer();
     services_.forwarder.record_no_answer(proxy->name, order.group->name);
-    // A transaction's first statement leaves nothing: whoever served it rolls back when it finds nobody
-    // there.
+    // A transaction's first statement leaves no changes: the other proxy rolls it back when the connection is
+    // lost.
     const bool in_doubt = placement::is_in_doubt(order.keeps_changes(), true);
     may_try_another = !in_doubt && services_.runtime.now() < order.deadline;
     result.answer.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kBusy;
--- a/src/registered/proxy/statement/statement_forwarding.h
+++ b/src/registered/proxy/statement/statement_forwarding.h
@@ -1,4 +1,4 @@
-// Passes a statement on to other proxies, one after the other, until one of them answers for it.
+// Forwards a statement to other proxies, one after the other, until one of them gives a final answer.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A forwarded statement's answer may take this much longer than the statement itself: the way to the other
-/// proxy and back, whose round trips are 2 ms between zones and some 25 ms between regions. Chosen, not
-/// measured.
+/// Added to a forwarded statement's deadline for the network round trip to the other proxy, possibly in
+/// another region.
 inline constexpr Duration kForwardSlack = std::chrono::milliseconds(60);
 
-/// The order as it is sent to another proxy.
+/// Converts a request to the message that is sent to another proxy. `now`: the sending time; deadlines are
+/// sent as remaining time.
 ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now);
 
 enum class ForwardedNext : std::uint8_t {
-  kAnswer,    ///< with `result`
-  kRunHere,   ///< this proxy is the next that may serve the order
-  kRunAgain,  ///< from the start: nobody took it, and this proxy has its lease back
+  kAnswer,    ///< answer the caller with `result`
+  kRunHere,   ///< this proxy is next in the preference order: run it here
+  kRunAgain,  ///< start over: no proxy accepted it, and this proxy has its lease back
 };
 struct Forwarded {
   ForwardedNext next = ForwardedNext::kAnswer;
-  StatementRequest order;  ///< with what is known since: whether it may have run
+  StatementRequest order;  ///< with `may_have_run` updated
   RunResult result;
 };
 
@@ -37,14 +37,15 @@
  public:
   explicit StatementForwarding(SessionServices services) : services_(services), log_(services) {}
 
-  /// `proxies`: first choice first.
+  /// `proxies`: in order of preference. Tries at most kMaxForwards of them.
   Awaitable<Forwarded> forward(StatementRequest order, std::vector<subset::ProxyPointer> proxies);
 
  private:
-  /// Empty when no connection to the proxy was to be had.
+  /// Returns std::nullopt if no connection to the proxy could be opened. Sets `may_try_another` to whether
+  /// another proxy may still be tried.
   Awaitable<std::optional<RunResult>> forward_to(StatementRequest order, subset::ProxyPointer proxy,
                                                  bool& may_try_another, Reason& reason);
-  /// No proxy took the order: waits for the lease as long as that is worth it.
+  /// After no proxy accepted the request: waits for this proxy's lease until `refuse_at` if one is expected.
   Awaitable<placement::Placement> await_lease(std::shared_ptr<GroupAccess> group, TimePoint refuse_at,
                                               bool may_try_another);
 
--- a/src/registered/proxy/statement/statement_log.h
+++ b/src/registered/proxy/statement/statement_log.h
@@ -1,4 +1,4 @@
-// What a proxy logs of callers' statements: refusals, lost answers, and where the time of slow ones went.
+// Logs refused statements, lost answers, and the time that slow statements spent in each phase.
 #pragma once
 
 #include "registered/proxy/session_services.h"
@@ -7,8 +7,7 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A statement that took longer is logged with where its time went. Chosen, not measured: several times the
-/// work of a statement (4 to 30 ms on the deployments).
+/// A statement that takes longer than this is logged as slow.
 inline constexpr Duration kSlowStatement = std::chrono::milliseconds(200);
 
 class StatementLog {
@@ -17,7 +16,8 @@
 
   void slow(const StatementAttempt& attempt) const;
   void lost_answer(const StatementAttempt& attempt, const Reason& reason) const;
-  /// Also counts what this proxy itself refused. `attempts`: backends tried.
+  /// Also counts the refusal in the metrics if this proxy itself refused. `attempts`: number of backends
+  /// tried.
   void refusal(const StatementRequest& order, const Answer& answer, const Reason& reason, int attempts,
                const Unplaced& unplaced = {}) const;
 
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -14,7 +14,7 @@
                                                          placement::ProxyList& kept) const {
   if (order.allowed.is_anywhere()) return &proxies;
   kept = services_.view.in_regions(proxies, order.allowed);
-  // The first choice is this proxy: nothing is to be passed on.
+  // This proxy is the first choice: do not forward.
   if (!kept.empty() && kept.front()->name == services_.view.node()) kept.clear();
   return &kept;
 }
@@ -33,7 +33,7 @@
     proxy.also_serving = keep_inside(view.also_serving(group.name), order, inside.also_serving);
   placement::StatementNeed need;
   need.reads = order.reads();
-  // What a read must see takes a while to find out, and plays no part where this proxy can serve it all.
+  // need_of is expensive, and irrelevant if this proxy can serve everything itself.
   if (need.reads && placement::may_another_serve(proxy))
     need.primary_only = group.need_of(order.route, order.committed, &order.allowed).primary_only;
   return placement::place_elsewhere(need, proxy);
@@ -70,7 +70,7 @@
 
 bool StatementPlacer::reroute(StatementAttempt& attempt) const {
   StatementRequest& order = attempt.order;
-  // Without tenants any proxy that serves the group is as good.
+  // Without a tenant, no proxy that serves the group is preferred over this one.
   if (order.is_forwarded || order.tenant.empty() || order.may_use_replicas()) return false;
   if (!placement::may_be_rerouted(attempt.progress)) return false;
   PeersInside inside;
--- a/src/registered/proxy/statement/statement_placer.h
+++ b/src/registered/proxy/statement/statement_placer.h
@@ -1,5 +1,5 @@
-// Asks where a statement may go (placement/placement.h) with what this proxy knows now, and takes the answer
-// over: the proxies that are to run it, or the backend.
+// Applies the placement rules (placement/placement.h) to a statement with this proxy's current state, and
+// records the chosen backend or proxies.
 #pragma once
 
 #include <memory>
@@ -12,11 +12,12 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A read that may not go to the primary waits this long for the primary's position, where none is known: a
-/// new connection and an exchange across regions. Chosen, not measured.
+/// How long a read that may not run at the primary waits for the primary's position if none is known. Allows
+/// for a new connection and one exchange across regions.
 inline constexpr Duration kPositionPatience = std::chrono::milliseconds(200);
 
-/// Proxies to which an order may be sent that is bound to regions.
+/// The proxies in the regions that are permitted for a request; keeps the lists alive that a Forwarding
+/// refers to.
 struct PeersInside {
   placement::ProxyList serving;
   placement::ProxyList also_serving;
@@ -27,23 +28,25 @@
  public:
   explicit StatementPlacer(SessionServices services) : services_(services) {}
 
-  /// Another proxy that is to run the order, as far as this one knows now. The answer may refer to `inside`.
+  /// The proxies that are to run the request instead of this one; std::nullopt if it is to be run here. The
+  /// result may point into `inside`, which must outlive it.
   std::optional<placement::Forwarding> find_elsewhere(const StatementRequest& order,
                                                       PeersInside& inside) const;
-  /// Whether all that could run the order is outside its regions, so that waiting would not help.
+  /// Whether all backends that could run the request are outside its permitted regions, so that waiting would
+  /// not help.
   [[nodiscard]] static bool is_shut_out(const StatementRequest& order);
-  /// Where the attempt may go now. Takes the backend over that is to run it.
+  /// Decides where the attempt may run now. For kRun, records the backend in the attempt.
   placement::Placement place(StatementAttempt& attempt) const;
-  /// Whether the order, which has waited here, is passed on now that its primary is known: StatementAttempt's
-  /// `moved_to` says to whom.
+  /// Whether a request that has waited here is forwarded now that its primary is known. If so, sets the
+  /// attempt's `moved_to` to the proxies.
   bool reroute(StatementAttempt& attempt) const;
-  /// A read that may not go to the primary has the primary's position asked for, and waits for it where none
-  /// is known.
+  /// For a read that may not run at the primary: requests the primary's position if it is too old, and waits
+  /// for it up to kPositionPatience if none is known.
   Awaitable<void> bring_position(std::shared_ptr<StatementAttempt> attempt) const;
 
  private:
-  /// `proxies`, or in `kept` those of them to which the order's text may be sent; none when this proxy is the
-  /// first of them.
+  /// Returns `proxies` if the request is not bound to regions. Otherwise fills `kept` with those in permitted
+  /// regions and returns it; empty if this proxy is the first of them.
   const placement::ProxyList* keep_inside(const placement::ProxyList& proxies, const StatementRequest& order,
                                           placement::ProxyList& kept) const;
 
--- a/src/registered/proxy/statement/statement_request.h
+++ b/src/registered/proxy/statement/statement_request.h
@@ -1,4 +1,4 @@
-// One statement on its way through a proxy, and what came of it.
+// A statement to be run, and its result.
 #pragma once
 
 #include <chrono>
@@ -14,72 +14,72 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// A statement with what it needs beside its text.
+/// A statement with everything needed to run it.
 struct StatementRequest {
   registry::RouteRule route;
   std::shared_ptr<GroupAccess> group;
-  ApiKey key;         ///< of the caller; empty where none is asked for
-  TenantName tenant;  ///< that the key proved when the statement came
-  /// Where it may go. A transaction's are decided when it begins.
+  ApiKey key;         ///< the caller's API key; empty if the route requires none
+  TenantName tenant;  ///< tenant that the key proved when the statement arrived
+  /// Regions in which it may run. For a transaction they are fixed when it begins.
   locality::PermittedRegions allowed;
   std::string id;
-  std::string text;                       ///< passed on unchanged, unless something prepared is executed
-  std::optional<PreparedShape> prepared;  ///< executed with `argument`
+  std::string text;                       ///< sent unchanged, unless a prepared statement is executed
+  std::optional<PreparedShape> prepared;  ///< prepared statement to execute with `argument`
   std::string argument;
   bool writes = false;
   SessionValues values;
-  SessionCommit committed;  ///< the session's own
+  SessionCommit committed;  ///< the session's last commit
   TimePoint arrived{};
   TimePoint deadline{};
-  /// Set for the first statement of a transaction, or for a commit without any.
+  /// True for the first statement of a transaction, or for the commit of a transaction without statements.
   bool opens_transaction = false;
   bool read_only_transaction = false;
-  bool is_forwarded = false;  ///< by another proxy: it is run here or refused
-  int rerouted = 0;           ///< how often it was passed on after it had waited here
-  /// A backend may have run it already: running it once more takes a token of its own.
+  bool is_forwarded = false;  ///< by another proxy: run here or refused, never forwarded again
+  int rerouted = 0;           ///< number of times it was forwarded after a wait here
+  /// A backend may already have run it; a rerun needs another token of the tenant's rate limit.
   bool may_have_run = false;
-  /// It, or the transaction that it opens, changes nothing.
+  /// Whether the statement, or the transaction that it opens, is read-only.
   [[nodiscard]] bool reads() const { return opens_transaction ? read_only_transaction : !writes; }
-  /// Its success alone leaves something: a write of its own, which may have run when its answer is lost. What
-  /// a transaction's first statement did is gone with the transaction.
+  /// Whether its success alone makes changes durable: a write outside a transaction, which may have run if
+  /// its answer is lost. Changes by a transaction's first statement are rolled back with the transaction.
   [[nodiscard]] bool keeps_changes() const { return writes && !opens_transaction; }
-  /// Whether a replica that is recent enough may run it.
+  /// Whether a sufficiently up-to-date replica may run it.
   [[nodiscard]] bool may_use_replicas() const {
     return reads() && route.reads != registry::ReadPolicy::kPrimary;
   }
-  /// Before it is tried.
+  /// The progress before the first attempt.
   [[nodiscard]] placement::StatementProgress progress() const {
     return {arrived, deadline, std::chrono::milliseconds(route.target_latency_ms), 0, rerouted, false};
   }
 };
 
-/// A transaction that is open at another proxy.
+/// A transaction that is open through another proxy.
 struct RemotePin {
   std::shared_ptr<ForwardConnection> connection;
   std::uint64_t pin = 0;
 };
 
-/// Where a transaction is open: a link that nobody else uses until it is given back, or another proxy.
+/// Where a transaction is open: a link reserved for it until the link is released, or another proxy.
 struct PinnedLink {
-  std::shared_ptr<BackendUse> backend;  ///< null for another proxy
-  std::shared_ptr<StatefulLink> link;   ///< null for another proxy
+  std::shared_ptr<BackendUse> backend;  ///< null if `remote` is set
+  std::shared_ptr<StatefulLink> link;   ///< null if `remote` is set
   std::optional<RemotePin> remote;
-  std::uint64_t epoch = 0;  ///< of the group when it was opened
-  bool at_primary = false;  ///< its answers count only while the primary of `epoch` may be used
+  std::uint64_t epoch = 0;  ///< the group's epoch when it was opened
+  bool at_primary = false;  ///< its answers are valid only while the primary of `epoch` may be used
 };
 
 struct RunResult {
   Answer answer;
-  std::optional<PinnedLink> pinned;  ///< the transaction is open there
+  std::optional<PinnedLink> pinned;  ///< set if a transaction was opened: where
   ServedBy served_by = ServedBy::kProxy;
-  bool nothing_run = false;  ///< no backend can have run it, in any attempt
+  bool nothing_run = false;  ///< certainly no backend has run it, in any attempt
 };
 
-/// Why this proxy itself refused a statement, for the log.
+/// Why this proxy itself refused a statement, for the log. `since` is kNone if it did not.
 struct Unplaced {
   placement::RejectionReason since = placement::RejectionReason::kNone;
   Duration retry_after{0};
-  std::string passed_over;  ///< the group's backends, each with what stood in the way there
+  std::string passed_over;  ///< the rejected backends of the group as "name:reason", separated by spaces
 };
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -19,7 +19,8 @@
 
 namespace {
 
-/// Behind the statements of open transactions, which hold connections.
+/// Priority at the gate; lower is more urgent. Always less urgent than statements of open transactions, which
+/// hold connections.
 std::uint8_t urgency_of(const StatementRequest& order) {
   constexpr std::uint64_t kLeastUrgent = 100;
   return static_cast<std::uint8_t>(std::min(order.route.priority + 1, kLeastUrgent));
@@ -142,7 +143,7 @@
                                 placement::link_wait_end(attempt->progress, now)};
   LinkRequest wish{order.tenant, order.values};
   attempt->link = co_await backend.pool.acquire(std::move(wish), deadlines, refusal, attempt->reason);
-  // Idle links that ended by themselves may have ended with their backend's process.
+  // Idle links that were closed by the other side may indicate that the backend process ended.
   if (backend.pool.take_lost_idle()) backend.rebirth.mark_unreachable();
   if (attempt->link) {
     backend.rebirth.record_reached(services_.runtime.now());
@@ -164,7 +165,7 @@
   const bool acquired = co_await acquire_link(attempt);
   if (!acquired) co_return false;
   const StatementRequest& order = attempt->order;
-  // What the link is given the session state by is sent there, too.
+  // Applying the session state already sends requests to the backend, so check first.
   bool ready = check_.may_go_on(*attempt);
   const TimePoint deadline = std::min(order.deadline, services_.runtime.now() + kLinkSetupTimeout);
   if (ready)
@@ -258,7 +259,7 @@
   attempt->progress.offered = true;
   attempt->sent_at = services_.runtime.now();
   TimePoint deadline = order.deadline;
-  // Given up here and sent here again, it would only be run twice.
+  // Without another reader, abandoning the attempt would only run the read twice at the same backend.
   if (placement::may_leave_silent_backend(attempt->needs_primary, attempt->progress) &&
       order.group->standing.has_other_reader(attempt->need, *attempt->backend))
     deadline = placement::silent_backend_wait_end(attempt->progress, attempt->sent_at);
--- a/src/registered/proxy/statement/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -1,6 +1,5 @@
-// Runs one statement, or opens one transaction, at a backend of the group or through another proxy. It
-// carries out, one step a function; where a statement goes, how long it is tried and what an answer means is
-// decided by the rules of placement/.
+// Runs a single statement, or the first statement of a transaction, at a backend of the group or through
+// another proxy. The rules in placement/ decide where it runs, how long it is tried and what an answer means.
 #pragma once
 
 #include <memory>
@@ -30,9 +29,9 @@
         transactions_(services),
         log_(services) {}
 
-  /// A single statement, or with `opens_transaction` the first one of a transaction.
+  /// Runs a single statement or, with `opens_transaction`, the first one of a transaction.
   Awaitable<RunResult> run(StatementRequest order);
-  /// Of the transactions that it has opened.
+  /// Runs and ends the transactions that run() has opened.
   [[nodiscard]] PinnedTransactions& transactions() { return transactions_; }
 
  private:
@@ -40,32 +39,35 @@
 
   Awaitable<RunResult> forward(StatementRequest order, std::vector<subset::ProxyPointer> proxies);
   Awaitable<RunResult> run_here(StatementRequest order);
-  /// False when it is refused, or passed on.
+  /// Chooses a backend for the attempt, waiting if necessary. Returns false if it is refused or to be
+  /// forwarded.
   Awaitable<bool> choose(Attempt attempt);
   Awaitable<placement::NextStep> try_backend(Attempt attempt);
-  /// Takes a token where the attempt's backend is cold. False: there is none.
+  /// Acquires a token if the attempt's backend is cold. Returns false if none is available.
   Awaitable<bool> take_cold_token(Attempt attempt);
   Awaitable<bool> prepare_link(Attempt attempt);
   Awaitable<bool> acquire_link(Attempt attempt);
   Awaitable<bool> begin_transaction(Attempt attempt);
   Awaitable<std::optional<Answer>> exchange(Attempt attempt);
-  /// It does not go to the backend for which it has waited.
+  /// Handles a pre-send check that did not pass. `begun`: the attempt still holds its link.
   placement::NextStep stop_before_sending(StatementAttempt& attempt, bool begun);
   placement::NextStep take_answer(StatementAttempt& attempt, Answer answer);
   placement::NextStep take_final_answer(StatementAttempt& attempt, Answer answer);
   placement::NextStep take_loss(StatementAttempt& attempt, const Reason& reason);
-  /// Does what the chosen backend's refusal tells of it.
+  /// Applies the effects of a refusal to the chosen backend, its link and its group.
   void apply(const placement::RefusalEffects& effects, StatementAttempt& attempt);
-  /// Passes over the attempt's backend where that is asked.
+  /// Excludes the attempt's backend from later attempts if the retry requires it.
   static placement::NextStep apply(const placement::Retry& retry, StatementAttempt& attempt);
 
-  /// The attempt's answer: not run, since this stands in the way.
+  /// Sets the attempt's answer to a refusal by this proxy. `retry_after`: suggested delay for the caller; 0:
+  /// none.
   static void refuse(StatementAttempt& attempt, placement::RejectionReason since, Duration retry_after);
-  /// The same of a statement that is not tried at all.
+  /// Refuses and logs a statement that was never tried.
   RunResult refuse_untried(StatementAttempt& attempt, placement::RejectionReason since, Duration retry_after,
                            Reason reason);
+  /// Refuses a statement that no backend in its permitted regions can run.
   RunResult refuse_outside(StatementRequest order);
-  /// A write, while writes sent before have no answer.
+  /// Refuses a write because earlier commits have no answer.
   RunResult refuse_stalled(StatementAttempt& attempt);
 
   SessionServices services_;
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -1,4 +1,4 @@
-// What is the same for single statements and those of open transactions while a backend runs them.
+// Helpers shared by single statements and statements of open transactions while a backend runs them.
 #pragma once
 
 #include <optional>
@@ -8,16 +8,18 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Gives back the place that a statement took, with what its answer tells of the backend.
+/// Releases the statement's slot at the gate and reports what its answer shows about the backend's load.
+/// `latency`: from sending to the answer.
 inline void leave_gate(StatementGate& gate, const std::optional<Answer>& answer, Duration latency) {
   if (!answer) return gate.leave_unanswered();
   if (answer->refusal == Refusal::kBusy) return gate.leave_busy();
-  // What was not run was answered at once and tells nothing about the time that statements take.
+  // A refusal is answered immediately, so its latency says nothing about execution times.
   if (answer->refusal) return gate.leave_unanswered();
   gate.leave(latency);
 }
 
-/// A statement at a primary, taken out of the group's list when the scope ends.
+/// Registers a statement as in progress at the primary for the lifetime of the scope. The PrimaryHealth must
+/// outlive it.
 class WorkScope {
  public:
   WorkScope(PrimaryHealth& primary, PrimaryWork work)
@@ -31,19 +33,19 @@
   std::uint64_t key_;
 };
 
-/// The order as the link's backend is asked for it. `required`: the position that the backend must show to
-/// hold.
+/// Builds the request that is sent on the link. `required`: the log position that the backend must have
+/// reached, if any.
 BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
                             std::optional<Position> required);
 
-/// A primary's success, as it was asked for.
+/// The context in which a primary reported success.
 struct PrimaryAnswer {
-  std::uint64_t epoch = 0;  ///< in which it was asked
+  std::uint64_t epoch = 0;  ///< the group's epoch when the statement was sent
   TimePoint asked_at{};
   bool commits = false;
 };
-/// Records where the primary's log is, and what is acknowledged from now on. A commit whose primary was given
-/// up meanwhile is in doubt.
+/// Records the primary's log position and, for a commit, what is acknowledged. Turns `answer` into "in doubt"
+/// for a commit that can't be acknowledged, e.g. because its primary may not be used any more.
 void take_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
                          Answer& answer);
 
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to a cold backend has a token that holds at that moment, in a transaction as well.
+// Every statement sent to a cold backend has a valid token when it is sent, also within transactions.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -17,15 +17,15 @@
 const BackendName kBackend("db-1");
 const DatabaseName kDatabase("database");
 
-/// What all links to the backend share.
+/// State and script shared by all links to the backend.
 struct Backend {
   int statements = 0;
   std::uint64_t position = 0;
   Duration setup_takes{0};
   std::function<void()> during_setup;
   bool is_gone = false;
-  bool breaks_off = false;  ///< statements
-  int life = 1;             ///< links to an earlier one have ended
+  bool breaks_off = false;  ///< drop the connection on each statement
+  int life = 1;             ///< incarnation; links opened in an earlier one are closed
 };
 
 class CountingLink : public BackendLink {
@@ -93,7 +93,7 @@
   return entry;
 }
 
-/// This proxy is the only one, and counts for all.
+/// This proxy is the only one and owns all quotas.
 registry::FleetDelta fleet(double cold_rate, std::uint64_t cold_ms) {
   registry::FleetDelta delta;
   delta.is_whole = true;
@@ -125,7 +125,7 @@
   return settings;
 }
 
-/// A proxy's part that runs statements, without its network.
+/// The parts of a proxy that run statements, without network connections.
 struct Proxy {
   Proxy(runtime::Runtime& runtime, const registry::FleetDelta& delta)
       : dialer(runtime, backend),
@@ -175,7 +175,7 @@
   }
 
   void what_is_above_the_limit_is_refused_at_once() {
-    // A third of the rate from a bucket of (1.5 + 5) / 3 tokens: two after a while.
+    // Tokens are granted at a third of the rate from a bucket of (1.5 + 5) / 3 tokens, so two are available.
     start(6, 5000);
     const auto results = run_side_by_side(6, milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
@@ -307,7 +307,7 @@
   void start(double cold_rate, std::uint64_t cold_ms) {
     proxy_ = std::make_unique<Proxy>(*runtime_, fleet(cold_rate, cold_ms));
     confirm();
-    // The bucket begins with the first question.
+    // The bucket starts to fill with the first request.
     proxy_->view.quotas().grant(*proxy_->view.cold_limit(kBackend), {}, runtime_->now());
     world_->run_for(milliseconds(4500));
     confirm();
@@ -354,7 +354,7 @@
     const bool entered = co_await gate().enter(admission::kUrgentClass, runtime_->now());
     if (entered) ++taken;
   }
-  /// Takes the places that are left; says how many.
+  /// Takes all free slots of the gate and returns their number.
   std::uint32_t fill_gate() {
     std::uint32_t taken = 0;
     for (int each = 0; each < 100; ++each) runtime_->spawn("take_place", take_place(taken));
--- a/tests/registered/proxy/statement/last_look_test.cpp
+++ b/tests/registered/proxy/statement/last_look_test.cpp
@@ -1,4 +1,5 @@
-// A statement is looked at again after each wait: what changed meanwhile counts, and nothing more is sent.
+// A statement is checked again after each wait: after a change of its key, lease or primary nothing more is
+// sent.
 #include <array>
 
 #include "tests/registered/proxy/statement/runner_stand.h"
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -1,5 +1,5 @@
-// Runs a proxy's statements on a bare runtime: links are scripted, and what the proxy knows is set by the
-// test.
+// Test fixture that runs statements through a proxy's StatementRunner with scripted backend links and a fleet
+// view set by the test.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,24 +20,23 @@
 inline const TenantName kTenant("tenant");
 inline const ApiKey kKey("key");
 
-/// How a backend meets what it is sent: with a refusal, or with no answer.
+/// A failed exchange with a backend: a refusal, or no answer.
 struct Mishap {
   std::optional<Refusal> refusal;  ///< empty: no answer
   runtime::SendState sent = runtime::SendState::kMaybeSent;
 };
 
-/// What all links of the backends share.
+/// State and script shared by all links to the backends.
 struct Backends {
-  std::map<std::string, int> statements;  ///< by backend
-  std::map<std::string, int> dials;       ///< the same
-  int begun = 0;
-  int values = 0;  ///< set on links
+  std::map<std::string, int> statements;  ///< number of statements sent, by backend
+  std::map<std::string, int> dials;       ///< number of links opened, by backend
+  int begun = 0;                          ///< number of Begin requests sent
+  int values = 0;                         ///< number of session values set on links
   Duration statement_takes{0};
-  std::map<std::string, Mishap> at_statement;  ///< of the backend's next statement
-  std::map<std::string, Mishap> at_begin;      ///< of its next begin
+  std::map<std::string, Mishap> at_statement;  ///< outcome of the backend's next statement
+  std::map<std::string, Mishap> at_begin;      ///< outcome of its next Begin
   std::function<void()> while_dialling;
-  /// Done while a link is brought in order, which takes that long.
-  std::function<void()> meanwhile;
+  std::function<void()> meanwhile;  ///< runs after the delay `takes` when a session value is set
   Duration takes{0};
 };
 
@@ -164,7 +163,7 @@
   return settings;
 }
 
-/// A proxy's part that runs statements, without its network.
+/// The parts of a proxy that run statements, without network connections.
 struct Proxy {
   Proxy(runtime::Runtime& runtime, Duration lease)
       : dialer(runtime, backends),
@@ -187,7 +186,7 @@
   StatementRunner runner;
 };
 
-/// The fixture of tests of StatementRunner.
+/// Base fixture for tests of StatementRunner: one proxy, primary "one", replica "two".
 class RunnerStand : public CppUnit::TestFixture {
  public:
   void setUp() override {
@@ -204,7 +203,7 @@
   Backends& backends() { return proxy_->backends; }
   int sent(const std::string& backend) { return backends().statements[backend]; }
 
-  /// Of the metric's lines: how many statements this proxy refused since then.
+  /// Number of statements that this proxy refused for the reason, from the metrics output.
   int unplaced(const std::string& since) const {
     const std::string text = proxy_->metrics.render();
     const std::string line = "cairnhollow_session_unplaced_total{since=\"" + since + "\"} ";
@@ -252,10 +251,10 @@
   void replace_primary() {
     proxy_->view.find_group(kGroup)->set_term({kGroup, 2, BackendName("two"), true, 2, 2});
   }
-  /// A proxy whose lease has only so long to go.
+  /// Restarts the proxy with a lease that ends after `left`.
   void lose_lease_after(Duration left) { proxy_ = std::make_unique<Proxy>(*runtime_, left); }
 
-  /// The same key proves another tenant.
+  /// Makes the key prove another tenant.
   void move_key() {
     registry::FleetDelta delta = fleet();
     delta.tenants.front().name = TenantName("another");
--- a/tests/registered/proxy/statement/statement_outcomes_test.cpp
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -1,5 +1,5 @@
-// What becomes of a statement that its backend refuses, or does not answer, the first time: what its caller
-// is told, and how often each backend was sent it.
+// The caller's result, and the number of sends to each backend, when the first attempt of a statement is
+// refused or gets no answer.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <vector>
@@ -17,7 +17,7 @@
 constexpr const char* kPrimary = "one";
 constexpr const char* kReplica = "two";
 
-/// "ok", or the refusal; then how often the primary and the replica were sent it.
+/// "ok" or the refusal, then the number of sends to the primary and to the replica.
 std::string text_of(const RunResult& result, int at_primary, int at_replica) {
   const std::string told = result.answer.refusal ? refusal_name(*result.answer.refusal) : "ok";
   return told + ' ' + std::to_string(at_primary) + ' ' + std::to_string(at_replica);
@@ -150,11 +150,11 @@
     return statement;
   }
 
-  /// Of a statement that meets this at the backend, on a proxy that was just started.
+  /// The outcome on a new proxy if the first attempt at `backend` fails with `mishap`.
   std::string after(const Mishap& mishap, const char* backend, StatementRequest statement) {
     restart();
     statement.group = proxy_->view.find_group(kGroup);
-    // What the primary showed so long ago is what a replica must hold.
+    // Bounded staleness requires a replica to hold the position that the primary reported a second ago.
     world_->run_for(seconds(2));
     statement.group->positions.record(runtime_->now() - seconds(1), Position{1, 5});
     statement.group->positions.record(runtime_->now(), Position{1, 6});
@@ -165,7 +165,7 @@
     return text_of(result, sent(kPrimary), sent(kReplica));
   }
 
-  /// What the caller is told of a statement, or commit, of an open transaction that meets this.
+  /// The caller's result if a statement or commit of an open transaction fails with `mishap`.
   std::string in_transaction(const Mishap& mishap, bool commits, bool wrote) {
     restart();
     const RunResult opened = run(opening());
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -1,5 +1,5 @@
-// A statement that is bound to regions at one proxy: refused at once where nothing inside can run it, and the
-// primary's position that reads beside a primary outside live by.
+// Statements that are bound to regions: refused at once if no permitted backend can run them. Reads whose
+// primary is outside need its position, which is requested.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/proxy/callers/caller_session.h"
@@ -16,7 +16,7 @@
 
 const GroupName kGroup("group");
 
-/// Answers a status as the primary of term 1; `meanwhile` is done first.
+/// Counts requests. `meanwhile` runs before a status request is answered, as by the primary of term 1.
 struct StatusScript {
   std::function<void()> meanwhile;
   int statuses = 0;
@@ -86,7 +86,7 @@
   return list;
 }
 
-/// The primary is in the north, a replica in the south.
+/// The primary is in region north, the replica in region south.
 registry::FleetDelta fleet() {
   registry::FleetDelta delta;
   delta.is_whole = true;
@@ -140,7 +140,7 @@
   StatementRunner runner;
 };
 
-/// Begins, reads 50 ms later, ends, and reads once more.
+/// Sends a read-only transaction with one read, then a read outside it; 50 ms before each statement.
 class ReadingCaller : public CallerConnection {
  public:
   explicit ReadingCaller(runtime::Runtime& runtime) : runtime_(runtime) {}
@@ -252,7 +252,7 @@
   }
 
  private:
-  /// This proxy serves the tenant alone.
+  /// Binds the tenant to the region, and makes this proxy the only one that serves it.
   void bind_tenant(const std::string& region) {
     registry::FleetDelta delta;
     delta.revision = ++revision_;
@@ -280,7 +280,7 @@
     return order;
   }
 
-  /// The time that it takes goes to `took_`.
+  /// Stores the duration in `took_`.
   RunResult run(const StatementRequest& order) {
     std::optional<RunResult> result;
     runtime_->spawn("run", keep(order, result));
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -1,5 +1,5 @@
-// What may have changed while a statement was on its way to a backend: its key, its proxy's lease, the
-// primary. Whatever step it was at, nothing of it is sent then, and what was sent is not acknowledged.
+// A change of the API key, the lease or the primary while a statement is in progress: after it nothing of the
+// statement is sent at any step, and no answer is acknowledged.
 #include "registered/proxy/statement/statement_runner.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,16 +14,16 @@
 namespace {
 
 constexpr Duration kLong = seconds(4);
-/// Ends within any step that something happens in.
+/// Shorter than a step during which a change happens.
 constexpr Duration kShort = kEventfulStep / 2;
 
-/// Something that takes the right to send away.
+/// An event or expiry after which the statement must not be sent any more.
 struct Change {
   const char* name;
-  Duration lease;  ///< how long the lease holds from the statement on
-  Duration keys;   ///< how long keys are confirmed
+  Duration lease;  ///< remaining validity of the lease when the statement starts
+  Duration keys;   ///< remaining validity of the key confirmation
   void (*event)(SessionStand& stand);
-  Refusal single;  ///< what a single statement is told
+  Refusal single;  ///< the refusal of a single statement
 };
 
 void nothing(SessionStand& /*stand*/) {}
@@ -253,7 +253,7 @@
   }
 
   void what_may_have_run_needs_a_token() {
-    // Confirmed so long ago that this proxy may count for nobody.
+    // The view was confirmed too long ago for this proxy to grant tokens for any tenant.
     stand_->confirm(kLong, seconds(1));
     stand_->limit_tenant(1);
     StatementRequest order = stand_->write("r");
@@ -305,7 +305,7 @@
     for (const char* backend : {SessionStand::kPrimary, SessionStand::kReplica})
       CPPUNIT_ASSERT_MESSAGE(describe(change, step), sent(backend).empty());
   }
-  /// A begin may have been.
+  /// Allows a Begin to have been sent.
   void assert_no_statement(const Change& change, Step step) {
     for (const char* backend : {SessionStand::kPrimary, SessionStand::kReplica}) {
       for (const std::string& text : sent(backend))
@@ -315,7 +315,7 @@
 
   void end_transaction_with(bool commits) {
     for (const Step step : {Step::kGate, Step::kSetValue, Step::kPrepare}) {
-      // A commit puts nothing on the link.
+      // A commit applies no session state to the link.
       if (commits && step != Step::kGate) continue;
       for (const Change& change : all_changes()) {
         start();
@@ -377,7 +377,7 @@
     return order;
   }
 
-  /// One that a replica may serve: the primary's position was seen just now, and long enough ago.
+  /// A read that a replica may serve: the primary's positions of now and of a second ago are known.
   StatementRequest replica_read(const std::string& id) {
     GroupAccess& group = *stand_->group();
     group.positions.record(stand_->now() - seconds(1), Position{1, 5});
--- a/tests/registered/proxy/statement/transaction_look_test.cpp
+++ b/tests/registered/proxy/statement/transaction_look_test.cpp
@@ -1,4 +1,4 @@
-// An open transaction is looked at with each of its statements, before and after its wait.
+// An open transaction is checked before and after the wait of each of its statements.
 #include "tests/registered/proxy/statement/runner_stand.h"
 
 namespace cairnhollow::registered::proxy {
@@ -79,7 +79,8 @@
     result = co_await proxy_->runner.run(std::move(order));
   }
 
-  /// Its next statement, which needs its link brought in order, is not sent.
+  /// Asserts that the next statement, which changes a session value, is not sent and the transaction is
+  /// aborted.
   void check_ended(const PinnedLink& pinned, const std::string& since) {
     Answer answer;
     StatementRequest further = order("second");
--- a/tests/registered/proxy/statement/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -1,4 +1,4 @@
-// Statements that wait at the proxy where they came in until somebody leads the group, or are refused there.
+// Statements that wait at the proxy until their group has a primary: then run here, forwarded or refused.
 #include <memory>
 #include <set>
 #include <string>
@@ -141,7 +141,7 @@
   }
 
  private:
-  /// Counts the statements that the proxy at this process is handed; answers nothing.
+  /// Counts the forwarded statements that arrive at this process, without answering them.
   static Awaitable<void> take_orders(runtime::Runtime& runtime, int& orders) {
     Reason reason;
     const auto listener = runtime.network().listen({"10.0.0.3", 7440}, reason);
@@ -153,7 +153,7 @@
       if (request && std::holds_alternative<ForwardRun>(request->body)) ++orders;
     }
   }
-  /// The first proxy that the tenant's work is passed on to; empty: none.
+  /// The first proxy that the tenant's work is forwarded to; empty if none.
   std::string handed_to(const std::string& tenant, GroupWork work) {
     const auto& order = proxy_->view.forward_to(kGroup, TenantName(tenant), work);
     return order.empty() ? std::string() : order.front()->name.value;
@@ -170,13 +170,13 @@
     const auto at = text.find(line);
     return at == std::string::npos ? 0 : std::stoi(text.substr(at + line.size()));
   }
-  /// The order waits while the group is closed.
+  /// Closes the group and starts the request, which then waits.
   void wait_closed(StatementRequest order, RunResult& result) {
     close_group();
     runtime_->spawn("run", keep(proxy_->runner.run(std::move(order)), result));
     world_->run_for(milliseconds(50));
   }
-  /// Whether the order runs here once `primary` leads.
+  /// Whether a request that waited runs here once `primary` leads.
   bool stays(StatementRequest order, const std::string& primary) {
     RunResult result;
     wait_closed(std::move(order), result);
