--- a/src/registered/proxy/statement/cold_tokens.cpp
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -31,7 +31,7 @@
   services_.runtime.logger().log(LogLevel::kInfo, "cold_limit_reached",
                                  {{"group", group.name.value},
                                   {"backend", backend.entry.name.value},
-                                  {"why", is_over ? "over its rate" : "no home counts for it"},
+                                  {"why", is_over ? "cold rate limit reached" : "no quota owner answered"},
                                   {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
 }
 
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -19,11 +19,11 @@
 
 /// The message that tells the caller why its transaction was aborted.
 std::string ending(RejectionReason rejection) {
-  const char* why = "the transaction's backend was given up";
+  const char* why = "the transaction can't continue at its backend";
   if (rejection == RejectionReason::kCommitsStall) why = placement::rejection_text(rejection);
   if (rejection == RejectionReason::kZoneEvacuated)
     why = "the zone of the transaction's backend is evacuated";
-  return fmt::format("{}; nothing of it is kept", why);
+  return fmt::format("{}; the transaction was aborted and its changes are not kept", why);
 }
 
 }  // namespace
@@ -87,7 +87,7 @@
     if (pinned.at_primary && current) services_.link.report_suspicion(group, SuspicionKind::kSilent);
     const bool in_doubt = placement::is_in_doubt(commits && wrote, loss.may_have_arrived);
     if (in_doubt) aborted.refusal = Refusal::kInDoubt;
-    if (in_doubt) aborted.detail = "the commit was sent and its outcome is not known";
+    if (in_doubt) aborted.detail = "the commit was sent but no answer arrived; its outcome is unknown";
     log_.refusal(order, aborted, reason, 1);
     co_return aborted;
   }
@@ -112,8 +112,8 @@
   lost.state = TransactionState::kFailed;
   const bool in_doubt = placement::is_in_doubt(commits && wrote, was_open);
   lost.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kAborted;
-  lost.detail = in_doubt ? "the commit was sent and its outcome is not known"
-                         : "the proxy that served the transaction is gone; nothing of it is kept";
+  lost.detail = in_doubt ? "the commit was sent but no answer arrived; its outcome is unknown"
+                         : "the proxy that served the transaction did not answer; its changes are not kept";
   if (was_open) services_.runtime.spawn("forward_end", end_remote(remote));
   log_.refusal(order, lost, reason, 1);
   co_return lost;
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -64,7 +64,7 @@
     co_return Forwarded{ForwardedNext::kRunAgain, std::move(order), {}};
   const Unplaced unplaced{placed.rejection, placed.retry_after, {}};
   if (placed.rejection == placement::RejectionReason::kNoLease || !is_answered) {
-    result.answer.detail = fmt::format("{}; come back in {} ms", placement::rejection_text(placed.rejection),
+    result.answer.detail = fmt::format("{}; retry in {} ms", placement::rejection_text(placed.rejection),
                                        in_ms(placed.retry_after));
   }
   if (result.answer.refusal) log_.refusal(order, result.answer, reason, 1, unplaced);
@@ -103,7 +103,7 @@
     const bool in_doubt = placement::is_in_doubt(order.keeps_changes(), true);
     may_try_another = !in_doubt && services_.runtime.now() < order.deadline;
     result.answer.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kBusy;
-    result.answer.detail = "the proxy that serves the group gave no answer";
+    result.answer.detail = "the proxy that the statement was forwarded to did not answer";
     co_return result;
   }
   may_try_another = answer->may_try_another;
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -98,7 +98,7 @@
   answer.detail = placement::rejection_text(since);
   attempt.unplaced = Unplaced{since, retry_after, {}};
   if (retry_after == Duration(0)) return;
-  answer.detail += fmt::format("; come back in {} ms", in_ms(retry_after));
+  answer.detail += fmt::format("; retry in {} ms", in_ms(retry_after));
   const GroupFacts backends = attempt.order.group->standing.facts(attempt.question());
   for (const placement::BackendFacts& backend : backends) {
     const RejectionReason rejection = placement::rejection_at(backend, attempt.need.primary_only, backends);
@@ -120,7 +120,7 @@
 
 RunResult StatementRunner::refuse_stalled(StatementAttempt& attempt) {
   Reason reason{ReasonCode::kOverloaded, "check_commits", attempt.order.group->term().primary.value,
-                "commits sent before have no answer"};
+                "earlier commits to the primary have no answer; refusing the write"};
   return refuse_untried(attempt, RejectionReason::kCommitsStall, placement::kRetryAfterWithoutPrimary,
                         std::move(reason));
 }
@@ -129,7 +129,7 @@
   StatementAttempt attempt(std::move(order));
   attempt.need.primary_only = !attempt.order.may_use_replicas();
   Reason reason{ReasonCode::kNoBackend, "check_regions", attempt.order.group->term().primary.value,
-                "allowed regions: " + attempt.order.allowed.to_string()};
+                "no suitable backend in the permitted regions: " + attempt.order.allowed.to_string()};
   return refuse_untried(attempt, RejectionReason::kOutsideRegions, placement::kRetryAfterOutsideRegions,
                         std::move(reason));
 }
@@ -213,7 +213,7 @@
   attempt->cold_token = admission.expires_at;
   if (admission.outcome == AdmissionOutcome::kAdmitted) co_return true;
   attempt->reason = Reason{ReasonCode::kOverloaded, "pass_cold", backend->entry.name.value,
-                           "there is no token for the cold backend"};
+                           "no rate-limit token for the cold backend"};
   co_return false;
 }
 
@@ -231,7 +231,7 @@
   attempt->path += backend->entry.name.value + ' ';
   if (!entered) {
     attempt->reason = Reason{ReasonCode::kOverloaded, "enter_gate", backend->entry.name.value,
-                             "its turn would not come in time"};
+                             "no slot at the backend became free in time"};
     co_return apply(placement::run_again(attempt->needs_primary), *attempt);
   }
   bool begun = co_await prepare_link(attempt);
@@ -303,7 +303,7 @@
   Answer& answer = attempt.result.answer;
   answer = Answer{};
   answer.refusal = Refusal::kInDoubt;
-  answer.detail = "it was sent and its outcome is not known";
+  answer.detail = "the statement was sent but no answer arrived; its outcome is unknown";
   return NextStep::kAnswer;
 }
 
--- a/src/registered/proxy/statement/statement_sending.cpp
+++ b/src/registered/proxy/statement/statement_sending.cpp
@@ -23,7 +23,7 @@
   answer = Answer{};
   answer.refusal = Refusal::kInDoubt;
   answer.state = state;
-  answer.detail = "its primary was given up before the answer came";
+  answer.detail = "the commit was answered, but its primary may not be used any more or sent no log position";
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/placement/attempt_outcome_test.cpp
+++ b/tests/registered/placement/attempt_outcome_test.cpp
@@ -123,11 +123,11 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.replica_read,
                                    text_of(after_answer(row.refusal, replica_read())));
     }
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it failed twice", std::string("answer"),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a second failure", std::string("answer"),
                                  text_of(after_answer(Refusal::kFailed, second(replica_read()))));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("a transaction that may write", std::string("answer"),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a read-write transaction", std::string("answer"),
                                  text_of(after_answer(Refusal::kFailed, opens_transaction())));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("any number of times", std::string("pause"),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no limit on busy answers", std::string("pause"),
                                  text_of(after_answer(Refusal::kBusy, second(write()))));
   }
 
@@ -141,15 +141,15 @@
     const std::vector<Row> rows{
         {"busy", Refusal::kBusy, write(), ""},
         {"a replica lags", Refusal::kTooStale, replica_read(), " lag"},
-        {"a primary lost its log", Refusal::kTooStale, primary_read(), " suspect close"},
-        {"it leads no more", Refusal::kNotPrimary, write(), " suspect"},
-        {"it led a former term", Refusal::kNotPrimary, of_former_term(write()), ""},
-        {"it is no primary", Refusal::kNotPrimary, replica_read(), ""},
-        {"another backend", Refusal::kWrongBackend, write(), " close"},
-        {"nothing is prepared", Refusal::kUnknownStatement, write(), " forget"},
-        {"no connection", Refusal::kConnectionLimit, write(), ""},
-        {"a key", Refusal::kUnauthorized, write(), ""},
-        {"a limit", Refusal::kOverLimit, write(), ""},
+        {"a primary lacks a reported position", Refusal::kTooStale, primary_read(), " suspect close"},
+        {"the primary lost its role", Refusal::kNotPrimary, write(), " suspect"},
+        {"a primary of an earlier term", Refusal::kNotPrimary, of_former_term(write()), ""},
+        {"a replica", Refusal::kNotPrimary, replica_read(), ""},
+        {"wrong backend", Refusal::kWrongBackend, write(), " close"},
+        {"unknown prepared statement", Refusal::kUnknownStatement, write(), " forget"},
+        {"connection limit", Refusal::kConnectionLimit, write(), ""},
+        {"unauthorized", Refusal::kUnauthorized, write(), ""},
+        {"over limit", Refusal::kOverLimit, write(), ""},
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.effects,
@@ -180,14 +180,15 @@
     };
     const std::vector<Row> rows{
         {"a write that was not sent", write(), kNotSent, "pause reborn suspect"},
-        {"a write that was broken off", write(), kBrokenOff, "answer reborn suspect broke_off"},
+        {"a write whose connection was lost", write(), kBrokenOff, "answer reborn suspect broke_off"},
         {"a write whose answer is late", write(), kLate, "answer suspect"},
-        {"a write at a former primary", of_former_term(write()), kBrokenOff, "answer"},
-        {"the first of a transaction", opens_transaction(), kBrokenOff, "pause reborn suspect broke_off"},
+        {"a write at a primary of an earlier term", of_former_term(write()), kBrokenOff, "answer"},
+        {"the first statement of a transaction", opens_transaction(), kBrokenOff,
+         "pause reborn suspect broke_off"},
         {"a read of the primary", primary_read(), kLate, "pause suspect"},
         {"a read of a replica", replica_read(), kLate, "again elsewhere"},
-        {"a replica breaks off", replica_read(), kBrokenOff, "again elsewhere reborn"},
-        {"a read at the primary", free_read_at_primary(), kLate, "again elsewhere suspect"},
+        {"a replica's connection was lost", replica_read(), kBrokenOff, "again elsewhere reborn"},
+        {"a replica read at the primary", free_read_at_primary(), kLate, "again elsewhere suspect"},
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome, text_of(after_loss(row.attempt, row.loss)));
@@ -211,11 +212,11 @@
       LinkFailureOutcome outcome;
     };
     const std::vector<Row> rows{
-        {"nobody answers", {false, false}, false, {true, false, true}},
-        {"the primary does not", {false, false}, true, {true, true, true}},
-        {"it answers and refuses", {true, false}, true, {true, false, false}},
+        {"a replica does not answer", {false, false}, false, {true, false, true}},
+        {"the primary does not answer", {false, false}, true, {true, true, true}},
+        {"the primary rejects the connection", {true, false}, true, {true, false, false}},
         {"all links are in use", {false, true}, true, {false, false, false}},
-        {"it takes no more", {true, true}, true, {false, false, false}},
+        {"the connection limit is reached", {true, true}, true, {false, false, false}},
     };
     for (const Row& row : rows) {
       const LinkFailureOutcome outcome = after_link_failure(row.failure, row.at_primary);
@@ -236,10 +237,10 @@
     const std::vector<Row> rows{
         {"a commit", true, true, true, {true, true, false}},
         {"a read", false, true, true, {true, false, false}},
-        {"a commit at a former primary", true, false, true, {false, false, true}},
-        {"a read at a former primary", false, false, true, {false, false, false}},
-        {"a commit that shows no position", true, true, false, {false, false, true}},
-        {"a read that shows none", false, true, false, {false, false, false}},
+        {"a commit at a primary that may not be used", true, false, true, {false, false, true}},
+        {"a read at a primary that may not be used", false, false, true, {false, false, false}},
+        {"a commit without a position", true, true, false, {false, false, true}},
+        {"a read without a position", false, true, false, {false, false, false}},
     };
     for (const Row& row : rows) {
       const PrimarySuccess success =
--- a/tests/registered/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -104,31 +104,32 @@
  public:
   void what_needs_the_primary() {
     const BackendFacts other = replica("r1");
-    check(true, {
-                    {"it leads", {primary(), other}, "primary"},
-                    {"unknown", {other}, "", RejectionReason::kNoBackend},
-                    {"no backends", {}, "", RejectionReason::kNoBackend},
-                    {"group closed", {of_closed_term(primary()), other}, "", RejectionReason::kGroupClosed},
-                    {"leaves and still leads", {leaving(primary()), other}, "primary"},
-                    {"left", {leaving_too_long(primary()), other}, "", RejectionReason::kLeaving},
-                    {"tried", {tried(primary()), other}, "", RejectionReason::kTried},
-                    {"avoided: there is no other", {avoided(primary()), other}, "primary"},
-                    {"refused: there is no other", {refused(primary()), other}, "primary"},
-                    {"evacuated", {evacuated(primary()), other}, "", RejectionReason::kZoneEvacuated, true},
-                    {"outside", {outside(primary()), other}, "", RejectionReason::kOutsideRegions, true},
-                    {"cold", {cold(primary()), other}, "", RejectionReason::kColdLimit, true},
-                    {"another one may lead soon",
-                     {of_closed_term(evacuated(primary())), other},
-                     "",
-                     RejectionReason::kGroupClosed},
-                    {"other backends don't matter", {primary(), evacuated(other)}, "primary"},
-                });
+    check(true,
+          {
+              {"the primary", {primary(), other}, "primary"},
+              {"no known primary", {other}, "", RejectionReason::kNoBackend},
+              {"no backends", {}, "", RejectionReason::kNoBackend},
+              {"group closed", {of_closed_term(primary()), other}, "", RejectionReason::kGroupClosed},
+              {"draining, within its grace period", {leaving(primary()), other}, "primary"},
+              {"draining for too long", {leaving_too_long(primary()), other}, "", RejectionReason::kLeaving},
+              {"tried", {tried(primary()), other}, "", RejectionReason::kTried},
+              {"avoided, but the only primary", {avoided(primary()), other}, "primary"},
+              {"refused, but the only primary", {refused(primary()), other}, "primary"},
+              {"evacuated", {evacuated(primary()), other}, "", RejectionReason::kZoneEvacuated, true},
+              {"outside", {outside(primary()), other}, "", RejectionReason::kOutsideRegions, true},
+              {"cold", {cold(primary()), other}, "", RejectionReason::kColdLimit, true},
+              {"a closed term comes before evacuation",
+               {of_closed_term(evacuated(primary())), other},
+               "",
+               RejectionReason::kGroupClosed},
+              {"other backends don't matter", {primary(), evacuated(other)}, "primary"},
+          });
   }
 
   void a_read_goes_where_it_costs_least() {
     check(false, {
                      {"cheapest", {primary(), replica("r1", 12), replica("r2", 11)}, "r2"},
-                     {"the first of equals", {primary(), replica("r1"), replica("r2")}, "r1"},
+                     {"the first of equally cheap ones", {primary(), replica("r1"), replica("r2")}, "r1"},
                      {"the primary, when it is cheapest", {primary(), replica("r1", 30)}, "primary"},
                      {"the primary alone", {primary()}, "primary"},
                  });
@@ -136,53 +137,59 @@
 
   void a_read_passes_over() {
     const BackendFacts dear = replica("dear", 15);
-    check(false, {
-                     {"a leaving one", {primary(), leaving(replica("r1")), dear}, "dear"},
-                     {"one tried", {primary(), tried(replica("r1")), dear}, "dear"},
-                     {"one that lags", {primary(), lagging(replica("r1")), dear}, "dear"},
-                     {"all that lag", {primary(), lagging(replica("r1")), lagging(dear)}, "primary"},
-                     {"lag, and the primary was tried",
-                      {tried(primary()), lagging(replica("r1"))},
-                      "",
-                      RejectionReason::kLags},
-                     {"lag counts for nothing where nobody leads", {lagging(replica("r1"))}, "r1"},
-                     {"a leaving primary, for any other", {leaving(primary()), replica("r1", 90)}, "r1"},
-                     {"but not for none", {leaving(primary()), leaving(replica("r1"))}, "primary"},
-                 });
+    check(false,
+          {
+              {"a draining replica", {primary(), leaving(replica("r1")), dear}, "dear"},
+              {"a replica already tried", {primary(), tried(replica("r1")), dear}, "dear"},
+              {"a lagging replica", {primary(), lagging(replica("r1")), dear}, "dear"},
+              {"all lagging replicas", {primary(), lagging(replica("r1")), lagging(dear)}, "primary"},
+              {"a lagging replica while the primary was tried",
+               {tried(primary()), lagging(replica("r1"))},
+               "",
+               RejectionReason::kLags},
+              {"lag does not matter without a primary", {lagging(replica("r1"))}, "r1"},
+              {"a draining primary, for a costlier replica", {leaving(primary()), replica("r1", 90)}, "r1"},
+              {"a draining primary if it is the only choice",
+               {leaving(primary()), leaving(replica("r1"))},
+               "primary"},
+          });
   }
 
   void what_failed_a_moment_ago_goes_last() {
     const BackendFacts failed = avoided(replica("failed", 1));
     const BackendFacts full = refused(replica("full", 1));
-    check(
-        false,
-        {
-            {"failed", {primary(), failed, replica("r1")}, "r1"},
-            {"full", {primary(), full, replica("r1")}, "r1"},
-            {"behind the primary", {primary(), failed, full}, "primary"},
-            {"behind a primary that failed, too", {avoided(primary()), failed}, "primary"},
-            {"when all else was tried", {tried(primary()), failed, full}, "failed"},
-            {"the cheapest of them", {tried(primary()), failed, avoided(replica("cheaper", 0.5))}, "cheaper"},
-        });
+    check(false, {
+                     {"one that failed", {primary(), failed, replica("r1")}, "r1"},
+                     {"one that rejects connections", {primary(), full, replica("r1")}, "r1"},
+                     {"after the primary", {primary(), failed, full}, "primary"},
+                     {"after a primary that failed, too", {avoided(primary()), failed}, "primary"},
+                     {"when all others were tried", {tried(primary()), failed, full}, "failed"},
+                     {"the cheapest of those that failed",
+                      {tried(primary()), failed, avoided(replica("cheaper", 0.5))},
+                      "cheaper"},
+                 });
   }
 
   void a_primary_that_may_not_be_believed_serves_no_read() {
     const BackendFacts closed = with(of_closed_term(primary()), [](auto& backend) { backend.cost = 1; });
-    check(false, {
-                     {"group closed", {closed, replica("r1")}, "r1"},
-                     {"and nobody else", {closed}, "", RejectionReason::kGroupClosed},
-                     {"a replica that lags all the same", {closed, lagging(replica("r1"))}, "r1"},
-                     {"left too long", {leaving_too_long(primary()), lagging(replica("r1"))}, "r1"},
-                 });
+    check(
+        false,
+        {
+            {"group closed", {closed, replica("r1")}, "r1"},
+            {"group closed, no replica", {closed}, "", RejectionReason::kGroupClosed},
+            {"group closed, a lagging replica", {closed, lagging(replica("r1"))}, "r1"},
+            {"a primary draining for too long", {leaving_too_long(primary()), lagging(replica("r1"))}, "r1"},
+        });
   }
 
   void nobody_is_left_to_read_at() {
-    check(false,
-          {
-              {"no backends", {}, "", RejectionReason::kNoBackend},
-              {"all tried", {tried(primary()), tried(replica("r1"))}, "", RejectionReason::kTried},
-              {"all leave", {leaving(replica("r1")), leaving(replica("r2"))}, "", RejectionReason::kLeaving},
-          });
+    check(
+        false,
+        {
+            {"no backends", {}, "", RejectionReason::kNoBackend},
+            {"all tried", {tried(primary()), tried(replica("r1"))}, "", RejectionReason::kTried},
+            {"all draining", {leaving(replica("r1")), leaving(replica("r2"))}, "", RejectionReason::kLeaving},
+        });
   }
 
   void new_work_is_kept_away() {
@@ -193,9 +200,9 @@
             {"evacuated", {evacuated(replica("r1")), other}, "r2"},
             {"outside", {outside(replica("r1")), other}, "r2"},
             {"cold", {cold(replica("r1")), other}, "r2"},
-            {"a primary, too", {evacuated(primary()), other}, "r2"},
-            {"whoever lags is better than that", {evacuated(primary()), lagging(other)}, "r2"},
-            {"whoever failed is", {cold(primary()), avoided(other)}, "r2"},
+            {"an evacuated primary", {evacuated(primary()), other}, "r2"},
+            {"a lagging replica before an evacuated primary", {evacuated(primary()), lagging(other)}, "r2"},
+            {"one that failed before a cold primary", {cold(primary()), avoided(other)}, "r2"},
             {"all evacuated",
              {evacuated(primary()), evacuated(other)},
              "",
@@ -203,22 +210,25 @@
              true},
             {"all outside", {outside(primary()), outside(other)}, "", RejectionReason::kOutsideRegions, true},
             {"all cold", {cold(primary()), cold(other)}, "", RejectionReason::kColdLimit, true},
-            {"a leaving one won't come back",
+            {"a draining replica is not waited for",
              {evacuated(primary()), leaving(other)},
              "",
              RejectionReason::kZoneEvacuated,
              true},
-            {"one tried may", {evacuated(replica("r1")), tried(primary())}, "", RejectionReason::kTried},
-            {"one of a closed group may",
+            {"one already tried may serve later",
+             {evacuated(replica("r1")), tried(primary())},
+             "",
+             RejectionReason::kTried},
+            {"a primary of a closed term may serve later",
              {of_closed_term(primary()), evacuated(other)},
              "",
              RejectionReason::kGroupClosed},
-            {"evacuation ends sooner than a rule",
+            {"evacuation is expected to end before a region rule",
              {outside(primary()), evacuated(other)},
              "",
              RejectionReason::kZoneEvacuated,
              true},
-            {"cold ends sooner still",
+            {"a cold limit is expected to end first",
              {cold(replica("r1")), outside(primary()), evacuated(other)},
              "",
              RejectionReason::kColdLimit,
@@ -241,7 +251,7 @@
     CPPUNIT_ASSERT(!has_other_reader(false, Backends{tried(replica("r1")), avoided(replica("r2"))}));
     CPPUNIT_ASSERT(!has_other_reader(false, Backends{tried(replica("r1")), lagging(replica("r2"))}));
     CPPUNIT_ASSERT(!has_other_reader(false, Backends{tried(replica("r1")), evacuated(replica("r2"))}));
-    CPPUNIT_ASSERT_MESSAGE("full is no failure",
+    CPPUNIT_ASSERT_MESSAGE("rejecting connections is no failure",
                            has_other_reader(false, Backends{tried(replica("r1")), refused(replica("r2"))}));
   }
 
--- a/tests/registered/placement/sending_test.cpp
+++ b/tests/registered/placement/sending_test.cpp
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT(ask(good, [](auto& facts) { facts.key.is_confirmed = false; }) ==
                    RejectionReason::kKeyUnconfirmed);
     BackendFacts evacuated = with(there, [](auto& facts) { facts.zone_evacuated = true; });
-    CPPUNIT_ASSERT_MESSAGE("it has a while",
+    CPPUNIT_ASSERT_MESSAGE("within the grace period",
                            rejection_in_transaction(good, evacuated) == RejectionReason::kNone);
     evacuated.transaction_grace_over = true;
     CPPUNIT_ASSERT(rejection_in_transaction(good, evacuated) == RejectionReason::kZoneEvacuated);
@@ -108,7 +108,7 @@
       facts.cold_limit_reached = true;
       facts.region_allowed = false;
     });
-    CPPUNIT_ASSERT_MESSAGE("that is about new work",
+    CPPUNIT_ASSERT_MESSAGE("conditions that apply to new work only",
                            rejection_in_transaction(good, others) == RejectionReason::kNone);
   }
 };
--- a/tests/registered/placement/statement_progress_test.cpp
+++ b/tests/registered/placement/statement_progress_test.cpp
@@ -61,11 +61,11 @@
       bool may_wait;
     };
     const std::vector<Row> rows{
-        {"it came now", fresh(), 1000, true, true},
-        {"a third of its time is nearly over", fresh(), 1299, true, true},
-        {"a third of its time is over", fresh(), 1300, true, false},
-        {"its time is nearly over", fresh(), 1899, true, false},
-        {"its time is over", fresh(), 1900, false, false},
+        {"just arrived", fresh(), 1000, true, true},
+        {"just before a third of its time", fresh(), 1299, true, true},
+        {"after a third of its time", fresh(), 1300, true, false},
+        {"just before its deadline", fresh(), 1899, true, false},
+        {"at its deadline", fresh(), 1900, false, false},
         {"three backends tried", tried(3), 1000, true, true},
         {"four backends tried", tried(4), 1000, false, true},
     };
@@ -88,14 +88,14 @@
       std::string slot;
     };
     const std::vector<Row> rows{
-        {"it came now", fresh(), 1000, "1300", "1300"},
-        {"callers aim at less than its time", aims_at(200), 1000, "1300", "1100"},
-        {"half of the aim is over: a last moment", aims_at(200), 1150, "1300", "1158"},
-        {"no longer than for a primary", aims_at(200), 1296, "1300", "1300"},
-        {"offered before: 100 ms for a link", offered(), 1400, "1500", "1408"},
-        {"offered before, aim not reached", offered(), 1100, "1200", "1200"},
-        {"never beyond its time", offered(), 1850, "1900", "1858"},
-        {"nor for a place", offered(), 1895, "1900", "1900"},
+        {"just arrived", fresh(), 1000, "1300", "1300"},
+        {"target latency below the deadline", aims_at(200), 1000, "1300", "1100"},
+        {"half the target latency passed: one retry pause", aims_at(200), 1150, "1300", "1158"},
+        {"at most the wait for a primary", aims_at(200), 1296, "1300", "1300"},
+        {"sent before: 100 ms for a link", offered(), 1400, "1500", "1408"},
+        {"sent before, target latency not reached", offered(), 1100, "1200", "1200"},
+        {"link wait ends at the deadline", offered(), 1850, "1900", "1858"},
+        {"slot wait ends at the deadline", offered(), 1895, "1900", "1900"},
     };
     for (const Row& row : rows) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.link, text_of(link_wait_end(row.progress, at(row.now))));
@@ -106,14 +106,14 @@
   void silent_backends() {
     CPPUNIT_ASSERT(may_leave_silent_backend(false, tried(1)));
     CPPUNIT_ASSERT(may_leave_silent_backend(false, tried(2)));
-    CPPUNIT_ASSERT_MESSAGE("the one after it would be the last", !may_leave_silent_backend(false, tried(3)));
-    CPPUNIT_ASSERT_MESSAGE("nobody else may run it", !may_leave_silent_backend(true, tried(1)));
+    CPPUNIT_ASSERT_MESSAGE("the next attempt would be the last", !may_leave_silent_backend(false, tried(3)));
+    CPPUNIT_ASSERT_MESSAGE("only the primary may run it", !may_leave_silent_backend(true, tried(1)));
     const auto wait_end = [](const StatementProgress& progress, int sent_at) {
       return text_of(silent_backend_wait_end(progress, at(sent_at)));
     };
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("half of the aim", std::string("1310"), wait_end(fresh(), 1010));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("100 ms at least", std::string("1110"), wait_end(aims_at(60), 1010));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("its time at most", std::string("1900"), wait_end(fresh(), 1700));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("half the target latency", std::string("1310"), wait_end(fresh(), 1010));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("at least 100 ms", std::string("1110"), wait_end(aims_at(60), 1010));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("at most the deadline", std::string("1900"), wait_end(fresh(), 1700));
   }
 
   void reroutes() {
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT(may_be_rerouted(fresh()));
     CPPUNIT_ASSERT(may_be_rerouted(rerouted(1)));
     CPPUNIT_ASSERT(!may_be_rerouted(rerouted(2)));
-    CPPUNIT_ASSERT_MESSAGE("a backend may have seen it", !may_be_rerouted(offered()));
+    CPPUNIT_ASSERT_MESSAGE("a backend may have received it", !may_be_rerouted(offered()));
     CPPUNIT_ASSERT(!may_be_rerouted(tried(1)));
   }
 };
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -42,7 +42,7 @@
     }
     if (std::holds_alternative<PassOn>(request)) ++backend_.statements;
     if (std::holds_alternative<PassOn>(request) && backend_.breaks_off) {
-      reason = Reason{ReasonCode::kConnectionLost, "run", kBackend.value, "broke off"};
+      reason = Reason{ReasonCode::kConnectionLost, "run", kBackend.value, "connection lost"};
       open_ = false;
       co_return std::nullopt;
     }
@@ -72,7 +72,8 @@
   CountingDialer(runtime::Runtime& runtime, Backend& backend) : runtime_(runtime), backend_(backend) {}
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/, Reason& reason) override {
-    if (backend_.is_gone) reason = Reason{ReasonCode::kConnectionLost, "open", kBackend.value, "is gone"};
+    if (backend_.is_gone)
+      reason = Reason{ReasonCode::kConnectionLost, "open", kBackend.value, "connection refused"};
     if (backend_.is_gone) co_return nullptr;
     co_return std::make_shared<CountingLink>(runtime_, backend_);
   }
@@ -189,7 +190,7 @@
       CPPUNIT_ASSERT_MESSAGE(result.answer.detail, result.answer.detail.starts_with(placement::rejection_text(
                                                        placement::RejectionReason::kColdLimit)));
       CPPUNIT_ASSERT_MESSAGE(result.answer.detail,
-                             result.answer.detail.find("come back in") != std::string::npos);
+                             result.answer.detail.find("retry in") != std::string::npos);
     }
     CPPUNIT_ASSERT_EQUAL(4, refused);
   }
@@ -211,7 +212,7 @@
   void a_backend_that_turns_cold_meanwhile_gets_nothing_without_a_token() {
     start(1, 5000);
     run_side_by_side(1, milliseconds(50));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the only token is used", 1, backend().statements);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the only token is spent", 1, backend().statements);
     group()->put_backend(entry(0));
     backend().during_setup = [this] { group()->put_backend(entry(4000)); };
     const auto results = run_side_by_side(1, milliseconds(50), "second");
@@ -238,7 +239,7 @@
     const Answer answer = run_pinned(pinned, milliseconds(1000));
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
-    CPPUNIT_ASSERT_MESSAGE("the backend rolls it back", !pinned.link->link().is_open());
+    CPPUNIT_ASSERT_MESSAGE("closing the link makes the backend roll back", !pinned.link->link().is_open());
   }
 
   void a_transaction_that_waits_for_a_token_holds_no_place() {
@@ -263,21 +264,22 @@
     for (std::uint32_t place = 0; place < places; ++place) gate().leave_unanswered();
     world_->run_for(milliseconds(600));
     CPPUNIT_ASSERT(answers_.at(0).refusal == Refusal::kAborted);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the one that opened it", 1, backend().statements);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("only the statement that opened the transaction", 1, backend().statements);
     CPPUNIT_ASSERT_EQUAL(0U, gate().running());
   }
 
   void a_backend_that_was_gone_is_sent_its_cold_rate() {
     start(6, 0);
     run_side_by_side(5, milliseconds(50));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it is warm", 5, backend().statements);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the backend is warm", 5, backend().statements);
     for (const auto& [name, use] : group()->backends.all()) use->pool.close_idle();
     backend().is_gone = true;
     run_side_by_side(1, milliseconds(1000));
     backend().is_gone = false;
     const int before = backend().statements;
     run_side_by_side(5, milliseconds(1000));
-    CPPUNIT_ASSERT_MESSAGE("what could be another life", backend().statements - before <= 3);
+    CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart",
+                           backend().statements - before <= 3);
     CPPUNIT_ASSERT(backend().statements > before);
     proxy_->view.extend_lease(runtime_->now() + seconds(2), runtime_->now() + seconds(60), 1);
     const int confirmed = backend().statements;
@@ -290,7 +292,7 @@
     run_side_by_side(5, milliseconds(50));
     ++backend().life;
     run_side_by_side(5, milliseconds(50));
-    CPPUNIT_ASSERT_MESSAGE("what could be another life", backend().statements - 5 <= 3);
+    CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 5 <= 3);
   }
 
   void a_backend_that_broke_off_is_sent_its_cold_rate() {
@@ -300,7 +302,7 @@
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
     backend().breaks_off = false;
     run_side_by_side(5, milliseconds(50));
-    CPPUNIT_ASSERT_MESSAGE("what could be another life", backend().statements - 1 <= 3);
+    CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 1 <= 3);
   }
 
  private:
--- a/tests/registered/proxy/statement/last_look_test.cpp
+++ b/tests/registered/proxy/statement/last_look_test.cpp
@@ -72,7 +72,7 @@
     const RunResult result = run(order());
     CPPUNIT_ASSERT(result.answer.succeeded());
     CPPUNIT_ASSERT_EQUAL(1, sent("two"));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("only at the one that leads now", 1, backends().values);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("set on the new primary's link only", 1, backends().values);
   }
 
   void a_former_primary_is_not_dialled() {
@@ -80,7 +80,7 @@
     std::array<RunResult, 3> results;
     for (RunResult& result : results) runtime_->spawn("run", keep(proxy_->runner.run(order()), result));
     world_->run_for(milliseconds(50));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the third waits for its turn", 2, sent("one"));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the third waits for a slot", 2, sent("one"));
     replace_primary();
     world_->run_for(milliseconds(1200));
     CPPUNIT_ASSERT_EQUAL(2, backends().dials["one"]);
@@ -108,7 +108,7 @@
     confirm();
     const RunResult result = run(order());
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kBusy);
-    CPPUNIT_ASSERT_EQUAL(std::string("the backend that could run it is leaving; come back in 300 ms"),
+    CPPUNIT_ASSERT_EQUAL(std::string("the backend that could run it is draining; retry in 300 ms"),
                          result.answer.detail);
     CPPUNIT_ASSERT_EQUAL(1, unplaced("leaving"));
   }
@@ -125,7 +125,8 @@
     StatementRequest again = order();
     again.may_have_run = true;
     const RunResult result = run(again);
-    CPPUNIT_ASSERT_MESSAGE("nobody counts for the tenant", result.answer.refusal == Refusal::kOverLimit);
+    CPPUNIT_ASSERT_MESSAGE("no proxy grants tokens for the tenant",
+                           result.answer.refusal == Refusal::kOverLimit);
     CPPUNIT_ASSERT(!result.nothing_run);
     CPPUNIT_ASSERT_EQUAL(0, sent("one"));
     CPPUNIT_ASSERT_EQUAL(1, unplaced("over_limit"));
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -94,7 +94,7 @@
       return refused;
     }
     sent = mishap.sent;
-    reason = Reason{ReasonCode::kConnectionLost, "run", name_, "broken off"};
+    reason = Reason{ReasonCode::kConnectionLost, "run", name_, "connection lost"};
     open_ = false;
     return std::nullopt;
   }
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -247,8 +247,8 @@
     bind_tenant("west");
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, caller->answers.size());
-    CPPUNIT_ASSERT_MESSAGE("in the transaction", caller->answers[1].succeeded());
-    CPPUNIT_ASSERT_MESSAGE("after it", caller->answers[3].refusal == Refusal::kBusy);
+    CPPUNIT_ASSERT_MESSAGE("the read in the open transaction", caller->answers[1].succeeded());
+    CPPUNIT_ASSERT_MESSAGE("the read after the transaction", caller->answers[3].refusal == Refusal::kBusy);
   }
 
  private:
@@ -298,8 +298,8 @@
     const RunResult result = run(order);
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(result.nothing_run);
-    CPPUNIT_ASSERT(result.answer.detail.find("come back in 5000 ms") != std::string::npos);
-    CPPUNIT_ASSERT_MESSAGE("at once", took_ < milliseconds(2));
+    CPPUNIT_ASSERT(result.answer.detail.find("retry in 5000 ms") != std::string::npos);
+    CPPUNIT_ASSERT_MESSAGE("refused without a wait", took_ < milliseconds(2));
     const std::string metrics = proxy_->metrics.render();
     CPPUNIT_ASSERT(metrics.find("unplaced_total{since=\"outside_regions\"} 1") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(0, proxy_->script.statements);
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -32,16 +32,16 @@
   static const std::vector<Change> changes{
       {"the key is removed", kLong, kLong, [](SessionStand& stand) { stand.remove_key(); },
        Refusal::kUnauthorized},
-      {"the key is another tenant's", kLong, kLong, [](SessionStand& stand) { stand.move_key(); },
+      {"the key proves another tenant", kLong, kLong, [](SessionStand& stand) { stand.move_key(); },
        Refusal::kUnauthorized},
-      {"keys are not confirmed any more", kLong, kShort, nothing, Refusal::kBusy},
+      {"the key confirmation expires", kLong, kShort, nothing, Refusal::kBusy},
   };
   return changes;
 }
 
 const std::vector<Change>& changes_of_primary() {
   static const std::vector<Change> changes{
-      {"the lease ends", kShort, kLong, nothing, Refusal::kBusy},
+      {"the lease expires", kShort, kLong, nothing, Refusal::kBusy},
       {"the group is closed", kLong, kLong, [](SessionStand& stand) { stand.close_group(); }, Refusal::kBusy},
   };
   return changes;
@@ -101,7 +101,8 @@
     };
     stand_->runtime().spawn("renew", renew(*stand_));
     CPPUNIT_ASSERT(run(stand_->write("w")).answer.succeeded());
-    CPPUNIT_ASSERT_MESSAGE("nothing is opened for it before", stand_->dialled_for().size() == 1);
+    CPPUNIT_ASSERT_MESSAGE("no link is opened before the lease is renewed",
+                           stand_->dialled_for().size() == 1);
   }
 
   void nothing_of_a_write_is_sent_after_a_change() {
@@ -172,7 +173,7 @@
       StatementRequest first = stand_->write("w");
       first.opens_transaction = true;
       run(first);
-      CPPUNIT_ASSERT_MESSAGE("not even begun", sent(SessionStand::kPrimary).empty());
+      CPPUNIT_ASSERT_MESSAGE("no Begin is sent", sent(SessionStand::kPrimary).empty());
     }
   }
 
@@ -189,7 +190,7 @@
     late.values["tag"] = "b";
     const Answer answer = run_pinned(pinned, late, false);
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("not even its values", set_ups, stand_->set_ups());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no session values are set", set_ups, stand_->set_ups());
     CPPUNIT_ASSERT(!pinned.link->link().is_open());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent(SessionStand::kPrimary).size());
   }
@@ -263,7 +264,7 @@
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kOverLimit);
     CPPUNIT_ASSERT(sent(SessionStand::kPrimary).empty());
     order.may_have_run = false;
-    CPPUNIT_ASSERT_MESSAGE("who runs for the first time was admitted before", run(order).answer.succeeded());
+    CPPUNIT_ASSERT_MESSAGE("a first run took its token before", run(order).answer.succeeded());
   }
 
   void a_public_route_needs_no_confirmation() {
--- a/tests/registered/proxy/statement/transaction_look_test.cpp
+++ b/tests/registered/proxy/statement/transaction_look_test.cpp
@@ -20,7 +20,7 @@
     const PinnedLink pinned = open_transaction();
     remove_key();
     check_ended(pinned, "key_unauthorized");
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nor is its link brought in order", 1, backends().values);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no session value is set for the refused statement", 1, backends().values);
   }
 
   void a_transaction_ends_with_a_key_that_is_removed_while_it_waits() {
@@ -58,7 +58,10 @@
     runtime_->spawn("commit", keep(proxy_->runner.transactions().run(pinned, order(), true, true), answer));
     world_->run_for(milliseconds(10));
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
-    CPPUNIT_ASSERT_EQUAL(std::string("commits reach no replica now; nothing of it is kept"), answer.detail);
+    CPPUNIT_ASSERT_EQUAL(
+        std::string(
+            "earlier commits have no answer yet; the transaction was aborted and its changes are not kept"),
+        answer.detail);
     CPPUNIT_ASSERT_EQUAL(2, sent("one"));
     CPPUNIT_ASSERT_EQUAL(1, unplaced("commits_stall"));
     world_->run_for(milliseconds(1000));
@@ -90,7 +93,7 @@
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(1, sent("one"));
     CPPUNIT_ASSERT_EQUAL(1, unplaced(since));
-    CPPUNIT_ASSERT_MESSAGE("the backend rolls it back", !pinned.link->link().is_open());
+    CPPUNIT_ASSERT_MESSAGE("closing the link makes the backend roll back", !pinned.link->link().is_open());
   }
 };
 
--- a/tests/registered/proxy/statement/waiting_statement_test.cpp
+++ b/tests/registered/proxy/statement/waiting_statement_test.cpp
@@ -46,8 +46,8 @@
       reads.insert(handed_to(tenant, GroupWork::kSingleReads));
       open_group("one", 1);
     }
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("of this zone", std::size_t{2}, open.size());
-    CPPUNIT_ASSERT_MESSAGE("reads go on as ever", reads == open);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the two proxies of this zone", std::size_t{2}, open.size());
+    CPPUNIT_ASSERT_MESSAGE("reads go to the same proxies as before", reads == open);
   }
 
   void without_a_lease_a_closed_groups_writes_are_handed_on() {
@@ -56,7 +56,7 @@
     std::set<std::string> closed;
     for (int each = 0; each < 20; ++each)
       closed.insert(handed_to("tenant-" + std::to_string(each), GroupWork::kAtPrimary));
-    CPPUNIT_ASSERT_MESSAGE("others may know who leads", closed.count("near") > 0);
+    CPPUNIT_ASSERT_MESSAGE("another proxy may know the primary", closed.count("near") > 0);
   }
 
   void a_write_that_waited_goes_to_the_tenants_proxy_of_the_primarys_zone() {
