--- a/src/registered/placement/attempt_outcome.cpp
+++ b/src/registered/placement/attempt_outcome.cpp
@@ -4,33 +4,35 @@
 
 namespace cairnhollow::registered::placement {
 
-Retry run_again(bool needs_primary) {
-  return needs_primary ? Retry{NextStep::kPauseAndTryAgain, false} : Retry{NextStep::kChooseAgain, true};
+Retry make_retry(bool needs_primary) {
+  return needs_primary ? Retry{NextStep::kRetryAfterPause, false} : Retry{NextStep::kReselectBackend, true};
 }
 
 LinkFailureOutcome after_link_failure(const LinkFailure& failure, bool at_primary) {
   LinkFailureOutcome outcome;
   outcome.avoid_backend = !failure.full;
   outcome.primary_unreachable = !failure.full && !failure.refused && at_primary;
-  outcome.may_be_reborn = !failure.full && !failure.refused;
+  outcome.may_have_restarted = !failure.full && !failure.refused;
   return outcome;
 }
 
 LossOutcome after_loss(const AttemptFacts& attempt, const LossFacts& loss) {
   LossOutcome outcome;
-  outcome.may_be_reborn = may_be_reborn(loss, attempt.term_is_current);
+  outcome.may_have_restarted = may_have_restarted(loss, attempt.term_is_current);
   outcome.suspect_primary = attempt.at_primary && attempt.term_is_current;
-  outcome.broke_off = outcome.suspect_primary && loss.connection_lost && loss.may_have_arrived;
+  outcome.counts_as_disconnect = outcome.suspect_primary && loss.connection_lost && loss.may_have_arrived;
   if (!is_in_doubt(!attempt.repeatable, loss.may_have_arrived))
-    outcome.retry = run_again(attempt.needs_primary);
+    outcome.retry = make_retry(attempt.needs_primary);
   return outcome;
 }
 
-bool may_be_reborn(const LossFacts& loss, bool term_is_current) {
+bool may_have_restarted(const LossFacts& loss, bool term_is_current) {
   return term_is_current && loss.connection_lost;
 }
 
-bool is_in_doubt(bool keeps_changes, bool may_have_arrived) { return keeps_changes && may_have_arrived; }
+bool is_in_doubt(bool makes_durable_changes, bool may_have_arrived) {
+  return makes_durable_changes && may_have_arrived;
+}
 
 RefusalEffects effects_of_refusal(Refusal refusal, const AttemptFacts& attempt) {
   RefusalEffects effects;
@@ -39,8 +41,9 @@
   effects.record_lag = refusal == Refusal::kTooStale && !attempt.primary_only;
   effects.forget_prepared = refusal == Refusal::kUnknownStatement;
   effects.close_link = refusal == Refusal::kWrongBackend || lost_its_log;
-  const bool leads_no_more = refusal == Refusal::kNotPrimary && attempt.at_primary && attempt.may_use_primary;
-  effects.suspect_primary = leads_no_more || lost_its_log;
+  const bool lost_primary_role =
+      refusal == Refusal::kNotPrimary && attempt.at_primary && attempt.may_use_primary;
+  effects.suspect_primary = lost_primary_role || lost_its_log;
   return effects;
 }
 
@@ -54,9 +57,9 @@
 
 Retry after_answer(const std::optional<Refusal>& refusal, const AttemptFacts& attempt) {
   if (!refusal) return {};
-  if (is_not_run(*refusal)) return run_again(attempt.needs_primary);
-  const bool may_fail_less_elsewhere = attempt.reads && attempt.attempts < kMaxFailedReads;
-  if (*refusal == Refusal::kFailed && may_fail_less_elsewhere) return {NextStep::kChooseAgain, true};
+  if (is_not_run(*refusal)) return make_retry(attempt.needs_primary);
+  const bool may_succeed_elsewhere = attempt.reads && attempt.attempts < kMaxFailedReads;
+  if (*refusal == Refusal::kFailed && may_succeed_elsewhere) return {NextStep::kReselectBackend, true};
   return {};
 }
 
--- a/src/registered/placement/attempt_outcome.h
+++ b/src/registered/placement/attempt_outcome.h
@@ -15,20 +15,20 @@
 namespace cairnhollow::registered::placement {
 
 /// How long a backend that gave no answer, or accepted no connection, is avoided if another one can serve.
-inline constexpr Duration kAvoidBackend = std::chrono::milliseconds(400);
+inline constexpr Duration kBackendAvoidanceTime = std::chrono::milliseconds(400);
 
 enum class NextStep : std::uint8_t {
-  kAnswer,            ///< answer the caller
-  kChooseAgain,       ///< choose a backend immediately
-  kPauseAndTryAgain,  ///< choose a backend after kRetryPause
+  kAnswer,           ///< answer the caller
+  kReselectBackend,  ///< choose a backend immediately
+  kRetryAfterPause,  ///< choose a backend after kRetryPause
 };
 
 /// Whether and how a statement is retried.
 struct Retry {
   NextStep next = NextStep::kAnswer;
-  bool passes_over = false;  ///< exclude this backend from later attempts
+  bool excludes_backend = false;  ///< exclude this backend from later attempts
 };
-Retry run_again(bool needs_primary);
+Retry make_retry(bool needs_primary);
 
 /// The properties of an attempt that determine the effect of its end.
 struct AttemptFacts {
@@ -48,9 +48,9 @@
   bool full = false;     ///< all links are in use, or it recently rejected a further connection
 };
 struct LinkFailureOutcome {
-  bool avoid_backend = false;        ///< for kAvoidBackend
+  bool avoid_backend = false;        ///< for kBackendAvoidanceTime
   bool primary_unreachable = false;  ///< from this proxy: reported to control; other proxies are tried
-  bool may_be_reborn = false;        ///< the backend process may have restarted
+  bool may_have_restarted = false;   ///< the backend process may have restarted
 };
 LinkFailureOutcome after_link_failure(const LinkFailure& failure, bool at_primary);
 
@@ -60,18 +60,19 @@
   bool connection_lost = false;   ///< the connection broke, as opposed to a timeout
 };
 struct LossOutcome {
-  Retry retry;                   ///< kAnswer: the outcome is in doubt
-  bool may_be_reborn = false;    ///< the backend process may have restarted
-  bool suspect_primary = false;  ///< report the primary to control
-  bool broke_off = false;        ///< counts towards detecting a primary that drops every connection on use
+  Retry retry;                      ///< kAnswer: the outcome is in doubt
+  bool may_have_restarted = false;  ///< the backend process may have restarted
+  bool suspect_primary = false;     ///< report the primary to control
+  bool counts_as_disconnect =
+      false;  ///< counts towards detecting a primary that drops every connection on use
 };
 LossOutcome after_loss(const AttemptFacts& attempt, const LossFacts& loss);
 /// Whether the backend process may have restarted. Only a connection lost in the current term counts: when
 /// the term changes, this proxy closes the links itself.
-bool may_be_reborn(const LossFacts& loss, bool term_is_current);
-/// Whether a lost answer leaves the outcome in doubt. `keeps_changes`: the statement is a write, or a commit
-/// of writes; anything else has no lasting effect.
-bool is_in_doubt(bool keeps_changes, bool may_have_arrived);
+bool may_have_restarted(const LossFacts& loss, bool term_is_current);
+/// Whether a lost answer leaves the outcome in doubt. `makes_durable_changes`: the statement is a write, or a
+/// commit of writes; anything else has no lasting effect.
+bool is_in_doubt(bool makes_durable_changes, bool may_have_arrived);
 
 /// What a refusal implies for the backend and its link.
 struct RefusalEffects {
--- a/src/registered/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -13,12 +13,12 @@
 }
 
 /// Whether the backend may accept the statement after a short wait.
-bool may_come_round(const BackendFacts& backend) {
+bool may_accept_soon(const BackendFacts& backend) {
   return rejection_of_new_work(backend) == RejectionReason::kNone && (!backend.leaving || may_lead(backend));
 }
 
 /// Ranks the reasons that are final for now: the higher, the sooner it is expected to end. 0: not final.
-int nearness(RejectionReason rejection) {
+int finality_rank(RejectionReason rejection) {
   if (rejection == RejectionReason::kColdLimit) return 3;
   if (rejection == RejectionReason::kZoneEvacuated) return 2;
   return rejection == RejectionReason::kOutsideRegions ? 1 : 0;
@@ -26,16 +26,16 @@
 
 /// Sets the rejection of a `choice` without a backend if no backend accepts new work: the reason expected to
 /// end first, with its shortest retry delay.
-void explain_closed(BackendChoice& choice, Backends backends) {
+void set_final_rejection(BackendChoice& choice, Backends backends) {
   for (const BackendFacts& backend : backends) {
     const RejectionReason rejection = rejection_of_new_work(backend);
-    const bool is_first = nearness(choice.rejection) < nearness(rejection);
+    const bool is_first = finality_rank(choice.rejection) < finality_rank(rejection);
     const bool is_sooner = choice.rejection == rejection && backend.retry_after < choice.retry_after;
     if (rejection == RejectionReason::kNone || (!is_first && !is_sooner)) continue;
     choice.rejection = rejection;
     choice.retry_after = backend.retry_after;
   }
-  choice.is_final = nearness(choice.rejection) > 0;
+  choice.is_final = finality_rank(choice.rejection) > 0;
 }
 
 BackendChoice choose_primary(Backends backends) {
@@ -46,7 +46,7 @@
     if (!backend.is_primary) continue;
     choice.rejection = rejection_as_primary(backend);
     if (choice.rejection == RejectionReason::kNone) choice.backend = place;
-    choice.is_final = nearness(choice.rejection) > 0;
+    choice.is_final = finality_rank(choice.rejection) > 0;
     if (choice.is_final) choice.retry_after = backend.retry_after;
   }
   return choice;
@@ -54,11 +54,11 @@
 
 BackendChoice refuse_read(Backends backends, bool has_leader) {
   BackendChoice choice;
-  if (std::none_of(backends.begin(), backends.end(), may_come_round)) explain_closed(choice, backends);
+  if (std::none_of(backends.begin(), backends.end(), may_accept_soon)) set_final_rejection(choice, backends);
   if (choice.is_final) return choice;
   choice.rejection = RejectionReason::kNoBackend;
   for (const BackendFacts& backend : backends) {
-    const bool nearer = choice.rejection == RejectionReason::kNoBackend || may_come_round(backend);
+    const bool nearer = choice.rejection == RejectionReason::kNoBackend || may_accept_soon(backend);
     if (nearer) choice.rejection = rejection_of_read(backend, has_leader);
   }
   return choice;
@@ -92,7 +92,7 @@
 }
 
 bool may_lead(const BackendFacts& backend) {
-  return backend.is_primary && !backend.of_closed_term && !backend.leaving_grace_over;
+  return backend.is_primary && !backend.of_closed_term && !backend.leaving_grace_expired;
 }
 
 bool may_be_warmed(const BackendFacts& backend) {
@@ -112,7 +112,7 @@
   if (backend.of_closed_term) return RejectionReason::kGroupClosed;
   const RejectionReason closed = rejection_of_new_work(backend);
   if (closed != RejectionReason::kNone) return closed;
-  if (backend.leaving_grace_over) return RejectionReason::kLeaving;
+  if (backend.leaving_grace_expired) return RejectionReason::kLeaving;
   return backend.tried ? RejectionReason::kTried : RejectionReason::kNone;
 }
 
--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -23,14 +23,14 @@
   bool is_primary = false;
   bool of_closed_term =
       false;  ///< it was the primary of a term that is closed; not trusted until a primary is known
-  bool leaving = false;             ///< draining; a primary keeps its role for a grace period
-  bool leaving_grace_over = false;  ///< that grace period has ended: not used as primary either
+  bool leaving = false;                ///< draining; a primary keeps its role for a grace period
+  bool leaving_grace_expired = false;  ///< that grace period has ended: not used as primary either
   // Each of the next three excludes the backend from all new work, even as primary.
   bool zone_evacuated = false;
   bool region_allowed = true;
   bool cold_limit_reached = false;
   /// With `zone_evacuated`: the grace period of open transactions has ended, too.
-  bool transaction_grace_over = false;
+  bool transaction_grace_expired = false;
   bool tried = false;    ///< this statement has been tried there
   bool avoided = false;  ///< it recently failed
   bool refused = false;  ///< it rejects connections now, and this proxy has none
@@ -58,10 +58,10 @@
 };
 
 /// What the statement's remaining time and attempts allow.
-struct Patience {
-  bool may_try = true;   ///< time and attempts are left
-  bool may_wait = true;  ///< it may wait for a lease, a primary or a backend
-  bool offered = false;  ///< it was already sent to a backend
+struct AttemptAllowance {
+  bool may_attempt = true;  ///< time and attempts are left
+  bool may_wait = true;     ///< it may wait for a lease, a primary or a backend
+  bool was_sent = false;    ///< it was already sent to a backend
 };
 
 /// Whether a caller's API key is required and valid.
--- a/src/registered/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -30,9 +30,9 @@
 }
 
 /// The reason that is most useful to a caller whose statement is not run.
-RejectionReason main_rejection(const StatementNeed& need, const ProxyFacts& proxy, const Patience& patience,
-                               RejectionReason at_backends) {
-  if (patience.offered) return RejectionReason::kBackendsBusy;
+RejectionReason main_rejection(const StatementNeed& need, const ProxyFacts& proxy,
+                               const AttemptAllowance& allowance, RejectionReason at_backends) {
+  if (allowance.was_sent) return RejectionReason::kBackendsBusy;
   if (!proxy.holds_lease) return RejectionReason::kNoLease;
   if (!proxy.group_open) return RejectionReason::kGroupClosed;
   if (need.needs_primary() && proxy.primary_unreachable) return RejectionReason::kPrimaryUnreachable;
@@ -40,15 +40,15 @@
   return at_backends == RejectionReason::kNone ? RejectionReason::kNoBackend : at_backends;
 }
 
-bool is_worth_waiting(const ProxyFacts& proxy, const Patience& patience) {
-  if (!patience.may_wait) return false;
+bool is_worth_waiting(const ProxyFacts& proxy, const AttemptAllowance& allowance) {
+  if (!allowance.may_wait) return false;
   if (!proxy.holds_lease) return proxy.expects_lease;
   return proxy.group_open || proxy.group_changing;
 }
 
 }  // namespace
 
-std::optional<Forwarding> place_elsewhere(const StatementNeed& need, const ProxyFacts& proxy) {
+std::optional<Forwarding> choose_forwarding(const StatementNeed& need, const ProxyFacts& proxy) {
   if (need.is_forwarded) return std::nullopt;
   if (!is_empty(proxy.serving)) return Forwarding{proxy.serving, ForwardCause::kServedElsewhere};
   if (!need.needs_primary()) return std::nullopt;
@@ -63,36 +63,37 @@
   return std::nullopt;
 }
 
-Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
-                     std::span<const BackendFacts> backends, const Patience& patience) {
-  if (!patience.may_try)
-    return refuse(main_rejection(need, proxy, patience, RejectionReason::kNone), kRetryAfterWithoutPrimary);
+Placement place_locally(const StatementNeed& need, const ProxyFacts& proxy,
+                        std::span<const BackendFacts> backends, const AttemptAllowance& allowance) {
+  if (!allowance.may_attempt)
+    return refuse(main_rejection(need, proxy, allowance, RejectionReason::kNone), kRetryAfterWithoutPrimary);
   const BackendChoice choice = choose_backend(need.needs_primary(), backends);
   if (choice.is_final)
     return refuse(choice.rejection,
                   choice.retry_after > Duration(0) ? choice.retry_after : kRetryAfterWithoutPrimary);
   if (choice.backend && (proxy.holds_lease || !need.needs_primary())) return run_at(*choice.backend);
-  const RejectionReason rejection = main_rejection(need, proxy, patience, choice.rejection);
-  return is_worth_waiting(proxy, patience) ? wait_for(rejection)
-                                           : refuse(rejection, kRetryAfterWithoutPrimary);
+  const RejectionReason rejection = main_rejection(need, proxy, allowance, choice.rejection);
+  return is_worth_waiting(proxy, allowance) ? wait_for(rejection)
+                                            : refuse(rejection, kRetryAfterWithoutPrimary);
 }
 
 NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy) {
   // If this proxy has no lease, other proxies probably have none either, so an unresponsive one is skipped.
-  if (turn.gave_no_answer && !proxy.holds_lease) return NextProxyAction::kSkip;
+  if (turn.is_unresponsive && !proxy.holds_lease) return NextProxyAction::kSkip;
   if (!turn.is_this_proxy) return NextProxyAction::kSend;
   return proxy.holds_lease ? NextProxyAction::kRunHere : NextProxyAction::kSkip;
 }
 
-Placement place_unforwarded(const ForwardingEnd& end, const ProxyFacts& proxy, const Patience& patience) {
+Placement place_after_forwarding(const ForwardingOutcome& end, const ProxyFacts& proxy,
+                                 const AttemptAllowance& allowance) {
   if (!end.may_try_another) return refuse(RejectionReason::kNone, kRetryAfterWithoutPrimary);
   if (proxy.holds_lease && end.has_waited) return run_at(0);
   if (proxy.holds_lease) return refuse(RejectionReason::kNoProxy, kRetryAfterWithoutPrimary);
-  if (proxy.expects_lease && patience.may_wait) return wait_for(RejectionReason::kNoLease);
+  if (proxy.expects_lease && allowance.may_wait) return wait_for(RejectionReason::kNoLease);
   return refuse(RejectionReason::kNoLease, kRetryAfterWithoutPrimary);
 }
 
-bool may_another_serve(const ProxyFacts& proxy) {
+bool may_other_proxy_serve(const ProxyFacts& proxy) {
   return !proxy.holds_lease || proxy.primary_unreachable || proxy.primary_full;
 }
 
@@ -106,11 +107,11 @@
   return writes && commits_stall ? RejectionReason::kCommitsStall : RejectionReason::kNone;
 }
 
-SendDecision before_sending(const SendFacts& facts, const BackendFacts& backend) {
+SendDecision check_before_sending(const SendFacts& facts, const BackendFacts& backend) {
   if (facts.needs_primary && !facts.may_use_primary)
-    return {SendAction::kChooseAgain, RejectionReason::kPrimaryGivenUp};
+    return {SendAction::kReselectBackend, RejectionReason::kPrimaryGivenUp};
   const RejectionReason closed = rejection_of_new_work(backend);
-  if (closed != RejectionReason::kNone) return {SendAction::kChooseAgain, closed};
+  if (closed != RejectionReason::kNone) return {SendAction::kReselectBackend, closed};
   if (facts.lacks_token) return {SendAction::kRefuse, RejectionReason::kOverLimit};
   const RejectionReason key = key_rejection(facts.key);
   if (key != RejectionReason::kNone) return {SendAction::kRefuse, key};
@@ -119,12 +120,12 @@
 
 RejectionReason rejection_in_transaction(const TransactionFacts& facts, const BackendFacts& backend) {
   if (facts.commits_stall) return RejectionReason::kCommitsStall;
-  if (backend.zone_evacuated && backend.transaction_grace_over) return RejectionReason::kZoneEvacuated;
+  if (backend.zone_evacuated && backend.transaction_grace_expired) return RejectionReason::kZoneEvacuated;
   const RejectionReason key = key_rejection(facts.key);
   if (key != RejectionReason::kNone) return key;
-  const bool counts_on_primary = facts.at_primary && !facts.read_only;
-  return counts_on_primary && !facts.may_use_primary ? RejectionReason::kPrimaryGivenUp
-                                                     : RejectionReason::kNone;
+  const bool requires_primary = facts.at_primary && !facts.read_only;
+  return requires_primary && !facts.may_use_primary ? RejectionReason::kPrimaryGivenUp
+                                                    : RejectionReason::kNone;
 }
 
 }  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -17,10 +17,10 @@
 /// Forward the statement to one of these proxies, in order of preference.
 struct Forwarding {
   const ProxyList* proxies = nullptr;  ///< not empty; points to one of the lists of ProxyFacts
-  ForwardCause since = ForwardCause::kServedElsewhere;
+  ForwardCause cause = ForwardCause::kServedElsewhere;
 };
-/// Whether another proxy is to run the statement. Returns std::nullopt if place_here decides.
-std::optional<Forwarding> place_elsewhere(const StatementNeed& need, const ProxyFacts& proxy);
+/// Whether another proxy is to run the statement. Returns std::nullopt if place_locally decides.
+std::optional<Forwarding> choose_forwarding(const StatementNeed& need, const ProxyFacts& proxy);
 
 enum class Action : std::uint8_t {
   kRun,     ///< at `backend`
@@ -35,41 +35,42 @@
   Duration retry_after{0};                             ///< for kRefuse
 };
 /// Decides what happens to a statement that this proxy is responsible for.
-Placement place_here(const StatementNeed& need, const ProxyFacts& proxy,
-                     std::span<const BackendFacts> backends, const Patience& patience);
+Placement place_locally(const StatementNeed& need, const ProxyFacts& proxy,
+                        std::span<const BackendFacts> backends, const AttemptAllowance& allowance);
 
 /// Maximum number of proxies that one statement is forwarded to, one after the other.
 inline constexpr int kMaxForwards = 3;
 /// The next proxy in the preference order of a forwarding.
 struct NextProxy {
   bool is_this_proxy = false;
-  bool gave_no_answer = false;  ///< recently
+  bool is_unresponsive = false;  ///< recently
 };
 enum class NextProxyAction : std::uint8_t { kSkip, kRunHere, kSend };
 NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy);
 /// How a forwarding ended without a success from any proxy.
-struct ForwardingEnd {
+struct ForwardingOutcome {
   bool may_try_another = true;  ///< it did not run, or can safely run again
   bool has_waited = false;      ///< it has waited for the lease since then
 };
 /// Decides to start over (kRun), wait for the lease (kWait) or give up (kRefuse).
-Placement place_unforwarded(const ForwardingEnd& end, const ProxyFacts& proxy, const Patience& patience);
+Placement place_after_forwarding(const ForwardingOutcome& end, const ProxyFacts& proxy,
+                                 const AttemptAllowance& allowance);
 
 /// Whether another proxy may be able to run what this one can't, because the obstacle is local to this proxy.
-bool may_another_serve(const ProxyFacts& proxy);
+bool may_other_proxy_serve(const ProxyFacts& proxy);
 
 /// Why the caller's key does not permit its statements to be sent; kNone if it does.
 RejectionReason key_rejection(const KeyFacts& key);
 /// Why a write may not begin; kNone if it may. `commits_stall`: earlier commits have no answer.
 RejectionReason commit_rejection(bool writes, bool commits_stall);
 
-enum class SendAction : std::uint8_t { kSend, kChooseAgain, kRefuse };
+enum class SendAction : std::uint8_t { kSend, kReselectBackend, kRefuse };
 struct SendDecision {
   SendAction action = SendAction::kSend;
   RejectionReason rejection = RejectionReason::kNone;
 };
 /// The final check of a statement that has waited for a slot and a link at `backend`.
-SendDecision before_sending(const SendFacts& facts, const BackendFacts& backend);
+SendDecision check_before_sending(const SendFacts& facts, const BackendFacts& backend);
 
 /// Why an open transaction may not continue at its backend; kNone if it may. Otherwise the transaction must
 /// be aborted, and none of its changes are kept.
--- a/src/registered/placement/rejection_reason.cpp
+++ b/src/registered/placement/rejection_reason.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-struct Words {
+struct ReasonWording {
   const char* name;
   const char* text;
 };
 
 /// Indexed by RejectionReason.
-constexpr std::array<Words, kRejectionReasonCount> kRejectionReasons{{
+constexpr std::array<ReasonWording, kRejectionReasonCount> kRejectionReasons{{
     {"none", ""},
     {"outside_regions", "no backend of the group is in a region where it may run"},
     {"zone_evacuated", "the zone of the backend that could run it is evacuated"},
--- a/src/registered/placement/statement_progress.cpp
+++ b/src/registered/placement/statement_progress.cpp
@@ -8,16 +8,16 @@
   return progress.arrived + (progress.deadline - progress.arrived) / kRefusalDivisor;
 }
 
-Patience patience_at(const StatementProgress& progress, TimePoint now) {
-  Patience patience;
-  patience.may_try = progress.attempts < kMaxAttempts && now < progress.deadline;
-  patience.may_wait = now < refusal_time(progress);
-  patience.offered = progress.offered;
-  return patience;
+AttemptAllowance attempt_allowance_at(const StatementProgress& progress, TimePoint now) {
+  AttemptAllowance allowance;
+  allowance.may_attempt = progress.attempts < kMaxAttempts && now < progress.deadline;
+  allowance.may_wait = now < refusal_time(progress);
+  allowance.was_sent = progress.was_sent;
+  return allowance;
 }
 
 TimePoint link_wait_end(const StatementProgress& progress, TimePoint now) {
-  if (!progress.offered) return refusal_time(progress);
+  if (!progress.was_sent) return refusal_time(progress);
   return std::min(progress.deadline, now + kShortestReadWait);
 }
 
@@ -26,17 +26,17 @@
   return std::min(link_wait_end(progress, now), std::max(useful, now + kRetryPause));
 }
 
-bool may_leave_silent_backend(bool needs_primary, const StatementProgress& progress) {
+bool may_abandon_backend(bool needs_primary, const StatementProgress& progress) {
   return !needs_primary && progress.attempts < kMaxAttempts - 1;
 }
 
-TimePoint silent_backend_wait_end(const StatementProgress& progress, TimePoint sent_at) {
+TimePoint answer_wait_end(const StatementProgress& progress, TimePoint sent_at) {
   const Duration wait = std::max<Duration>(progress.target_latency / kReadWaitDivisor, kShortestReadWait);
   return std::min(progress.deadline, sent_at + wait);
 }
 
-bool may_be_rerouted(const StatementProgress& progress) {
-  return progress.attempts == 0 && !progress.offered && progress.reroutes < kMaxReroutes;
+bool may_reroute(const StatementProgress& progress) {
+  return progress.attempts == 0 && !progress.was_sent && progress.reroute_count < kMaxReroutes;
 }
 
 }  // namespace cairnhollow::registered::placement
--- a/src/registered/placement/statement_progress.h
+++ b/src/registered/placement/statement_progress.h
@@ -39,25 +39,25 @@
   TimePoint deadline{};
   Duration target_latency{0};  ///< target latency of the route, from arrival
   int attempts = 0;            ///< number of backends tried, including the current one
-  int reroutes = 0;            ///< times it was forwarded after a wait at a proxy
-  bool offered = false;        ///< it was already sent to a backend
+  int reroute_count = 0;       ///< times it was forwarded after a wait at a proxy
+  bool was_sent = false;       ///< it was already sent to a backend
 };
 
 /// When the wait for a lease or a primary ends with a refusal.
 TimePoint refusal_time(const StatementProgress& progress);
 /// Whether another attempt, or a wait for a lease or a primary, is still allowed.
-Patience patience_at(const StatementProgress& progress, TimePoint now);
+AttemptAllowance attempt_allowance_at(const StatementProgress& progress, TimePoint now);
 /// Deadline of the wait for a new link to the chosen backend.
 TimePoint link_wait_end(const StatementProgress& progress, TimePoint now);
 /// Deadline of the wait for a slot, or for a link in use, at the chosen backend. A statement admitted later
 /// would miss its target latency and delay others.
 TimePoint slot_wait_end(const StatementProgress& progress, TimePoint now);
 /// Whether the statement may abandon an unresponsive backend if another one is likely to serve it.
-bool may_leave_silent_backend(bool needs_primary, const StatementProgress& progress);
+bool may_abandon_backend(bool needs_primary, const StatementProgress& progress);
 /// Deadline of the wait for an answer of a backend that may be abandoned. `sent_at`: when the statement was
 /// sent.
-TimePoint silent_backend_wait_end(const StatementProgress& progress, TimePoint sent_at);
+TimePoint answer_wait_end(const StatementProgress& progress, TimePoint sent_at);
 /// Whether the statement may be forwarded after a wait here. Requires that no backend can have received it.
-bool may_be_rerouted(const StatementProgress& progress);
+bool may_reroute(const StatementProgress& progress);
 
 }  // namespace cairnhollow::registered::placement
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -370,7 +370,7 @@
     order->opens_transaction = true;
     RunResult result = co_await run_admitted(std::move(*order));
     if (result.pinned && result.answer.state == TransactionState::kIdle) {
-      runner_.transactions().give_back(*result.pinned);
+      runner_.transactions().release(*result.pinned);
     } else if (result.pinned) {
       co_await runner_.transactions().roll_back(*result.pinned);
     }
@@ -385,7 +385,7 @@
   served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   if (wrote) record_committed(kept, answer);
   if (answer.state == TransactionState::kIdle) {
-    runner_.transactions().give_back(pinned);
+    runner_.transactions().release(pinned);
   } else {
     co_await runner_.transactions().roll_back(pinned);
   }
--- a/src/registered/proxy/forwarding/forward_server.cpp
+++ b/src/registered/proxy/forwarding/forward_server.cpp
@@ -147,7 +147,7 @@
   forwarded.answer = std::move(result.answer);
   forwarded.nothing_run = result.nothing_run;
   forwarded.at_primary = result.served_by == ServedBy::kPrimary;
-  const bool cannot_serve = placement::may_another_serve(proxy_facts(services_.view, *group));
+  const bool cannot_serve = placement::may_other_proxy_serve(proxy_facts(services_.view, *group));
   forwarded.may_try_another = cannot_serve && forwarded.answer.refusal == Refusal::kBusy;
   if (!result.pinned) co_return forwarded;
   if (connection->ended) {
--- a/src/registered/proxy/group/backend_standing.cpp
+++ b/src/registered/proxy/group/backend_standing.cpp
@@ -16,10 +16,10 @@
   facts.is_primary = backend.entry.name == term.primary;
   facts.of_closed_term = facts.is_primary && (!term.open || backends_.is_primary_restarted());
   facts.leaving = backend.entry.leaving;
-  facts.leaving_grace_over = leaving_since && now - *leaving_since > kLeavingPrimaryUse;
+  facts.leaving_grace_expired = leaving_since && now - *leaving_since > kLeavingPrimaryUse;
   // A primary goes on for a while, so that it is followed while it runs.
-  facts.transaction_grace_over = backend.is_off_limits(now);
-  facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
+  facts.transaction_grace_expired = backend.is_off_limits(now);
+  facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_expired : backend.is_evacuated();
   if (facts.zone_evacuated) facts.retry_after = placement::kRetryAfterEvacuation;
   facts.tried = question.tried != nullptr && question.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -16,7 +16,7 @@
   if (link) backend->rebirth.record_reached(runtime->now());
   if (!link && !refusal) backend->rebirth.mark_unreachable();
   if (link) backend->pool.release(std::move(link));
-  if (!link) backend->avoid_until = runtime->now() + placement::kAvoidBackend;
+  if (!link) backend->avoid_until = runtime->now() + placement::kBackendAvoidanceTime;
 }
 
 }  // namespace
--- a/src/registered/proxy/statement/cold_tokens.cpp
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -8,14 +8,14 @@
 
 using runtime::LogLevel;
 
-bool ColdTokens::holds(const GroupAccess& group, const BackendUse& backend,
-                       const std::optional<TimePoint>& token) const {
+bool ColdTokens::may_send(const GroupAccess& group, const BackendUse& backend,
+                          const std::optional<TimePoint>& token) const {
   if (!group.cold.is_cold(backend)) return true;
   return token && services_.runtime.now() < *token;
 }
 
-Awaitable<AdmissionAnswer> ColdTokens::take(std::shared_ptr<GroupAccess> group,
-                                            std::shared_ptr<BackendUse> backend) {
+Awaitable<AdmissionAnswer> ColdTokens::acquire(std::shared_ptr<GroupAccess> group,
+                                               std::shared_ptr<BackendUse> backend) {
   const AdmissionAnswer admission = co_await services_.limits.admit_to_cold(BackendName(backend->entry.name));
   if (admission.outcome != AdmissionOutcome::kAdmitted) record_limit(*group, *backend, admission);
   co_return admission;
@@ -24,31 +24,33 @@
 void ColdTokens::record_limit(const GroupAccess& group, BackendUse& backend,
                               const AdmissionAnswer& admission) const {
   const TimePoint now = services_.runtime.now();
-  const bool is_news = !group.cold.is_reached(backend);
+  const bool is_first_report = !group.cold.is_reached(backend);
   backend.cold_limit_reached_until = now + admission.retry_after;
-  if (!is_news) return;
-  const bool is_over = admission.outcome == AdmissionOutcome::kOverLimit;
-  services_.runtime.logger().log(LogLevel::kInfo, "cold_limit_reached",
-                                 {{"group", group.name.value},
-                                  {"backend", backend.entry.name.value},
-                                  {"why", is_over ? "cold rate limit reached" : "no quota owner answered"},
-                                  {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
+  if (!is_first_report) return;
+  const bool is_over_limit = admission.outcome == AdmissionOutcome::kOverLimit;
+  services_.runtime.logger().log(
+      LogLevel::kInfo, "cold_limit_reached",
+      {{"group", group.name.value},
+       {"backend", backend.entry.name.value},
+       {"why", is_over_limit ? "cold rate limit reached" : "no quota owner answered"},
+       {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
 }
 
-void ColdTokens::give_back(const BackendUse& backend, const std::optional<TimePoint>& token) const {
+void ColdTokens::release(const BackendUse& backend, const std::optional<TimePoint>& token) const {
   if (token) services_.limits.give_back(limited(backend.entry.name), *token);
 }
 
-Awaitable<bool> ColdTokens::enter(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
-                                  TimePoint deadline, placement::RejectionReason& rejection) {
+Awaitable<bool> ColdTokens::enter_gate(std::shared_ptr<GroupAccess> group,
+                                       std::shared_ptr<BackendUse> backend, TimePoint deadline,
+                                       placement::RejectionReason& rejection) {
   while (true) {
     std::optional<TimePoint> token;
     const bool passed = co_await wait_for_token(group, backend, deadline, token);
     if (!passed) rejection = placement::RejectionReason::kColdLimit;
     if (!passed) co_return false;
     const bool entered = co_await backend->gate.enter(admission::kUrgentClass, deadline);
-    if (entered && holds(*group, *backend, token)) co_return true;
-    give_back(*backend, token);
+    if (entered && may_send(*group, *backend, token)) co_return true;
+    release(*backend, token);
     if (!entered) co_return false;
     // The token expired during the wait, or the backend became cold.
     backend->gate.leave_unanswered();
--- a/src/registered/proxy/statement/cold_tokens.h
+++ b/src/registered/proxy/statement/cold_tokens.h
@@ -19,18 +19,18 @@
 
   /// Whether a statement with this token may be sent to the backend now: the backend is not cold, or the
   /// token has not expired.
-  [[nodiscard]] bool holds(const GroupAccess& group, const BackendUse& backend,
-                           const std::optional<TimePoint>& token) const;
+  [[nodiscard]] bool may_send(const GroupAccess& group, const BackendUse& backend,
+                              const std::optional<TimePoint>& token) const;
   /// Requests a token for a statement that may also run at another backend. If none is granted, the backend's
   /// facts show its cold limit as reached until the answer's `retry_after` has passed.
-  Awaitable<AdmissionAnswer> take(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend);
+  Awaitable<AdmissionAnswer> acquire(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend);
   /// Gives an unused token back to the limit. No effect if `token` is empty.
-  void give_back(const BackendUse& backend, const std::optional<TimePoint>& token) const;
+  void release(const BackendUse& backend, const std::optional<TimePoint>& token) const;
   /// For a statement that can run at no other backend: waits for a token if the backend is cold, then for a
   /// slot there, until `deadline`. Returns true if it holds a slot and, if needed, a valid token; the caller
   /// must release the slot. Returns false otherwise, and sets `rejection` if no token was available.
-  Awaitable<bool> enter(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
-                        TimePoint deadline, placement::RejectionReason& rejection);
+  Awaitable<bool> enter_gate(std::shared_ptr<GroupAccess> group, std::shared_ptr<BackendUse> backend,
+                             TimePoint deadline, placement::RejectionReason& rejection);
 
  private:
   void record_limit(const GroupAccess& group, BackendUse& backend, const AdmissionAnswer& admission) const;
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// The message that tells the caller why its transaction was aborted.
-std::string ending(RejectionReason rejection) {
+std::string abort_detail(RejectionReason rejection) {
   const char* why = "the transaction can't continue at its backend";
   if (rejection == RejectionReason::kCommitsStall) why = placement::rejection_text(rejection);
   if (rejection == RejectionReason::kZoneEvacuated)
@@ -28,51 +28,53 @@
 
 }  // namespace
 
-RejectionReason PinnedTransactions::rejection_of(const PinnedLink& pinned, const StatementRequest& order,
+RejectionReason PinnedTransactions::rejection_of(const PinnedLink& pinned, const StatementRequest& request,
                                                  bool commits_stall) const {
-  const GroupAccess& group = *order.group;
+  const GroupAccess& group = *request.group;
   placement::TransactionFacts facts;
   facts.at_primary = pinned.at_primary;
-  facts.read_only = order.read_only_transaction;
+  facts.read_only = request.read_only_transaction;
   facts.may_use_primary = services_.view.may_use_primary(group, pinned.epoch);
   facts.commits_stall = commits_stall;
-  facts.key = key_facts(services_.view, order.route, order.key, order.tenant, services_.runtime.now());
+  facts.key = key_facts(services_.view, request.route, request.key, request.tenant, services_.runtime.now());
   return placement::rejection_in_transaction(facts, group.standing.facts_of(*pinned.backend, {}));
 }
 
-Awaitable<Answer> PinnedTransactions::run(PinnedLink pinned, StatementRequest order, bool commits,
+Awaitable<Answer> PinnedTransactions::run(PinnedLink pinned, StatementRequest request, bool commits,
                                           bool wrote) {
-  if (pinned.remote) co_return co_await forward(*pinned.remote, std::move(order), commits, wrote);
-  GroupAccess& group = *order.group;
+  if (pinned.remote) co_return co_await forward(*pinned.remote, std::move(request), commits, wrote);
+  GroupAccess& group = *request.group;
   runtime::Runtime& runtime = services_.runtime;
   Answer aborted;
   aborted.refusal = Refusal::kAborted;
   aborted.state = TransactionState::kFailed;
-  aborted.detail = ending(RejectionReason::kNone);
+  aborted.detail = abort_detail(RejectionReason::kNone);
   Reason reason;
   const bool stalls = commits && wrote && pinned.at_primary && group.primary_health.refuses_commits();
-  RejectionReason rejection = rejection_of(pinned, order, stalls);
-  const TimePoint setup_deadline = std::min(order.deadline, runtime.now() + kLinkSetupTimeout);
+  RejectionReason rejection = rejection_of(pinned, request, stalls);
+  const TimePoint setup_deadline = std::min(request.deadline, runtime.now() + kLinkSetupTimeout);
   bool ready = rejection == RejectionReason::kNone && pinned.link->link().is_open();
   if (ready)
-    ready = co_await pinned.link->apply_session_state(order.values, order.prepared, setup_deadline, reason);
+    ready =
+        co_await pinned.link->apply_session_state(request.values, request.prepared, setup_deadline, reason);
   bool entered = false;
-  if (ready) entered = co_await cold_tokens_.enter(order.group, pinned.backend, order.deadline, rejection);
-  if (entered) rejection = rejection_of(pinned, order, false);
+  if (ready)
+    entered = co_await cold_tokens_.enter_gate(request.group, pinned.backend, request.deadline, rejection);
+  if (entered) rejection = rejection_of(pinned, request, false);
   if (!entered || rejection != RejectionReason::kNone) {
     if (entered) pinned.backend->gate.leave_unanswered();
     pinned.link->link().close();
-    aborted.detail = ending(rejection);
-    log_.refusal(order, aborted, reason, 0, Unplaced{rejection, Duration(0), {}});
+    aborted.detail = abort_detail(rejection);
+    log_.refusal(request, aborted, reason, 0, LocalRefusal{rejection, Duration(0), {}});
     co_return aborted;
   }
   const TimePoint sent_at = runtime.now();
   SendState sent = SendState::kNotSent;
-  std::optional<WorkScope> work;
+  std::optional<PrimaryWorkScope> work;
   if (pinned.at_primary)
     work.emplace(group.primary_health, PrimaryWork{pinned.link->shared_link(), sent_at, commits && wrote});
-  BackendRequest request = make_request(order, *pinned.link, std::nullopt);
-  auto answer = co_await pinned.link->link().run(std::move(request), order.deadline, sent, reason);
+  BackendRequest backend_request = make_request(request, *pinned.link, std::nullopt);
+  auto answer = co_await pinned.link->link().run(std::move(backend_request), request.deadline, sent, reason);
   leave_gate(pinned.backend->gate, answer, runtime.now() - sent_at);
   work.reset();
   const bool current = services_.view.may_use_primary(group, pinned.epoch);
@@ -82,31 +84,31 @@
     services_.metrics.count_lost_answer();
     const placement::LossFacts loss{sent == SendState::kMaybeSent,
                                     reason.code == ReasonCode::kConnectionLost};
-    if (placement::may_be_reborn(loss, group.term().epoch == pinned.epoch))
+    if (placement::may_have_restarted(loss, group.term().epoch == pinned.epoch))
       pinned.backend->rebirth.mark_unreachable();
     if (pinned.at_primary && current) services_.link.report_suspicion(group, SuspicionKind::kSilent);
     const bool in_doubt = placement::is_in_doubt(commits && wrote, loss.may_have_arrived);
     if (in_doubt) aborted.refusal = Refusal::kInDoubt;
     if (in_doubt) aborted.detail = "the commit was sent but no answer arrived; its outcome is unknown";
-    log_.refusal(order, aborted, reason, 1);
+    log_.refusal(request, aborted, reason, 1);
     co_return aborted;
   }
   if (answer->succeeded() && pinned.at_primary)
-    take_primary_answer(services_, group, PrimaryAnswer{pinned.epoch, sent_at, commits && wrote}, *answer);
-  if (answer->refusal) log_.refusal(order, *answer, reason, 1);
+    apply_primary_answer(services_, group, PrimaryAnswer{pinned.epoch, sent_at, commits && wrote}, *answer);
+  if (answer->refusal) log_.refusal(request, *answer, reason, 1);
   co_return std::move(*answer);
 }
 
-Awaitable<Answer> PinnedTransactions::forward(RemotePin remote, StatementRequest order, bool commits,
+Awaitable<Answer> PinnedTransactions::forward(RemotePin remote, StatementRequest request, bool commits,
                                               bool wrote) {
   Reason reason;
-  ForwardRequest request;
-  request.body =
-      ForwardInTransaction{remote.pin, to_forwarded(order, services_.runtime.now()), commits, wrote};
+  ForwardRequest forward_request;
+  forward_request.body =
+      ForwardInTransaction{remote.pin, to_forwarded(request, services_.runtime.now()), commits, wrote};
   const bool was_open = remote.connection->is_open();
-  const TimePoint deadline = order.deadline + kForwardSlack;
+  const TimePoint deadline = request.deadline + kForwardSlack;
   std::optional<ForwardAnswer> answer;
-  if (was_open) answer = co_await remote.connection->call(std::move(request), deadline, reason);
+  if (was_open) answer = co_await remote.connection->call(std::move(forward_request), deadline, reason);
   if (answer) co_return std::move(answer->answer);
   Answer lost;
   lost.state = TransactionState::kFailed;
@@ -115,7 +117,7 @@
   lost.detail = in_doubt ? "the commit was sent but no answer arrived; its outcome is unknown"
                          : "the proxy that served the transaction did not answer; its changes are not kept";
   if (was_open) services_.runtime.spawn("forward_end", end_remote(remote));
-  log_.refusal(order, lost, reason, 1);
+  log_.refusal(request, lost, reason, 1);
   co_return lost;
 }
 
@@ -130,23 +132,23 @@
   // Closing the link makes the backend roll the transaction back.
   if (pinned.backend->is_off_limits(services_.runtime.now())) pinned.link->link().close();
   if (pinned.link->link().is_open()) {
-    BackendRequest request = Rollback{};
-    const auto answer = co_await pinned.link->link().run(std::move(request), deadline, sent, reason);
+    BackendRequest backend_request = Rollback{};
+    const auto answer = co_await pinned.link->link().run(std::move(backend_request), deadline, sent, reason);
     if (!answer || answer->state != TransactionState::kIdle) pinned.link->link().close();
     pinned.link->record_state(TransactionState::kIdle);
   }
-  give_back(pinned);
+  release(pinned);
 }
 
 Awaitable<void> PinnedTransactions::end(PinnedLink pinned) {
   if (pinned.link && !pinned.link->has_open_transaction()) {
-    give_back(pinned);
+    release(pinned);
     co_return;
   }
   co_await roll_back(pinned);
 }
 
-void PinnedTransactions::give_back(const PinnedLink& pinned) {
+void PinnedTransactions::release(const PinnedLink& pinned) {
   if (pinned.remote) {
     services_.runtime.spawn("forward_end", end_remote(*pinned.remote));
   } else {
@@ -165,9 +167,10 @@
 Awaitable<void> PinnedTransactions::end_remote(RemotePin remote) {
   if (!remote.connection->is_open()) co_return;
   Reason reason;
-  ForwardRequest request;
-  request.body = ForwardEnd{remote.pin};
-  co_await remote.connection->call(std::move(request), services_.runtime.now() + kLinkSetupTimeout, reason);
+  ForwardRequest forward_request;
+  forward_request.body = ForwardEnd{remote.pin};
+  co_await remote.connection->call(std::move(forward_request), services_.runtime.now() + kLinkSetupTimeout,
+                                   reason);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/pinned_transactions.h
+++ b/src/registered/proxy/statement/pinned_transactions.h
@@ -17,7 +17,7 @@
 
   /// Runs a further statement of a transaction, or its commit. `wrote`: the transaction contains writes. The
   /// link is closed if no answer arrives.
-  Awaitable<Answer> run(PinnedLink pinned, StatementRequest order, bool commits, bool wrote);
+  Awaitable<Answer> run(PinnedLink pinned, StatementRequest request, bool commits, bool wrote);
   /// Rolls the transaction back and returns the link to its pool. A transaction at another proxy is ended
   /// there.
   Awaitable<void> roll_back(PinnedLink pinned);
@@ -25,7 +25,7 @@
   Awaitable<void> end(PinnedLink pinned);
   /// Returns the link to its pool without a rollback. A transaction at another proxy is ended there in the
   /// background.
-  void give_back(const PinnedLink& pinned);
+  void release(const PinnedLink& pinned);
   /// Whether nothing more may be sent to the transaction's backend, because its zone is evacuated and the
   /// grace period of open transactions has ended.
   [[nodiscard]] bool is_off_limits(const PinnedLink& pinned) const {
@@ -37,9 +37,9 @@
  private:
   /// Why the transaction may not continue, by this proxy's current state; kNone if it may.
   [[nodiscard]] placement::RejectionReason rejection_of(const PinnedLink& pinned,
-                                                        const StatementRequest& order,
+                                                        const StatementRequest& request,
                                                         bool commits_stall) const;
-  Awaitable<Answer> forward(RemotePin remote, StatementRequest order, bool commits, bool wrote);
+  Awaitable<Answer> forward(RemotePin remote, StatementRequest request, bool commits, bool wrote);
   Awaitable<void> end_remote(RemotePin remote);
 
   SessionServices services_;
--- a/src/registered/proxy/statement/pre_send_check.cpp
+++ b/src/registered/proxy/statement/pre_send_check.cpp
@@ -9,37 +9,37 @@
 placement::SendFacts PreSendCheck::send_facts(const StatementAttempt& attempt) const {
   placement::SendFacts facts;
   facts.needs_primary = attempt.needs_primary;
-  facts.may_use_primary = services_.view.may_use_primary(*attempt.order.group, attempt.epoch);
+  facts.may_use_primary = services_.view.may_use_primary(*attempt.request.group, attempt.epoch);
   return facts;
 }
 
 placement::SendDecision PreSendCheck::decide(const StatementAttempt& attempt,
                                              const placement::SendFacts& facts) const {
-  const GroupAccess& group = *attempt.order.group;
-  placement::BackendFacts backend = group.standing.facts_of(*attempt.backend, attempt.question());
+  const GroupAccess& group = *attempt.request.group;
+  placement::BackendFacts backend = group.standing.facts_of(*attempt.backend, attempt.placement_request());
   // The cold limit is checked by the statement's own token, not by the limit state that other statements saw.
-  backend.cold_limit_reached = !cold_tokens_.holds(group, *attempt.backend, attempt.cold_token);
-  return placement::before_sending(facts, backend);
+  backend.cold_limit_reached = !cold_tokens_.may_send(group, *attempt.backend, attempt.cold_token);
+  return placement::check_before_sending(facts, backend);
 }
 
-bool PreSendCheck::may_go_on(StatementAttempt& attempt) const {
+bool PreSendCheck::may_proceed(StatementAttempt& attempt) const {
   attempt.pre_send_check = decide(attempt, send_facts(attempt));
   return attempt.pre_send_check.action == SendAction::kSend;
 }
 
 Awaitable<placement::SendDecision> PreSendCheck::check(std::shared_ptr<StatementAttempt> attempt) const {
-  const StatementRequest& order = attempt->order;
+  const StatementRequest& request = attempt->request;
   const FleetView& view = services_.view;
   bool lacks_token = false;
-  const bool runs_again = order.may_have_run && !order.tenant.empty();
+  const bool runs_again = request.may_have_run && !request.tenant.empty();
   // Do not spend a token on a statement that can't be sent anyway.
   if (runs_again && decide(*attempt, send_facts(*attempt)).action == SendAction::kSend) {
-    const AdmissionAnswer admission = co_await services_.limits.admit(order.tenant);
+    const AdmissionAnswer admission = co_await services_.limits.admit(request.tenant);
     lacks_token = admission.outcome != AdmissionOutcome::kAdmitted;
   }
   placement::SendFacts facts = send_facts(*attempt);
   facts.lacks_token = lacks_token;
-  facts.key = key_facts(view, order.route, order.key, order.tenant, services_.runtime.now());
+  facts.key = key_facts(view, request.route, request.key, request.tenant, services_.runtime.now());
   co_return decide(*attempt, facts);
 }
 
--- a/src/registered/proxy/statement/pre_send_check.h
+++ b/src/registered/proxy/statement/pre_send_check.h
@@ -17,7 +17,7 @@
 
   /// To be called after each wait. Checks everything except the key and stores the decision in the attempt's
   /// `pre_send_check`. Returns false if the statement must not be sent.
-  bool may_go_on(StatementAttempt& attempt) const;
+  bool may_proceed(StatementAttempt& attempt) const;
   /// The final check right before sending, including the key. A statement that may have run before also needs
   /// a token of its tenant's rate limit.
   Awaitable<placement::SendDecision> check(std::shared_ptr<StatementAttempt> attempt) const;
--- a/src/registered/proxy/statement/statement_attempt.h
+++ b/src/registered/proxy/statement/statement_attempt.h
@@ -13,18 +13,18 @@
 namespace cairnhollow::registered::proxy {
 
 struct StatementAttempt {
-  explicit StatementAttempt(StatementRequest run_order)
-      : order(std::move(run_order)), progress(order.progress()) {}
+  explicit StatementAttempt(StatementRequest statement_request)
+      : request(std::move(statement_request)), progress(request.progress()) {}
 
-  StatementRequest order;
+  StatementRequest request;
   placement::StatementProgress progress;
   std::set<BackendName> excluded;
   ReadNeed need;
-  Reason reason;      ///< the last failure
-  Unplaced unplaced;  ///< why this proxy refuses the statement, if it does
+  Reason reason;               ///< the last failure
+  LocalRefusal local_refusal;  ///< why this proxy refuses the statement, if it does
   RunResult result;
   /// If not empty: after a wait, the statement is to be forwarded to these proxies.
-  std::vector<subset::ProxyPointer> moved_to;
+  std::vector<subset::ProxyPointer> reroute_targets;
 
   // Current attempt.
   std::shared_ptr<BackendUse> backend;
@@ -38,12 +38,12 @@
   runtime::SendState sent = runtime::SendState::kNotSent;
 
   // Time spent per phase, and the backends used, over all attempts.
-  Duration at_gate{0};
-  Duration at_pool{0};
-  Duration at_backend{0};
-  std::string path;  ///< names of the backends tried, each followed by a space
+  Duration gate_time{0};
+  Duration pool_time{0};
+  Duration backend_time{0};
+  std::string tried_backends;  ///< names of the backends tried, each followed by a space
 
-  [[nodiscard]] PlacementRequest question() const { return {&need, &excluded, &order.allowed}; }
+  [[nodiscard]] PlacementRequest placement_request() const { return {&need, &excluded, &request.allowed}; }
   /// The transaction that the statement has opened.
   [[nodiscard]] PinnedLink pinned() const {
     return PinnedLink{backend, link, std::nullopt, epoch, at_primary};
@@ -51,12 +51,12 @@
   /// Input for attempt_outcome.h. `may_use_primary`: the primary of `epoch` may still be used.
   [[nodiscard]] placement::AttemptFacts facts(bool may_use_primary) const {
     placement::AttemptFacts facts;
-    facts.reads = order.reads();
-    facts.repeatable = !order.keeps_changes();
+    facts.reads = request.reads();
+    facts.repeatable = !request.makes_durable_changes();
     facts.needs_primary = needs_primary;
     facts.primary_only = need.primary_only;
     facts.at_primary = at_primary;
-    facts.term_is_current = order.group->term().epoch == epoch;
+    facts.term_is_current = request.group->term().epoch == epoch;
     facts.may_use_primary = may_use_primary;
     facts.attempts = progress.attempts;
     return facts;
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -9,34 +9,34 @@
 
 namespace cairnhollow::registered::proxy {
 
-ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now) {
+ForwardedOrder to_forwarded(const StatementRequest& request, TimePoint now) {
   ForwardedOrder forwarded;
-  forwarded.route = order.route;
-  forwarded.key = order.key;
-  forwarded.may_have_run = order.may_have_run;
-  forwarded.id = order.id;
-  forwarded.text = order.text;
-  forwarded.prepared = order.prepared;
-  forwarded.argument = order.argument;
-  forwarded.writes = order.writes;
-  forwarded.values = order.values;
-  forwarded.committed = order.committed.position;
-  if (order.committed.position) forwarded.committed_ago = now - order.committed.at;
-  forwarded.time_left = order.deadline - now;
-  forwarded.opens_transaction = order.opens_transaction;
-  forwarded.read_only_transaction = order.read_only_transaction;
+  forwarded.route = request.route;
+  forwarded.key = request.key;
+  forwarded.may_have_run = request.may_have_run;
+  forwarded.id = request.id;
+  forwarded.text = request.text;
+  forwarded.prepared = request.prepared;
+  forwarded.argument = request.argument;
+  forwarded.writes = request.writes;
+  forwarded.values = request.values;
+  forwarded.committed = request.committed.position;
+  if (request.committed.position) forwarded.committed_ago = now - request.committed.at;
+  forwarded.time_left = request.deadline - now;
+  forwarded.opens_transaction = request.opens_transaction;
+  forwarded.read_only_transaction = request.read_only_transaction;
   return forwarded;
 }
 
-Awaitable<Forwarded> StatementForwarding::forward(StatementRequest order,
-                                                  std::vector<subset::ProxyPointer> proxies) {
+Awaitable<ForwardingResult> StatementForwarding::forward(StatementRequest request,
+                                                         std::vector<subset::ProxyPointer> proxies) {
   // Proxies that recently failed or did not answer go last.
-  const GroupName group = order.group->name;
+  const GroupName group = request.group->name;
   std::stable_partition(proxies.begin(), proxies.end(), [this, &group](const subset::ProxyPointer& proxy) {
     return !services_.forwarder.is_avoided(proxy->name, group);
   });
   RunResult result;
-  result.nothing_run = !order.may_have_run;
+  result.nothing_run = !request.may_have_run;
   result.answer.refusal = Refusal::kBusy;
   Reason reason;
   // The proxy that runs the statement needs a lease; this proxy needs none to forward it.
@@ -47,67 +47,68 @@
     const NodeName& node = proxies[attempt]->name;
     const placement::NextProxy turn{node == services_.view.node(),
                                     services_.forwarder.is_avoided(node, group)};
-    const auto action = placement::try_next_proxy(turn, proxy_facts(services_.view, *order.group));
+    const auto action = placement::try_next_proxy(turn, proxy_facts(services_.view, *request.group));
     if (action == placement::NextProxyAction::kSkip) continue;
     if (action == placement::NextProxyAction::kRunHere)
-      co_return Forwarded{ForwardedNext::kRunHere, std::move(order), {}};
-    auto forwarded = co_await forward_to(order, proxies[attempt], may_try_another, reason);
+      co_return ForwardingResult{ForwardingNextStep::kRunHere, std::move(request), {}};
+    auto forwarded = co_await forward_to(request, proxies[attempt], may_try_another, reason);
     if (!forwarded) continue;
     is_answered = true;
     result = std::move(*forwarded);
-    order.may_have_run = order.may_have_run || !result.nothing_run;
-    result.nothing_run = !order.may_have_run;
+    request.may_have_run = request.may_have_run || !result.nothing_run;
+    result.nothing_run = !request.may_have_run;
   }
-  const TimePoint refuse_at = placement::refusal_time(order.progress());
-  const auto placed = co_await await_lease(order.group, refuse_at, may_try_another);
+  const TimePoint refuse_at = placement::refusal_time(request.progress());
+  const auto placed = co_await await_lease(request.group, refuse_at, may_try_another);
   if (placed.action == placement::Action::kRun)
-    co_return Forwarded{ForwardedNext::kRunAgain, std::move(order), {}};
-  const Unplaced unplaced{placed.rejection, placed.retry_after, {}};
+    co_return ForwardingResult{ForwardingNextStep::kStartOver, std::move(request), {}};
+  const LocalRefusal local_refusal{placed.rejection, placed.retry_after, {}};
   if (placed.rejection == placement::RejectionReason::kNoLease || !is_answered) {
     result.answer.detail = fmt::format("{}; retry in {} ms", placement::rejection_text(placed.rejection),
                                        in_ms(placed.retry_after));
   }
-  if (result.answer.refusal) log_.refusal(order, result.answer, reason, 1, unplaced);
-  co_return Forwarded{ForwardedNext::kAnswer, std::move(order), std::move(result)};
+  if (result.answer.refusal) log_.refusal(request, result.answer, reason, 1, local_refusal);
+  co_return ForwardingResult{ForwardingNextStep::kAnswer, std::move(request), std::move(result)};
 }
 
 Awaitable<placement::Placement> StatementForwarding::await_lease(std::shared_ptr<GroupAccess> group,
                                                                  TimePoint refuse_at, bool may_try_another) {
-  placement::ForwardingEnd end{may_try_another, false};
-  placement::Patience patience;
+  placement::ForwardingOutcome end{may_try_another, false};
+  placement::AttemptAllowance allowance;
   while (true) {
-    patience.may_wait = services_.runtime.now() < refuse_at;
-    const auto placed = placement::place_unforwarded(end, proxy_facts(services_.view, *group), patience);
+    allowance.may_wait = services_.runtime.now() < refuse_at;
+    const auto placed =
+        placement::place_after_forwarding(end, proxy_facts(services_.view, *group), allowance);
     if (placed.action != placement::Action::kWait) co_return placed;
     co_await services_.view.renewed().wait_until(refuse_at);
     end.has_waited = true;
   }
 }
 
-Awaitable<std::optional<RunResult>> StatementForwarding::forward_to(StatementRequest order,
+Awaitable<std::optional<RunResult>> StatementForwarding::forward_to(StatementRequest request,
                                                                     subset::ProxyPointer proxy,
                                                                     bool& may_try_another, Reason& reason) {
   may_try_another = true;
-  const auto connection = co_await services_.forwarder.connect(proxy, order.deadline, reason);
+  const auto connection = co_await services_.forwarder.connect(proxy, request.deadline, reason);
   if (!connection) co_return std::nullopt;
-  ForwardRequest request;
-  request.body = ForwardRun{to_forwarded(order, services_.runtime.now())};
-  const TimePoint deadline = order.deadline + kForwardSlack;
-  auto answer = co_await connection->call(std::move(request), deadline, reason);
+  ForwardRequest forward_request;
+  forward_request.body = ForwardRun{to_forwarded(request, services_.runtime.now())};
+  const TimePoint deadline = request.deadline + kForwardSlack;
+  auto answer = co_await connection->call(std::move(forward_request), deadline, reason);
   RunResult result;
   if (!answer) {
     services_.metrics.count_lost_answer();
-    services_.forwarder.record_no_answer(proxy->name, order.group->name);
+    services_.forwarder.record_no_answer(proxy->name, request.group->name);
     // A transaction's first statement leaves no changes: the other proxy rolls it back when the connection is
     // lost.
-    const bool in_doubt = placement::is_in_doubt(order.keeps_changes(), true);
-    may_try_another = !in_doubt && services_.runtime.now() < order.deadline;
+    const bool in_doubt = placement::is_in_doubt(request.makes_durable_changes(), true);
+    may_try_another = !in_doubt && services_.runtime.now() < request.deadline;
     result.answer.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kBusy;
     result.answer.detail = "the proxy that the statement was forwarded to did not answer";
     co_return result;
   }
   may_try_another = answer->may_try_another;
-  if (may_try_another) services_.forwarder.avoid_for(proxy->name, order.group->name);
+  if (may_try_another) services_.forwarder.avoid_for(proxy->name, request.group->name);
   result.answer = std::move(answer->answer);
   result.nothing_run = answer->nothing_run;
   result.served_by = answer->at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
--- a/src/registered/proxy/statement/statement_forwarding.h
+++ b/src/registered/proxy/statement/statement_forwarding.h
@@ -20,16 +20,16 @@
 
 /// Converts a request to the message that is sent to another proxy. `now`: the sending time; deadlines are
 /// sent as remaining time.
-ForwardedOrder to_forwarded(const StatementRequest& order, TimePoint now);
+ForwardedOrder to_forwarded(const StatementRequest& request, TimePoint now);
 
-enum class ForwardedNext : std::uint8_t {
-  kAnswer,    ///< answer the caller with `result`
-  kRunHere,   ///< this proxy is next in the preference order: run it here
-  kRunAgain,  ///< start over: no proxy accepted it, and this proxy has its lease back
+enum class ForwardingNextStep : std::uint8_t {
+  kAnswer,     ///< answer the caller with `result`
+  kRunHere,    ///< this proxy is next in the preference order: run it here
+  kStartOver,  ///< start over: no proxy accepted it, and this proxy has its lease back
 };
-struct Forwarded {
-  ForwardedNext next = ForwardedNext::kAnswer;
-  StatementRequest order;  ///< with `may_have_run` updated
+struct ForwardingResult {
+  ForwardingNextStep next = ForwardingNextStep::kAnswer;
+  StatementRequest request;  ///< with `may_have_run` updated
   RunResult result;
 };
 
@@ -38,12 +38,12 @@
   explicit StatementForwarding(SessionServices services) : services_(services), log_(services) {}
 
   /// `proxies`: in order of preference. Tries at most kMaxForwards of them.
-  Awaitable<Forwarded> forward(StatementRequest order, std::vector<subset::ProxyPointer> proxies);
+  Awaitable<ForwardingResult> forward(StatementRequest request, std::vector<subset::ProxyPointer> proxies);
 
  private:
   /// Returns std::nullopt if no connection to the proxy could be opened. Sets `may_try_another` to whether
   /// another proxy may still be tried.
-  Awaitable<std::optional<RunResult>> forward_to(StatementRequest order, subset::ProxyPointer proxy,
+  Awaitable<std::optional<RunResult>> forward_to(StatementRequest request, subset::ProxyPointer proxy,
                                                  bool& may_try_another, Reason& reason);
   /// After no proxy accepted the request: waits for this proxy's lease until `refuse_at` if one is expected.
   Awaitable<placement::Placement> await_lease(std::shared_ptr<GroupAccess> group, TimePoint refuse_at,
--- a/src/registered/proxy/statement/statement_log.h
+++ b/src/registered/proxy/statement/statement_log.h
@@ -8,7 +8,7 @@
 namespace cairnhollow::registered::proxy {
 
 /// A statement that takes longer than this is logged as slow.
-inline constexpr Duration kSlowStatement = std::chrono::milliseconds(200);
+inline constexpr Duration kSlowStatementThreshold = std::chrono::milliseconds(200);
 
 class StatementLog {
  public:
@@ -18,8 +18,8 @@
   void lost_answer(const StatementAttempt& attempt, const Reason& reason) const;
   /// Also counts the refusal in the metrics if this proxy itself refused. `attempts`: number of backends
   /// tried.
-  void refusal(const StatementRequest& order, const Answer& answer, const Reason& reason, int attempts,
-               const Unplaced& unplaced = {}) const;
+  void refusal(const StatementRequest& request, const Answer& answer, const Reason& reason, int attempts,
+               const LocalRefusal& local_refusal = {}) const;
 
  private:
   SessionServices services_;
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -9,57 +9,57 @@
 
 using placement::Action;
 
-const placement::ProxyList* StatementPlacer::keep_inside(const placement::ProxyList& proxies,
-                                                         const StatementRequest& order,
-                                                         placement::ProxyList& kept) const {
-  if (order.allowed.is_anywhere()) return &proxies;
-  kept = services_.view.in_regions(proxies, order.allowed);
+const placement::ProxyList* StatementPlacer::filter_permitted(const placement::ProxyList& proxies,
+                                                              const StatementRequest& request,
+                                                              placement::ProxyList& kept) const {
+  if (request.allowed.is_anywhere()) return &proxies;
+  kept = services_.view.in_regions(proxies, request.allowed);
   // This proxy is the first choice: do not forward.
   if (!kept.empty() && kept.front()->name == services_.view.node()) kept.clear();
   return &kept;
 }
 
-std::optional<placement::Forwarding> StatementPlacer::find_elsewhere(const StatementRequest& order,
-                                                                     PeersInside& inside) const {
+std::optional<placement::Forwarding> StatementPlacer::find_forwarding(const StatementRequest& request,
+                                                                      PermittedProxies& permitted) const {
   FleetView& view = services_.view;
-  GroupAccess& group = *order.group;
+  GroupAccess& group = *request.group;
   placement::ProxyFacts proxy = proxy_facts(view, group);
-  proxy.serving =
-      keep_inside(view.forward_to(group.name, order.tenant,
-                                  order.may_use_replicas() ? GroupWork::kSingleReads : GroupWork::kAtPrimary),
-                  order, inside.serving);
-  proxy.others = keep_inside(view.others(), order, inside.others);
+  proxy.serving = filter_permitted(
+      view.forward_to(group.name, request.tenant,
+                      request.may_use_replicas() ? GroupWork::kSingleReads : GroupWork::kAtPrimary),
+      request, permitted.serving);
+  proxy.others = filter_permitted(view.others(), request, permitted.others);
   if (proxy.primary_full)
-    proxy.also_serving = keep_inside(view.also_serving(group.name), order, inside.also_serving);
+    proxy.also_serving = filter_permitted(view.also_serving(group.name), request, permitted.also_serving);
   placement::StatementNeed need;
-  need.reads = order.reads();
+  need.reads = request.reads();
   // need_of is expensive, and irrelevant if this proxy can serve everything itself.
-  if (need.reads && placement::may_another_serve(proxy))
-    need.primary_only = group.need_of(order.route, order.committed, &order.allowed).primary_only;
-  return placement::place_elsewhere(need, proxy);
+  if (need.reads && placement::may_other_proxy_serve(proxy))
+    need.primary_only = group.need_of(request.route, request.committed, &request.allowed).primary_only;
+  return placement::choose_forwarding(need, proxy);
 }
 
-bool StatementPlacer::is_shut_out(const StatementRequest& order) {
-  if (order.allowed.is_nowhere()) return true;
+bool StatementPlacer::lacks_permitted_backend(const StatementRequest& request) {
+  if (request.allowed.is_nowhere()) return true;
   ReadNeed need;
-  need.primary_only = !order.may_use_replicas();
+  need.primary_only = !request.may_use_replicas();
   const auto choice = placement::choose_backend(
-      need.primary_only, order.group->standing.facts({&need, nullptr, &order.allowed}));
+      need.primary_only, request.group->standing.facts({&need, nullptr, &request.allowed}));
   return choice.is_final && choice.rejection == placement::RejectionReason::kOutsideRegions;
 }
 
 placement::Placement StatementPlacer::place(StatementAttempt& attempt) const {
-  GroupAccess& group = *attempt.order.group;
-  const StatementRequest& order = attempt.order;
-  attempt.need = ReadNeed{true, std::nullopt, {}, &order.allowed};
-  if (order.reads()) attempt.need = group.need_of(order.route, order.committed, &order.allowed);
+  GroupAccess& group = *attempt.request.group;
+  const StatementRequest& request = attempt.request;
+  attempt.need = ReadNeed{true, std::nullopt, {}, &request.allowed};
+  if (request.reads()) attempt.need = group.need_of(request.route, request.committed, &request.allowed);
   placement::StatementNeed need;
-  need.reads = order.reads();
+  need.reads = request.reads();
   need.primary_only = attempt.need.primary_only;
-  need.is_forwarded = attempt.order.is_forwarded;
-  const GroupFacts backends = group.standing.facts(attempt.question());
-  const auto patience = placement::patience_at(attempt.progress, services_.runtime.now());
-  const auto placed = placement::place_here(need, proxy_facts(services_.view, group), backends, patience);
+  need.is_forwarded = attempt.request.is_forwarded;
+  const GroupFacts backends = group.standing.facts(attempt.placement_request());
+  const auto allowance = placement::attempt_allowance_at(attempt.progress, services_.runtime.now());
+  const auto placed = placement::place_locally(need, proxy_facts(services_.view, group), backends, allowance);
   if (placed.action != Action::kRun) return placed;
   attempt.backend = group.backends.at(placed.backend);
   attempt.epoch = group.term().epoch;
@@ -69,30 +69,30 @@
 }
 
 bool StatementPlacer::reroute(StatementAttempt& attempt) const {
-  StatementRequest& order = attempt.order;
+  StatementRequest& request = attempt.request;
   // Without a tenant, no proxy that serves the group is preferred over this one.
-  if (order.is_forwarded || order.tenant.empty() || order.may_use_replicas()) return false;
-  if (!placement::may_be_rerouted(attempt.progress)) return false;
-  PeersInside inside;
-  const auto elsewhere = find_elsewhere(order, inside);
-  if (!elsewhere) return false;
-  services_.metrics.count_forwarded(elsewhere->since);
-  ++order.rerouted;
-  attempt.moved_to = *elsewhere->proxies;
+  if (request.is_forwarded || request.tenant.empty() || request.may_use_replicas()) return false;
+  if (!placement::may_reroute(attempt.progress)) return false;
+  PermittedProxies permitted;
+  const auto forwarding = find_forwarding(request, permitted);
+  if (!forwarding) return false;
+  services_.metrics.count_forwarded(forwarding->cause);
+  ++request.reroute_count;
+  attempt.reroute_targets = *forwarding->proxies;
   return true;
 }
 
-Awaitable<void> StatementPlacer::bring_position(std::shared_ptr<StatementAttempt> attempt) const {
-  const StatementRequest& order = attempt->order;
-  GroupAccess& group = *order.group;
-  if (!order.may_use_replicas() || !group.is_primary_outside(order.allowed)) co_return;
-  const Duration staleness = std::chrono::milliseconds(order.route.max_staleness_ms);
-  if (group.positions.wants_newer(staleness)) ask_position(services_.runtime, services_.view, order.group);
-  const TimePoint patience =
-      std::min(placement::refusal_time(attempt->progress), services_.runtime.now() + kPositionPatience);
-  while (group.need_of(order.route, order.committed, &order.allowed).primary_only &&
-         group.is_primary_outside(order.allowed) && services_.runtime.now() < patience)
-    co_await group.changed.wait_until(patience);
+Awaitable<void> StatementPlacer::await_primary_position(std::shared_ptr<StatementAttempt> attempt) const {
+  const StatementRequest& request = attempt->request;
+  GroupAccess& group = *request.group;
+  if (!request.may_use_replicas() || !group.is_primary_outside(request.allowed)) co_return;
+  const Duration staleness = std::chrono::milliseconds(request.route.max_staleness_ms);
+  if (group.positions.wants_newer(staleness)) ask_position(services_.runtime, services_.view, request.group);
+  const TimePoint deadline =
+      std::min(placement::refusal_time(attempt->progress), services_.runtime.now() + kPositionWaitLimit);
+  while (group.need_of(request.route, request.committed, &request.allowed).primary_only &&
+         group.is_primary_outside(request.allowed) && services_.runtime.now() < deadline)
+    co_await group.changed.wait_until(deadline);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/statement/statement_request.h
+++ b/src/registered/proxy/statement/statement_request.h
@@ -35,21 +35,21 @@
   bool opens_transaction = false;
   bool read_only_transaction = false;
   bool is_forwarded = false;  ///< by another proxy: run here or refused, never forwarded again
-  int rerouted = 0;           ///< number of times it was forwarded after a wait here
+  int reroute_count = 0;      ///< number of times it was forwarded after a wait here
   /// A backend may already have run it; a rerun needs another token of the tenant's rate limit.
   bool may_have_run = false;
   /// Whether the statement, or the transaction that it opens, is read-only.
   [[nodiscard]] bool reads() const { return opens_transaction ? read_only_transaction : !writes; }
   /// Whether its success alone makes changes durable: a write outside a transaction, which may have run if
   /// its answer is lost. Changes by a transaction's first statement are rolled back with the transaction.
-  [[nodiscard]] bool keeps_changes() const { return writes && !opens_transaction; }
+  [[nodiscard]] bool makes_durable_changes() const { return writes && !opens_transaction; }
   /// Whether a sufficiently up-to-date replica may run it.
   [[nodiscard]] bool may_use_replicas() const {
     return reads() && route.reads != registry::ReadPolicy::kPrimary;
   }
   /// The progress before the first attempt.
   [[nodiscard]] placement::StatementProgress progress() const {
-    return {arrived, deadline, std::chrono::milliseconds(route.target_latency_ms), 0, rerouted, false};
+    return {arrived, deadline, std::chrono::milliseconds(route.target_latency_ms), 0, reroute_count, false};
   }
 };
 
@@ -75,9 +75,9 @@
   bool nothing_run = false;  ///< certainly no backend has run it, in any attempt
 };
 
-/// Why this proxy itself refused a statement, for the log. `since` is kNone if it did not.
-struct Unplaced {
-  placement::RejectionReason since = placement::RejectionReason::kNone;
+/// Why this proxy itself refused a statement, for the log. `cause` is kNone if it did not.
+struct LocalRefusal {
+  placement::RejectionReason cause = placement::RejectionReason::kNone;
   Duration retry_after{0};
   std::string passed_over;  ///< the rejected backends of the group as "name:reason", separated by spaces
 };
--- a/src/registered/proxy/statement/statement_runner.h
+++ b/src/registered/proxy/statement/statement_runner.h
@@ -30,30 +30,30 @@
         log_(services) {}
 
   /// Runs a single statement or, with `opens_transaction`, the first one of a transaction.
-  Awaitable<RunResult> run(StatementRequest order);
+  Awaitable<RunResult> run(StatementRequest request);
   /// Runs and ends the transactions that run() has opened.
   [[nodiscard]] PinnedTransactions& transactions() { return transactions_; }
 
  private:
-  using Attempt = std::shared_ptr<StatementAttempt>;
+  using AttemptPointer = std::shared_ptr<StatementAttempt>;
 
-  Awaitable<RunResult> forward(StatementRequest order, std::vector<subset::ProxyPointer> proxies);
-  Awaitable<RunResult> run_here(StatementRequest order);
+  Awaitable<RunResult> forward(StatementRequest request, std::vector<subset::ProxyPointer> proxies);
+  Awaitable<RunResult> run_here(StatementRequest request);
   /// Chooses a backend for the attempt, waiting if necessary. Returns false if it is refused or to be
   /// forwarded.
-  Awaitable<bool> choose(Attempt attempt);
-  Awaitable<placement::NextStep> try_backend(Attempt attempt);
+  Awaitable<bool> choose(AttemptPointer attempt);
+  Awaitable<placement::NextStep> try_backend(AttemptPointer attempt);
   /// Acquires a token if the attempt's backend is cold. Returns false if none is available.
-  Awaitable<bool> take_cold_token(Attempt attempt);
-  Awaitable<bool> prepare_link(Attempt attempt);
-  Awaitable<bool> acquire_link(Attempt attempt);
-  Awaitable<bool> begin_transaction(Attempt attempt);
-  Awaitable<std::optional<Answer>> exchange(Attempt attempt);
+  Awaitable<bool> acquire_cold_token(AttemptPointer attempt);
+  Awaitable<bool> prepare_link(AttemptPointer attempt);
+  Awaitable<bool> acquire_link(AttemptPointer attempt);
+  Awaitable<bool> begin_transaction(AttemptPointer attempt);
+  Awaitable<std::optional<Answer>> exchange(AttemptPointer attempt);
   /// Handles a pre-send check that did not pass. `begun`: the attempt still holds its link.
   placement::NextStep stop_before_sending(StatementAttempt& attempt, bool begun);
-  placement::NextStep take_answer(StatementAttempt& attempt, Answer answer);
-  placement::NextStep take_final_answer(StatementAttempt& attempt, Answer answer);
-  placement::NextStep take_loss(StatementAttempt& attempt, const Reason& reason);
+  placement::NextStep handle_answer(StatementAttempt& attempt, Answer answer);
+  placement::NextStep handle_final_answer(StatementAttempt& attempt, Answer answer);
+  placement::NextStep handle_lost_answer(StatementAttempt& attempt, const Reason& reason);
   /// Applies the effects of a refusal to the chosen backend, its link and its group.
   void apply(const placement::RefusalEffects& effects, StatementAttempt& attempt);
   /// Excludes the attempt's backend from later attempts if the retry requires it.
@@ -61,14 +61,14 @@
 
   /// Sets the attempt's answer to a refusal by this proxy. `retry_after`: suggested delay for the caller; 0:
   /// none.
-  static void refuse(StatementAttempt& attempt, placement::RejectionReason since, Duration retry_after);
+  static void refuse(StatementAttempt& attempt, placement::RejectionReason cause, Duration retry_after);
   /// Refuses and logs a statement that was never tried.
-  RunResult refuse_untried(StatementAttempt& attempt, placement::RejectionReason since, Duration retry_after,
+  RunResult refuse_untried(StatementAttempt& attempt, placement::RejectionReason cause, Duration retry_after,
                            Reason reason);
   /// Refuses a statement that no backend in its permitted regions can run.
-  RunResult refuse_outside(StatementRequest order);
+  RunResult refuse_outside_regions(StatementRequest request);
   /// Refuses a write because earlier commits have no answer.
-  RunResult refuse_stalled(StatementAttempt& attempt);
+  RunResult refuse_stalled_write(StatementAttempt& attempt);
 
   SessionServices services_;
   StatementPlacer placer_;
--- a/src/registered/proxy/statement/statement_sending.cpp
+++ b/src/registered/proxy/statement/statement_sending.cpp
@@ -4,14 +4,14 @@
 
 namespace cairnhollow::registered::proxy {
 
-BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
+BackendRequest make_request(const StatementRequest& request, const StatefulLink& link,
                             std::optional<Position> required) {
-  if (!order.prepared) return PassOn{order.id, order.text, required};
-  return Execute{order.id, link.prepared_name(*order.prepared), order.argument, required};
+  if (!request.prepared) return PassOn{request.id, request.text, required};
+  return Execute{request.id, link.prepared_name(*request.prepared), request.argument, required};
 }
 
-void take_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
-                         Answer& answer) {
+void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
+                          Answer& answer) {
   if (primary.commits) group.primary_health.record_commit_answered(primary.asked_at);
   const bool current = services.view.may_use_primary(group, primary.epoch);
   const auto success =
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -20,13 +20,13 @@
 
 /// Registers a statement as in progress at the primary for the lifetime of the scope. The PrimaryHealth must
 /// outlive it.
-class WorkScope {
+class PrimaryWorkScope {
  public:
-  WorkScope(PrimaryHealth& primary, PrimaryWork work)
+  PrimaryWorkScope(PrimaryHealth& primary, PrimaryWork work)
       : primary_(primary), key_(primary.begin_work(std::move(work))) {}
-  ~WorkScope() { primary_.end_work(key_); }
-  WorkScope(const WorkScope&) = delete;
-  WorkScope& operator=(const WorkScope&) = delete;
+  ~PrimaryWorkScope() { primary_.end_work(key_); }
+  PrimaryWorkScope(const PrimaryWorkScope&) = delete;
+  PrimaryWorkScope& operator=(const PrimaryWorkScope&) = delete;
 
  private:
   PrimaryHealth& primary_;
@@ -35,7 +35,7 @@
 
 /// Builds the request that is sent on the link. `required`: the log position that the backend must have
 /// reached, if any.
-BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
+BackendRequest make_request(const StatementRequest& request, const StatefulLink& link,
                             std::optional<Position> required);
 
 /// The context in which a primary reported success.
@@ -46,7 +46,7 @@
 };
 /// Records the primary's log position and, for a commit, what is acknowledged. Turns `answer` into "in doubt"
 /// for a commit that can't be acknowledged, e.g. because its primary may not be used any more.
-void take_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
-                         Answer& answer);
+void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
+                          Answer& answer);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/placement/attempt_outcome_test.cpp
+++ b/tests/registered/placement/attempt_outcome_test.cpp
@@ -54,9 +54,9 @@
 }
 
 std::string text_of(const Retry& retry) {
-  const std::string where = retry.passes_over ? " elsewhere" : "";
+  const std::string where = retry.excludes_backend ? " elsewhere" : "";
   if (retry.next == NextStep::kAnswer) return "answer" + where;
-  return (retry.next == NextStep::kChooseAgain ? "again" : "pause") + where;
+  return (retry.next == NextStep::kReselectBackend ? "again" : "pause") + where;
 }
 
 std::string text_of(const RefusalEffects& effects) {
@@ -70,9 +70,9 @@
 
 std::string text_of(const LossOutcome& outcome) {
   std::string text = text_of(outcome.retry);
-  if (outcome.may_be_reborn) text += " reborn";
+  if (outcome.may_have_restarted) text += " restarted";
   if (outcome.suspect_primary) text += " suspect";
-  if (outcome.broke_off) text += " broke_off";
+  if (outcome.counts_as_disconnect) text += " disconnected";
   return text;
 }
 
@@ -80,17 +80,17 @@
 
 class AttemptOutcomeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AttemptOutcomeTest);
-  CPPUNIT_TEST(answers);
-  CPPUNIT_TEST(effects_of_refusals);
-  CPPUNIT_TEST(effects_of_refused_begins);
-  CPPUNIT_TEST(lost_answers);
-  CPPUNIT_TEST(lost_answers_in_transactions);
-  CPPUNIT_TEST(link_failures);
-  CPPUNIT_TEST(successes_at_the_primary);
+  CPPUNIT_TEST(retries_depend_on_the_answer);
+  CPPUNIT_TEST(refusals_affect_backend_and_link);
+  CPPUNIT_TEST(refused_begins_affect_backend_and_link);
+  CPPUNIT_TEST(lost_answers_are_retried_or_in_doubt);
+  CPPUNIT_TEST(only_lost_commits_are_in_doubt);
+  CPPUNIT_TEST(link_failures_mark_the_backend);
+  CPPUNIT_TEST(primary_successes_record_positions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void answers() {
+  void retries_depend_on_the_answer() {
     struct Row {
       std::optional<Refusal> refusal;
       std::string write;
@@ -131,7 +131,7 @@
                                  text_of(after_answer(Refusal::kBusy, second(write()))));
   }
 
-  void effects_of_refusals() {
+  void refusals_affect_backend_and_link() {
     struct Row {
       std::string what;
       Refusal refusal;
@@ -156,7 +156,7 @@
                                    text_of(effects_of_refusal(row.refusal, row.attempt)));
   }
 
-  void effects_of_refused_begins() {
+  void refused_begins_affect_backend_and_link() {
     const auto effects = [](Refusal refusal, bool primary_only) {
       return text_of(effects_of_refused_begin(refusal, primary_only));
     };
@@ -168,7 +168,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(""), effects(Refusal::kWrongBackend, true));
   }
 
-  void lost_answers() {
+  void lost_answers_are_retried_or_in_doubt() {
     constexpr LossFacts kNotSent{false, true};
     constexpr LossFacts kBrokenOff{true, true};
     constexpr LossFacts kLate{true, false};
@@ -179,32 +179,32 @@
       std::string outcome;
     };
     const std::vector<Row> rows{
-        {"a write that was not sent", write(), kNotSent, "pause reborn suspect"},
-        {"a write whose connection was lost", write(), kBrokenOff, "answer reborn suspect broke_off"},
+        {"a write that was not sent", write(), kNotSent, "pause restarted suspect"},
+        {"a write whose connection was lost", write(), kBrokenOff, "answer restarted suspect disconnected"},
         {"a write whose answer is late", write(), kLate, "answer suspect"},
         {"a write at a primary of an earlier term", of_former_term(write()), kBrokenOff, "answer"},
         {"the first statement of a transaction", opens_transaction(), kBrokenOff,
-         "pause reborn suspect broke_off"},
+         "pause restarted suspect disconnected"},
         {"a read of the primary", primary_read(), kLate, "pause suspect"},
         {"a read of a replica", replica_read(), kLate, "again elsewhere"},
-        {"a replica's connection was lost", replica_read(), kBrokenOff, "again elsewhere reborn"},
+        {"a replica's connection was lost", replica_read(), kBrokenOff, "again elsewhere restarted"},
         {"a replica read at the primary", free_read_at_primary(), kLate, "again elsewhere suspect"},
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome, text_of(after_loss(row.attempt, row.loss)));
   }
 
-  void lost_answers_in_transactions() {
+  void only_lost_commits_are_in_doubt() {
     CPPUNIT_ASSERT(is_in_doubt(true, true));
     CPPUNIT_ASSERT(!is_in_doubt(true, false));
     CPPUNIT_ASSERT(!is_in_doubt(false, true));
-    CPPUNIT_ASSERT(may_be_reborn({true, true}, true));
-    CPPUNIT_ASSERT(may_be_reborn({false, true}, true));
-    CPPUNIT_ASSERT(!may_be_reborn({true, false}, true));
-    CPPUNIT_ASSERT(!may_be_reborn({true, true}, false));
+    CPPUNIT_ASSERT(may_have_restarted({true, true}, true));
+    CPPUNIT_ASSERT(may_have_restarted({false, true}, true));
+    CPPUNIT_ASSERT(!may_have_restarted({true, false}, true));
+    CPPUNIT_ASSERT(!may_have_restarted({true, true}, false));
   }
 
-  void link_failures() {
+  void link_failures_mark_the_backend() {
     struct Row {
       std::string what;
       LinkFailure failure;
@@ -222,11 +222,11 @@
       const LinkFailureOutcome outcome = after_link_failure(row.failure, row.at_primary);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.avoid_backend, outcome.avoid_backend);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.primary_unreachable, outcome.primary_unreachable);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.may_be_reborn, outcome.may_be_reborn);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.may_have_restarted, outcome.may_have_restarted);
     }
   }
 
-  void successes_at_the_primary() {
+  void primary_successes_record_positions() {
     struct Row {
       std::string what;
       bool commits;
--- a/tests/registered/placement/backend_choice_test.cpp
+++ b/tests/registered/placement/backend_choice_test.cpp
@@ -35,7 +35,7 @@
   return with(facts, [](auto& backend) { backend.leaving = true; });
 }
 BackendFacts leaving_too_long(BackendFacts facts) {
-  return with(leaving(facts), [](auto& backend) { backend.leaving_grace_over = true; });
+  return with(leaving(facts), [](auto& backend) { backend.leaving_grace_expired = true; });
 }
 BackendFacts of_closed_term(BackendFacts facts) {
   return with(facts, [](auto& backend) { backend.of_closed_term = true; });
@@ -88,21 +88,21 @@
 
 class BackendChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BackendChoiceTest);
-  CPPUNIT_TEST(what_needs_the_primary);
-  CPPUNIT_TEST(a_read_goes_where_it_costs_least);
-  CPPUNIT_TEST(a_read_passes_over);
-  CPPUNIT_TEST(what_failed_a_moment_ago_goes_last);
-  CPPUNIT_TEST(a_primary_that_may_not_be_believed_serves_no_read);
-  CPPUNIT_TEST(nobody_is_left_to_read_at);
-  CPPUNIT_TEST(new_work_is_kept_away);
-  CPPUNIT_TEST(the_soonest_time_to_come_back_is_told);
-  CPPUNIT_TEST(another_reader);
-  CPPUNIT_TEST(warming);
-  CPPUNIT_TEST(each_backend_tells_its_rejection_reason);
+  CPPUNIT_TEST(primary_statements_run_only_at_the_primary);
+  CPPUNIT_TEST(reads_use_the_cheapest_backend);
+  CPPUNIT_TEST(reads_skip_unsuitable_backends);
+  CPPUNIT_TEST(recently_failed_backends_are_the_last_choice);
+  CPPUNIT_TEST(untrusted_primaries_serve_no_reads);
+  CPPUNIT_TEST(reads_without_candidates_are_rejected);
+  CPPUNIT_TEST(excluded_backends_get_no_new_work);
+  CPPUNIT_TEST(retry_after_is_the_shortest_delay);
+  CPPUNIT_TEST(finds_another_reader);
+  CPPUNIT_TEST(warms_only_usable_backends);
+  CPPUNIT_TEST(reports_the_rejection_of_each_backend);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void what_needs_the_primary() {
+  void primary_statements_run_only_at_the_primary() {
     const BackendFacts other = replica("r1");
     check(true,
           {
@@ -126,7 +126,7 @@
           });
   }
 
-  void a_read_goes_where_it_costs_least() {
+  void reads_use_the_cheapest_backend() {
     check(false, {
                      {"cheapest", {primary(), replica("r1", 12), replica("r2", 11)}, "r2"},
                      {"the first of equally cheap ones", {primary(), replica("r1"), replica("r2")}, "r1"},
@@ -135,7 +135,7 @@
                  });
   }
 
-  void a_read_passes_over() {
+  void reads_skip_unsuitable_backends() {
     const BackendFacts dear = replica("dear", 15);
     check(false,
           {
@@ -155,7 +155,7 @@
           });
   }
 
-  void what_failed_a_moment_ago_goes_last() {
+  void recently_failed_backends_are_the_last_choice() {
     const BackendFacts failed = avoided(replica("failed", 1));
     const BackendFacts full = refused(replica("full", 1));
     check(false, {
@@ -170,7 +170,7 @@
                  });
   }
 
-  void a_primary_that_may_not_be_believed_serves_no_read() {
+  void untrusted_primaries_serve_no_reads() {
     const BackendFacts closed = with(of_closed_term(primary()), [](auto& backend) { backend.cost = 1; });
     check(
         false,
@@ -182,7 +182,7 @@
         });
   }
 
-  void nobody_is_left_to_read_at() {
+  void reads_without_candidates_are_rejected() {
     check(
         false,
         {
@@ -192,7 +192,7 @@
         });
   }
 
-  void new_work_is_kept_away() {
+  void excluded_backends_get_no_new_work() {
     const BackendFacts other = replica("r2", 50);
     check(
         false,
@@ -236,7 +236,7 @@
         });
   }
 
-  void the_soonest_time_to_come_back_is_told() {
+  void retry_after_is_the_shortest_delay() {
     const Backends both{cold(replica("r1"), milliseconds(900)), cold(replica("r2"), milliseconds(400))};
     CPPUNIT_ASSERT(choose_backend(false, both).retry_after == Duration(milliseconds(400)));
     const Backends leader{cold(primary(), milliseconds(700)), cold(replica("r2"), milliseconds(400))};
@@ -244,7 +244,7 @@
     CPPUNIT_ASSERT(choose_backend(false, leader).retry_after == Duration(milliseconds(400)));
   }
 
-  void another_reader() {
+  void finds_another_reader() {
     CPPUNIT_ASSERT(has_other_reader(false, Backends{tried(replica("r1")), replica("r2")}));
     CPPUNIT_ASSERT(has_other_reader(false, Backends{tried(replica("r1")), primary()}));
     CPPUNIT_ASSERT(!has_other_reader(false, Backends{tried(replica("r1"))}));
@@ -255,7 +255,7 @@
                            has_other_reader(false, Backends{tried(replica("r1")), refused(replica("r2"))}));
   }
 
-  void warming() {
+  void warms_only_usable_backends() {
     CPPUNIT_ASSERT(may_be_warmed(primary()));
     CPPUNIT_ASSERT(may_be_warmed(refused(replica("r1"))));
     for (const BackendFacts& backend :
@@ -263,7 +263,7 @@
       CPPUNIT_ASSERT(!may_be_warmed(backend));
   }
 
-  void each_backend_tells_its_rejection_reason() {
+  void reports_the_rejection_of_each_backend() {
     const Backends group{primary(), lagging(replica("r1"))};
     CPPUNIT_ASSERT(rejection_at(group[1], false, group) == RejectionReason::kLags);
     CPPUNIT_ASSERT(rejection_at(group[1], true, group) == RejectionReason::kNone);
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kBackAfter = milliseconds(300);
+constexpr Duration kRetryAfter = milliseconds(300);
 
 /// Holds a lease, and the group has a primary.
 ProxyFacts healthy() {
@@ -28,11 +28,11 @@
   return facts;
 }
 
-ProxyFacts unleased() {
+ProxyFacts without_lease() {
   return with(healthy(), [](auto& proxy) { proxy.holds_lease = false; });
 }
-ProxyFacts unleased_yet() {
-  return with(unleased(), [](auto& proxy) { proxy.expects_lease = true; });
+ProxyFacts expecting_lease() {
+  return with(without_lease(), [](auto& proxy) { proxy.expects_lease = true; });
 }
 ProxyFacts closed() {
   return with(healthy(), [](auto& proxy) { proxy.group_open = false; });
@@ -58,16 +58,16 @@
   return facts;
 }
 
-Patience patience(bool may_wait) {
-  Patience patience;
-  patience.may_wait = may_wait;
-  return patience;
+AttemptAllowance allowance(bool may_wait) {
+  AttemptAllowance allowance;
+  allowance.may_wait = may_wait;
+  return allowance;
 }
-Patience used_up() {
-  return with(patience(true), [](auto& facts) { facts.may_try = false; });
+AttemptAllowance exhausted() {
+  return with(allowance(true), [](auto& facts) { facts.may_attempt = false; });
 }
-Patience offered() {
-  return with(patience(false), [](auto& facts) { facts.offered = true; });
+AttemptAllowance already_sent() {
+  return with(allowance(false), [](auto& facts) { facts.was_sent = true; });
 }
 
 const char* action_name(Action action) {
@@ -85,19 +85,19 @@
 
 class PlacementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlacementTest);
-  CPPUNIT_TEST(what_is_passed_on);
-  CPPUNIT_TEST(what_is_run_here);
-  CPPUNIT_TEST(what_is_waited_for);
-  CPPUNIT_TEST(what_is_refused);
-  CPPUNIT_TEST(what_keeps_new_work_away_is_never_waited_for);
-  CPPUNIT_TEST(turns_of_proxies);
-  CPPUNIT_TEST(what_no_proxy_took);
-  CPPUNIT_TEST(what_another_proxy_may_serve);
-  CPPUNIT_TEST(names_are_told_apart);
+  CPPUNIT_TEST(forwards_to_other_proxies);
+  CPPUNIT_TEST(runs_statements_locally);
+  CPPUNIT_TEST(waits_for_lease_primary_or_backend);
+  CPPUNIT_TEST(refuses_with_the_main_reason);
+  CPPUNIT_TEST(does_not_wait_for_excluded_backends);
+  CPPUNIT_TEST(skips_unresponsive_proxies_without_lease);
+  CPPUNIT_TEST(decides_after_failed_forwarding);
+  CPPUNIT_TEST(detects_obstacles_of_this_proxy_only);
+  CPPUNIT_TEST(reason_names_are_unique);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void what_is_passed_on() {
+  void forwards_to_other_proxies() {
     struct Row {
       std::string what;
       StatementNeed need;
@@ -125,12 +125,12 @@
         {"served here", kWrite, among(healthy()), ""},
         {"served elsewhere", kWrite, elsewhere(healthy()), "serving served_elsewhere"},
         {"a read served elsewhere", kRead, elsewhere(healthy()), "serving served_elsewhere"},
-        {"served elsewhere, no lease", kWrite, elsewhere(unleased()), "serving served_elsewhere"},
-        {"a forwarded write is not forwarded again", kForwardedWrite, elsewhere(unleased()), ""},
-        {"no lease", kWrite, among(unleased()), "others no_lease"},
-        {"no lease, a read at the primary", kReadAtPrimary, among(unleased()), "others no_lease"},
-        {"no lease, a read at replicas", kRead, among(unleased()), ""},
-        {"no lease, no other proxy", kWrite, unleased(), ""},
+        {"served elsewhere, no lease", kWrite, elsewhere(without_lease()), "serving served_elsewhere"},
+        {"a forwarded write is not forwarded again", kForwardedWrite, elsewhere(without_lease()), ""},
+        {"no lease", kWrite, among(without_lease()), "others no_lease"},
+        {"no lease, a read at the primary", kReadAtPrimary, among(without_lease()), "others no_lease"},
+        {"no lease, a read at replicas", kRead, among(without_lease()), ""},
+        {"no lease, no other proxy", kWrite, without_lease(), ""},
         {"unreachable", kWrite, among(unreachable()), "others primary_unreachable"},
         {"unreachable, a read at replicas", kRead, among(unreachable()), ""},
         {"unreachable, group closed", kWrite, among(closed_unreachable), ""},
@@ -144,160 +144,170 @@
         {"closed", kWrite, among(closed()), ""},
     };
     for (const Row& row : rows) {
-      const auto forwarding = place_elsewhere(row.need, row.proxy);
+      const auto forwarding = choose_forwarding(row.need, row.proxy);
       std::string answer;
-      if (forwarding) answer = name_of(forwarding->proxies) + " " + forward_cause_name(forwarding->since);
+      if (forwarding) answer = name_of(forwarding->proxies) + " " + forward_cause_name(forwarding->cause);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.answer, answer);
     }
   }
 
-  void what_is_run_here() {
+  void runs_statements_locally() {
     check({
-        {"a write", kWrite, healthy(), {backend(true), backend(false)}, patience(true), "run 0"},
-        {"a read", kRead, healthy(), {backend(true), backend(false)}, patience(true), "run 0"},
-        {"a read at a replica without lease", kRead, unleased(), {backend(false)}, patience(true), "run 0"},
-        {"a read while the group is closed", kRead, closed(), {backend(false)}, patience(true), "run 0"},
-        {"no time left to wait", kWrite, healthy(), {backend(true)}, patience(false), "run 0"},
-        {"a retry", kWrite, healthy(), {backend(true)}, offered(), "run 0"},
+        {"a write", kWrite, healthy(), {backend(true), backend(false)}, allowance(true), "run 0"},
+        {"a read", kRead, healthy(), {backend(true), backend(false)}, allowance(true), "run 0"},
+        {"a read at a replica without lease",
+         kRead,
+         without_lease(),
+         {backend(false)},
+         allowance(true),
+         "run 0"},
+        {"a read while the group is closed", kRead, closed(), {backend(false)}, allowance(true), "run 0"},
+        {"no time left to wait", kWrite, healthy(), {backend(true)}, allowance(false), "run 0"},
+        {"a retry", kWrite, healthy(), {backend(true)}, already_sent(), "run 0"},
         {"a forwarded write at a full primary",
          kForwardedWrite,
          full(),
          {backend(true)},
-         patience(true),
+         allowance(true),
          "run 0"},
     });
   }
 
-  void what_is_waited_for() {
+  void waits_for_lease_primary_or_backend() {
     const BackendFacts tried = with(backend(true), [](auto& facts) { facts.tried = true; });
     const BackendFacts old = with(backend(true), [](auto& facts) { facts.of_closed_term = true; });
     check({
-        {"an expected lease", kWrite, unleased_yet(), {backend(true)}, patience(true), "wait no_lease"},
+        {"an expected lease", kWrite, expecting_lease(), {backend(true)}, allowance(true), "wait no_lease"},
         {"an expected lease, no time left",
          kWrite,
-         unleased_yet(),
+         expecting_lease(),
          {backend(true)},
-         patience(false),
+         allowance(false),
          "refuse no_lease"},
-        {"no lease expected", kWrite, unleased(), {backend(true)}, patience(true), "refuse no_lease"},
-        {"an expected primary", kWrite, changing(), {old}, patience(true), "wait group_closed"},
+        {"no lease expected", kWrite, without_lease(), {backend(true)}, allowance(true), "refuse no_lease"},
+        {"an expected primary", kWrite, changing(), {old}, allowance(true), "wait group_closed"},
         {"an expected primary, no time left",
          kWrite,
          changing(),
          {old},
-         patience(false),
+         allowance(false),
          "refuse group_closed"},
-        {"no primary expected", kWrite, closed(), {old}, patience(true), "refuse group_closed"},
-        {"no backend known yet", kWrite, healthy(), {}, patience(true), "wait no_backend"},
-        {"all backends tried", kRead, healthy(), {tried}, patience(true), "wait tried"},
+        {"no primary expected", kWrite, closed(), {old}, allowance(true), "refuse group_closed"},
+        {"no backend known yet", kWrite, healthy(), {}, allowance(true), "wait no_backend"},
+        {"all backends tried", kRead, healthy(), {tried}, allowance(true), "wait tried"},
     });
   }
 
-  void what_is_refused() {
-    const BackendFacts left = with(backend(true), [](auto& facts) { facts.leaving_grace_over = true; });
+  void refuses_with_the_main_reason() {
+    const BackendFacts left = with(backend(true), [](auto& facts) { facts.leaving_grace_expired = true; });
     const BackendFacts tried = with(backend(true), [](auto& facts) { facts.tried = true; });
     check({
-        {"no backend", kRead, healthy(), {}, patience(false), "refuse no_backend"},
-        {"draining for too long", kWrite, healthy(), {left}, patience(false), "refuse leaving"},
-        {"tried", kRead, healthy(), {tried}, patience(false), "refuse tried"},
-        {"out of attempts", kWrite, healthy(), {backend(true)}, used_up(), "refuse no_backend"},
-        {"out of attempts, no lease", kWrite, unleased_yet(), {backend(true)}, used_up(), "refuse no_lease"},
-        {"out of attempts, closed", kWrite, changing(), {backend(true)}, used_up(), "refuse group_closed"},
+        {"no backend", kRead, healthy(), {}, allowance(false), "refuse no_backend"},
+        {"draining for too long", kWrite, healthy(), {left}, allowance(false), "refuse leaving"},
+        {"tried", kRead, healthy(), {tried}, allowance(false), "refuse tried"},
+        {"out of attempts", kWrite, healthy(), {backend(true)}, exhausted(), "refuse no_backend"},
+        {"out of attempts, no lease",
+         kWrite,
+         expecting_lease(),
+         {backend(true)},
+         exhausted(),
+         "refuse no_lease"},
+        {"out of attempts, closed", kWrite, changing(), {backend(true)}, exhausted(), "refuse group_closed"},
         {"out of attempts, unreachable",
          kWrite,
          unreachable(),
          {backend(true)},
-         used_up(),
+         exhausted(),
          "refuse primary_unreachable"},
-        {"out of attempts, full", kWrite, full(), {backend(true)}, used_up(), "refuse primary_full"},
+        {"out of attempts, full", kWrite, full(), {backend(true)}, exhausted(), "refuse primary_full"},
         {"a read that does not need the full primary",
          kRead,
          full(),
          {backend(true)},
-         used_up(),
+         exhausted(),
          "refuse no_backend"},
-        {"backends were busy", kWrite, unleased(), {tried}, offered(), "refuse backends_busy"},
+        {"backends were busy", kWrite, without_lease(), {tried}, already_sent(), "refuse backends_busy"},
     });
-    const Placement refused = place_here(kWrite, closed(), {}, patience(false));
-    CPPUNIT_ASSERT(refused.retry_after == kBackAfter);
+    const Placement refused = place_locally(kWrite, closed(), {}, allowance(false));
+    CPPUNIT_ASSERT(refused.retry_after == kRetryAfter);
   }
 
-  void what_keeps_new_work_away_is_never_waited_for() {
+  void does_not_wait_for_excluded_backends() {
     const BackendFacts evacuated = with(backend(true), [](auto& facts) { facts.zone_evacuated = true; });
     const BackendFacts outside = with(backend(true), [](auto& facts) { facts.region_allowed = false; });
     BackendFacts cold = with(backend(true), [](auto& facts) { facts.cold_limit_reached = true; });
     check({
-        {"evacuated", kWrite, healthy(), {evacuated}, patience(true), "refuse zone_evacuated"},
-        {"outside", kReadAtPrimary, healthy(), {outside}, patience(true), "refuse outside_regions"},
-        {"cold", kRead, healthy(), {cold}, patience(true), "refuse cold_limit"},
+        {"evacuated", kWrite, healthy(), {evacuated}, allowance(true), "refuse zone_evacuated"},
+        {"outside", kReadAtPrimary, healthy(), {outside}, allowance(true), "refuse outside_regions"},
+        {"cold", kRead, healthy(), {cold}, allowance(true), "refuse cold_limit"},
         {"evacuated, lease expected",
          kWrite,
-         unleased_yet(),
+         expecting_lease(),
          {evacuated},
-         patience(true),
+         allowance(true),
          "refuse zone_evacuated"},
-        {"evacuated, sent before", kWrite, healthy(), {evacuated}, offered(), "refuse zone_evacuated"},
+        {"evacuated, sent before", kWrite, healthy(), {evacuated}, already_sent(), "refuse zone_evacuated"},
         {"a read at a replica of an evacuated primary",
          kRead,
          healthy(),
          {evacuated, backend(false)},
-         patience(true),
+         allowance(true),
          "run 1"},
         {"a write at an evacuated primary",
          kWrite,
          healthy(),
          {evacuated, backend(false)},
-         patience(true),
+         allowance(true),
          "refuse zone_evacuated"},
     });
-    CPPUNIT_ASSERT(place_here(kWrite, healthy(), {{cold}}, patience(true)).retry_after == kBackAfter);
+    CPPUNIT_ASSERT(place_locally(kWrite, healthy(), {{cold}}, allowance(true)).retry_after == kRetryAfter);
     cold.retry_after = milliseconds(40);
-    CPPUNIT_ASSERT(place_here(kWrite, healthy(), {{cold}}, patience(true)).retry_after ==
+    CPPUNIT_ASSERT(place_locally(kWrite, healthy(), {{cold}}, allowance(true)).retry_after ==
                    Duration(milliseconds(40)));
   }
 
-  void turns_of_proxies() {
+  void skips_unresponsive_proxies_without_lease() {
     const NextProxy other;
     const NextProxy silent{false, true};
     const NextProxy self{true, false};
     CPPUNIT_ASSERT(try_next_proxy(other, healthy()) == NextProxyAction::kSend);
-    CPPUNIT_ASSERT(try_next_proxy(other, unleased()) == NextProxyAction::kSend);
+    CPPUNIT_ASSERT(try_next_proxy(other, without_lease()) == NextProxyAction::kSend);
     CPPUNIT_ASSERT(try_next_proxy(silent, healthy()) == NextProxyAction::kSend);
-    CPPUNIT_ASSERT(try_next_proxy(silent, unleased()) == NextProxyAction::kSkip);
+    CPPUNIT_ASSERT(try_next_proxy(silent, without_lease()) == NextProxyAction::kSkip);
     CPPUNIT_ASSERT(try_next_proxy(self, healthy()) == NextProxyAction::kRunHere);
-    CPPUNIT_ASSERT(try_next_proxy(self, unleased()) == NextProxyAction::kSkip);
+    CPPUNIT_ASSERT(try_next_proxy(self, without_lease()) == NextProxyAction::kSkip);
   }
 
-  void what_no_proxy_took() {
+  void decides_after_failed_forwarding() {
     struct Row {
       std::string what;
-      ForwardingEnd end;
+      ForwardingOutcome end;
       ProxyFacts proxy;
-      Patience patience;
+      AttemptAllowance allowance;
       std::string answer;
     };
     const std::vector<Row> rows{
-        {"answered, or in doubt", {false, false}, unleased_yet(), patience(true), "refuse none"},
-        {"no proxy accepted it", {true, false}, healthy(), patience(true), "refuse no_proxy"},
-        {"a lease is expected", {true, false}, unleased_yet(), patience(true), "wait no_lease"},
-        {"no time left for the lease", {true, true}, unleased_yet(), patience(false), "refuse no_lease"},
-        {"no lease is expected", {true, false}, unleased(), patience(true), "refuse no_lease"},
-        {"the lease was renewed", {true, true}, healthy(), patience(false), "run 0"},
+        {"answered, or in doubt", {false, false}, expecting_lease(), allowance(true), "refuse none"},
+        {"no proxy accepted it", {true, false}, healthy(), allowance(true), "refuse no_proxy"},
+        {"a lease is expected", {true, false}, expecting_lease(), allowance(true), "wait no_lease"},
+        {"no time left for the lease", {true, true}, expecting_lease(), allowance(false), "refuse no_lease"},
+        {"no lease is expected", {true, false}, without_lease(), allowance(true), "refuse no_lease"},
+        {"the lease was renewed", {true, true}, healthy(), allowance(false), "run 0"},
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.answer,
-                                   text_of(place_unforwarded(row.end, row.proxy, row.patience)));
+                                   text_of(place_after_forwarding(row.end, row.proxy, row.allowance)));
   }
 
-  void what_another_proxy_may_serve() {
-    CPPUNIT_ASSERT(!may_another_serve(healthy()));
-    CPPUNIT_ASSERT(!may_another_serve(changing()));
-    CPPUNIT_ASSERT(may_another_serve(unleased()));
-    CPPUNIT_ASSERT(may_another_serve(unreachable()));
-    CPPUNIT_ASSERT(may_another_serve(full()));
+  void detects_obstacles_of_this_proxy_only() {
+    CPPUNIT_ASSERT(!may_other_proxy_serve(healthy()));
+    CPPUNIT_ASSERT(!may_other_proxy_serve(changing()));
+    CPPUNIT_ASSERT(may_other_proxy_serve(without_lease()));
+    CPPUNIT_ASSERT(may_other_proxy_serve(unreachable()));
+    CPPUNIT_ASSERT(may_other_proxy_serve(full()));
   }
 
-  void names_are_told_apart() {
+  void reason_names_are_unique() {
     std::set<std::string> names;
     for (std::size_t place = 0; place < kRejectionReasonCount; ++place) {
       const auto rejection = static_cast<RejectionReason>(place);
@@ -320,13 +330,13 @@
     StatementNeed need;
     ProxyFacts proxy;
     std::vector<BackendFacts> backends;
-    Patience patience;
+    AttemptAllowance allowance;
     std::string answer;
   };
   static void check(const std::vector<Row>& rows) {
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.answer,
-                                   text_of(place_here(row.need, row.proxy, row.backends, row.patience)));
+                                   text_of(place_locally(row.need, row.proxy, row.backends, row.allowance)));
   }
   std::string name_of(const ProxyList* proxies) const {
     if (proxies == &serving_) return "serving";
--- a/tests/registered/placement/sending_test.cpp
+++ b/tests/registered/placement/sending_test.cpp
@@ -16,14 +16,14 @@
 
 class SendingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SendingTest);
-  CPPUNIT_TEST(keys);
-  CPPUNIT_TEST(stalled_commits);
-  CPPUNIT_TEST(the_last_look);
-  CPPUNIT_TEST(open_transactions);
+  CPPUNIT_TEST(rejects_invalid_or_unconfirmed_keys);
+  CPPUNIT_TEST(rejects_writes_while_commits_stall);
+  CPPUNIT_TEST(rechecks_before_sending);
+  CPPUNIT_TEST(rechecks_open_transactions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void keys() {
+  void rejects_invalid_or_unconfirmed_keys() {
     CPPUNIT_ASSERT(key_rejection({false, false, false}) == RejectionReason::kNone);
     CPPUNIT_ASSERT(key_rejection({true, true, true}) == RejectionReason::kNone);
     CPPUNIT_ASSERT(key_rejection({true, false, true}) == RejectionReason::kKeyUnauthorized);
@@ -31,25 +31,25 @@
     CPPUNIT_ASSERT(key_rejection({true, false, false}) == RejectionReason::kKeyUnauthorized);
   }
 
-  void stalled_commits() {
+  void rejects_writes_while_commits_stall() {
     CPPUNIT_ASSERT(commit_rejection(true, true) == RejectionReason::kCommitsStall);
     CPPUNIT_ASSERT(commit_rejection(true, false) == RejectionReason::kNone);
     CPPUNIT_ASSERT(commit_rejection(false, true) == RejectionReason::kNone);
   }
 
-  void the_last_look() {
+  void rechecks_before_sending() {
     const SendFacts good{true, true, false, {true, true, true}};
     const BackendFacts there = BackendFacts();
     const auto look = [&there](SendFacts facts, auto change) {
       change(facts);
-      return before_sending(facts, there);
+      return check_before_sending(facts, there);
     };
     const auto is = [](SendDecision decision, SendAction action, RejectionReason rejection) {
       return decision.action == action && decision.rejection == rejection;
     };
-    CPPUNIT_ASSERT(is(before_sending(good, there), SendAction::kSend, RejectionReason::kNone));
+    CPPUNIT_ASSERT(is(check_before_sending(good, there), SendAction::kSend, RejectionReason::kNone));
     CPPUNIT_ASSERT(is(look(good, [](auto& facts) { facts.may_use_primary = false; }),
-                      SendAction::kChooseAgain, RejectionReason::kPrimaryGivenUp));
+                      SendAction::kReselectBackend, RejectionReason::kPrimaryGivenUp));
     CPPUNIT_ASSERT(is(look(good,
                            [](auto& facts) {
                              facts.may_use_primary = false;
@@ -66,15 +66,16 @@
     const auto outside = with(there, [](auto& facts) { facts.region_allowed = false; });
     const auto cold = with(there, [](auto& facts) { facts.cold_limit_reached = true; });
     const auto leaving = with(there, [](auto& facts) { facts.leaving = true; });
+    CPPUNIT_ASSERT(is(check_before_sending(good, evacuated), SendAction::kReselectBackend,
+                      RejectionReason::kZoneEvacuated));
+    CPPUNIT_ASSERT(is(check_before_sending(good, outside), SendAction::kReselectBackend,
+                      RejectionReason::kOutsideRegions));
     CPPUNIT_ASSERT(
-        is(before_sending(good, evacuated), SendAction::kChooseAgain, RejectionReason::kZoneEvacuated));
-    CPPUNIT_ASSERT(
-        is(before_sending(good, outside), SendAction::kChooseAgain, RejectionReason::kOutsideRegions));
-    CPPUNIT_ASSERT(is(before_sending(good, cold), SendAction::kChooseAgain, RejectionReason::kColdLimit));
-    CPPUNIT_ASSERT(is(before_sending(good, leaving), SendAction::kSend, RejectionReason::kNone));
+        is(check_before_sending(good, cold), SendAction::kReselectBackend, RejectionReason::kColdLimit));
+    CPPUNIT_ASSERT(is(check_before_sending(good, leaving), SendAction::kSend, RejectionReason::kNone));
   }
 
-  void open_transactions() {
+  void rechecks_open_transactions() {
     const TransactionFacts good{true, false, true, false, {true, true, true}};
     const BackendFacts there = BackendFacts();
     const auto ask = [&there](TransactionFacts facts, auto change) {
@@ -101,7 +102,7 @@
     BackendFacts evacuated = with(there, [](auto& facts) { facts.zone_evacuated = true; });
     CPPUNIT_ASSERT_MESSAGE("within the grace period",
                            rejection_in_transaction(good, evacuated) == RejectionReason::kNone);
-    evacuated.transaction_grace_over = true;
+    evacuated.transaction_grace_expired = true;
     CPPUNIT_ASSERT(rejection_in_transaction(good, evacuated) == RejectionReason::kZoneEvacuated);
     const auto others = with(there, [](auto& facts) {
       facts.leaving = true;
--- a/tests/registered/placement/statement_progress_test.cpp
+++ b/tests/registered/placement/statement_progress_test.cpp
@@ -32,8 +32,8 @@
 StatementProgress tried(int attempts) {
   return with([attempts](auto& progress) { progress.attempts = attempts; });
 }
-StatementProgress offered() {
-  return with([](auto& progress) { progress.offered = true; });
+StatementProgress already_sent() {
+  return with([](auto& progress) { progress.was_sent = true; });
 }
 StatementProgress aims_at(int ms) {
   return with([ms](auto& progress) { progress.target_latency = milliseconds(ms); });
@@ -45,19 +45,19 @@
 
 class StatementProgressTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatementProgressTest);
-  CPPUNIT_TEST(how_often_and_how_long);
-  CPPUNIT_TEST(waits_at_a_backend);
-  CPPUNIT_TEST(silent_backends);
+  CPPUNIT_TEST(limits_attempts_and_waits);
+  CPPUNIT_TEST(limits_waits_for_links_and_slots);
+  CPPUNIT_TEST(abandons_unresponsive_backends);
   CPPUNIT_TEST(reroutes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void how_often_and_how_long() {
+  void limits_attempts_and_waits() {
     struct Row {
       std::string what;
       StatementProgress progress;
       int now;
-      bool may_try;
+      bool may_attempt;
       bool may_wait;
     };
     const std::vector<Row> rows{
@@ -70,16 +70,16 @@
         {"four backends tried", tried(4), 1000, false, true},
     };
     for (const Row& row : rows) {
-      const Patience patience = patience_at(row.progress, at(row.now));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.may_try, patience.may_try);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.may_wait, patience.may_wait);
-      CPPUNIT_ASSERT_MESSAGE(row.what, !patience.offered);
+      const AttemptAllowance allowance = attempt_allowance_at(row.progress, at(row.now));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.may_attempt, allowance.may_attempt);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.may_wait, allowance.may_wait);
+      CPPUNIT_ASSERT_MESSAGE(row.what, !allowance.was_sent);
     }
-    CPPUNIT_ASSERT(patience_at(offered(), at(1000)).offered);
+    CPPUNIT_ASSERT(attempt_allowance_at(already_sent(), at(1000)).was_sent);
     CPPUNIT_ASSERT_EQUAL(std::string("1300"), text_of(refusal_time(tried(4))));
   }
 
-  void waits_at_a_backend() {
+  void limits_waits_for_links_and_slots() {
     struct Row {
       std::string what;
       StatementProgress progress;
@@ -92,10 +92,10 @@
         {"target latency below the deadline", aims_at(200), 1000, "1300", "1100"},
         {"half the target latency passed: one retry pause", aims_at(200), 1150, "1300", "1158"},
         {"at most the wait for a primary", aims_at(200), 1296, "1300", "1300"},
-        {"sent before: 100 ms for a link", offered(), 1400, "1500", "1408"},
-        {"sent before, target latency not reached", offered(), 1100, "1200", "1200"},
-        {"link wait ends at the deadline", offered(), 1850, "1900", "1858"},
-        {"slot wait ends at the deadline", offered(), 1895, "1900", "1900"},
+        {"sent before: 100 ms for a link", already_sent(), 1400, "1500", "1408"},
+        {"sent before, target latency not reached", already_sent(), 1100, "1200", "1200"},
+        {"link wait ends at the deadline", already_sent(), 1850, "1900", "1858"},
+        {"slot wait ends at the deadline", already_sent(), 1895, "1900", "1900"},
     };
     for (const Row& row : rows) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.link, text_of(link_wait_end(row.progress, at(row.now))));
@@ -103,13 +103,13 @@
     }
   }
 
-  void silent_backends() {
-    CPPUNIT_ASSERT(may_leave_silent_backend(false, tried(1)));
-    CPPUNIT_ASSERT(may_leave_silent_backend(false, tried(2)));
-    CPPUNIT_ASSERT_MESSAGE("the next attempt would be the last", !may_leave_silent_backend(false, tried(3)));
-    CPPUNIT_ASSERT_MESSAGE("only the primary may run it", !may_leave_silent_backend(true, tried(1)));
+  void abandons_unresponsive_backends() {
+    CPPUNIT_ASSERT(may_abandon_backend(false, tried(1)));
+    CPPUNIT_ASSERT(may_abandon_backend(false, tried(2)));
+    CPPUNIT_ASSERT_MESSAGE("the next attempt would be the last", !may_abandon_backend(false, tried(3)));
+    CPPUNIT_ASSERT_MESSAGE("only the primary may run it", !may_abandon_backend(true, tried(1)));
     const auto wait_end = [](const StatementProgress& progress, int sent_at) {
-      return text_of(silent_backend_wait_end(progress, at(sent_at)));
+      return text_of(answer_wait_end(progress, at(sent_at)));
     };
     CPPUNIT_ASSERT_EQUAL_MESSAGE("half the target latency", std::string("1310"), wait_end(fresh(), 1010));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("at least 100 ms", std::string("1110"), wait_end(aims_at(60), 1010));
@@ -118,13 +118,13 @@
 
   void reroutes() {
     const auto rerouted = [](int times) {
-      return with([times](auto& progress) { progress.reroutes = times; });
+      return with([times](auto& progress) { progress.reroute_count = times; });
     };
-    CPPUNIT_ASSERT(may_be_rerouted(fresh()));
-    CPPUNIT_ASSERT(may_be_rerouted(rerouted(1)));
-    CPPUNIT_ASSERT(!may_be_rerouted(rerouted(2)));
-    CPPUNIT_ASSERT_MESSAGE("a backend may have received it", !may_be_rerouted(offered()));
-    CPPUNIT_ASSERT(!may_be_rerouted(tried(1)));
+    CPPUNIT_ASSERT(may_reroute(fresh()));
+    CPPUNIT_ASSERT(may_reroute(rerouted(1)));
+    CPPUNIT_ASSERT(!may_reroute(rerouted(2)));
+    CPPUNIT_ASSERT_MESSAGE("a backend may have received it", !may_reroute(already_sent()));
+    CPPUNIT_ASSERT(!may_reroute(tried(1)));
   }
 };
 
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -283,7 +283,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, facts.size());
     for (const placement::BackendFacts& backend : facts) {
       CPPUNIT_ASSERT(placement::rejection_of_read(backend, true) == placement::RejectionReason::kNone);
-      CPPUNIT_ASSERT(backend.region_allowed && !backend.transaction_grace_over);
+      CPPUNIT_ASSERT(backend.region_allowed && !backend.transaction_grace_expired);
       CPPUNIT_ASSERT(backend.cost > 0);
     }
     CPPUNIT_ASSERT(facts[0].is_primary && !facts[1].is_primary && !facts[2].is_primary);
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -25,13 +25,13 @@
   std::function<void()> during_setup;
   bool is_gone = false;
   bool breaks_off = false;  ///< drop the connection on each statement
-  int life = 1;             ///< incarnation; links opened in an earlier one are closed
+  int incarnation = 1;      ///< incarnation; links opened in an earlier one are closed
 };
 
 class CountingLink : public BackendLink {
  public:
   CountingLink(runtime::Runtime& runtime, Backend& backend)
-      : runtime_(runtime), backend_(backend), life_(backend.life) {}
+      : runtime_(runtime), backend_(backend), incarnation_(backend.incarnation) {}
 
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
                                        runtime::SendState& sent, Reason& reason) override {
@@ -56,13 +56,13 @@
     return std::nullopt;
   }
   void close() override { open_ = false; }
-  [[nodiscard]] bool is_open() const override { return open_ && life_ == backend_.life; }
+  [[nodiscard]] bool is_open() const override { return open_ && incarnation_ == backend_.incarnation; }
   [[nodiscard]] std::string peer() const override { return kBackend.value; }
 
  private:
   runtime::Runtime& runtime_;
   Backend& backend_;
-  int life_;
+  int incarnation_;
   bool in_transaction_ = false;
   bool open_ = true;
 };
@@ -152,17 +152,17 @@
 
 class ColdSendingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ColdSendingTest);
-  CPPUNIT_TEST(what_is_above_the_limit_is_refused_at_once);
-  CPPUNIT_TEST(a_token_is_used_once);
-  CPPUNIT_TEST(a_token_that_expired_sends_nothing);
-  CPPUNIT_TEST(a_backend_that_turns_cold_meanwhile_gets_nothing_without_a_token);
-  CPPUNIT_TEST(a_transaction_waits_for_its_tokens);
-  CPPUNIT_TEST(a_transaction_without_a_token_is_given_up);
-  CPPUNIT_TEST(a_transaction_that_waits_for_a_token_holds_no_place);
-  CPPUNIT_TEST(a_transactions_token_that_expired_at_the_gate_sends_nothing);
-  CPPUNIT_TEST(a_backend_that_was_gone_is_sent_its_cold_rate);
-  CPPUNIT_TEST(a_backend_whose_idle_links_ended_is_sent_its_cold_rate);
-  CPPUNIT_TEST(a_backend_that_broke_off_is_sent_its_cold_rate);
+  CPPUNIT_TEST(refuses_statements_above_the_cold_limit);
+  CPPUNIT_TEST(uses_each_token_once);
+  CPPUNIT_TEST(does_not_send_with_an_expired_token);
+  CPPUNIT_TEST(requires_a_token_if_the_backend_becomes_cold);
+  CPPUNIT_TEST(transactions_wait_for_tokens);
+  CPPUNIT_TEST(aborts_transactions_without_a_token);
+  CPPUNIT_TEST(transactions_waiting_for_a_token_hold_no_slot);
+  CPPUNIT_TEST(aborts_transactions_whose_token_expires_at_the_gate);
+  CPPUNIT_TEST(applies_the_cold_rate_after_a_failed_connection);
+  CPPUNIT_TEST(applies_the_cold_rate_after_lost_idle_links);
+  CPPUNIT_TEST(applies_the_cold_rate_after_a_lost_connection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -175,7 +175,7 @@
     world_.reset();
   }
 
-  void what_is_above_the_limit_is_refused_at_once() {
+  void refuses_statements_above_the_cold_limit() {
     // Tokens are granted at a third of the rate from a bucket of (1.5 + 5) / 3 tokens, so two are available.
     start(6, 5000);
     const auto results = run_side_by_side(6, milliseconds(20));
@@ -195,13 +195,13 @@
     CPPUNIT_ASSERT_EQUAL(4, refused);
   }
 
-  void a_token_is_used_once() {
+  void uses_each_token_once() {
     start(6, 5000);
     for (int round = 0; round < 8; ++round) run_side_by_side(1, milliseconds(25));
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
   }
 
-  void a_token_that_expired_sends_nothing() {
+  void does_not_send_with_an_expired_token() {
     start(1, 5000);
     backend().setup_takes = milliseconds(300);
     const auto results = run_side_by_side(1, milliseconds(1000));
@@ -209,7 +209,7 @@
     CPPUNIT_ASSERT_EQUAL(0, backend().statements);
   }
 
-  void a_backend_that_turns_cold_meanwhile_gets_nothing_without_a_token() {
+  void requires_a_token_if_the_backend_becomes_cold() {
     start(1, 5000);
     run_side_by_side(1, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the only token is spent", 1, backend().statements);
@@ -220,7 +220,7 @@
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
   }
 
-  void a_transaction_waits_for_its_tokens() {
+  void transactions_wait_for_tokens() {
     start(6, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -231,7 +231,7 @@
     CPPUNIT_ASSERT_EQUAL(4, backend().statements);
   }
 
-  void a_transaction_without_a_token_is_given_up() {
+  void aborts_transactions_without_a_token() {
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -242,7 +242,7 @@
     CPPUNIT_ASSERT_MESSAGE("closing the link makes the backend roll back", !pinned.link->link().is_open());
   }
 
-  void a_transaction_that_waits_for_a_token_holds_no_place() {
+  void transactions_waiting_for_a_token_hold_no_slot() {
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -254,7 +254,7 @@
     CPPUNIT_ASSERT(answers_.at(0).refusal == Refusal::kAborted);
   }
 
-  void a_transactions_token_that_expired_at_the_gate_sends_nothing() {
+  void aborts_transactions_whose_token_expires_at_the_gate() {
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -268,7 +268,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, gate().running());
   }
 
-  void a_backend_that_was_gone_is_sent_its_cold_rate() {
+  void applies_the_cold_rate_after_a_failed_connection() {
     start(6, 0);
     run_side_by_side(5, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the backend is warm", 5, backend().statements);
@@ -287,15 +287,15 @@
     CPPUNIT_ASSERT_EQUAL(5, backend().statements - confirmed);
   }
 
-  void a_backend_whose_idle_links_ended_is_sent_its_cold_rate() {
+  void applies_the_cold_rate_after_lost_idle_links() {
     start(6, 0);
     run_side_by_side(5, milliseconds(50));
-    ++backend().life;
+    ++backend().incarnation;
     run_side_by_side(5, milliseconds(50));
     CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 5 <= 3);
   }
 
-  void a_backend_that_broke_off_is_sent_its_cold_rate() {
+  void applies_the_cold_rate_after_a_lost_connection() {
     start(6, 0);
     backend().breaks_off = true;
     run_side_by_side(1, milliseconds(50));
@@ -318,16 +318,16 @@
   Backend& backend() { return proxy_->backend; }
   std::shared_ptr<GroupAccess> group() { return proxy_->view.find_group(kGroup); }
 
-  StatementRequest order(const std::string& value = "first") {
-    StatementRequest order;
-    order.route = *proxy_->view.find_route(kDatabase);
-    order.group = group();
-    order.id = "id";
-    order.writes = true;
-    order.values = {{"name", value}};
-    order.arrived = runtime_->now();
-    order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
-    return order;
+  StatementRequest new_request(const std::string& value = "first") {
+    StatementRequest request;
+    request.route = *proxy_->view.find_route(kDatabase);
+    request.group = group();
+    request.id = "id";
+    request.writes = true;
+    request.values = {{"name", value}};
+    request.arrived = runtime_->now();
+    request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
+    return request;
   }
   template <class Result>
   static Awaitable<void> keep(Awaitable<Result> work, std::vector<Result>& results) {
@@ -337,12 +337,12 @@
   std::vector<RunResult> run_side_by_side(int count, Duration within, const std::string& value = "first") {
     results_.clear();
     for (int each = 0; each < count; ++each)
-      runtime_->spawn("run", keep(proxy_->runner.run(order(value)), results_));
+      runtime_->spawn("run", keep(proxy_->runner.run(new_request(value)), results_));
     world_->run_for(within);
     return results_;
   }
   PinnedLink open_transaction() {
-    StatementRequest opening = order();
+    StatementRequest opening = new_request();
     opening.opens_transaction = true;
     results_.clear();
     runtime_->spawn("open", keep(proxy_->runner.run(std::move(opening)), results_));
@@ -366,7 +366,7 @@
   void start_pinned(const PinnedLink& pinned, Duration within) {
     answers_.clear();
     runtime_->spawn("further",
-                    keep(proxy_->runner.transactions().run(pinned, order(), false, false), answers_));
+                    keep(proxy_->runner.transactions().run(pinned, new_request(), false, false), answers_));
     world_->run_for(within);
   }
   Answer run_pinned(const PinnedLink& pinned, Duration within) {
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_fixture.h
@@ -21,7 +21,7 @@
 inline const ApiKey kKey("key");
 
 /// A failed exchange with a backend: a refusal, or no answer.
-struct Mishap {
+struct Failure {
   std::optional<Refusal> refusal;  ///< empty: no answer
   runtime::SendState sent = runtime::SendState::kMaybeSent;
 };
@@ -33,11 +33,11 @@
   int begun = 0;                          ///< number of Begin requests sent
   int values = 0;                         ///< number of session values set on links
   Duration statement_takes{0};
-  std::map<std::string, Mishap> at_statement;  ///< outcome of the backend's next statement
-  std::map<std::string, Mishap> at_begin;      ///< outcome of its next Begin
+  std::map<std::string, Failure> at_statement;  ///< outcome of the backend's next statement
+  std::map<std::string, Failure> at_begin;      ///< outcome of its next Begin
   std::function<void()> while_dialling;
-  std::function<void()> meanwhile;  ///< runs after the delay `takes` when a session value is set
-  Duration takes{0};
+  std::function<void()> during_setup;  ///< runs after the delay `setup_takes` when a session value is set
+  Duration setup_takes{0};
 };
 
 class ScriptedLink : public BackendLink {
@@ -53,18 +53,18 @@
     answer.position = Position{1, 10};
     if (std::holds_alternative<SetValue>(request)) {
       ++backends_.values;
-      co_await runtime_.sleep_for(backends_.takes);
-      if (backends_.meanwhile) backends_.meanwhile();
+      co_await runtime_.sleep_for(backends_.setup_takes);
+      if (backends_.during_setup) backends_.during_setup();
     }
     if (std::holds_alternative<PassOn>(request)) {
       ++backends_.statements[name_];
       co_await runtime_.sleep_for(backends_.statement_takes);
       if (!open_) co_return std::nullopt;
-      if (const auto mishap = take(backends_.at_statement)) co_return meet(*mishap, sent, reason);
+      if (const auto failure = take(backends_.at_statement)) co_return fail(*failure, sent, reason);
     }
     if (std::holds_alternative<Begin>(request)) {
       ++backends_.begun;
-      if (const auto mishap = take(backends_.at_begin)) co_return meet(*mishap, sent, reason);
+      if (const auto failure = take(backends_.at_begin)) co_return fail(*failure, sent, reason);
       in_transaction_ = true;
     }
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
@@ -79,21 +79,21 @@
   [[nodiscard]] std::string peer() const override { return name_; }
 
  private:
-  std::optional<Mishap> take(std::map<std::string, Mishap>& mishaps) const {
-    const auto found = mishaps.find(name_);
-    if (found == mishaps.end()) return std::nullopt;
-    const Mishap mishap = found->second;
-    mishaps.erase(found);
-    return mishap;
+  std::optional<Failure> take(std::map<std::string, Failure>& failures) const {
+    const auto found = failures.find(name_);
+    if (found == failures.end()) return std::nullopt;
+    const Failure failure = found->second;
+    failures.erase(found);
+    return failure;
   }
-  std::optional<Answer> meet(const Mishap& mishap, runtime::SendState& sent, Reason& reason) {
-    if (mishap.refusal) {
+  std::optional<Answer> fail(const Failure& failure, runtime::SendState& sent, Reason& reason) {
+    if (failure.refusal) {
       Answer refused;
-      refused.refusal = mishap.refusal;
+      refused.refusal = failure.refusal;
       refused.state = in_transaction_ ? TransactionState::kOpen : TransactionState::kIdle;
       return refused;
     }
-    sent = mishap.sent;
+    sent = failure.sent;
     reason = Reason{ReasonCode::kConnectionLost, "run", name_, "connection lost"};
     open_ = false;
     return std::nullopt;
@@ -187,7 +187,7 @@
 };
 
 /// Base fixture for tests of StatementRunner: one proxy, primary "one", replica "two".
-class RunnerStand : public CppUnit::TestFixture {
+class RunnerFixture : public CppUnit::TestFixture {
  public:
   void setUp() override {
     world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
@@ -204,31 +204,31 @@
   int sent(const std::string& backend) { return backends().statements[backend]; }
 
   /// Number of statements that this proxy refused for the reason, from the metrics output.
-  int unplaced(const std::string& since) const {
+  int local_refusals(const std::string& reason_name) const {
     const std::string text = proxy_->metrics.render();
-    const std::string line = "cairnhollow_session_unplaced_total{since=\"" + since + "\"} ";
+    const std::string line = "cairnhollow_session_unplaced_total{since=\"" + reason_name + "\"} ";
     const auto at = text.find(line);
-    CPPUNIT_ASSERT_MESSAGE(since, at != std::string::npos);
+    CPPUNIT_ASSERT_MESSAGE(reason_name, at != std::string::npos);
     return std::stoi(text.substr(at + line.size()));
   }
 
-  StatementRequest order(const std::string& value = "first") {
-    StatementRequest order;
-    order.route = *proxy_->view.find_route(kDatabase);
-    order.group = proxy_->view.find_group(kGroup);
-    order.key = kKey;
-    order.tenant = kTenant;
-    order.id = "id";
-    order.writes = true;
-    order.values = {{"name", value}};
-    order.arrived = runtime_->now();
-    order.deadline = order.arrived + std::chrono::milliseconds(order.route.timeout_ms);
-    return order;
+  StatementRequest new_request(const std::string& value = "first") {
+    StatementRequest request;
+    request.route = *proxy_->view.find_route(kDatabase);
+    request.group = proxy_->view.find_group(kGroup);
+    request.key = kKey;
+    request.tenant = kTenant;
+    request.id = "id";
+    request.writes = true;
+    request.values = {{"name", value}};
+    request.arrived = runtime_->now();
+    request.deadline = request.arrived + std::chrono::milliseconds(request.route.timeout_ms);
+    return request;
   }
 
-  RunResult run(StatementRequest order) {
+  RunResult run(StatementRequest request) {
     RunResult result;
-    runtime_->spawn("run", keep(proxy_->runner.run(std::move(order)), result));
+    runtime_->spawn("run", keep(proxy_->runner.run(std::move(request)), result));
     world_->run_for(std::chrono::milliseconds(1200));
     return result;
   }
--- a/tests/registered/proxy/statement/statement_outcomes_test.cpp
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "tests/registered/proxy/statement/runner_stand.h"
+#include "tests/registered/proxy/statement/runner_fixture.h"
 
 namespace cairnhollow::registered::proxy {
 
@@ -23,25 +23,25 @@
   return told + ' ' + std::to_string(at_primary) + ' ' + std::to_string(at_replica);
 }
 
-std::string name_of(const Mishap& mishap) {
-  if (mishap.refusal) return refusal_name(*mishap.refusal);
-  return mishap.sent == kNotSent ? "not sent" : "no answer";
+std::string name_of(const Failure& failure) {
+  if (failure.refusal) return refusal_name(*failure.refusal);
+  return failure.sent == kNotSent ? "not sent" : "no answer";
 }
 
 }  // namespace
 
-class StatementOutcomesTest : public RunnerStand {
+class StatementOutcomesTest : public RunnerFixture {
   CPPUNIT_TEST_SUITE(StatementOutcomesTest);
-  CPPUNIT_TEST(single_statements);
-  CPPUNIT_TEST(first_statements_of_transactions);
-  CPPUNIT_TEST(refused_begins);
-  CPPUNIT_TEST(further_statements_and_commits);
+  CPPUNIT_TEST(retries_single_statements);
+  CPPUNIT_TEST(retries_first_statements_of_transactions);
+  CPPUNIT_TEST(retries_refused_begins);
+  CPPUNIT_TEST(does_not_retry_within_transactions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void single_statements() {
+  void retries_single_statements() {
     struct Row {
-      Mishap mishap;
+      Failure failure;
       std::string write;
       std::string primary_read;
       std::string replica_read;
@@ -65,18 +65,18 @@
         {{std::nullopt}, "in_doubt 1 0", "ok 2 0", "ok 1 1"},
     };
     for (const Row& row : rows) {
-      const std::string what = name_of(row.mishap);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE("write: " + what, row.write, after(row.mishap, kPrimary, write()));
+      const std::string what = name_of(row.failure);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("write: " + what, row.write, after(row.failure, kPrimary, write()));
       CPPUNIT_ASSERT_EQUAL_MESSAGE("primary read: " + what, row.primary_read,
-                                   after(row.mishap, kPrimary, read()));
+                                   after(row.failure, kPrimary, read()));
       CPPUNIT_ASSERT_EQUAL_MESSAGE("replica read: " + what, row.replica_read,
-                                   after(row.mishap, kReplica, replica_read()));
+                                   after(row.failure, kReplica, replica_read()));
     }
   }
 
-  void first_statements_of_transactions() {
+  void retries_first_statements_of_transactions() {
     struct Row {
-      Mishap mishap;
+      Failure failure;
       std::string outcome;
     };
     const std::vector<Row> rows{
@@ -85,29 +85,30 @@
         {{std::nullopt, kNotSent}, "ok 2 0"}, {{std::nullopt}, "ok 2 0"},
     };
     for (const Row& row : rows)
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(row.mishap), row.outcome, after(row.mishap, kPrimary, opening()));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(row.failure), row.outcome,
+                                   after(row.failure, kPrimary, opening()));
   }
 
-  void refused_begins() {
-    for (const Mishap& mishap : std::vector<Mishap>{{Refusal::kBusy},
-                                                    {Refusal::kTooStale},
-                                                    {Refusal::kNotPrimary},
-                                                    {Refusal::kWrongBackend},
-                                                    {Refusal::kFailed},
-                                                    {std::nullopt}}) {
+  void retries_refused_begins() {
+    for (const Failure& failure : std::vector<Failure>{{Refusal::kBusy},
+                                                       {Refusal::kTooStale},
+                                                       {Refusal::kNotPrimary},
+                                                       {Refusal::kWrongBackend},
+                                                       {Refusal::kFailed},
+                                                       {std::nullopt}}) {
       restart();
-      backends().at_begin[kPrimary] = mishap;
+      backends().at_begin[kPrimary] = failure;
       const RunResult result = run(opening());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(mishap), std::string("ok 1 0"),
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(failure), std::string("ok 1 0"),
                                    text_of(result, sent(kPrimary), sent(kReplica)));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(mishap), 2, backends().begun);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(failure), 2, backends().begun);
       CPPUNIT_ASSERT(result.pinned && result.pinned->at_primary);
     }
   }
 
-  void further_statements_and_commits() {
+  void does_not_retry_within_transactions() {
     struct Row {
-      Mishap mishap;
+      Failure failure;
       std::string statement;
       std::string commit;
       std::string empty_commit;
@@ -120,10 +121,10 @@
         {{std::nullopt}, "aborted", "in_doubt", "aborted"},
     };
     for (const Row& row : rows) {
-      const std::string what = name_of(row.mishap);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.statement, in_transaction(row.mishap, false, true));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.commit, in_transaction(row.mishap, true, true));
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.empty_commit, in_transaction(row.mishap, true, false));
+      const std::string what = name_of(row.failure);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.statement, in_transaction(row.failure, false, true));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.commit, in_transaction(row.failure, true, true));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.empty_commit, in_transaction(row.failure, true, false));
     }
   }
 
@@ -132,14 +133,14 @@
     tearDown();
     setUp();
   }
-  StatementRequest write() { return order(); }
+  StatementRequest write() { return new_request(); }
   StatementRequest read() {
-    StatementRequest statement = order();
+    StatementRequest statement = new_request();
     statement.writes = false;
     return statement;
   }
   StatementRequest opening() {
-    StatementRequest statement = order();
+    StatementRequest statement = new_request();
     statement.opens_transaction = true;
     return statement;
   }
@@ -150,8 +151,8 @@
     return statement;
   }
 
-  /// The outcome on a new proxy if the first attempt at `backend` fails with `mishap`.
-  std::string after(const Mishap& mishap, const char* backend, StatementRequest statement) {
+  /// The outcome on a new proxy if the first attempt at `backend` fails with `failure`.
+  std::string after(const Failure& failure, const char* backend, StatementRequest statement) {
     restart();
     statement.group = proxy_->view.find_group(kGroup);
     // Bounded staleness requires a replica to hold the position that the primary reported a second ago.
@@ -160,20 +161,21 @@
     statement.group->positions.record(runtime_->now(), Position{1, 6});
     statement.arrived = runtime_->now();
     statement.deadline = statement.arrived + milliseconds(statement.route.timeout_ms);
-    backends().at_statement[backend] = mishap;
+    backends().at_statement[backend] = failure;
     const RunResult result = run(std::move(statement));
     return text_of(result, sent(kPrimary), sent(kReplica));
   }
 
-  /// The caller's result if a statement or commit of an open transaction fails with `mishap`.
-  std::string in_transaction(const Mishap& mishap, bool commits, bool wrote) {
+  /// The caller's result if a statement or commit of an open transaction fails with `failure`.
+  std::string in_transaction(const Failure& failure, bool commits, bool wrote) {
     restart();
     const RunResult opened = run(opening());
     CPPUNIT_ASSERT(opened.pinned);
-    backends().at_statement[kPrimary] = mishap;
+    backends().at_statement[kPrimary] = failure;
     Answer answer;
-    runtime_->spawn("run",
-                    keep(proxy_->runner.transactions().run(*opened.pinned, order(), commits, wrote), answer));
+    runtime_->spawn(
+        "run",
+        keep(proxy_->runner.transactions().run(*opened.pinned, new_request(), commits, wrote), answer));
     world_->run_for(milliseconds(1200));
     return answer.refusal ? refusal_name(*answer.refusal) : "ok";
   }
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -16,9 +16,9 @@
 
 const GroupName kGroup("group");
 
-/// Counts requests. `meanwhile` runs before a status request is answered, as by the primary of term 1.
+/// Counts requests. `before_status` runs before a status request is answered, as by the primary of term 1.
 struct StatusScript {
-  std::function<void()> meanwhile;
+  std::function<void()> before_status;
   int statuses = 0;
   int statements = 0;
 };
@@ -32,7 +32,7 @@
     co_await runtime_.sleep_for(milliseconds(3));
     if (std::holds_alternative<AskStatus>(request)) {
       ++script_.statuses;
-      if (script_.meanwhile) script_.meanwhile();
+      if (script_.before_status) script_.before_status();
     }
     if (std::holds_alternative<Begin>(request)) in_transaction_ = true;
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
@@ -177,12 +177,12 @@
 
 class StatementRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatementRegionsTest);
-  CPPUNIT_TEST(a_write_whose_primary_is_outside_is_refused_at_once);
-  CPPUNIT_TEST(what_may_run_nowhere_waits_for_no_primary);
-  CPPUNIT_TEST(what_is_shut_out_is_not_passed_on);
-  CPPUNIT_TEST(a_bounded_read_has_the_position_asked_for);
-  CPPUNIT_TEST(a_position_of_a_primary_that_was_replaced_does_not_count);
-  CPPUNIT_TEST(a_changed_document_binds_the_next_transaction);
+  CPPUNIT_TEST(refuses_writes_at_once_if_the_primary_is_outside);
+  CPPUNIT_TEST(does_not_wait_without_a_permitted_region);
+  CPPUNIT_TEST(does_not_forward_without_a_permitted_backend);
+  CPPUNIT_TEST(requests_the_primary_position_for_bounded_reads);
+  CPPUNIT_TEST(ignores_positions_of_replaced_primaries);
+  CPPUNIT_TEST(applies_changed_regions_to_the_next_transaction);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -198,44 +198,44 @@
     world_.reset();
   }
 
-  void a_write_whose_primary_is_outside_is_refused_at_once() { check_refused(write_in({"south"}, {})); }
+  void refuses_writes_at_once_if_the_primary_is_outside() { check_refused(write_in({"south"}, {})); }
 
-  void what_may_run_nowhere_waits_for_no_primary() {
+  void does_not_wait_without_a_permitted_region() {
     group_->set_term({kGroup, 1, BackendName("primary"), false, 2, 1, 0});
     check_refused(write_in({"south"}, {"north"}));
   }
 
-  void what_is_shut_out_is_not_passed_on() {
+  void does_not_forward_without_a_permitted_backend() {
     group_->leadership.mark_primary_unreachable();
     check_refused(write_in({"south"}, {}));
     const std::string metrics = proxy_->metrics.render();
     CPPUNIT_ASSERT(metrics.find("forwarded_total{cause=\"primary_unreachable\"} 0") != std::string::npos);
   }
 
-  void a_bounded_read_has_the_position_asked_for() {
-    StatementRequest order = write_in({"south"}, {});
-    order.writes = false;
-    const RunResult result = run(order);
+  void requests_the_primary_position_for_bounded_reads() {
+    StatementRequest request = write_in({"south"}, {});
+    request.writes = false;
+    const RunResult result = run(request);
     CPPUNIT_ASSERT(result.answer.succeeded());
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statuses);
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statements);
   }
 
-  void a_position_of_a_primary_that_was_replaced_does_not_count() {
-    proxy_->script.meanwhile = [this] {
+  void ignores_positions_of_replaced_primaries() {
+    proxy_->script.before_status = [this] {
       group_->set_term({kGroup, 2, BackendName("replica"), true, 3, 2, 0});
     };
     ask_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statuses);
     CPPUNIT_ASSERT(group_->positions.wants_newer(milliseconds(1500)));
-    proxy_->script.meanwhile = nullptr;
+    proxy_->script.before_status = nullptr;
     ask_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT(!group_->positions.wants_newer(milliseconds(1500)));
   }
 
-  void a_changed_document_binds_the_next_transaction() {
+  void applies_changed_regions_to_the_next_transaction() {
     bind_tenant("south");
     const auto caller = std::make_shared<ReadingCaller>(*runtime_);
     const auto session =
@@ -268,34 +268,34 @@
 
   StatementRequest write_in(const std::vector<std::string>& of_route,
                             const std::vector<std::string>& of_tenant) {
-    StatementRequest order;
-    order.route = *proxy_->view.find_route(DatabaseName("records"));
-    order.group = group_;
-    order.allowed = locality::PermittedRegions(map_, regions(of_route), regions(of_tenant));
-    order.id = "id";
-    order.text = "text";
-    order.writes = true;
-    order.arrived = runtime_->now();
-    order.deadline = order.arrived + milliseconds(900);
-    return order;
+    StatementRequest request;
+    request.route = *proxy_->view.find_route(DatabaseName("records"));
+    request.group = group_;
+    request.allowed = locality::PermittedRegions(map_, regions(of_route), regions(of_tenant));
+    request.id = "id";
+    request.text = "text";
+    request.writes = true;
+    request.arrived = runtime_->now();
+    request.deadline = request.arrived + milliseconds(900);
+    return request;
   }
 
   /// Stores the duration in `took_`.
-  RunResult run(const StatementRequest& order) {
+  RunResult run(const StatementRequest& request) {
     std::optional<RunResult> result;
-    runtime_->spawn("run", keep(order, result));
+    runtime_->spawn("run", keep(request, result));
     world_->run_until([&] { return result.has_value(); }, seconds(2));
     CPPUNIT_ASSERT(result);
     return *result;
   }
-  Awaitable<void> keep(StatementRequest order, std::optional<RunResult>& result) {
+  Awaitable<void> keep(StatementRequest request, std::optional<RunResult>& result) {
     const TimePoint begun = runtime_->now();
-    result = co_await proxy_->runner.run(std::move(order));
+    result = co_await proxy_->runner.run(std::move(request));
     took_ = runtime_->now() - begun;
   }
 
-  void check_refused(const StatementRequest& order) {
-    const RunResult result = run(order);
+  void check_refused(const StatementRequest& request) {
+    const RunResult result = run(request);
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(result.nothing_run);
     CPPUNIT_ASSERT(result.answer.detail.find("retry in 5000 ms") != std::string::npos);
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -61,30 +61,30 @@
 
 class StatementRunnerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatementRunnerTest);
-  CPPUNIT_TEST(a_write_is_sent_and_acknowledged);
-  CPPUNIT_TEST(a_write_waits_for_the_lease);
-  CPPUNIT_TEST(nothing_of_a_write_is_sent_after_a_change);
-  CPPUNIT_TEST(nothing_of_a_replicas_read_is_sent_without_a_key);
-  CPPUNIT_TEST(nothing_of_a_new_transaction_is_sent_after_a_change);
-  CPPUNIT_TEST(a_write_goes_to_the_new_primary_only);
-  CPPUNIT_TEST(nothing_is_done_for_a_given_up_primary);
-  CPPUNIT_TEST(an_open_transaction_ends_with_a_change);
-  CPPUNIT_TEST(a_commit_is_not_sent_after_a_change);
-  CPPUNIT_TEST(a_transaction_that_rested_is_not_the_new_primarys);
-  CPPUNIT_TEST(a_read_only_transaction_needs_the_key_but_no_lease);
-  CPPUNIT_TEST(an_answer_after_the_lease_is_in_doubt);
-  CPPUNIT_TEST(who_waits_for_a_given_up_primary_is_told_at_once);
-  CPPUNIT_TEST(a_read_at_the_primary_teaches_nothing_after_the_lease);
-  CPPUNIT_TEST(what_may_have_run_needs_a_token);
-  CPPUNIT_TEST(a_public_route_needs_no_confirmation);
-  CPPUNIT_TEST(a_link_is_dialled_for_the_tenant);
+  CPPUNIT_TEST(sends_and_acknowledges_writes);
+  CPPUNIT_TEST(writes_wait_for_the_lease);
+  CPPUNIT_TEST(sends_no_write_after_a_change);
+  CPPUNIT_TEST(sends_no_replica_read_without_a_valid_key);
+  CPPUNIT_TEST(sends_no_first_statement_after_a_change);
+  CPPUNIT_TEST(sends_writes_only_to_the_new_primary);
+  CPPUNIT_TEST(sends_no_requests_to_a_lost_primary);
+  CPPUNIT_TEST(aborts_open_transactions_after_a_change);
+  CPPUNIT_TEST(sends_no_commit_after_a_change);
+  CPPUNIT_TEST(aborts_idle_transactions_after_a_failover);
+  CPPUNIT_TEST(read_only_transactions_need_a_key_but_no_lease);
+  CPPUNIT_TEST(answers_after_lease_expiry_are_in_doubt);
+  CPPUNIT_TEST(closing_the_group_ends_waits_at_once);
+  CPPUNIT_TEST(ignores_positions_read_after_lease_expiry);
+  CPPUNIT_TEST(possible_reruns_need_a_token);
+  CPPUNIT_TEST(public_routes_need_no_key_confirmation);
+  CPPUNIT_TEST(opens_links_for_the_tenant);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { start(); }
   void tearDown() override { stand_.reset(); }
 
-  void a_write_is_sent_and_acknowledged() {
+  void sends_and_acknowledges_writes() {
     stand_->confirm(kLong, kLong);
     const RunResult result = run(stand_->write("w"));
     CPPUNIT_ASSERT(result.answer.succeeded());
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT(stand_->group()->positions.highest_acknowledged() == *result.answer.position);
   }
 
-  void a_write_waits_for_the_lease() {
+  void writes_wait_for_the_lease() {
     stand_->confirm(milliseconds(10), kLong);
     stand_->run_for(milliseconds(100));
     const auto renew = [](SessionStand& stand) -> Awaitable<void> {
@@ -105,7 +105,7 @@
                            stand_->dialled_for().size() == 1);
   }
 
-  void nothing_of_a_write_is_sent_after_a_change() {
+  void sends_no_write_after_a_change() {
     for (const Step step : {Step::kGate, Step::kDial, Step::kSetValue, Step::kPrepare}) {
       for (const Change& change : all_changes()) {
         start();
@@ -118,7 +118,7 @@
     }
   }
 
-  void nothing_of_a_replicas_read_is_sent_without_a_key() {
+  void sends_no_replica_read_without_a_valid_key() {
     for (const Step step : {Step::kGate, Step::kDial, Step::kSetValue, Step::kPrepare}) {
       for (const Change& change : changes_of_keys()) {
         start();
@@ -130,14 +130,14 @@
     }
   }
 
-  void nothing_of_a_new_transaction_is_sent_after_a_change() {
+  void sends_no_first_statement_after_a_change() {
     for (const Step step : {Step::kGate, Step::kDial, Step::kSetValue, Step::kPrepare, Step::kBegin}) {
       for (const Change& change : all_changes()) {
         start();
         prepare(change, step);
-        StatementRequest order = stand_->write("w");
-        order.opens_transaction = true;
-        const RunResult result = run(order);
+        StatementRequest request = stand_->write("w");
+        request.opens_transaction = true;
+        const RunResult result = run(request);
         assert_no_statement(change, step);
         CPPUNIT_ASSERT_MESSAGE(describe(change, step), result.answer.refusal == change.single);
         CPPUNIT_ASSERT_MESSAGE(describe(change, step), !result.pinned);
@@ -145,7 +145,7 @@
     }
   }
 
-  void a_write_goes_to_the_new_primary_only() {
+  void sends_writes_only_to_the_new_primary() {
     for (const Step step : {Step::kGate, Step::kDial, Step::kSetValue, Step::kPrepare}) {
       start();
       stand_->confirm(kLong, kLong);
@@ -158,7 +158,7 @@
     }
   }
 
-  void nothing_is_done_for_a_given_up_primary() {
+  void sends_no_requests_to_a_lost_primary() {
     for (const Change& change : changes_of_primary()) {
       start();
       prepare(change, Step::kDial);
@@ -177,11 +177,11 @@
     }
   }
 
-  void an_open_transaction_ends_with_a_change() { end_transaction_with(false); }
+  void aborts_open_transactions_after_a_change() { end_transaction_with(false); }
 
-  void a_commit_is_not_sent_after_a_change() { end_transaction_with(true); }
+  void sends_no_commit_after_a_change() { end_transaction_with(true); }
 
-  void a_transaction_that_rested_is_not_the_new_primarys() {
+  void aborts_idle_transactions_after_a_failover() {
     stand_->confirm(kLong, kLong);
     const PinnedLink pinned = begin();
     stand_->change_primary();
@@ -195,22 +195,22 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, sent(SessionStand::kPrimary).size());
   }
 
-  void a_read_only_transaction_needs_the_key_but_no_lease() {
+  void read_only_transactions_need_a_key_but_no_lease() {
     stand_->confirm(kShort, kLong);
-    StatementRequest order = replica_read("r");
-    order.opens_transaction = true;
-    order.read_only_transaction = true;
-    const RunResult opened = run(order);
+    StatementRequest request = replica_read("r");
+    request.opens_transaction = true;
+    request.read_only_transaction = true;
+    const RunResult opened = run(request);
     CPPUNIT_ASSERT(opened.pinned && !opened.pinned->at_primary);
     stand_->run_for(kEventfulStep);
-    order.opens_transaction = false;
-    CPPUNIT_ASSERT(run_pinned(*opened.pinned, order, false).succeeded());
+    request.opens_transaction = false;
+    CPPUNIT_ASSERT(run_pinned(*opened.pinned, request, false).succeeded());
     stand_->remove_key();
-    CPPUNIT_ASSERT(run_pinned(*opened.pinned, order, false).refusal == Refusal::kAborted);
+    CPPUNIT_ASSERT(run_pinned(*opened.pinned, request, false).refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, sent(SessionStand::kReplica).size());
   }
 
-  void an_answer_after_the_lease_is_in_doubt() {
+  void answers_after_lease_expiry_are_in_doubt() {
     for (const bool commits : {false, true}) {
       start();
       std::optional<PinnedLink> pinned;
@@ -227,7 +227,7 @@
     }
   }
 
-  void who_waits_for_a_given_up_primary_is_told_at_once() {
+  void closing_the_group_ends_waits_at_once() {
     for (const bool commits : {false, true}) {
       start();
       stand_->confirm(kLong, kLong);
@@ -241,50 +241,50 @@
     }
   }
 
-  void a_read_at_the_primary_teaches_nothing_after_the_lease() {
+  void ignores_positions_read_after_lease_expiry() {
     stand_->confirm(kShort, kLong);
     stand_->during(Step::kStatement, [] {});
-    StatementRequest order = stand_->write("r");
-    order.writes = false;
-    CPPUNIT_ASSERT(run(order).answer.succeeded());
+    StatementRequest request = stand_->write("r");
+    request.writes = false;
+    CPPUNIT_ASSERT(run(request).answer.succeeded());
     stand_->confirm(kLong, kLong);
-    order.route.reads = registry::ReadPolicy::kBoundedStaleness;
-    order.route.max_staleness_ms = 2000;
-    CPPUNIT_ASSERT(stand_->group()->need_of(order.route, {}).primary_only);
+    request.route.reads = registry::ReadPolicy::kBoundedStaleness;
+    request.route.max_staleness_ms = 2000;
+    CPPUNIT_ASSERT(stand_->group()->need_of(request.route, {}).primary_only);
   }
 
-  void what_may_have_run_needs_a_token() {
+  void possible_reruns_need_a_token() {
     // The view was confirmed too long ago for this proxy to grant tokens for any tenant.
     stand_->confirm(kLong, seconds(1));
     stand_->limit_tenant(1);
-    StatementRequest order = stand_->write("r");
-    order.writes = false;
-    order.may_have_run = true;
-    const RunResult result = run(order);
+    StatementRequest request = stand_->write("r");
+    request.writes = false;
+    request.may_have_run = true;
+    const RunResult result = run(request);
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kOverLimit);
     CPPUNIT_ASSERT(sent(SessionStand::kPrimary).empty());
-    order.may_have_run = false;
-    CPPUNIT_ASSERT_MESSAGE("a first run took its token before", run(order).answer.succeeded());
+    request.may_have_run = false;
+    CPPUNIT_ASSERT_MESSAGE("a first run took its token before", run(request).answer.succeeded());
   }
 
-  void a_public_route_needs_no_confirmation() {
+  void public_routes_need_no_key_confirmation() {
     stand_->confirm(kLong, Duration(0));
-    StatementRequest order = stand_->write("w");
-    CPPUNIT_ASSERT(run(order).answer.refusal == Refusal::kBusy);
-    order.tenant = TenantName();
-    order.key = ApiKey();
-    CPPUNIT_ASSERT(run(order).answer.refusal == Refusal::kUnauthorized);
-    order.route.is_public = true;
-    CPPUNIT_ASSERT(run(order).answer.succeeded());
+    StatementRequest request = stand_->write("w");
+    CPPUNIT_ASSERT(run(request).answer.refusal == Refusal::kBusy);
+    request.tenant = TenantName();
+    request.key = ApiKey();
+    CPPUNIT_ASSERT(run(request).answer.refusal == Refusal::kUnauthorized);
+    request.route.is_public = true;
+    CPPUNIT_ASSERT(run(request).answer.succeeded());
   }
 
-  void a_link_is_dialled_for_the_tenant() {
+  void opens_links_for_the_tenant() {
     stand_->confirm(kLong, kLong);
     run(stand_->write("w"));
-    StatementRequest order = stand_->write("o");
-    order.key = ApiKey("others");
-    order.tenant = TenantName("other");
-    run(order);
+    StatementRequest request = stand_->write("o");
+    request.key = ApiKey("others");
+    request.tenant = TenantName("other");
+    run(request);
     CPPUNIT_ASSERT(stand_->dialled_for() == (std::vector<std::string>{SessionStand::kTenant, "other"}));
   }
 
@@ -324,10 +324,10 @@
         const PinnedLink pinned = begin();
         stand_->run_for(kLong - kShort / 2);
         prepare(change, step);
-        StatementRequest order = commits ? commit() : stand_->write("late");
-        if (!commits) order.values["tag"] = "b";
-        if (!commits) order.prepared = PreparedShape{true, "another"};
-        const Answer answer = run_pinned(pinned, order, commits);
+        StatementRequest request = commits ? commit() : stand_->write("late");
+        if (!commits) request.values["tag"] = "b";
+        if (!commits) request.prepared = PreparedShape{true, "another"};
+        const Answer answer = run_pinned(pinned, request, commits);
         CPPUNIT_ASSERT_MESSAGE(describe(change, step), answer.refusal == Refusal::kAborted);
         CPPUNIT_ASSERT_MESSAGE(describe(change, step), !pinned.link->link().is_open());
         const std::vector<std::string> before{"begin", "execute first"};
@@ -338,44 +338,44 @@
 
   [[nodiscard]] const std::vector<std::string>& sent(const char* backend) { return stand_->sent_to(backend); }
 
-  RunResult run(StatementRequest order) {
-    order.arrived = stand_->now();
-    order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
+  RunResult run(StatementRequest request) {
+    request.arrived = stand_->now();
+    request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
     auto result = std::make_shared<RunResult>();
     const auto task = [](StatementRunner& runner, StatementRequest wanted,
                          std::shared_ptr<RunResult> told) -> Awaitable<void> {
       *told = co_await runner.run(std::move(wanted));
     };
-    CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(order), result)));
+    CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(request), result)));
     return *result;
   }
 
-  Answer run_pinned(PinnedLink pinned, StatementRequest order, bool commits) {
-    order.arrived = stand_->now();
-    order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
+  Answer run_pinned(PinnedLink pinned, StatementRequest request, bool commits) {
+    request.arrived = stand_->now();
+    request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
     auto answer = std::make_shared<Answer>();
     const auto task = [](StatementRunner& runner, PinnedLink link, StatementRequest wanted, bool is_commit,
                          std::shared_ptr<Answer> told) -> Awaitable<void> {
       *told = co_await runner.transactions().run(std::move(link), std::move(wanted), is_commit, true);
     };
-    CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(pinned), std::move(order), commits, answer)));
+    CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(pinned), std::move(request), commits, answer)));
     return *answer;
   }
 
   PinnedLink begin() {
-    StatementRequest order = stand_->write("first");
-    order.opens_transaction = true;
-    const RunResult result = run(order);
+    StatementRequest request = stand_->write("first");
+    request.opens_transaction = true;
+    const RunResult result = run(request);
     CPPUNIT_ASSERT(result.pinned && result.pinned->at_primary);
     return *result.pinned;
   }
 
   StatementRequest commit() {
-    StatementRequest order = stand_->write("commit");
-    order.prepared.reset();
-    order.text = "commit";
-    order.writes = false;
-    return order;
+    StatementRequest request = stand_->write("commit");
+    request.prepared.reset();
+    request.text = "commit";
+    request.writes = false;
+    return request;
   }
 
   /// A read that a replica may serve: the primary's positions of now and of a second ago are known.
@@ -383,11 +383,11 @@
     GroupAccess& group = *stand_->group();
     group.positions.record(stand_->now() - seconds(1), Position{1, 5});
     group.positions.record(stand_->now(), Position{1, 6});
-    StatementRequest order = stand_->write(id);
-    order.writes = false;
-    order.route.reads = registry::ReadPolicy::kBoundedStaleness;
-    order.route.max_staleness_ms = 900;
-    return order;
+    StatementRequest request = stand_->write(id);
+    request.writes = false;
+    request.route.reads = registry::ReadPolicy::kBoundedStaleness;
+    request.route.max_staleness_ms = 900;
+    return request;
   }
 
   std::unique_ptr<SessionStand> stand_;
