--- a/src/registered/placement/attempt_outcome.h
+++ b/src/registered/placement/attempt_outcome.h
@@ -38,8 +38,9 @@
   bool primary_only = false;   ///< for reads: no replica is known to hold the required position
   bool at_primary = false;
   bool term_is_current = false;  ///< the group's term has not changed since the backend was chosen
-  bool may_use_primary = false;  ///< the primary of the term in which the backend was chosen
-  int attempts = 1;              ///< number of backends tried, including this one
+  /// The primary of the term in which the backend was chosen may still be used.
+  bool may_use_primary = false;
+  int attempts = 1;  ///< number of backends tried, including this one
 };
 
 /// Why no link to the backend could be acquired.
@@ -63,8 +64,8 @@
   Retry retry;                      ///< kAnswer: the outcome is in doubt
   bool may_have_restarted = false;  ///< the backend process may have restarted
   bool suspect_primary = false;     ///< report the primary to control
-  bool counts_as_disconnect =
-      false;  ///< counts towards detecting a primary that drops every connection on use
+  /// Counts towards detecting a primary that drops every connection on use.
+  bool counts_as_disconnect = false;
 };
 LossOutcome after_loss(const AttemptFacts& attempt, const LossFacts& loss);
 /// Whether the backend process may have restarted. Only a connection lost in the current term counts: when
@@ -93,8 +94,8 @@
 struct PrimarySuccess {
   bool record_position = false;  ///< the answer carries the primary's current log position
   bool acknowledge = false;      ///< everything up to that position is acknowledged
-  bool in_doubt =
-      false;  ///< a commit that can't be confirmed: the primary may not be used any more, or sent no position
+  /// A commit that can't be confirmed: the primary may not be used any more, or sent no position.
+  bool in_doubt = false;
 };
 PrimarySuccess after_primary_success(bool commits, bool may_use_primary, bool has_position);
 
--- a/src/registered/placement/backend_choice.h
+++ b/src/registered/placement/backend_choice.h
@@ -14,7 +14,7 @@
 /// Why the backend accepts no new work of any kind; kNone if it does.
 RejectionReason rejection_of_new_work(const BackendFacts& backend);
 /// Whether this proxy may treat the backend as the group's primary: its term is open, and it has not been
-/// leaving for too long.
+/// draining for too long.
 bool may_lead(const BackendFacts& backend);
 /// Whether links to the backend may be opened in advance.
 bool may_be_warmed(const BackendFacts& backend);
@@ -28,8 +28,8 @@
 
 struct BackendChoice {
   std::optional<std::size_t> backend;  ///< index into the list of facts
-  RejectionReason rejection =
-      RejectionReason::kNone;  ///< if none is chosen: of the backend likely to be available first
+  /// If none is chosen: the reason of the backend that is likely to be available first.
+  RejectionReason rejection = RejectionReason::kNone;
   /// Every candidate accepts no new work at all, so a short wait would not help.
   bool is_final = false;
   Duration retry_after{0};  ///< with `is_final`: suggested delay before a retry; 0: unknown
--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -21,8 +21,8 @@
 struct BackendFacts {
   std::string_view name;  ///< not owned; must outlive the decision
   bool is_primary = false;
-  bool of_closed_term =
-      false;  ///< it was the primary of a term that is closed; not trusted until a primary is known
+  /// It was the primary of a term that is closed; not trusted until a primary is known again.
+  bool of_closed_term = false;
   bool leaving = false;                ///< draining; a primary keeps its role for a grace period
   bool leaving_grace_expired = false;  ///< that grace period has ended: not used as primary either
   // Each of the next three excludes the backend from all new work, even as primary.
@@ -75,15 +75,17 @@
 struct TransactionFacts {
   bool at_primary = false;
   bool read_only = false;
-  bool may_use_primary = false;  ///< the primary of the term in which it was opened
-  bool commits_stall = false;    ///< the statement is a commit, and earlier commits have no answer
+  /// The primary of the term in which it was opened may still be used.
+  bool may_use_primary = false;
+  bool commits_stall = false;  ///< the statement is a commit, and earlier commits have no answer
   KeyFacts key;
 };
 
 /// Facts that are checked again right before a statement is sent to the chosen backend.
 struct SendFacts {
-  bool needs_primary = false;    ///< the answer is valid only while that primary may be used
-  bool may_use_primary = false;  ///< the primary of the term in which the backend was chosen
+  bool needs_primary = false;  ///< the answer is valid only while that primary may be used
+  /// The primary of the term in which the backend was chosen may still be used.
+  bool may_use_primary = false;
   bool lacks_token = false;  ///< it may have run before, and the tenant's rate limit has no token for a rerun
   KeyFacts key;
 };
--- a/src/registered/placement/placement.cpp
+++ b/src/registered/placement/placement.cpp
@@ -77,17 +77,17 @@
                                             : refuse(rejection, kRetryAfterWithoutPrimary);
 }
 
-NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy) {
+NextProxyAction try_next_proxy(const NextProxy& next, const ProxyFacts& proxy) {
   // If this proxy has no lease, other proxies probably have none either, so an unresponsive one is skipped.
-  if (turn.is_unresponsive && !proxy.holds_lease) return NextProxyAction::kSkip;
-  if (!turn.is_this_proxy) return NextProxyAction::kSend;
+  if (next.is_unresponsive && !proxy.holds_lease) return NextProxyAction::kSkip;
+  if (!next.is_this_proxy) return NextProxyAction::kSend;
   return proxy.holds_lease ? NextProxyAction::kRunHere : NextProxyAction::kSkip;
 }
 
-Placement place_after_forwarding(const ForwardingOutcome& end, const ProxyFacts& proxy,
+Placement place_after_forwarding(const ForwardingOutcome& outcome, const ProxyFacts& proxy,
                                  const AttemptAllowance& allowance) {
-  if (!end.may_try_another) return refuse(RejectionReason::kNone, kRetryAfterWithoutPrimary);
-  if (proxy.holds_lease && end.has_waited) return run_at(0);
+  if (!outcome.may_try_another) return refuse(RejectionReason::kNone, kRetryAfterWithoutPrimary);
+  if (proxy.holds_lease && outcome.has_waited) return run_at(0);
   if (proxy.holds_lease) return refuse(RejectionReason::kNoProxy, kRetryAfterWithoutPrimary);
   if (proxy.expects_lease && allowance.may_wait) return wait_for(RejectionReason::kNoLease);
   return refuse(RejectionReason::kNoLease, kRetryAfterWithoutPrimary);
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -43,17 +43,17 @@
 /// The next proxy in the preference order of a forwarding.
 struct NextProxy {
   bool is_this_proxy = false;
-  bool is_unresponsive = false;  ///< recently
+  bool is_unresponsive = false;  ///< it recently failed or gave no answer
 };
 enum class NextProxyAction : std::uint8_t { kSkip, kRunHere, kSend };
-NextProxyAction try_next_proxy(const NextProxy& turn, const ProxyFacts& proxy);
+NextProxyAction try_next_proxy(const NextProxy& next, const ProxyFacts& proxy);
 /// How a forwarding ended without a success from any proxy.
 struct ForwardingOutcome {
-  bool may_try_another = true;  ///< it did not run, or can safely run again
+  bool may_try_another = true;  ///< it certainly did not run, or can safely run again
   bool has_waited = false;      ///< it has waited for the lease since then
 };
 /// Decides to start over (kRun), wait for the lease (kWait) or give up (kRefuse).
-Placement place_after_forwarding(const ForwardingOutcome& end, const ProxyFacts& proxy,
+Placement place_after_forwarding(const ForwardingOutcome& outcome, const ProxyFacts& proxy,
                                  const AttemptAllowance& allowance);
 
 /// Whether another proxy may be able to run what this one can't, because the obstacle is local to this proxy.
--- a/src/registered/proxy/statement/cold_tokens.cpp
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -45,9 +45,9 @@
                                        placement::RejectionReason& rejection) {
   while (true) {
     std::optional<TimePoint> token;
-    const bool passed = co_await wait_for_token(group, backend, deadline, token);
-    if (!passed) rejection = placement::RejectionReason::kColdLimit;
-    if (!passed) co_return false;
+    const bool may_enter = co_await wait_for_token(group, backend, deadline, token);
+    if (!may_enter) rejection = placement::RejectionReason::kColdLimit;
+    if (!may_enter) co_return false;
     const bool entered = co_await backend->gate.enter(admission::kUrgentClass, deadline);
     if (entered && may_send(*group, *backend, token)) co_return true;
     release(*backend, token);
@@ -70,8 +70,8 @@
       co_return true;
     }
     // A backend that is no longer registered gets no tokens.
-    const bool is_gone = admission.outcome == AdmissionOutcome::kAdmitted && !admission.expires_at;
-    if (is_gone || now + admission.retry_after >= deadline) co_return false;
+    const bool is_unregistered = admission.outcome == AdmissionOutcome::kAdmitted && !admission.expires_at;
+    if (is_unregistered || now + admission.retry_after >= deadline) co_return false;
     co_await runtime.sleep_for(std::max<Duration>(admission.retry_after, placement::kRetryPause));
   }
   co_return true;
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -94,7 +94,7 @@
     co_return aborted;
   }
   if (answer->succeeded() && pinned.at_primary)
-    apply_primary_answer(services_, group, PrimaryAnswer{pinned.epoch, sent_at, commits && wrote}, *answer);
+    apply_primary_answer(services_, group, PrimaryExchange{pinned.epoch, sent_at, commits && wrote}, *answer);
   if (answer->refusal) log_.refusal(request, *answer, reason, 1);
   co_return std::move(*answer);
 }
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -45,9 +45,9 @@
   bool is_answered = false;
   for (std::size_t attempt = 0; attempt < tries && may_try_another; ++attempt) {
     const NodeName& node = proxies[attempt]->name;
-    const placement::NextProxy turn{node == services_.view.node(),
+    const placement::NextProxy next{node == services_.view.node(),
                                     services_.forwarder.is_avoided(node, group)};
-    const auto action = placement::try_next_proxy(turn, proxy_facts(services_.view, *request.group));
+    const auto action = placement::try_next_proxy(next, proxy_facts(services_.view, *request.group));
     if (action == placement::NextProxyAction::kSkip) continue;
     if (action == placement::NextProxyAction::kRunHere)
       co_return ForwardingResult{ForwardingNextStep::kRunHere, std::move(request), {}};
@@ -73,15 +73,15 @@
 
 Awaitable<placement::Placement> StatementForwarding::await_lease(std::shared_ptr<GroupAccess> group,
                                                                  TimePoint refuse_at, bool may_try_another) {
-  placement::ForwardingOutcome end{may_try_another, false};
+  placement::ForwardingOutcome outcome{may_try_another, false};
   placement::AttemptAllowance allowance;
   while (true) {
     allowance.may_wait = services_.runtime.now() < refuse_at;
     const auto placed =
-        placement::place_after_forwarding(end, proxy_facts(services_.view, *group), allowance);
+        placement::place_after_forwarding(outcome, proxy_facts(services_.view, *group), allowance);
     if (placed.action != placement::Action::kWait) co_return placed;
     co_await services_.view.renewed().wait_until(refuse_at);
-    end.has_waited = true;
+    outcome.has_waited = true;
   }
 }
 
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -11,12 +11,12 @@
 
 const placement::ProxyList* StatementPlacer::filter_permitted(const placement::ProxyList& proxies,
                                                               const StatementRequest& request,
-                                                              placement::ProxyList& kept) const {
+                                                              placement::ProxyList& permitted) const {
   if (request.allowed.is_anywhere()) return &proxies;
-  kept = services_.view.in_regions(proxies, request.allowed);
+  permitted = services_.view.in_regions(proxies, request.allowed);
   // This proxy is the first choice: do not forward.
-  if (!kept.empty() && kept.front()->name == services_.view.node()) kept.clear();
-  return &kept;
+  if (!permitted.empty() && permitted.front()->name == services_.view.node()) permitted.clear();
+  return &permitted;
 }
 
 std::optional<placement::Forwarding> StatementPlacer::find_forwarding(const StatementRequest& request,
--- a/src/registered/proxy/statement/statement_placer.h
+++ b/src/registered/proxy/statement/statement_placer.h
@@ -45,11 +45,11 @@
   Awaitable<void> await_primary_position(std::shared_ptr<StatementAttempt> attempt) const;
 
  private:
-  /// Returns `proxies` if the request is not bound to regions. Otherwise fills `kept` with those in permitted
-  /// regions and returns it; empty if this proxy is the first of them.
+  /// Returns `proxies` if the request is not bound to regions. Otherwise fills `permitted` with those in
+  /// permitted regions and returns it; empty if this proxy is the first of them.
   const placement::ProxyList* filter_permitted(const placement::ProxyList& proxies,
                                                const StatementRequest& request,
-                                               placement::ProxyList& kept) const;
+                                               placement::ProxyList& permitted) const;
 
   SessionServices services_;
 };
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -342,7 +342,7 @@
   const StatementRequest& request = attempt.request;
   if (answer.succeeded() && attempt.at_primary)
     apply_primary_answer(services_, group,
-                         PrimaryAnswer{attempt.epoch, attempt.sent_at, request.makes_durable_changes()},
+                         PrimaryExchange{attempt.epoch, attempt.sent_at, request.makes_durable_changes()},
                          answer);
   if (answer.succeeded() && !attempt.at_primary && answer.position)
     group.record_replica(*attempt.backend, attempt.need, answer.position);
--- a/src/registered/proxy/statement/statement_sending.cpp
+++ b/src/registered/proxy/statement/statement_sending.cpp
@@ -10,13 +10,13 @@
   return Execute{request.id, link.prepared_name(*request.prepared), request.argument, required};
 }
 
-void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
+void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryExchange primary,
                           Answer& answer) {
-  if (primary.commits) group.primary_health.record_commit_answered(primary.asked_at);
+  if (primary.commits) group.primary_health.record_commit_answered(primary.sent_at);
   const bool current = services.view.may_use_primary(group, primary.epoch);
   const auto success =
       placement::after_primary_success(primary.commits, current, answer.position.has_value());
-  if (success.record_position) group.positions.record(primary.asked_at, *answer.position);
+  if (success.record_position) group.positions.record(primary.sent_at, *answer.position);
   if (success.acknowledge) group.positions.record_acknowledged(*answer.position);
   if (!success.in_doubt) return;
   const TransactionState state = answer.state;
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -39,14 +39,14 @@
                             std::optional<Position> required);
 
 /// The context in which a primary reported success.
-struct PrimaryAnswer {
+struct PrimaryExchange {
   std::uint64_t epoch = 0;  ///< the group's epoch when the statement was sent
-  TimePoint asked_at{};
+  TimePoint sent_at{};
   bool commits = false;
 };
 /// Records the primary's log position and, for a commit, what is acknowledged. Turns `answer` into "in doubt"
 /// for a commit that can't be acknowledged, e.g. because its primary may not be used any more.
-void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
+void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryExchange primary,
                           Answer& answer);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/placement/placement_test.cpp
+++ b/tests/registered/placement/placement_test.cpp
@@ -118,7 +118,7 @@
         with(unreachable(), [](auto& proxy) { proxy.holds_lease = false; });
     const ProxyFacts full_unreachable = with(full(), [this](auto& proxy) {
       proxy.primary_unreachable = true;
-      proxy.others = &nobody_;
+      proxy.others = &no_proxies_;
       proxy.also_serving = &also_serving_;
     });
     const std::vector<Row> rows{
@@ -341,10 +341,10 @@
   std::string name_of(const ProxyList* proxies) const {
     if (proxies == &serving_) return "serving";
     if (proxies == &others_) return "others";
-    return proxies == &also_serving_ ? "also_serving" : "nobody";
+    return proxies == &also_serving_ ? "also_serving" : "none";
   }
 
-  const ProxyList nobody_{};
+  const ProxyList no_proxies_{};
   const ProxyList serving_{std::make_shared<subset::ProxyView>()};
   const ProxyList others_{std::make_shared<subset::ProxyView>()};
   const ProxyList also_serving_{std::make_shared<subset::ProxyView>()};
--- a/tests/registered/placement/statement_progress_test.cpp
+++ b/tests/registered/placement/statement_progress_test.cpp
@@ -48,7 +48,7 @@
   CPPUNIT_TEST(limits_attempts_and_waits);
   CPPUNIT_TEST(limits_waits_for_links_and_slots);
   CPPUNIT_TEST(abandons_unresponsive_backends);
-  CPPUNIT_TEST(reroutes);
+  CPPUNIT_TEST(limits_reroutes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("at most the deadline", std::string("1900"), wait_end(fresh(), 1700));
   }
 
-  void reroutes() {
+  void limits_reroutes() {
     const auto rerouted = [](int times) {
       return with([times](auto& progress) { progress.reroute_count = times; });
     };
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -23,9 +23,9 @@
   std::uint64_t position = 0;
   Duration setup_takes{0};
   std::function<void()> during_setup;
-  bool is_gone = false;
-  bool breaks_off = false;  ///< drop the connection on each statement
-  int incarnation = 1;      ///< incarnation; links opened in an earlier one are closed
+  bool is_unreachable = false;
+  bool drops_connections = false;  ///< drop the connection on each statement
+  int incarnation = 1;             ///< links opened in an earlier one are closed
 };
 
 class CountingLink : public BackendLink {
@@ -41,7 +41,7 @@
       if (backend_.during_setup) backend_.during_setup();
     }
     if (std::holds_alternative<PassOn>(request)) ++backend_.statements;
-    if (std::holds_alternative<PassOn>(request) && backend_.breaks_off) {
+    if (std::holds_alternative<PassOn>(request) && backend_.drops_connections) {
       reason = Reason{ReasonCode::kConnectionLost, "run", kBackend.value, "connection lost"};
       open_ = false;
       co_return std::nullopt;
@@ -72,9 +72,9 @@
   CountingDialer(runtime::Runtime& runtime, Backend& backend) : runtime_(runtime), backend_(backend) {}
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/, Reason& reason) override {
-    if (backend_.is_gone)
+    if (backend_.is_unreachable)
       reason = Reason{ReasonCode::kConnectionLost, "open", kBackend.value, "connection refused"};
-    if (backend_.is_gone) co_return nullptr;
+    if (backend_.is_unreachable) co_return nullptr;
     co_return std::make_shared<CountingLink>(runtime_, backend_);
   }
 
@@ -178,7 +178,7 @@
   void refuses_statements_above_the_cold_limit() {
     // Tokens are granted at a third of the rate from a bucket of (1.5 + 5) / 3 tokens, so two are available.
     start(6, 5000);
-    const auto results = run_side_by_side(6, milliseconds(20));
+    const auto results = run_concurrently(6, milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, results.size());
     int refused = 0;
@@ -197,25 +197,25 @@
 
   void uses_each_token_once() {
     start(6, 5000);
-    for (int round = 0; round < 8; ++round) run_side_by_side(1, milliseconds(25));
+    for (int round = 0; round < 8; ++round) run_concurrently(1, milliseconds(25));
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
   }
 
   void does_not_send_with_an_expired_token() {
     start(1, 5000);
     backend().setup_takes = milliseconds(300);
-    const auto results = run_side_by_side(1, milliseconds(1000));
+    const auto results = run_concurrently(1, milliseconds(1000));
     CPPUNIT_ASSERT(results.at(0).answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT_EQUAL(0, backend().statements);
   }
 
   void requires_a_token_if_the_backend_becomes_cold() {
     start(1, 5000);
-    run_side_by_side(1, milliseconds(50));
+    run_concurrently(1, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the only token is spent", 1, backend().statements);
     group()->put_backend(entry(0));
     backend().during_setup = [this] { group()->put_backend(entry(4000)); };
-    const auto results = run_side_by_side(1, milliseconds(50), "second");
+    const auto results = run_concurrently(1, milliseconds(50), "second");
     CPPUNIT_ASSERT(results.at(0).answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
   }
@@ -258,10 +258,10 @@
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
-    const std::uint32_t places = fill_gate();
+    const std::uint32_t slots = fill_gate();
     start_pinned(pinned, milliseconds(400));
     CPPUNIT_ASSERT(answers_.empty());
-    for (std::uint32_t place = 0; place < places; ++place) gate().leave_unanswered();
+    for (std::uint32_t slot = 0; slot < slots; ++slot) gate().leave_unanswered();
     world_->run_for(milliseconds(600));
     CPPUNIT_ASSERT(answers_.at(0).refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("only the statement that opened the transaction", 1, backend().statements);
@@ -270,38 +270,38 @@
 
   void applies_the_cold_rate_after_a_failed_connection() {
     start(6, 0);
-    run_side_by_side(5, milliseconds(50));
+    run_concurrently(5, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the backend is warm", 5, backend().statements);
     for (const auto& [name, use] : group()->backends.all()) use->pool.close_idle();
-    backend().is_gone = true;
-    run_side_by_side(1, milliseconds(1000));
-    backend().is_gone = false;
+    backend().is_unreachable = true;
+    run_concurrently(1, milliseconds(1000));
+    backend().is_unreachable = false;
     const int before = backend().statements;
-    run_side_by_side(5, milliseconds(1000));
+    run_concurrently(5, milliseconds(1000));
     CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart",
                            backend().statements - before <= 3);
     CPPUNIT_ASSERT(backend().statements > before);
     proxy_->view.extend_lease(runtime_->now() + seconds(2), runtime_->now() + seconds(60), 1);
     const int confirmed = backend().statements;
-    run_side_by_side(5, milliseconds(50));
+    run_concurrently(5, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(5, backend().statements - confirmed);
   }
 
   void applies_the_cold_rate_after_lost_idle_links() {
     start(6, 0);
-    run_side_by_side(5, milliseconds(50));
+    run_concurrently(5, milliseconds(50));
     ++backend().incarnation;
-    run_side_by_side(5, milliseconds(50));
+    run_concurrently(5, milliseconds(50));
     CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 5 <= 3);
   }
 
   void applies_the_cold_rate_after_a_lost_connection() {
     start(6, 0);
-    backend().breaks_off = true;
-    run_side_by_side(1, milliseconds(50));
+    backend().drops_connections = true;
+    run_concurrently(1, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
-    backend().breaks_off = false;
-    run_side_by_side(5, milliseconds(50));
+    backend().drops_connections = false;
+    run_concurrently(5, milliseconds(50));
     CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 1 <= 3);
   }
 
@@ -334,7 +334,7 @@
     Result result = co_await std::move(work);
     results.push_back(std::move(result));
   }
-  std::vector<RunResult> run_side_by_side(int count, Duration within, const std::string& value = "first") {
+  std::vector<RunResult> run_concurrently(int count, Duration within, const std::string& value = "first") {
     results_.clear();
     for (int each = 0; each < count; ++each)
       runtime_->spawn("run", keep(proxy_->runner.run(new_request(value)), results_));
@@ -352,14 +352,14 @@
     return *results_[0].pinned;
   }
   StatementGate& gate() { return group()->backends.all().at(kBackend)->gate; }
-  Awaitable<void> take_place(std::uint32_t& taken) {
+  Awaitable<void> take_slot(std::uint32_t& taken) {
     const bool entered = co_await gate().enter(admission::kUrgentClass, runtime_->now());
     if (entered) ++taken;
   }
   /// Takes all free slots of the gate and returns their number.
   std::uint32_t fill_gate() {
     std::uint32_t taken = 0;
-    for (int each = 0; each < 100; ++each) runtime_->spawn("take_place", take_place(taken));
+    for (int each = 0; each < 100; ++each) runtime_->spawn("take_place", take_slot(taken));
     world_->run_for(milliseconds(1));
     return taken;
   }
--- a/tests/registered/proxy/statement/runner_fixture.h
+++ b/tests/registered/proxy/statement/runner_fixture.h
@@ -33,8 +33,8 @@
   int begun = 0;                          ///< number of Begin requests sent
   int values = 0;                         ///< number of session values set on links
   Duration statement_takes{0};
-  std::map<std::string, Failure> at_statement;  ///< outcome of the backend's next statement
-  std::map<std::string, Failure> at_begin;      ///< outcome of its next Begin
+  std::map<std::string, Failure> statement_failures;  ///< outcome of the backend's next statement
+  std::map<std::string, Failure> begin_failures;      ///< outcome of its next Begin
   std::function<void()> while_dialling;
   std::function<void()> during_setup;  ///< runs after the delay `setup_takes` when a session value is set
   Duration setup_takes{0};
@@ -60,11 +60,11 @@
       ++backends_.statements[name_];
       co_await runtime_.sleep_for(backends_.statement_takes);
       if (!open_) co_return std::nullopt;
-      if (const auto failure = take(backends_.at_statement)) co_return fail(*failure, sent, reason);
+      if (const auto failure = take(backends_.statement_failures)) co_return fail(*failure, sent, reason);
     }
     if (std::holds_alternative<Begin>(request)) {
       ++backends_.begun;
-      if (const auto failure = take(backends_.at_begin)) co_return fail(*failure, sent, reason);
+      if (const auto failure = take(backends_.begin_failures)) co_return fail(*failure, sent, reason);
       in_transaction_ = true;
     }
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
--- a/tests/registered/proxy/statement/statement_outcomes_test.cpp
+++ b/tests/registered/proxy/statement/statement_outcomes_test.cpp
@@ -19,8 +19,8 @@
 
 /// "ok" or the refusal, then the number of sends to the primary and to the replica.
 std::string text_of(const RunResult& result, int at_primary, int at_replica) {
-  const std::string told = result.answer.refusal ? refusal_name(*result.answer.refusal) : "ok";
-  return told + ' ' + std::to_string(at_primary) + ' ' + std::to_string(at_replica);
+  const std::string outcome = result.answer.refusal ? refusal_name(*result.answer.refusal) : "ok";
+  return outcome + ' ' + std::to_string(at_primary) + ' ' + std::to_string(at_replica);
 }
 
 std::string name_of(const Failure& failure) {
@@ -66,11 +66,12 @@
     };
     for (const Row& row : rows) {
       const std::string what = name_of(row.failure);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE("write: " + what, row.write, after(row.failure, kPrimary, write()));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("write: " + what, row.write,
+                                   outcome_after(row.failure, kPrimary, write()));
       CPPUNIT_ASSERT_EQUAL_MESSAGE("primary read: " + what, row.primary_read,
-                                   after(row.failure, kPrimary, read()));
+                                   outcome_after(row.failure, kPrimary, read()));
       CPPUNIT_ASSERT_EQUAL_MESSAGE("replica read: " + what, row.replica_read,
-                                   after(row.failure, kReplica, replica_read()));
+                                   outcome_after(row.failure, kReplica, replica_read()));
     }
   }
 
@@ -86,7 +87,7 @@
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(row.failure), row.outcome,
-                                   after(row.failure, kPrimary, opening()));
+                                   outcome_after(row.failure, kPrimary, opening()));
   }
 
   void retries_refused_begins() {
@@ -97,7 +98,7 @@
                                                        {Refusal::kFailed},
                                                        {std::nullopt}}) {
       restart();
-      backends().at_begin[kPrimary] = failure;
+      backends().begin_failures[kPrimary] = failure;
       const RunResult result = run(opening());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(name_of(failure), std::string("ok 1 0"),
                                    text_of(result, sent(kPrimary), sent(kReplica)));
@@ -152,7 +153,7 @@
   }
 
   /// The outcome on a new proxy if the first attempt at `backend` fails with `failure`.
-  std::string after(const Failure& failure, const char* backend, StatementRequest statement) {
+  std::string outcome_after(const Failure& failure, const char* backend, StatementRequest statement) {
     restart();
     statement.group = proxy_->view.find_group(kGroup);
     // Bounded staleness requires a replica to hold the position that the primary reported a second ago.
@@ -161,7 +162,7 @@
     statement.group->positions.record(runtime_->now(), Position{1, 6});
     statement.arrived = runtime_->now();
     statement.deadline = statement.arrived + milliseconds(statement.route.timeout_ms);
-    backends().at_statement[backend] = failure;
+    backends().statement_failures[backend] = failure;
     const RunResult result = run(std::move(statement));
     return text_of(result, sent(kPrimary), sent(kReplica));
   }
@@ -171,7 +172,7 @@
     restart();
     const RunResult opened = run(opening());
     CPPUNIT_ASSERT(opened.pinned);
-    backends().at_statement[kPrimary] = failure;
+    backends().statement_failures[kPrimary] = failure;
     Answer answer;
     runtime_->spawn(
         "run",
--- a/tests/registered/proxy/statement/statement_runner_test.cpp
+++ b/tests/registered/proxy/statement/statement_runner_test.cpp
@@ -342,9 +342,9 @@
     request.arrived = stand_->now();
     request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
     auto result = std::make_shared<RunResult>();
-    const auto task = [](StatementRunner& runner, StatementRequest wanted,
-                         std::shared_ptr<RunResult> told) -> Awaitable<void> {
-      *told = co_await runner.run(std::move(wanted));
+    const auto task = [](StatementRunner& runner, StatementRequest statement_request,
+                         std::shared_ptr<RunResult> output) -> Awaitable<void> {
+      *output = co_await runner.run(std::move(statement_request));
     };
     CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(request), result)));
     return *result;
@@ -354,9 +354,10 @@
     request.arrived = stand_->now();
     request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
     auto answer = std::make_shared<Answer>();
-    const auto task = [](StatementRunner& runner, PinnedLink link, StatementRequest wanted, bool is_commit,
-                         std::shared_ptr<Answer> told) -> Awaitable<void> {
-      *told = co_await runner.transactions().run(std::move(link), std::move(wanted), is_commit, true);
+    const auto task = [](StatementRunner& runner, PinnedLink link, StatementRequest statement_request,
+                         bool is_commit, std::shared_ptr<Answer> output) -> Awaitable<void> {
+      *output =
+          co_await runner.transactions().run(std::move(link), std::move(statement_request), is_commit, true);
     };
     CPPUNIT_ASSERT(stand_->finish(task(*runner_, std::move(pinned), std::move(request), commits, answer)));
     return *answer;
