--- a/src/registered/placement/rejection_reason.cpp
+++ b/src/registered/placement/rejection_reason.cpp
@@ -6,32 +6,32 @@
 
 namespace {
 
-struct Words {
+struct ReasonWording {
   const char* name;
   const char* text;
 };
 
-/// In the order of Obstacle.
-constexpr std::array<Words, kRejectionReasonCount> kRejectionReasons{{
+/// Indexed by RejectionReason.
+constexpr std::array<ReasonWording, kRejectionReasonCount> kRejectionReasons{{
     {"none", ""},
-    {"outside_regions", "it may run in no region that has a backend of the group"},
+    {"outside_regions", "no backend of the group is in a region where it may run"},
     {"zone_evacuated", "the zone of the backend that could run it is evacuated"},
-    {"cold_limit", "the backend that could run it has just started and takes no more now"},
-    {"leaving", "the backend that could run it is leaving"},
-    {"lags", "no backend has the data asked for yet"},
-    {"tried", "no backend can serve it now"},
+    {"cold_limit", "the backend that could run it is warming up and has reached its rate limit"},
+    {"leaving", "the backend that could run it is draining"},
+    {"lags", "no available backend has the required data yet"},
+    {"tried", "all suitable backends have been tried"},
     {"group_closed", "the group has no primary now"},
-    {"primary_given_up", "the primary was given up"},
-    {"primary_unreachable", "the primary can't be reached from here"},
-    {"primary_full", "the primary takes no more connections"},
-    {"commits_stall", "commits reach no replica now"},
-    {"backends_busy", "the backends are busy"},
-    {"no_backend", "no backend can serve it now"},
-    {"no_lease", "the serving lease has run out"},
-    {"no_proxy", "no proxy that may serve the group could be reached"},
-    {"key_unauthorized", "the key can't be used any more"},
-    {"key_unconfirmed", "the key can't be used any more"},
-    {"over_limit", "there is no token to run it once more"},
+    {"primary_given_up", "the primary was replaced or may not be used any more"},
+    {"primary_unreachable", "this proxy can't reach the primary"},
+    {"primary_full", "the primary accepts no further connections"},
+    {"commits_stall", "earlier commits have no answer yet"},
+    {"backends_busy", "the suitable backends are busy"},
+    {"no_backend", "no suitable backend is known"},
+    {"no_lease", "this proxy has no serving lease"},
+    {"no_proxy", "no proxy that may serve the group accepted it"},
+    {"key_unauthorized", "the API key is not valid for the tenant any more"},
+    {"key_unconfirmed", "the API key was not confirmed recently enough"},
+    {"over_limit", "the tenant's rate limit has no token to run it again"},
 }};
 
 constexpr std::array<const char*, kForwardCauseCount> kForwardCauses{"served_elsewhere", "no_lease",
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -373,7 +373,7 @@
     request->opens_transaction = true;
     RunResult result = co_await run_admitted(std::move(*request));
     if (result.pinned && result.answer.state == TransactionState::kIdle) {
-      runner_.transactions().give_back(*result.pinned);
+      runner_.transactions().release(*result.pinned);
     } else if (result.pinned) {
       co_await runner_.transactions().roll_back(*result.pinned);
     }
@@ -388,7 +388,7 @@
   served_by_ = pinned.at_primary ? ServedBy::kPrimary : ServedBy::kReplica;
   if (wrote) record_committed(sent_request, answer);
   if (answer.state == TransactionState::kIdle) {
-    runner_.transactions().give_back(pinned);
+    runner_.transactions().release(pinned);
   } else {
     co_await runner_.transactions().roll_back(pinned);
   }
--- a/src/registered/proxy/group/backend_standing.cpp
+++ b/src/registered/proxy/group/backend_standing.cpp
@@ -16,11 +16,11 @@
   facts.is_primary = backend.entry.name == term.primary;
   facts.of_closed_term = facts.is_primary && (!term.open || backends_.is_primary_restarted());
   facts.leaving = backend.entry.leaving;
-  facts.leaving_grace_over = leaving_since && now - *leaving_since > kLeavingPrimaryGrace;
+  facts.leaving_grace_expired = leaving_since && now - *leaving_since > kLeavingPrimaryGrace;
   // A primary in an evacuated zone stays in use for a grace period, so that control can fail over while it
   // still runs.
-  facts.transaction_grace_over = backend.is_off_limits(now);
-  facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_over : backend.is_evacuated();
+  facts.transaction_grace_expired = backend.is_off_limits(now);
+  facts.zone_evacuated = facts.is_primary ? facts.transaction_grace_expired : backend.is_evacuated();
   if (facts.zone_evacuated) facts.retry_after = placement::kRetryAfterEvacuation;
   facts.tried = request.tried != nullptr && request.tried->count(backend.entry.name) > 0;
   facts.avoided = backend.avoid_until > now;
--- a/src/registered/proxy/group/link_warming.cpp
+++ b/src/registered/proxy/group/link_warming.cpp
@@ -16,7 +16,7 @@
   if (link) backend->restart_detector.record_reached(runtime->now());
   if (!link && !refusal) backend->restart_detector.mark_unreachable();
   if (link) backend->pool.release(std::move(link));
-  if (!link) backend->avoid_until = runtime->now() + placement::kAvoidBackend;
+  if (!link) backend->avoid_until = runtime->now() + placement::kBackendAvoidanceTime;
 }
 
 }  // namespace
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -1,4 +1,4 @@
-// What is the same for single statements and those of open transactions while a backend runs them.
+// Helpers shared by single statements and statements of open transactions while a backend runs them.
 #pragma once
 
 #include <optional>
@@ -8,43 +8,45 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// Gives back the place that a statement took, with what its answer tells of the backend.
+/// Releases the statement's slot at the gate and reports what its answer shows about the backend's load.
+/// `latency`: from sending to the answer.
 inline void leave_gate(StatementGate& gate, const std::optional<Answer>& answer, Duration latency) {
   if (!answer) return gate.leave_unanswered();
   if (answer->refusal == Refusal::kBusy) return gate.leave_busy();
-  // What was not run was answered at once and tells nothing about the time that statements take.
+  // A refusal is answered immediately, so its latency says nothing about execution times.
   if (answer->refusal) return gate.leave_unanswered();
   gate.leave(latency);
 }
 
-/// A statement at a primary, taken out of the group's list when the scope ends.
-class WorkScope {
+/// Registers a statement as in progress at the primary for the lifetime of the scope. The PrimaryHealth must
+/// outlive it.
+class PrimaryWorkScope {
  public:
-  WorkScope(PrimaryHealth& primary, PendingStatement work)
+  PrimaryWorkScope(PrimaryHealth& primary, PendingStatement work)
       : primary_(primary), key_(primary.add_pending(std::move(work))) {}
-  ~WorkScope() { primary_.remove_pending(key_); }
-  WorkScope(const WorkScope&) = delete;
-  WorkScope& operator=(const WorkScope&) = delete;
+  ~PrimaryWorkScope() { primary_.remove_pending(key_); }
+  PrimaryWorkScope(const PrimaryWorkScope&) = delete;
+  PrimaryWorkScope& operator=(const PrimaryWorkScope&) = delete;
 
  private:
   PrimaryHealth& primary_;
   std::uint64_t key_;
 };
 
-/// The order as the link's backend is asked for it. `required`: the position that the backend must show to
-/// hold.
-BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
+/// Builds the request that is sent on the link. `required`: the log position that the backend must have
+/// reached, if any.
+BackendRequest make_request(const StatementRequest& request, const StatefulLink& link,
                             std::optional<Position> required);
 
-/// A primary's success, as it was asked for.
-struct PrimaryAnswer {
-  std::uint64_t epoch = 0;  ///< in which it was asked
-  TimePoint asked_at{};
+/// The context in which a primary reported success.
+struct PrimaryExchange {
+  std::uint64_t epoch = 0;  ///< the group's epoch when the statement was sent
+  TimePoint sent_at{};
   bool commits = false;
 };
-/// Records where the primary's log is, and what is acknowledged from now on. A commit whose primary was given
-/// up meanwhile is in doubt.
-void take_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryAnswer primary,
-                         Answer& answer);
+/// Records the primary's log position and, for a commit, what is acknowledged. Turns `answer` into "in doubt"
+/// for a commit that can't be acknowledged, e.g. because its primary may not be used any more.
+void apply_primary_answer(const SessionServices& services, GroupAccess& group, PrimaryExchange primary,
+                          Answer& answer);
 
 }  // namespace cairnhollow::registered::proxy
--- a/tests/registered/placement/attempt_outcome_test.cpp
+++ b/tests/registered/placement/attempt_outcome_test.cpp
@@ -1,4 +1,5 @@
-// What an attempt's end means: one row for each refusal, loss and failure of each kind of statement.
+// Retries, side effects and in-doubt outcomes after each refusal, lost answer and link failure, by kind of
+// statement.
 #include "registered/placement/attempt_outcome.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -28,7 +29,7 @@
   facts.reads = true;
   return facts;
 }
-/// Of a replica that is chosen for it.
+/// A read that any backend may serve, at a replica.
 AttemptFacts replica_read() {
   AttemptFacts facts = primary_read();
   facts.needs_primary = false;
@@ -53,9 +54,9 @@
 }
 
 std::string text_of(const Retry& retry) {
-  const std::string where = retry.passes_over ? " elsewhere" : "";
+  const std::string where = retry.excludes_backend ? " elsewhere" : "";
   if (retry.next == NextStep::kAnswer) return "answer" + where;
-  return (retry.next == NextStep::kChooseAgain ? "again" : "pause") + where;
+  return (retry.next == NextStep::kReselectBackend ? "again" : "pause") + where;
 }
 
 std::string text_of(const RefusalEffects& effects) {
@@ -69,9 +70,9 @@
 
 std::string text_of(const LossOutcome& outcome) {
   std::string text = text_of(outcome.retry);
-  if (outcome.may_be_reborn) text += " reborn";
+  if (outcome.may_have_restarted) text += " restarted";
   if (outcome.suspect_primary) text += " suspect";
-  if (outcome.broke_off) text += " broke_off";
+  if (outcome.counts_as_disconnect) text += " disconnected";
   return text;
 }
 
@@ -79,17 +80,17 @@
 
 class AttemptOutcomeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AttemptOutcomeTest);
-  CPPUNIT_TEST(answers);
-  CPPUNIT_TEST(effects_of_refusals);
-  CPPUNIT_TEST(effects_of_refused_begins);
-  CPPUNIT_TEST(lost_answers);
-  CPPUNIT_TEST(lost_answers_in_transactions);
-  CPPUNIT_TEST(link_failures);
-  CPPUNIT_TEST(successes_at_the_primary);
+  CPPUNIT_TEST(retries_depend_on_the_answer);
+  CPPUNIT_TEST(refusals_affect_backend_and_link);
+  CPPUNIT_TEST(refused_begins_affect_backend_and_link);
+  CPPUNIT_TEST(lost_answers_are_retried_or_in_doubt);
+  CPPUNIT_TEST(only_lost_commits_are_in_doubt);
+  CPPUNIT_TEST(link_failures_mark_the_backend);
+  CPPUNIT_TEST(primary_successes_record_positions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void answers() {
+  void retries_depend_on_the_answer() {
     struct Row {
       std::optional<Refusal> refusal;
       std::string write;
@@ -122,15 +123,15 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(what, row.replica_read,
                                    text_of(after_answer(row.refusal, replica_read())));
     }
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it failed twice", std::string("answer"),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a second failure", std::string("answer"),
                                  text_of(after_answer(Refusal::kFailed, second(replica_read()))));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("a transaction that may write", std::string("answer"),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a read-write transaction", std::string("answer"),
                                  text_of(after_answer(Refusal::kFailed, opens_transaction())));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("any number of times", std::string("pause"),
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no limit on busy answers", std::string("pause"),
                                  text_of(after_answer(Refusal::kBusy, second(write()))));
   }
 
-  void effects_of_refusals() {
+  void refusals_affect_backend_and_link() {
     struct Row {
       std::string what;
       Refusal refusal;
@@ -140,22 +141,22 @@
     const std::vector<Row> rows{
         {"busy", Refusal::kBusy, write(), ""},
         {"a replica lags", Refusal::kTooStale, replica_read(), " lag"},
-        {"a primary lost its log", Refusal::kTooStale, primary_read(), " suspect close"},
-        {"it leads no more", Refusal::kNotPrimary, write(), " suspect"},
-        {"it led a former term", Refusal::kNotPrimary, of_former_term(write()), ""},
-        {"it is no primary", Refusal::kNotPrimary, replica_read(), ""},
-        {"another backend", Refusal::kWrongBackend, write(), " close"},
-        {"nothing is prepared", Refusal::kUnknownStatement, write(), " forget"},
-        {"no connection", Refusal::kConnectionLimit, write(), ""},
-        {"a key", Refusal::kUnauthorized, write(), ""},
-        {"a limit", Refusal::kOverLimit, write(), ""},
+        {"a primary lacks a reported position", Refusal::kTooStale, primary_read(), " suspect close"},
+        {"the primary lost its role", Refusal::kNotPrimary, write(), " suspect"},
+        {"a primary of an earlier term", Refusal::kNotPrimary, of_former_term(write()), ""},
+        {"a replica", Refusal::kNotPrimary, replica_read(), ""},
+        {"wrong backend", Refusal::kWrongBackend, write(), " close"},
+        {"unknown prepared statement", Refusal::kUnknownStatement, write(), " forget"},
+        {"connection limit", Refusal::kConnectionLimit, write(), ""},
+        {"unauthorized", Refusal::kUnauthorized, write(), ""},
+        {"over limit", Refusal::kOverLimit, write(), ""},
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.effects,
                                    text_of(effects_of_refusal(row.refusal, row.attempt)));
   }
 
-  void effects_of_refused_begins() {
+  void refused_begins_affect_backend_and_link() {
     const auto effects = [](Refusal refusal, bool primary_only) {
       return text_of(effects_of_refused_begin(refusal, primary_only));
     };
@@ -167,7 +168,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(""), effects(Refusal::kWrongBackend, true));
   }
 
-  void lost_answers() {
+  void lost_answers_are_retried_or_in_doubt() {
     constexpr LossFacts kNotSent{false, true};
     constexpr LossFacts kBrokenOff{true, true};
     constexpr LossFacts kLate{true, false};
@@ -178,31 +179,32 @@
       std::string outcome;
     };
     const std::vector<Row> rows{
-        {"a write that was not sent", write(), kNotSent, "pause reborn suspect"},
-        {"a write that was broken off", write(), kBrokenOff, "answer reborn suspect broke_off"},
+        {"a write that was not sent", write(), kNotSent, "pause restarted suspect"},
+        {"a write whose connection was lost", write(), kBrokenOff, "answer restarted suspect disconnected"},
         {"a write whose answer is late", write(), kLate, "answer suspect"},
-        {"a write at a former primary", of_former_term(write()), kBrokenOff, "answer"},
-        {"the first of a transaction", opens_transaction(), kBrokenOff, "pause reborn suspect broke_off"},
+        {"a write at a primary of an earlier term", of_former_term(write()), kBrokenOff, "answer"},
+        {"the first statement of a transaction", opens_transaction(), kBrokenOff,
+         "pause restarted suspect disconnected"},
         {"a read of the primary", primary_read(), kLate, "pause suspect"},
         {"a read of a replica", replica_read(), kLate, "again elsewhere"},
-        {"a replica breaks off", replica_read(), kBrokenOff, "again elsewhere reborn"},
-        {"a read at the primary", free_read_at_primary(), kLate, "again elsewhere suspect"},
+        {"a replica's connection was lost", replica_read(), kBrokenOff, "again elsewhere restarted"},
+        {"a replica read at the primary", free_read_at_primary(), kLate, "again elsewhere suspect"},
     };
     for (const Row& row : rows)
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome, text_of(after_loss(row.attempt, row.loss)));
   }
 
-  void lost_answers_in_transactions() {
+  void only_lost_commits_are_in_doubt() {
     CPPUNIT_ASSERT(is_in_doubt(true, true));
     CPPUNIT_ASSERT(!is_in_doubt(true, false));
     CPPUNIT_ASSERT(!is_in_doubt(false, true));
-    CPPUNIT_ASSERT(may_be_reborn({true, true}, true));
-    CPPUNIT_ASSERT(may_be_reborn({false, true}, true));
-    CPPUNIT_ASSERT(!may_be_reborn({true, false}, true));
-    CPPUNIT_ASSERT(!may_be_reborn({true, true}, false));
+    CPPUNIT_ASSERT(may_have_restarted({true, true}, true));
+    CPPUNIT_ASSERT(may_have_restarted({false, true}, true));
+    CPPUNIT_ASSERT(!may_have_restarted({true, false}, true));
+    CPPUNIT_ASSERT(!may_have_restarted({true, true}, false));
   }
 
-  void link_failures() {
+  void link_failures_mark_the_backend() {
     struct Row {
       std::string what;
       LinkFailure failure;
@@ -210,21 +212,21 @@
       LinkFailureOutcome outcome;
     };
     const std::vector<Row> rows{
-        {"nobody answers", {false, false}, false, {true, false, true}},
-        {"the primary does not", {false, false}, true, {true, true, true}},
-        {"it answers and refuses", {true, false}, true, {true, false, false}},
+        {"a replica does not answer", {false, false}, false, {true, false, true}},
+        {"the primary does not answer", {false, false}, true, {true, true, true}},
+        {"the primary rejects the connection", {true, false}, true, {true, false, false}},
         {"all links are in use", {false, true}, true, {false, false, false}},
-        {"it takes no more", {true, true}, true, {false, false, false}},
+        {"the connection limit is reached", {true, true}, true, {false, false, false}},
     };
     for (const Row& row : rows) {
       const LinkFailureOutcome outcome = after_link_failure(row.failure, row.at_primary);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.avoid_backend, outcome.avoid_backend);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.primary_unreachable, outcome.primary_unreachable);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.may_be_reborn, outcome.may_be_reborn);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.outcome.may_have_restarted, outcome.may_have_restarted);
     }
   }
 
-  void successes_at_the_primary() {
+  void primary_successes_record_positions() {
     struct Row {
       std::string what;
       bool commits;
@@ -235,10 +237,10 @@
     const std::vector<Row> rows{
         {"a commit", true, true, true, {true, true, false}},
         {"a read", false, true, true, {true, false, false}},
-        {"a commit at a former primary", true, false, true, {false, false, true}},
-        {"a read at a former primary", false, false, true, {false, false, false}},
-        {"a commit that shows no position", true, true, false, {false, false, true}},
-        {"a read that shows none", false, true, false, {false, false, false}},
+        {"a commit at a primary that may not be used", true, false, true, {false, false, true}},
+        {"a read at a primary that may not be used", false, false, true, {false, false, false}},
+        {"a commit without a position", true, true, false, {false, false, true}},
+        {"a read without a position", false, true, false, {false, false, false}},
     };
     for (const Row& row : rows) {
       const PrimarySuccess success =
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -1,4 +1,4 @@
-// What is sent to a cold backend has a token that holds at that moment, in a transaction as well.
+// Every statement sent to a cold backend has a valid token when it is sent, also within transactions.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -17,21 +17,21 @@
 const BackendName kBackend("db-1");
 const DatabaseName kDatabase("database");
 
-/// What all links to the backend share.
+/// State and script shared by all links to the backend.
 struct Backend {
   int statements = 0;
   std::uint64_t position = 0;
   Duration setup_takes{0};
   std::function<void()> during_setup;
-  bool is_gone = false;
-  bool breaks_off = false;  ///< statements
-  int life = 1;             ///< links to an earlier one have ended
+  bool is_unreachable = false;
+  bool drops_connections = false;  ///< drop the connection on each statement
+  int incarnation = 1;             ///< links opened in an earlier one are closed
 };
 
 class CountingLink : public BackendLink {
  public:
   CountingLink(runtime::Runtime& runtime, Backend& backend)
-      : runtime_(runtime), backend_(backend), life_(backend.life) {}
+      : runtime_(runtime), backend_(backend), incarnation_(backend.incarnation) {}
 
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
                                        runtime::SendState& sent, Reason& reason) override {
@@ -41,8 +41,8 @@
       if (backend_.during_setup) backend_.during_setup();
     }
     if (std::holds_alternative<PassOn>(request)) ++backend_.statements;
-    if (std::holds_alternative<PassOn>(request) && backend_.breaks_off) {
-      reason = Reason{ReasonCode::kConnectionLost, "run", kBackend.value, "broke off"};
+    if (std::holds_alternative<PassOn>(request) && backend_.drops_connections) {
+      reason = Reason{ReasonCode::kConnectionLost, "run", kBackend.value, "connection lost"};
       open_ = false;
       co_return std::nullopt;
     }
@@ -56,13 +56,13 @@
     return std::nullopt;
   }
   void close() override { open_ = false; }
-  [[nodiscard]] bool is_open() const override { return open_ && life_ == backend_.life; }
+  [[nodiscard]] bool is_open() const override { return open_ && incarnation_ == backend_.incarnation; }
   [[nodiscard]] std::string peer() const override { return kBackend.value; }
 
  private:
   runtime::Runtime& runtime_;
   Backend& backend_;
-  int life_;
+  int incarnation_;
   bool in_transaction_ = false;
   bool open_ = true;
 };
@@ -72,8 +72,9 @@
   CountingDialer(runtime::Runtime& runtime, Backend& backend) : runtime_(runtime), backend_(backend) {}
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
                                                std::optional<Refusal>& /*refusal*/, Reason& reason) override {
-    if (backend_.is_gone) reason = Reason{ReasonCode::kConnectionLost, "open", kBackend.value, "is gone"};
-    if (backend_.is_gone) co_return nullptr;
+    if (backend_.is_unreachable)
+      reason = Reason{ReasonCode::kConnectionLost, "open", kBackend.value, "connection refused"};
+    if (backend_.is_unreachable) co_return nullptr;
     co_return std::make_shared<CountingLink>(runtime_, backend_);
   }
 
@@ -93,7 +94,7 @@
   return entry;
 }
 
-/// This proxy is the only one, and counts for all.
+/// This proxy is the only one and owns all quotas.
 registry::FleetDelta fleet(double cold_rate, std::uint64_t cold_ms) {
   registry::FleetDelta delta;
   delta.is_whole = true;
@@ -125,7 +126,7 @@
   return settings;
 }
 
-/// A proxy's part that runs statements, without its network.
+/// The parts of a proxy that run statements, without network connections.
 struct Proxy {
   Proxy(runtime::Runtime& runtime, const registry::FleetDelta& delta)
       : dialer(runtime, backend),
@@ -151,17 +152,17 @@
 
 class ColdSendingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ColdSendingTest);
-  CPPUNIT_TEST(what_is_above_the_limit_is_refused_at_once);
-  CPPUNIT_TEST(a_token_is_used_once);
-  CPPUNIT_TEST(a_token_that_expired_sends_nothing);
-  CPPUNIT_TEST(a_backend_that_turns_cold_meanwhile_gets_nothing_without_a_token);
-  CPPUNIT_TEST(a_transaction_waits_for_its_tokens);
-  CPPUNIT_TEST(a_transaction_without_a_token_is_given_up);
-  CPPUNIT_TEST(a_transaction_that_waits_for_a_token_holds_no_place);
-  CPPUNIT_TEST(a_transactions_token_that_expired_at_the_gate_sends_nothing);
-  CPPUNIT_TEST(a_backend_that_was_gone_is_sent_its_cold_rate);
-  CPPUNIT_TEST(a_backend_whose_idle_links_ended_is_sent_its_cold_rate);
-  CPPUNIT_TEST(a_backend_that_broke_off_is_sent_its_cold_rate);
+  CPPUNIT_TEST(refuses_statements_above_the_cold_limit);
+  CPPUNIT_TEST(uses_each_token_once);
+  CPPUNIT_TEST(does_not_send_with_an_expired_token);
+  CPPUNIT_TEST(requires_a_token_if_the_backend_becomes_cold);
+  CPPUNIT_TEST(transactions_wait_for_tokens);
+  CPPUNIT_TEST(aborts_transactions_without_a_token);
+  CPPUNIT_TEST(transactions_waiting_for_a_token_hold_no_slot);
+  CPPUNIT_TEST(aborts_transactions_whose_token_expires_at_the_gate);
+  CPPUNIT_TEST(applies_the_cold_rate_after_a_failed_connection);
+  CPPUNIT_TEST(applies_the_cold_rate_after_lost_idle_links);
+  CPPUNIT_TEST(applies_the_cold_rate_after_a_lost_connection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -174,10 +175,10 @@
     world_.reset();
   }
 
-  void what_is_above_the_limit_is_refused_at_once() {
-    // A third of the rate from a bucket of (1.5 + 5) / 3 tokens: two after a while.
+  void refuses_statements_above_the_cold_limit() {
+    // Tokens are granted at a third of the rate from a bucket of (1.5 + 5) / 3 tokens, so two are available.
     start(6, 5000);
-    const auto results = run_side_by_side(6, milliseconds(20));
+    const auto results = run_concurrently(6, milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, results.size());
     int refused = 0;
@@ -189,37 +190,37 @@
       CPPUNIT_ASSERT_MESSAGE(result.answer.detail, result.answer.detail.starts_with(placement::rejection_text(
                                                        placement::RejectionReason::kColdLimit)));
       CPPUNIT_ASSERT_MESSAGE(result.answer.detail,
-                             result.answer.detail.find("come back in") != std::string::npos);
+                             result.answer.detail.find("retry in") != std::string::npos);
     }
     CPPUNIT_ASSERT_EQUAL(4, refused);
   }
 
-  void a_token_is_used_once() {
+  void uses_each_token_once() {
     start(6, 5000);
-    for (int round = 0; round < 8; ++round) run_side_by_side(1, milliseconds(25));
+    for (int round = 0; round < 8; ++round) run_concurrently(1, milliseconds(25));
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
   }
 
-  void a_token_that_expired_sends_nothing() {
+  void does_not_send_with_an_expired_token() {
     start(1, 5000);
     backend().setup_takes = milliseconds(300);
-    const auto results = run_side_by_side(1, milliseconds(1000));
+    const auto results = run_concurrently(1, milliseconds(1000));
     CPPUNIT_ASSERT(results.at(0).answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT_EQUAL(0, backend().statements);
   }
 
-  void a_backend_that_turns_cold_meanwhile_gets_nothing_without_a_token() {
+  void requires_a_token_if_the_backend_becomes_cold() {
     start(1, 5000);
-    run_side_by_side(1, milliseconds(50));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the only token is used", 1, backend().statements);
+    run_concurrently(1, milliseconds(50));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the only token is spent", 1, backend().statements);
     group()->put_backend(entry(0));
     backend().during_setup = [this] { group()->put_backend(entry(4000)); };
-    const auto results = run_side_by_side(1, milliseconds(50), "second");
+    const auto results = run_concurrently(1, milliseconds(50), "second");
     CPPUNIT_ASSERT(results.at(0).answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
   }
 
-  void a_transaction_waits_for_its_tokens() {
+  void transactions_wait_for_tokens() {
     start(6, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -230,7 +231,7 @@
     CPPUNIT_ASSERT_EQUAL(4, backend().statements);
   }
 
-  void a_transaction_without_a_token_is_given_up() {
+  void aborts_transactions_without_a_token() {
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -238,10 +239,10 @@
     const Answer answer = run_pinned(pinned, milliseconds(1000));
     CPPUNIT_ASSERT(answer.refusal == Refusal::kAborted);
     CPPUNIT_ASSERT_EQUAL(2, backend().statements);
-    CPPUNIT_ASSERT_MESSAGE("the backend rolls it back", !pinned.link->link().is_open());
+    CPPUNIT_ASSERT_MESSAGE("closing the link makes the backend roll back", !pinned.link->link().is_open());
   }
 
-  void a_transaction_that_waits_for_a_token_holds_no_place() {
+  void transactions_waiting_for_a_token_hold_no_slot() {
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
@@ -253,61 +254,62 @@
     CPPUNIT_ASSERT(answers_.at(0).refusal == Refusal::kAborted);
   }
 
-  void a_transactions_token_that_expired_at_the_gate_sends_nothing() {
+  void aborts_transactions_whose_token_expires_at_the_gate() {
     start(1, 0);
     const PinnedLink pinned = open_transaction();
     group()->put_backend(entry(5000));
-    const std::uint32_t places = fill_gate();
+    const std::uint32_t slots = fill_gate();
     start_pinned(pinned, milliseconds(400));
     CPPUNIT_ASSERT(answers_.empty());
-    for (std::uint32_t place = 0; place < places; ++place) gate().leave_unanswered();
+    for (std::uint32_t slot = 0; slot < slots; ++slot) gate().leave_unanswered();
     world_->run_for(milliseconds(600));
     CPPUNIT_ASSERT(answers_.at(0).refusal == Refusal::kAborted);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the one that opened it", 1, backend().statements);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("only the statement that opened the transaction", 1, backend().statements);
     CPPUNIT_ASSERT_EQUAL(0U, gate().running());
   }
 
-  void a_backend_that_was_gone_is_sent_its_cold_rate() {
+  void applies_the_cold_rate_after_a_failed_connection() {
     start(6, 0);
-    run_side_by_side(5, milliseconds(50));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it is warm", 5, backend().statements);
+    run_concurrently(5, milliseconds(50));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the backend is warm", 5, backend().statements);
     for (const auto& [name, use] : group()->backends.all()) use->pool.close_idle();
-    backend().is_gone = true;
-    run_side_by_side(1, milliseconds(1000));
-    backend().is_gone = false;
+    backend().is_unreachable = true;
+    run_concurrently(1, milliseconds(1000));
+    backend().is_unreachable = false;
     const int before = backend().statements;
-    run_side_by_side(5, milliseconds(1000));
-    CPPUNIT_ASSERT_MESSAGE("what could be another life", backend().statements - before <= 3);
+    run_concurrently(5, milliseconds(1000));
+    CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart",
+                           backend().statements - before <= 3);
     CPPUNIT_ASSERT(backend().statements > before);
     proxy_->view.extend_lease(runtime_->now() + seconds(2), runtime_->now() + seconds(60), 1);
     const int confirmed = backend().statements;
-    run_side_by_side(5, milliseconds(50));
+    run_concurrently(5, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(5, backend().statements - confirmed);
   }
 
-  void a_backend_whose_idle_links_ended_is_sent_its_cold_rate() {
+  void applies_the_cold_rate_after_lost_idle_links() {
     start(6, 0);
-    run_side_by_side(5, milliseconds(50));
-    ++backend().life;
-    run_side_by_side(5, milliseconds(50));
-    CPPUNIT_ASSERT_MESSAGE("what could be another life", backend().statements - 5 <= 3);
+    run_concurrently(5, milliseconds(50));
+    ++backend().incarnation;
+    run_concurrently(5, milliseconds(50));
+    CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 5 <= 3);
   }
 
-  void a_backend_that_broke_off_is_sent_its_cold_rate() {
+  void applies_the_cold_rate_after_a_lost_connection() {
     start(6, 0);
-    backend().breaks_off = true;
-    run_side_by_side(1, milliseconds(50));
+    backend().drops_connections = true;
+    run_concurrently(1, milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(1, backend().statements);
-    backend().breaks_off = false;
-    run_side_by_side(5, milliseconds(50));
-    CPPUNIT_ASSERT_MESSAGE("what could be another life", backend().statements - 1 <= 3);
+    backend().drops_connections = false;
+    run_concurrently(5, milliseconds(50));
+    CPPUNIT_ASSERT_MESSAGE("at most the cold rate after a possible restart", backend().statements - 1 <= 3);
   }
 
  private:
   void start(double cold_rate, std::uint64_t cold_ms) {
     proxy_ = std::make_unique<Proxy>(*runtime_, fleet(cold_rate, cold_ms));
     confirm();
-    // The bucket begins with the first question.
+    // The bucket starts to fill with the first request.
     proxy_->view.quotas().grant(*proxy_->view.cold_limit(kBackend), {}, runtime_->now());
     world_->run_for(milliseconds(4500));
     confirm();
@@ -316,31 +318,31 @@
   Backend& backend() { return proxy_->backend; }
   std::shared_ptr<GroupAccess> group() { return proxy_->view.find_group(kGroup); }
 
-  StatementRequest order(const std::string& value = "first") {
-    StatementRequest order;
-    order.route = *proxy_->view.find_route(kDatabase);
-    order.group = group();
-    order.id = "id";
-    order.writes = true;
-    order.values = {{"name", value}};
-    order.arrived = runtime_->now();
-    order.deadline = order.arrived + milliseconds(order.route.timeout_ms);
-    return order;
+  StatementRequest new_request(const std::string& value = "first") {
+    StatementRequest request;
+    request.route = *proxy_->view.find_route(kDatabase);
+    request.group = group();
+    request.id = "id";
+    request.writes = true;
+    request.values = {{"name", value}};
+    request.arrived = runtime_->now();
+    request.deadline = request.arrived + milliseconds(request.route.timeout_ms);
+    return request;
   }
   template <class Result>
   static Awaitable<void> keep(Awaitable<Result> work, std::vector<Result>& results) {
     Result result = co_await std::move(work);
     results.push_back(std::move(result));
   }
-  std::vector<RunResult> run_side_by_side(int count, Duration within, const std::string& value = "first") {
+  std::vector<RunResult> run_concurrently(int count, Duration within, const std::string& value = "first") {
     results_.clear();
     for (int each = 0; each < count; ++each)
-      runtime_->spawn("run", keep(proxy_->runner.run(order(value)), results_));
+      runtime_->spawn("run", keep(proxy_->runner.run(new_request(value)), results_));
     world_->run_for(within);
     return results_;
   }
   PinnedLink open_transaction() {
-    StatementRequest opening = order();
+    StatementRequest opening = new_request();
     opening.opens_transaction = true;
     results_.clear();
     runtime_->spawn("open", keep(proxy_->runner.run(std::move(opening)), results_));
@@ -350,21 +352,21 @@
     return *results_[0].pinned;
   }
   StatementGate& gate() { return group()->backends.all().at(kBackend)->gate; }
-  Awaitable<void> take_place(std::uint32_t& taken) {
+  Awaitable<void> take_slot(std::uint32_t& taken) {
     const bool entered = co_await gate().enter(admission::kUrgentClass, runtime_->now());
     if (entered) ++taken;
   }
-  /// Takes the places that are left; says how many.
+  /// Takes all free slots of the gate and returns their number.
   std::uint32_t fill_gate() {
     std::uint32_t taken = 0;
-    for (int each = 0; each < 100; ++each) runtime_->spawn("take_place", take_place(taken));
+    for (int each = 0; each < 100; ++each) runtime_->spawn("take_place", take_slot(taken));
     world_->run_for(milliseconds(1));
     return taken;
   }
   void start_pinned(const PinnedLink& pinned, Duration within) {
     answers_.clear();
     runtime_->spawn("further",
-                    keep(proxy_->runner.transactions().run(pinned, order(), false, false), answers_));
+                    keep(proxy_->runner.transactions().run(pinned, new_request(), false, false), answers_));
     world_->run_for(within);
   }
   Answer run_pinned(const PinnedLink& pinned, Duration within) {
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_fixture.h
@@ -1,5 +1,5 @@
-// Runs a proxy's statements on a bare runtime: links are scripted, and what the proxy knows is set by the
-// test.
+// Test fixture that runs statements through a proxy's StatementRunner with scripted backend links and a fleet
+// view set by the test.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,25 +20,24 @@
 inline const TenantName kTenant("tenant");
 inline const ApiKey kKey("key");
 
-/// How a backend meets what it is sent: with a refusal, or with no answer.
-struct Mishap {
+/// A failed exchange with a backend: a refusal, or no answer.
+struct Failure {
   std::optional<Refusal> refusal;  ///< empty: no answer
   runtime::SendState sent = runtime::SendState::kMaybeSent;
 };
 
-/// What all links of the backends share.
+/// State and script shared by all links to the backends.
 struct Backends {
-  std::map<std::string, int> statements;  ///< by backend
-  std::map<std::string, int> dials;       ///< the same
-  int begun = 0;
-  int values = 0;  ///< set on links
+  std::map<std::string, int> statements;  ///< number of statements sent, by backend
+  std::map<std::string, int> dials;       ///< number of links opened, by backend
+  int begun = 0;                          ///< number of Begin requests sent
+  int values = 0;                         ///< number of session values set on links
   Duration statement_takes{0};
-  std::map<std::string, Mishap> at_statement;  ///< of the backend's next statement
-  std::map<std::string, Mishap> at_begin;      ///< of its next begin
+  std::map<std::string, Failure> statement_failures;  ///< outcome of the backend's next statement
+  std::map<std::string, Failure> begin_failures;      ///< outcome of its next Begin
   std::function<void()> while_dialling;
-  /// Done while a link is brought in order, which takes that long.
-  std::function<void()> meanwhile;
-  Duration takes{0};
+  std::function<void()> during_setup;  ///< runs after the delay `setup_takes` when a session value is set
+  Duration setup_takes{0};
 };
 
 class ScriptedLink : public BackendLink {
@@ -54,18 +53,18 @@
     answer.position = Position{1, 10};
     if (std::holds_alternative<SetValue>(request)) {
       ++backends_.values;
-      co_await runtime_.sleep_for(backends_.takes);
-      if (backends_.meanwhile) backends_.meanwhile();
+      co_await runtime_.sleep_for(backends_.setup_takes);
+      if (backends_.during_setup) backends_.during_setup();
     }
     if (std::holds_alternative<PassOn>(request)) {
       ++backends_.statements[name_];
       co_await runtime_.sleep_for(backends_.statement_takes);
       if (!open_) co_return std::nullopt;
-      if (const auto mishap = take(backends_.at_statement)) co_return meet(*mishap, sent, reason);
+      if (const auto failure = take(backends_.statement_failures)) co_return fail(*failure, sent, reason);
     }
     if (std::holds_alternative<Begin>(request)) {
       ++backends_.begun;
-      if (const auto mishap = take(backends_.at_begin)) co_return meet(*mishap, sent, reason);
+      if (const auto failure = take(backends_.begin_failures)) co_return fail(*failure, sent, reason);
       in_transaction_ = true;
     }
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
@@ -80,22 +79,22 @@
   [[nodiscard]] std::string peer() const override { return name_; }
 
  private:
-  std::optional<Mishap> take(std::map<std::string, Mishap>& mishaps) const {
-    const auto found = mishaps.find(name_);
-    if (found == mishaps.end()) return std::nullopt;
-    const Mishap mishap = found->second;
-    mishaps.erase(found);
-    return mishap;
+  std::optional<Failure> take(std::map<std::string, Failure>& failures) const {
+    const auto found = failures.find(name_);
+    if (found == failures.end()) return std::nullopt;
+    const Failure failure = found->second;
+    failures.erase(found);
+    return failure;
   }
-  std::optional<Answer> meet(const Mishap& mishap, runtime::SendState& sent, Reason& reason) {
-    if (mishap.refusal) {
+  std::optional<Answer> fail(const Failure& failure, runtime::SendState& sent, Reason& reason) {
+    if (failure.refusal) {
       Answer refused;
-      refused.refusal = mishap.refusal;
+      refused.refusal = failure.refusal;
       refused.state = in_transaction_ ? TransactionState::kOpen : TransactionState::kIdle;
       return refused;
     }
-    sent = mishap.sent;
-    reason = Reason{ReasonCode::kConnectionLost, "run", name_, "broken off"};
+    sent = failure.sent;
+    reason = Reason{ReasonCode::kConnectionLost, "run", name_, "connection lost"};
     open_ = false;
     return std::nullopt;
   }
@@ -164,7 +163,7 @@
   return settings;
 }
 
-/// A proxy's part that runs statements, without its network.
+/// The parts of a proxy that run statements, without network connections.
 struct Proxy {
   Proxy(runtime::Runtime& runtime, Duration lease)
       : dialer(runtime, backends),
@@ -187,8 +186,8 @@
   StatementRunner runner;
 };
 
-/// The fixture of tests of StatementRunner.
-class RunnerStand : public CppUnit::TestFixture {
+/// Base fixture for tests of StatementRunner: one proxy, primary "one", replica "two".
+class RunnerFixture : public CppUnit::TestFixture {
  public:
   void setUp() override {
     world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
@@ -204,32 +203,32 @@
   Backends& backends() { return proxy_->backends; }
   int sent(const std::string& backend) { return backends().statements[backend]; }
 
-  /// Of the metric's lines: how many statements this proxy refused since then.
-  int unplaced(const std::string& since) const {
+  /// Number of statements that this proxy refused for the reason, from the metrics output.
+  int local_refusals(const std::string& reason_name) const {
     const std::string text = proxy_->metrics.render();
-    const std::string line = "cairnhollow_session_unplaced_total{since=\"" + since + "\"} ";
+    const std::string line = "cairnhollow_session_unplaced_total{since=\"" + reason_name + "\"} ";
     const auto at = text.find(line);
-    CPPUNIT_ASSERT_MESSAGE(since, at != std::string::npos);
+    CPPUNIT_ASSERT_MESSAGE(reason_name, at != std::string::npos);
     return std::stoi(text.substr(at + line.size()));
   }
 
-  StatementRequest order(const std::string& value = "first") {
-    StatementRequest order;
-    order.route = *proxy_->view.find_route(kDatabase);
-    order.group = proxy_->view.find_group(kGroup);
-    order.key = kKey;
-    order.tenant = kTenant;
-    order.id = "id";
-    order.writes = true;
-    order.values = {{"name", value}};
-    order.arrived = runtime_->now();
-    order.deadline = order.arrived + std::chrono::milliseconds(order.route.timeout_ms);
-    return order;
+  StatementRequest new_request(const std::string& value = "first") {
+    StatementRequest request;
+    request.route = *proxy_->view.find_route(kDatabase);
+    request.group = proxy_->view.find_group(kGroup);
+    request.key = kKey;
+    request.tenant = kTenant;
+    request.id = "id";
+    request.writes = true;
+    request.values = {{"name", value}};
+    request.arrived = runtime_->now();
+    request.deadline = request.arrived + std::chrono::milliseconds(request.route.timeout_ms);
+    return request;
   }
 
-  RunResult run(StatementRequest order) {
+  RunResult run(StatementRequest request) {
     RunResult result;
-    runtime_->spawn("run", keep(proxy_->runner.run(std::move(order)), result));
+    runtime_->spawn("run", keep(proxy_->runner.run(std::move(request)), result));
     world_->run_for(std::chrono::milliseconds(1200));
     return result;
   }
@@ -252,10 +251,10 @@
   void replace_primary() {
     proxy_->view.find_group(kGroup)->set_term({kGroup, 2, BackendName("two"), true, 2, 2});
   }
-  /// A proxy whose lease has only so long to go.
+  /// Restarts the proxy with a lease that ends after `left`.
   void lose_lease_after(Duration left) { proxy_ = std::make_unique<Proxy>(*runtime_, left); }
 
-  /// The same key proves another tenant.
+  /// Makes the key prove another tenant.
   void move_key() {
     registry::FleetDelta delta = fleet();
     delta.tenants.front().name = TenantName("another");
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -1,5 +1,5 @@
-// A statement that is bound to regions at one proxy: refused at once where nothing inside can run it, and the
-// primary's position that reads beside a primary outside live by.
+// Statements that are bound to regions: refused at once if no permitted backend can run them. Reads whose
+// primary is outside need its position, which is requested.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/proxy/callers/caller_session.h"
@@ -16,9 +16,9 @@
 
 const GroupName kGroup("group");
 
-/// Answers a status as the primary of term 1; `meanwhile` is done first.
+/// Counts requests. `before_status` runs before a status request is answered, as by the primary of term 1.
 struct StatusScript {
-  std::function<void()> meanwhile;
+  std::function<void()> before_status;
   int statuses = 0;
   int statements = 0;
 };
@@ -32,7 +32,7 @@
     co_await runtime_.sleep_for(milliseconds(3));
     if (std::holds_alternative<AskStatus>(request)) {
       ++script_.statuses;
-      if (script_.meanwhile) script_.meanwhile();
+      if (script_.before_status) script_.before_status();
     }
     if (std::holds_alternative<Begin>(request)) in_transaction_ = true;
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
@@ -86,7 +86,7 @@
   return list;
 }
 
-/// The primary is in the north, a replica in the south.
+/// The primary is in region north, the replica in region south.
 registry::FleetDelta fleet() {
   registry::FleetDelta delta;
   delta.is_whole = true;
@@ -140,7 +140,7 @@
   StatementRunner runner;
 };
 
-/// Begins, reads 50 ms later, ends, and reads once more.
+/// Sends a read-only transaction with one read, then a read outside it; 50 ms before each statement.
 class ReadingCaller : public CallerConnection {
  public:
   explicit ReadingCaller(runtime::Runtime& runtime) : runtime_(runtime) {}
@@ -177,12 +177,12 @@
 
 class StatementRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StatementRegionsTest);
-  CPPUNIT_TEST(a_write_whose_primary_is_outside_is_refused_at_once);
-  CPPUNIT_TEST(what_may_run_nowhere_waits_for_no_primary);
-  CPPUNIT_TEST(what_is_shut_out_is_not_passed_on);
-  CPPUNIT_TEST(a_bounded_read_has_the_position_asked_for);
-  CPPUNIT_TEST(a_position_of_a_primary_that_was_replaced_does_not_count);
-  CPPUNIT_TEST(a_changed_document_binds_the_next_transaction);
+  CPPUNIT_TEST(refuses_writes_at_once_if_the_primary_is_outside);
+  CPPUNIT_TEST(does_not_wait_without_a_permitted_region);
+  CPPUNIT_TEST(does_not_forward_without_a_permitted_backend);
+  CPPUNIT_TEST(requests_the_primary_position_for_bounded_reads);
+  CPPUNIT_TEST(ignores_positions_of_replaced_primaries);
+  CPPUNIT_TEST(applies_changed_regions_to_the_next_transaction);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -198,44 +198,44 @@
     world_.reset();
   }
 
-  void a_write_whose_primary_is_outside_is_refused_at_once() { check_refused(write_in({"south"}, {})); }
+  void refuses_writes_at_once_if_the_primary_is_outside() { check_refused(write_in({"south"}, {})); }
 
-  void what_may_run_nowhere_waits_for_no_primary() {
+  void does_not_wait_without_a_permitted_region() {
     group_->set_term({kGroup, 1, BackendName("primary"), false, 2, 1, 0});
     check_refused(write_in({"south"}, {"north"}));
   }
 
-  void what_is_shut_out_is_not_passed_on() {
+  void does_not_forward_without_a_permitted_backend() {
     group_->leadership.mark_primary_unreachable();
     check_refused(write_in({"south"}, {}));
     const std::string metrics = proxy_->metrics.render();
     CPPUNIT_ASSERT(metrics.find("forwarded_total{cause=\"primary_unreachable\"} 0") != std::string::npos);
   }
 
-  void a_bounded_read_has_the_position_asked_for() {
-    StatementRequest order = write_in({"south"}, {});
-    order.writes = false;
-    const RunResult result = run(order);
+  void requests_the_primary_position_for_bounded_reads() {
+    StatementRequest request = write_in({"south"}, {});
+    request.writes = false;
+    const RunResult result = run(request);
     CPPUNIT_ASSERT(result.answer.succeeded());
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statuses);
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statements);
   }
 
-  void a_position_of_a_primary_that_was_replaced_does_not_count() {
-    proxy_->script.meanwhile = [this] {
+  void ignores_positions_of_replaced_primaries() {
+    proxy_->script.before_status = [this] {
       group_->set_term({kGroup, 2, BackendName("replica"), true, 3, 2, 0});
     };
     query_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(1, proxy_->script.statuses);
     CPPUNIT_ASSERT(group_->positions.needs_refresh(milliseconds(1500)));
-    proxy_->script.meanwhile = nullptr;
+    proxy_->script.before_status = nullptr;
     query_position(*runtime_, proxy_->view, group_);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT(!group_->positions.needs_refresh(milliseconds(1500)));
   }
 
-  void a_changed_document_binds_the_next_transaction() {
+  void applies_changed_regions_to_the_next_transaction() {
     bind_tenant("south");
     const auto caller = std::make_shared<ReadingCaller>(*runtime_);
     const auto session =
@@ -247,12 +247,12 @@
     bind_tenant("west");
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, caller->answers.size());
-    CPPUNIT_ASSERT_MESSAGE("in the transaction", caller->answers[1].succeeded());
-    CPPUNIT_ASSERT_MESSAGE("after it", caller->answers[3].refusal == Refusal::kBusy);
+    CPPUNIT_ASSERT_MESSAGE("the read in the open transaction", caller->answers[1].succeeded());
+    CPPUNIT_ASSERT_MESSAGE("the read after the transaction", caller->answers[3].refusal == Refusal::kBusy);
   }
 
  private:
-  /// This proxy serves the tenant alone.
+  /// Binds the tenant to the region, and makes this proxy the only one that serves it.
   void bind_tenant(const std::string& region) {
     registry::FleetDelta delta;
     delta.revision = ++revision_;
@@ -268,38 +268,38 @@
 
   StatementRequest write_in(const std::vector<std::string>& of_route,
                             const std::vector<std::string>& of_tenant) {
-    StatementRequest order;
-    order.route = *proxy_->view.find_route(DatabaseName("records"));
-    order.group = group_;
-    order.allowed = locality::PermittedRegions(map_, regions(of_route), regions(of_tenant));
-    order.id = "id";
-    order.text = "text";
-    order.writes = true;
-    order.arrived = runtime_->now();
-    order.deadline = order.arrived + milliseconds(900);
-    return order;
+    StatementRequest request;
+    request.route = *proxy_->view.find_route(DatabaseName("records"));
+    request.group = group_;
+    request.allowed = locality::PermittedRegions(map_, regions(of_route), regions(of_tenant));
+    request.id = "id";
+    request.text = "text";
+    request.writes = true;
+    request.arrived = runtime_->now();
+    request.deadline = request.arrived + milliseconds(900);
+    return request;
   }
 
-  /// The time that it takes goes to `took_`.
-  RunResult run(const StatementRequest& order) {
+  /// Stores the duration in `took_`.
+  RunResult run(const StatementRequest& request) {
     std::optional<RunResult> result;
-    runtime_->spawn("run", keep(order, result));
+    runtime_->spawn("run", keep(request, result));
     world_->run_until([&] { return result.has_value(); }, seconds(2));
     CPPUNIT_ASSERT(result);
     return *result;
   }
-  Awaitable<void> keep(StatementRequest order, std::optional<RunResult>& result) {
+  Awaitable<void> keep(StatementRequest request, std::optional<RunResult>& result) {
     const TimePoint begun = runtime_->now();
-    result = co_await proxy_->runner.run(std::move(order));
+    result = co_await proxy_->runner.run(std::move(request));
     took_ = runtime_->now() - begun;
   }
 
-  void check_refused(const StatementRequest& order) {
-    const RunResult result = run(order);
+  void check_refused(const StatementRequest& request) {
+    const RunResult result = run(request);
     CPPUNIT_ASSERT(result.answer.refusal == Refusal::kBusy);
     CPPUNIT_ASSERT(result.nothing_run);
-    CPPUNIT_ASSERT(result.answer.detail.find("come back in 5000 ms") != std::string::npos);
-    CPPUNIT_ASSERT_MESSAGE("at once", took_ < milliseconds(2));
+    CPPUNIT_ASSERT(result.answer.detail.find("retry in 5000 ms") != std::string::npos);
+    CPPUNIT_ASSERT_MESSAGE("refused without a wait", took_ < milliseconds(2));
     const std::string metrics = proxy_->metrics.render();
     CPPUNIT_ASSERT(metrics.find("unplaced_total{since=\"outside_regions\"} 1") != std::string::npos);
     CPPUNIT_ASSERT_EQUAL(0, proxy_->script.statements);
