--- a/src/registered/limits/limit.h
+++ b/src/registered/limits/limit.h
@@ -1,4 +1,4 @@
-// What is limited over all proxies together, and by how much.
+// Defines the limits that are enforced over all proxies together, and the names of what they limit.
 #pragma once
 
 #include <compare>
@@ -10,21 +10,21 @@
 namespace cairnhollow::registered::limits {
 
 enum class LimitedKind : std::uint8_t {
-  kTenant,      ///< operations of a tenant, counted where they come in
-  kColdBackend  ///< statements to a backend that was started lately, counted where they are sent
+  kTenant,      ///< operations of a tenant, counted at the proxy that receives them
+  kColdBackend  ///< statements to a recently started backend, counted at the proxy that sends them
 };
 
-/// Proxies choose owners by it: stable.
+/// Part of the hash key by which proxies select owners; must not change between builds.
 inline const char* kind_name(LimitedKind kind) {
   return kind == LimitedKind::kTenant ? "tenant" : "cold backend";
 }
 
-/// Of a log's field that names what is limited.
+/// Name of the log field that holds LimitedName::name.
 inline const char* field_name(LimitedKind kind) {
   return kind == LimitedKind::kTenant ? "tenant" : "cold_backend";
 }
 
-/// One tenant, or one backend. Proxies choose its owners by kind and name, so neither may change meaning
+/// One tenant, or one backend. Proxies select its owners by kind and name, so neither may change its meaning
 /// between builds.
 struct LimitedName {
   LimitedKind kind = LimitedKind::kTenant;
@@ -32,13 +32,14 @@
   auto operator<=>(const LimitedName&) const = default;
 };
 
-/// In any `window.window` at most (rate x window + burst) x (1 + overshoot) + slack pass.
+/// In any interval of length `window.window`, at most (rate x window + burst) x (1 + overshoot) + slack
+/// operations or statements pass.
 struct Limit {
   LimitedName of;
   double rate_per_s = 0;
-  double burst = 0;  ///< that may pass at once after a rest
+  double burst = 0;  ///< operations or statements that may pass at once after an idle period
   LimitWindow window;
-  /// Whether it limits at all.
+  /// Returns false if the limit is disabled, that is if rate and burst are both 0.
   [[nodiscard]] bool bounds() const { return rate_per_s > 0 || burst > 0; }
 };
 
--- a/src/registered/limits/limit_window.h
+++ b/src/registered/limits/limit_window.h
@@ -1,4 +1,4 @@
-// What the operator bounds: how many operations or statements may run in any stretch of time.
+// Defines the interval over which a limit is enforced, and the tolerance above the configured rate and burst.
 #pragma once
 
 #include <chrono>
@@ -7,14 +7,15 @@
 
 namespace cairnhollow::registered::limits {
 
-/// In any `window` of time at most (rate x window + burst) x (1 + overshoot) + slack operations are
-/// run, counted over all proxies.
+/// In any interval of length `window`, at most (rate x window + burst) x (1 + overshoot) + slack operations
+/// run, summed over all proxies.
 struct LimitWindow {
   Duration window = std::chrono::seconds(5);
-  double overshoot = 0.1;  ///< as a part of the limit
+  double overshoot = 0.1;  ///< as a fraction of the limit
   double slack = 20;       ///< operations
-  /// A limit that was lowered is counted with as it was for so long, on the clock of the proxy that heard of
-  /// it. Operators allow longer: their change need not be in force everywhere before.
+  /// After a limit is lowered, the previous value stays in force for this long, measured by the clock of the
+  /// proxy that received the change. Must be shorter than the time that operators allow for a change to take
+  /// effect everywhere.
   Duration lowered_after{0};
 };
 
--- a/src/registered/limits/owner_share.h
+++ b/src/registered/limits/owner_share.h
@@ -1,17 +1,16 @@
-// How a limit is divided, so that no stretch of time sees more operations than is allowed.
+// Divides a limit among its owners so that no interval sees more operations than its allowance.
 //
-// What is limited has kQuotaOwners proxies that count for it (its owners), one a zone where there are as many
-// zones. Every owner has a token bucket of a third of the rate and of `depth`; who runs an operation has
-// taken a token from one of them, at most kGrantLife ago, after the caller had sent it. With the rate R, in
-// any window W the operations that were both sent and run in it took tokens that were granted in the window
-// or kGrantLife before: at most R x (W + kGrantLife) + depths. The depths are what the allowance leaves:
+// A limit has kQuotaOwners owner proxies, in different zones if there are enough zones. Each owner has a
+// token bucket with 1/kQuotaOwners of the rate and of the total depth. An operation runs only with a token
+// that was requested after the caller sent the operation, and at most kGrantLife before it runs. With rate R,
+// operations that are both sent and run within a window W use tokens granted in W or in the kGrantLife before
+// it: at most R x (W + kGrantLife) + depths. The depths are the remainder of the allowance:
 //
 //   depths = (R x W + burst) x (1 + overshoot) + slack - R x (W + kGrantLife)
 //
-// For tenants that is more than the burst, so that splitting it in three refuses nothing that one bucket
-// would let pass. A bucket under one token would never let anything pass: where less than that is left for
-// each, the rate is lowered until one is, and where the allowance is less than one token an owner nothing
-// passes.
+// For tenants this exceeds the burst, so splitting the bucket refuses nothing that a single bucket would
+// accept. A bucket shallower than one token never grants: the rate is lowered until every bucket holds one
+// token. If the allowance is below one token per owner, nothing passes.
 #pragma once
 
 #include <cstddef>
@@ -20,22 +19,22 @@
 
 namespace cairnhollow::registered::limits {
 
-/// Proxies that count for one limited thing. Two of three give two thirds of the rate, which is what a tenant
-/// that uses 0.6 of its limit needs while one of them is away; one would give nothing. Chosen, not measured.
+/// Owners per limit. With one of three unavailable, two thirds of the rate remain, enough for a tenant that
+/// uses 0.6 of its limit; a single owner would leave nothing.
 inline constexpr std::size_t kQuotaOwners = 3;
-/// A token may be used this long after it was asked for. Longer: asked for less often, and a smaller bucket
-/// (a quarter of a second takes a quarter of the rate off the depths).
+/// Lifetime of a token, from the request for it. A longer lifetime needs fewer requests, but reduces the
+/// total bucket depth by rate x lifetime.
 inline constexpr Duration kGrantLife = std::chrono::milliseconds(250);
 
 /// One owner's bucket.
 struct OwnerShare {
-  double rate_per_s = 0;  ///< tokens that come in
-  double depth = 0;       ///< tokens that it holds at most
+  double rate_per_s = 0;  ///< refill rate, tokens per second
+  double depth = 0;       ///< capacity, tokens
 };
 
 OwnerShare owner_share(const Limit& limit);
 
-/// Operations that may run in any window.
+/// Returns the number of operations that may run in any interval of length `limit.window.window`.
 double allowance(const Limit& limit);
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/quota_ledger.cpp
+++ b/src/registered/limits/quota_ledger.cpp
@@ -31,7 +31,7 @@
 void QuotaLedger::record_limit(const Limit& former, const Limit& limit, TimePoint now) {
   const bool is_lower = limit.rate_per_s < former.rate_per_s || limit.burst < former.burst;
   if (!is_lower || !limit.bounds() || !former.bounds()) return;
-  // A second lowering does not prolong the first.
+  // A second reduction does not extend the grace period of the first.
   const auto [held, is_new] = former_.try_emplace(limit.of);
   if (!is_new && now < held->second.until) return;
   held->second = FormerLimit{former.rate_per_s, former.burst, now + limit.window.lowered_after};
@@ -53,7 +53,7 @@
 Grant QuotaLedger::grant(const Limit& limit, const TokenRequest& request, TimePoint now) {
   if (!owners_.is_owner(limit.of, node_)) return {};
   auto found = counts_.find(limit.of);
-  // First asked for: it may be an owner since the newest membership only.
+  // First request for this limit: the proxy may be an owner only since the newest membership.
   if (found == counts_.end()) found = counts_.emplace(limit.of, Count{revision_, std::nullopt}).first;
   Count& count = found->second;
   if (!may_count(count, now)) return {};
--- a/src/registered/limits/quota_ledger.h
+++ b/src/registered/limits/quota_ledger.h
@@ -1,14 +1,15 @@
-// What a proxy counts for what it is an owner of: tenants and cold backends.
+// Grants tokens for the limits that a proxy owns: those of tenants and of cold backends.
 //
-// Invariant: at any moment at most kQuotaOwners proxies grant tokens of one limited thing, each from a bucket
-// that was empty when it became an owner. A proxy grants only
-// - while control confirmed its copy of the membership less than kBudgetAuthority ago, counted from the
-//   question, and
-// - when control has said that every proxy which may act on a membership older than the one that made it a
-//   owner has learned of that, or has been without a confirmation for longer (registry::ProxyUpdate's
-//   stable_revision).
-// So the one whose place it took has stopped. tests/limits/quota_ledger_test.cpp plays changes of membership,
-// cuts, freezes and restarts and counts what runs in every window.
+// Invariant: at any moment at most kQuotaOwners proxies grant tokens of one limit, each from a bucket that
+// was empty when the proxy became an owner. A proxy grants only
+// - while control has confirmed its copy of the membership less than kBudgetAuthority ago, counted from the
+//   time of the request to control, and
+// - after control has reported that every proxy that may act on a membership older than the one that made
+// this
+//   proxy an owner has received that membership, or has been without a confirmation for longer than
+//   kBudgetAuthority (stable_revision of registry::ProxyUpdate).
+// The owner that it replaced has therefore stopped granting. tests/registered/limits/quota_ledger_test.cpp
+// simulates membership changes, partitions, freezes and restarts, and counts the operations in every window.
 #pragma once
 
 #include <cstdint>
@@ -23,8 +24,8 @@
 
 enum class GrantOutcome : std::uint8_t {
   kGranted,
-  kEmpty,       ///< what may pass has passed; `retry_after` says when there will be more
-  kNotCounting  ///< this proxy may not count for it now
+  kEmpty,       ///< no token available; see Grant::retry_after
+  kNotCounting  ///< this proxy may not grant tokens of this limit at present
 };
 
 struct Grant {
@@ -41,25 +42,26 @@
   }
 };
 
-/// Tokens asked for: those that are waited for, and more for those that are likely to come soon.
+/// Numbers of tokens requested.
 struct TokenRequest {
-  std::uint64_t needed = 0;
-  std::uint64_t ahead = 0;  ///< granted only while there are plenty
+  std::uint64_t needed = 0;  ///< for operations that are waiting
+  std::uint64_t ahead = 0;   ///< for expected operations; granted only while the bucket is at least half full
 };
 
 class QuotaLedger {
  public:
   explicit QuotaLedger(NodeName node) : node_(std::move(node)) {}
 
-  /// The membership of `revision` holds from now on, on this proxy.
+  /// Replaces the membership of this proxy by that of `revision`. Keeps the buckets of limits that this proxy
+  /// has owned without interruption, and drops all others.
   void set_owners(QuotaOwners owners, std::uint64_t revision);
-  /// `confirmed_at`: when control was asked the question that it answered last. `stable_revision`: nobody
+  /// `confirmed_at`: when the request was sent that control has just answered. `stable_revision`: no proxy
   /// acts on an older membership any more.
   void record_confirmed(TimePoint confirmed_at, std::uint64_t stable_revision, TimePoint now);
   [[nodiscard]] const QuotaOwners& owners() const { return owners_; }
 
-  /// A limit was `former` until now. One that was lowered is counted with as it was for a while
-  /// (LimitWindow::lowered_after).
+  /// Records the change of a limit from `former` to `limit`. If it was lowered, `former` stays in force for
+  /// LimitWindow::lowered_after.
   void record_limit(const Limit& former, const Limit& limit, TimePoint now);
   Grant grant(const Limit& limit, const TokenRequest& request, TimePoint now);
 
@@ -69,7 +71,7 @@
     std::optional<TokenBucket> bucket;
   };
 
-  /// What a limit was before it was lowered.
+  /// The previous value of a lowered limit, in force before `until`.
   struct FormerLimit {
     double rate_per_s = 0;
     double burst = 0;
@@ -77,7 +79,7 @@
   };
 
   [[nodiscard]] bool may_count(const Count& count, TimePoint now) const;
-  /// What an owner counts with now.
+  /// Returns the share of one owner at `now`, considering the previous value of a lowered limit.
   OwnerShare share_of(const Limit& limit, TimePoint now);
 
   NodeName node_;
@@ -87,7 +89,7 @@
   std::map<LimitedName, FormerLimit> former_;
   std::optional<TimePoint> confirmed_at_;
   std::uint64_t stable_revision_ = 0;
-  /// Since when nobody acts on an older membership than this proxy's; empty: somebody may.
+  /// Time since which no proxy acts on a membership older than revision_; std::nullopt while one may.
   std::optional<TimePoint> settled_since_;
 };
 
--- a/src/registered/limits/quota_owners.h
+++ b/src/registered/limits/quota_owners.h
@@ -1,5 +1,5 @@
-// Which proxies count for what is limited. Pure: every proxy works it out from the membership that it
-// follows.
+// Selects the proxies that own a limit. Deterministic: every proxy with the same membership selects the same
+// owners.
 #pragma once
 
 #include <map>
@@ -11,29 +11,30 @@
 
 namespace cairnhollow::registered::limits {
 
-/// The owners of all that is limited among the proxies that take work, before and after a change.
+/// The owners of all limits among the proxies that accept work, before and after a membership change.
 ///
-/// Whoever is an owner among `takers` together with `changed` was one before the change as well: rendezvous
-/// hashing drops nobody out of a subset when others go. Whoever is an owner among `takers` only has become
-/// one, and has to wait until those before have stopped (limits/quota_ledger.h).
+/// An owner among `takers` and `changed` together was an owner before the change as well: rendezvous hashing
+/// removes no member from a subset when others leave. An owner among `takers` only has become one with this
+/// change, and must wait until the previous owners have stopped (limits/quota_ledger.h).
 class QuotaOwners {
  public:
   QuotaOwners() = default;
-  /// `changed`: proxies that came, went or started anew since the view before, also those that came and went.
+  /// `changed`: proxies that joined, left or restarted since the previous view, including those that both
+  /// joined and left in between.
   QuotaOwners(const std::vector<subset::ProxyPointer>& takers,
               const std::vector<subset::ProxyPointer>& changed);
 
-  /// Up to kQuotaOwners proxies, in different zones as far as possible.
+  /// Returns up to kQuotaOwners proxies, in different zones as far as possible.
   [[nodiscard]] const std::vector<subset::ProxyPointer>& of(const LimitedName& limited) const;
   [[nodiscard]] bool is_owner(const LimitedName& limited, const NodeName& node) const;
-  /// Whether `node`, an owner now, was one all the time.
+  /// Returns whether `node`, which is an owner now, was one without interruption since the previous view.
   [[nodiscard]] bool was_owner(const LimitedName& limited, const NodeName& node) const;
 
  private:
   subset::SubsetTable takers_;
   subset::SubsetTable with_changed_;
   std::set<NodeName> changed_;
-  /// Of those that were asked for: each operation asks, and a membership stays.
+  /// Cache of of(), which is called for each operation; valid as long as this membership.
   mutable std::map<LimitedName, std::vector<subset::ProxyPointer>> owners_;
 };
 
--- a/src/registered/limits/token_bucket.h
+++ b/src/registered/limits/token_bucket.h
@@ -1,5 +1,5 @@
-// A token bucket that starts empty: a new one in the place of a lost one must not let through what that one
-// may have let through a moment ago.
+// Provides a token bucket that starts empty, since the bucket that it replaces may just have granted a full
+// burst.
 #pragma once
 
 #include <algorithm>
@@ -12,19 +12,19 @@
 
 class TokenBucket {
  public:
-  /// Empty, and fills from `now` on.
+  /// Creates an empty bucket that fills from `now` on.
   explicit TokenBucket(TimePoint now) : filled_at_(now) {}
 
-  /// Takes up to `wanted` tokens.
+  /// Takes up to `wanted` whole tokens and returns their number.
   std::uint64_t take(std::uint64_t wanted, const OwnerShare& share, TimePoint now) {
     fill(share, now);
     const auto taken = std::min(wanted, static_cast<std::uint64_t>(tokens_));
     tokens_ -= static_cast<double>(taken);
     return taken;
   }
-  /// Whether it holds more than half of what it may.
+  /// Returns whether the bucket held at least half of its depth at the last take().
   [[nodiscard]] bool is_half_full(const OwnerShare& share) const { return tokens_ * 2 >= share.depth; }
-  /// Until it holds one token.
+  /// Returns the time, after the last take(), until the bucket holds one token; 1 s if the refill rate is 0.
   [[nodiscard]] Duration time_to_token(const OwnerShare& share) const {
     if (tokens_ >= 1) return Duration(0);
     if (share.rate_per_s <= 0) return std::chrono::seconds(1);
--- a/src/registered/limits/token_stock.h
+++ b/src/registered/limits/token_stock.h
@@ -1,5 +1,5 @@
-// Tokens that a proxy holds for the next operations of a tenant, or statements to a cold backend, asked for a
-// little ahead.
+// Holds tokens that a proxy has requested in advance for the next operations of a tenant or the next
+// statements to a cold backend.
 #pragma once
 
 #include <algorithm>
@@ -12,13 +12,13 @@
 
 namespace cairnhollow::registered::limits {
 
-/// Demand is averaged over this time: several lifetimes of a token, so that a pause does not end asking
-/// ahead.
+/// Time constant of the exponential average of demand. Several token lifetimes, so that a short pause does
+/// not stop requests in advance.
 inline constexpr Duration kDemandMemory = std::chrono::seconds(1);
 
 class TokenStock {
  public:
-  /// Takes the token that expires first, and says when that is; empty when there is none.
+  /// Removes the token that expires first and returns its expiry time, or std::nullopt if there is none.
   std::optional<TimePoint> take(TimePoint now) {
     std::erase_if(tokens_, [now](TimePoint expiry) { return expiry <= now; });
     if (tokens_.empty()) return std::nullopt;
@@ -26,18 +26,18 @@
     tokens_.pop_front();
     return expiry;
   }
-  /// Tokens that were asked for at `asked_at`.
+  /// Adds tokens that were requested at `asked_at`. They expire kGrantLife after it.
   void put(std::uint64_t tokens, TimePoint asked_at) {
     tokens_.insert(tokens_.end(), tokens, asked_at + kGrantLife);
   }
-  /// One that was taken and not used, since nothing was run. Expires when it would have.
+  /// Returns a token that was taken but not used, with its original expiry time.
   void give_back(TimePoint expiry) { tokens_.push_front(expiry); }
-  /// One more operation wants to begin.
+  /// Records that one more operation has requested a token.
   void record_demand(TimePoint now) {
     rate_ = demand(now) + 1 / std::chrono::duration<double>(kDemandMemory).count();
     recorded_at_ = now;
   }
-  /// Operations to be expected while a token lives.
+  /// Returns the number of operations expected within kGrantLife.
   [[nodiscard]] std::uint64_t expected(TimePoint now) const {
     const double life = std::chrono::duration<double>(kGrantLife).count();
     return static_cast<std::uint64_t>(demand(now) * life);
@@ -45,14 +45,14 @@
   [[nodiscard]] std::size_t size() const { return tokens_.size(); }
 
  private:
-  /// Operations a second.
+  /// Returns the average demand in operations per second.
   [[nodiscard]] double demand(TimePoint now) const {
     const double age = std::chrono::duration<double>(now - recorded_at_) / kDemandMemory;
     return rate_ * std::exp(-age);
   }
 
-  std::deque<TimePoint> tokens_;  ///< when each expires
-  double rate_ = 0;
+  std::deque<TimePoint> tokens_;  ///< expiry times; the front is taken first
+  double rate_ = 0;               ///< operations per second, at recorded_at_
   TimePoint recorded_at_{};
 };
 
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -1,5 +1,5 @@
-// Cold backends: summed over all proxies, no second sees more statements sent to one than it may take,
-// whatever happens to proxies, control and the paths between them.
+// Tests that, summed over all proxies, no more statements per second are sent to a cold backend than its
+// limit allows, despite failures of proxies, control and the network.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -18,7 +18,7 @@
 using play::worst_of;
 
 const LimitWindow kUsual{proxy::kColdWindow, 0.5, 5};
-/// Leaves each owner one token beside its rate.
+/// Leaves each owner a bucket depth of one token.
 const LimitWindow kTight{proxy::kColdWindow, 0.25, 3};
 
 Limit cold(double rate, const LimitWindow& window = kUsual) {
@@ -41,7 +41,7 @@
     for (const double rate : {1.0, 6.0, 20.0, 60.0}) {
       const double worst = worst_of(seeds() / 2, {}, cold(rate));
       CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of what is allowed", rate, worst), worst <= 1.0);
-      // Three buckets of 1.75 tokens give three at a rate of 1, where 6.5 are allowed.
+      // At a rate of 1, three buckets of depth 1.75 grant three tokens, and the allowance is 6.5.
       CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: the load presses, {}", rate, worst), worst > 0.45);
     }
     const double tight = worst_of(seeds(), {}, cold(60, kTight));
@@ -61,7 +61,7 @@
     expect_needed("waits until settled", &Guards::waits_until_settled, tight);
     expect_needed("authority ends", &Guards::authority_ends, tight);
     expect_needed("returning owner is new", &Guards::returning_home_is_new, tight, with_short_lease(1));
-    // Where a bucket holds one token, none is granted ahead that could grow old.
+    // With a bucket depth of one token, no tokens are granted in advance, so none could expire.
     expect_needed("tokens expire", &Guards::tokens_expire, cold(6));
   }
 
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -1,5 +1,5 @@
-// A play of what the promise of src/limits depends on: who is a member, who knows it, who reaches whom, who
-// runs.
+// Simulates a fleet with one distributed limit: membership and each proxy's copy of it, connectivity, freezes
+// and restarts.
 #pragma once
 
 #include <fmt/format.h>
@@ -23,11 +23,11 @@
 using std::chrono::seconds;
 
 constexpr Duration kTick = milliseconds(10);
-constexpr Duration kAbsentAfter = milliseconds(200);  ///< after it
+constexpr Duration kAbsentAfter = milliseconds(200);  ///< after the end of the lease
 constexpr Duration kReportEvery = milliseconds(400);
 constexpr int kNodes = 7;
 
-/// One guard left out each; all true is the design.
+/// Safety checks of the protocol, each of which a test can disable. All true is the protocol as implemented.
 struct Guards {
   bool waits_until_settled = true;
   bool authority_ends = true;
@@ -35,11 +35,10 @@
   bool returning_home_is_new = true;
   bool tokens_expire = true;
   Duration lease = milliseconds(1500);  ///< control's serving lease
-  int only_event = -1;                  ///< the one disturbance that is played; -1: all kinds
+  int only_event = -1;                  ///< the only kind of fault to inject (see disturb()); -1: all kinds
 };
 
-/// Proxies, the leader of control, and callers of one limited thing, in steps of kTick. Only what the rule
-/// depends on: who is a member, who knows it, who reaches whom, who runs.
+/// Proxies, the leader of control, and callers of one limit, simulated in steps of kTick.
 class Fleet {
  public:
   Fleet(std::uint64_t seed, Guards guards, Limit limit)
@@ -51,7 +50,7 @@
     }
   }
 
-  /// The most operations in any window, in parts of what is allowed.
+  /// Simulates `length` and returns the maximum of operations in any window, as a fraction of the allowance.
   double play(Duration length) {
     const TimePoint end = now_ + length;
     while (now_ < end) {
@@ -87,13 +86,13 @@
     std::unique_ptr<QuotaLedger> owner;
     TokenStock stock;
     std::map<std::string, Row> view;
-    std::vector<int> owners;  ///< by its copy of the membership
+    std::vector<int> owners;  ///< according to its copy of the membership
     std::uint64_t revision = 0;
     std::uint64_t incarnation = 0;
     TimePoint next_report{};
     TimePoint down_until{};
-    TimePoint cut_until{};     ///< from control
-    TimePoint frozen_until{};  ///< does nothing; its clock goes on
+    TimePoint cut_until{};     ///< partitioned from control
+    TimePoint frozen_until{};  ///< executes nothing while its clock advances
     TimePoint draining_until{};
     std::deque<Update> updates;
   };
@@ -127,16 +126,16 @@
     Node& node = nodes_[number];
     const int event = below(7);
     switch (guards_.only_event < 0 ? event : guards_.only_event) {
-      case 0:  // killed, and started again
+      case 0:  // killed and restarted
         node.down_until = now_ + between(20, 4000);
         start(number);
         break;
-      case 1:  // some are cut off from control together, and go on
+      case 1:  // some are partitioned from control together, and keep running
         for (int each = 0; each < kNodes; ++each) {
           if (each == number || chance(0.4)) nodes_[each].cut_until = now_ + between(2500, 7000);
         }
         break;
-      case 2:  // with tokens that it holds
+      case 2:  // frozen while it holds tokens
         if (runs(node)) {
           for (int question = 0; question < 3; ++question) ask(number);
         }
@@ -145,17 +144,17 @@
       case 3:
         node.draining_until = now_ + between(1000, 6000);
         break;
-      case 4:  // another leader, which knows no lives; some do not reach it
+      case 4:  // a new leader, which has no reports yet; some proxies do not reach it
         lives_.clear();
         leads_since_ = now_;
         for (Node& each : nodes_) {
           if (chance(0.7)) each.cut_until = now_ + between(2500, 4000);
         }
         break;
-      case 5:  // no quorum: nobody hears anything, nothing is decided
+      case 5:  // no quorum: no answers and no membership changes
         quorum_at_ = now_ + between(200, 6000);
         break;
-      default:  // all at once
+      default:  // all proxies restart and the leader changes
         if (!chance(0.3)) break;
         for (int each = 0; each < kNodes; ++each) {
           nodes_[each].down_until = now_ + between(100, 900);
@@ -277,7 +276,7 @@
     for (const int owner : node.owners) {
       Node& other = nodes_[owner];
       if (!runs(other)) continue;
-      // Sometimes more than is needed, held back until shortly before it expires.
+      // Sometimes requests tokens in advance, to be used until shortly before they expire.
       const TokenRequest request{1, chance(0.2) ? 40U : 0U};
       Grant grant = other.owner->grant(limit_, request, now_);
       if (!guards_.bucket_starts_empty && fresh_.insert(other.incarnation).second)
@@ -311,11 +310,12 @@
   TimePoint quorum_at_{};
   std::set<std::uint64_t> fresh_;
   std::vector<TimePoint> runs_;
-  bool asks_ = false;  ///< the callers; after a rest the buckets are full
+  bool asks_ = false;  ///< whether callers send operations; the buckets fill while they don't
   TimePoint turns_at_{};
 };
 
-/// The promise does not rest on the length of the lease; with a short one a lost owner is replaced sooner.
+/// A short lease, with which a lost owner is replaced sooner. The limit must hold for any length of the
+/// lease.
 inline Guards with_short_lease(int only_event) {
   Guards guards;
   guards.lease = milliseconds(400);
@@ -323,13 +323,14 @@
   return guards;
 }
 
-/// CAIRNHOLLOW_BUDGET_SEEDS asks for more than the sanitized run has time for.
+/// Number of seeds to run; CAIRNHOLLOW_BUDGET_SEEDS overrides the default, which fits the time of a sanitized
+/// run.
 inline int seeds() {
   const char* text = std::getenv("CAIRNHOLLOW_BUDGET_SEEDS");
   return text == nullptr ? 20 : std::stoi(text);
 }
 
-/// The most in any window of so many plays, in parts of what is allowed; ends with the first above it.
+/// Returns the maximum of Fleet::play() over the seeds 1 to `seeds`; stops at the first above 1.
 inline double worst_of(int seeds, const Guards& guards, const Limit& limit) {
   double worst = 0;
   for (int seed = 1; seed <= seeds && worst <= 1.0; ++seed) {
--- a/tests/registered/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -1,5 +1,5 @@
-// A limit that an operator lowers is counted with as it was for a while: callers who began under it are not
-// refused before the change is owed anywhere.
+// Tests that the previous value of a lowered limit stays in force for a grace period, so that callers are not
+// refused before the change must have taken effect.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registered/limits/quota_ledger.h"
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A lowered limit is counted with as it was for 2 s.
+/// The grace period after a reduction is 2 s.
 Limit tenant_of(std::uint64_t rate) {
   const LimitWindow window{seconds(5), 0.1, 20, seconds(2)};
   return {{LimitedKind::kTenant, "tenant"}, static_cast<double>(rate), 10, window};
@@ -71,7 +71,7 @@
 
  private:
   void confirm() { ledger_->record_confirmed(now_, 1, now_); }
-  /// By a caller who asks for a token each 2 ms.
+  /// Returns the number of tokens granted within `length` to a caller that requests one every 2 ms.
   int granted_in(const Limit& tenant, Duration length) {
     int granted = 0;
     const TimePoint end = now_ + length;
--- a/tests/registered/limits/quota_ledger_test.cpp
+++ b/tests/registered/limits/quota_ledger_test.cpp
@@ -1,6 +1,5 @@
-// Limits over all proxies: whatever happens to proxies, control and the paths between them, no window sees
-// more operations of a tenant than the operator allows. A tenant at many times its limit asks all the time,
-// which is the load that tells: every token that two proxies grant for one is used.
+// Tests that no window sees more operations of a tenant than its limit allows, despite failures of proxies,
+// control and the network. The load is many times the limit, so that every token granted in excess is used.
 #include "registered/limits/quota_ledger.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -27,7 +26,7 @@
   return {{LimitedKind::kTenant, "tenant"}, static_cast<double>(rate), static_cast<double>(burst), window};
 }
 
-/// Nothing is left over for what goes wrong.
+/// No tolerance above the rate and the burst.
 const LimitWindow kStrict{seconds(5), 0, 0};
 
 }  // namespace
@@ -88,10 +87,10 @@
     owner.record_confirmed(now, 1, now);
     now += seconds(1);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
-    // Others came, and it stayed an owner all the time.
+    // Other proxies joined; it remained an owner throughout.
     owner.set_owners(QuotaOwners({proxy}, {}), 2);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
-    // It was none for a while, and others may count in its place.
+    // It was no owner for a while, and others may still grant in its place.
     owner.set_owners(QuotaOwners({proxy}, {proxy}), 4);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
     owner.record_confirmed(now, 3, now);
@@ -139,7 +138,7 @@
   }
 
   void a_calm_fleet_gives_the_whole_rate() {
-    // Owners that nobody disturbs: what one bucket of the whole rate and burst lets through.
+    // Without faults, the owners together grant what one bucket of the full rate and burst would.
     const Limit tenant = tenant_of(30, 30);
     std::vector<TokenBucket> buckets(kQuotaOwners, TokenBucket(TimePoint{}));
     const OwnerShare share = owner_share(tenant);
