--- a/src/registered/locality/permitted_regions.h
+++ b/src/registered/locality/permitted_regions.h
@@ -1,5 +1,5 @@
-// In which regions a statement may run and its text may be sent about. Its route and its tenant may each name
-// regions; both bind. Pure: worked out once for a statement, asked for each machine.
+// Determines in which regions a statement may run and to which its text may be sent: those that both its
+// route and its tenant allow. Built once per statement, then queried for each candidate machine.
 #pragma once
 
 #include <string>
@@ -9,27 +9,29 @@
 
 namespace cairnhollow::registered::locality {
 
-/// Invariant: where a list binds, a zone whose region is not known is not allowed.
+/// Invariant: if the route or the tenant restricts regions, a zone of unknown region is not allowed.
 class PermittedRegions {
  public:
-  /// Anywhere; costs nothing to make and to ask.
+  /// Allows every zone. Does not allocate.
   PermittedRegions() = default;
-  /// `of_route`, `of_tenant`: empty where it sets no limit. `map` outlives this and all copies of it.
+  /// `of_route`, `of_tenant`: allowed regions; empty means unrestricted. `map` is not owned and must outlive
+  /// this object and all copies of it.
   PermittedRegions(const RegionMap& map, const std::vector<RegionName>& of_route,
                    const std::vector<RegionName>& of_tenant);
 
-  /// No list binds.
+  /// Returns whether neither the route nor the tenant restricts regions.
   [[nodiscard]] bool is_anywhere() const { return map_ == nullptr; }
-  /// The lists have no region in common.
+  /// Returns whether the lists of the route and the tenant have no region in common.
   [[nodiscard]] bool is_nowhere() const { return map_ != nullptr && regions_.empty(); }
   [[nodiscard]] bool allows(const ZoneName& zone) const { return map_ == nullptr || lists(zone); }
-  /// For logs and refusals, e.g. "north, south"; "any" and "none" for the two extremes.
+  /// Returns the allowed regions for logs and error messages, e.g. "north, south"; "any" if unrestricted,
+  /// "none" if no region is allowed.
   [[nodiscard]] std::string to_string() const;
 
  private:
   [[nodiscard]] bool lists(const ZoneName& zone) const;
 
-  const RegionMap* map_ = nullptr;  ///< null: anywhere
+  const RegionMap* map_ = nullptr;  ///< null: every zone is allowed
   std::vector<RegionName> regions_;
 };
 
--- a/src/registered/locality/region_map.h
+++ b/src/registered/locality/region_map.h
@@ -1,5 +1,5 @@
-// Which region each zone is in, as the settings say. Regions are where operators and laws draw lines; zones
-// are what machines fail with.
+// Maps each zone to its region, as configured. Regions are the units of data residency; zones are failure
+// domains.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
   RegionMap() = default;
   explicit RegionMap(std::map<ZoneName, RegionName> regions) : regions_(std::move(regions)) {}
 
-  /// Null when nothing tells the zone's region.
+  /// Returns nullptr if the region of the zone is not configured.
   [[nodiscard]] const RegionName* find(const ZoneName& zone) const {
     const auto found = regions_.find(zone);
     return found == regions_.end() ? nullptr : &found->second;
--- a/tests/registered/locality/permitted_regions_test.cpp
+++ b/tests/registered/locality/permitted_regions_test.cpp
@@ -1,4 +1,4 @@
-// Where a statement may go by the lists of its route and its tenant.
+// Tests which zones are allowed by the region lists of a route and a tenant.
 #include "registered/locality/permitted_regions.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,7 +18,7 @@
   const char* what;
   std::vector<std::string> of_route;
   std::vector<std::string> of_tenant;
-  std::string allowed;  ///< of the zones n1, n2, s1, e1 and `dark`, whose region nothing tells
+  std::string allowed;  ///< among the zones n1, n2, s1, e1 and `dark`, whose region is not configured
   std::string text;
 };
 
