--- a/src/registered/tenancy/tenant_directory.cpp
+++ b/src/registered/tenancy/tenant_directory.cpp
@@ -24,7 +24,7 @@
 void TenantDirectory::remove(const TenantName& name) {
   const auto found = tenants_.find(name);
   if (found == tenants_.end()) return;
-  // A key that has gone to another tenant meanwhile stays with that one.
+  // Keeps a key that has since been assigned to another tenant.
   for (const ApiKey& key : found->second.keys) {
     const auto holder = holders_.find(key);
     if (holder != holders_.end() && holder->second == name) holders_.erase(holder);
--- a/src/registered/tenancy/tenant_directory.h
+++ b/src/registered/tenancy/tenant_directory.h
@@ -1,4 +1,4 @@
-// Which tenant a key proves, as the newest known document says.
+// Finds the tenant that an API key authenticates, according to the newest known document.
 #pragma once
 
 #include <map>
@@ -10,25 +10,26 @@
 
 namespace cairnhollow::registered::tenancy {
 
-/// Tenants that metrics name; the others are counted as one. Chosen: a page of a dashboard.
+/// Number of tenants with metric labels of their own, about one dashboard page. All others share one label.
 inline constexpr std::size_t kNamedTenants = 20;
 
-/// Invariant: a key is found exactly as long as a tenant of the directory has it.
+/// Invariant: a key is found if and only if a tenant of the directory has it.
 class TenantDirectory {
  public:
   void clear();
-  /// Replaces the tenant's keys and limits.
+  /// Adds the tenant, or replaces its keys and limits.
   void put(const registry::TenantRule& tenant);
   void remove(const TenantName& name);
-  /// Null when the key proves no tenant.
+  /// Returns nullptr if no tenant has the key. Valid until the tenant is replaced or removed.
   [[nodiscard]] const registry::TenantRule* find_by_key(const ApiKey& key) const;
-  /// Null when there is no such tenant.
+  /// Returns nullptr if there is no such tenant. Valid until the tenant is replaced or removed.
   [[nodiscard]] const registry::TenantRule* find(const TenantName& name) const;
-  /// The tenant's of all tenants' rates, 0 to 1; alike for all where no tenant has a rate.
+  /// Returns the tenant's fraction of the rates of all tenants, 0 to 1; equal fractions if no tenant has a
+  /// rate, and 0 for an unknown tenant.
   [[nodiscard]] double part_of(const TenantName& name) const;
-  /// Whether the tenant is one of the kNamedTenants with the highest rates.
+  /// Returns whether the tenant is one of the kNamedTenants with the highest rates.
   [[nodiscard]] bool is_large(const TenantName& name) const;
-  /// Whether some tenant names the regions in which its statements run.
+  /// Returns whether any tenant restricts the regions in which its statements run.
   [[nodiscard]] bool any_names_regions() const { return naming_regions_ > 0; }
   [[nodiscard]] std::size_t size() const { return tenants_.size(); }
 
@@ -38,8 +39,8 @@
   std::map<TenantName, registry::TenantRule> tenants_;
   std::unordered_map<ApiKey, TenantName> holders_;
   std::size_t naming_regions_ = 0;
-  std::uint64_t rates_ = 0;             ///< of all tenants, operations a second
-  mutable std::set<TenantName> large_;  ///< worked out when asked for
+  std::uint64_t rates_ = 0;             ///< sum over all tenants, operations per second
+  mutable std::set<TenantName> large_;  ///< computed on demand, see large_is_old_
   mutable bool large_is_old_ = true;
 };
 
--- a/src/registered/tenancy/tenant_division.cpp
+++ b/src/registered/tenancy/tenant_division.cpp
@@ -15,12 +15,12 @@
 std::vector<subset::ProxyPointer> order_for_tenant(const std::vector<subset::ProxyPointer>& serving,
                                                    const TenantName& tenant, double part,
                                                    const ZoneName& zone) {
-  // The weights of the tenant stand in for those of a forwarder.
+  // Orders by the rendezvous weights of the tenant instead of those of a forwarder.
   auto order = subset::forwarding_order(serving, NodeName(tenant.value), zone);
   const auto near = static_cast<std::size_t>(std::count_if(
       order.begin(), order.end(), [&](const subset::ProxyPointer& proxy) { return proxy->zone == zone; }));
   const std::size_t own = std::min(proxies_of_tenant(near, part), near);
-  // Forwarders spread over the tenant's proxies of the zone, each in its own order.
+  // Each forwarder orders the tenant's proxies of the zone by its own weights, which spreads the load.
   const auto place_of = [&](const subset::ProxyPointer& proxy) {
     return std::find(serving.begin(), serving.end(), proxy);
   };
--- a/src/registered/tenancy/tenant_division.h
+++ b/src/registered/tenancy/tenant_division.h
@@ -1,11 +1,10 @@
-// Which of the proxies that serve a group run a tenant's statements there, and how many links each has to a
-// backend. A link to a backend serves one tenant, and a backend takes few links: a tenant whose statements
-// run at few proxies finds its links open. Pure: every proxy works it out alike.
+// Selects which proxies of a group run a tenant's statements, and how many links each may have to a backend.
 //
-// A statement is handed to a proxy in the zone of the backend that is to run it: it crosses between zones
-// once, before that proxy instead of behind it, and each backend has one cache of links a zone's proxy rather
-// than a small one at every proxy. In each zone the tenant has the best of the group's proxies by rendezvous
-// weight, as many as its part of all tenants' limits earns, one at least.
+// A link serves one tenant and a backend accepts few links, so few proxies per tenant let it reuse open
+// links. Statements are forwarded to a proxy in the zone of the target backend: they cross zones once, before
+// that proxy, and only the proxies of that zone keep large link pools to the backend. In each zone a tenant
+// has the proxies of the group with the highest rendezvous weights: at least one, and more in proportion to
+// its fraction of all tenants' limits. Deterministic: every proxy computes the same result.
 #pragma once
 
 #include <map>
@@ -15,28 +14,31 @@
 
 namespace cairnhollow::registered::tenancy {
 
-/// A tenant with this part of all limits has all proxies of a zone that serve a group.
+/// A tenant with this fraction of all limits uses all proxies of a zone that serve a group.
 inline constexpr double kWholeZonePart = 0.5;
-/// Links to a backend that a proxy of another zone may have. One is kept back for each: its own questions use
-/// it, and what it can run nowhere nearer.
+/// Links that a proxy may have to a backend of another zone. One of them is reserved in the backend's limit:
+/// for the proxy's own status requests, and for statements that it cannot run in a nearer zone.
 inline constexpr std::uint64_t kFarLinks = 2;
 inline constexpr std::uint64_t kFarLinksKeptBack = 1;
 
-/// `serving`: those that serve the group, in the order in which this proxy would forward to them. `part`: the
-/// tenant's of all limits, 0 to 1. The result is an order of the same proxies: the tenant's in `zone` first,
-/// then the others of that zone, then those of other zones, each zone's by weight for the tenant.
+/// Returns the proxies of `serving` in the order of preference for the tenant: its own in `zone`, in the
+/// order of `serving`; then the others of that zone; then those of other zones, each zone by weight for the
+/// tenant. `serving`: the proxies that serve the group, in the order in which this proxy would forward to
+/// them. `part`: the tenant's fraction of all limits, 0 to 1.
 std::vector<subset::ProxyPointer> order_for_tenant(const std::vector<subset::ProxyPointer>& serving,
                                                    const TenantName& tenant, double part,
                                                    const ZoneName& zone);
 
-/// How many of `in_zone` proxies a tenant with this part of all limits has.
+/// Returns how many of the `in_zone` proxies of a zone a tenant uses, at least 1. `part`: its fraction of all
+/// limits, 0 to 1.
 std::size_t proxies_of_tenant(std::size_t in_zone, double part);
 
-/// Where a tenant's single reads go that came in at a proxy of `zone`, out of the zones with backends to read
-/// at: its own where there are any, else the best for the tenant. Empty when `reading` is.
+/// Returns the zone to which a proxy of `zone` sends a tenant's single reads: `zone` itself if it is in
+/// `reading`, the zones with readable backends; otherwise the one with the highest rendezvous weight for the
+/// tenant. Empty if `reading` is empty.
 ZoneName zone_of_reads(const std::vector<ZoneName>& reading, const TenantName& tenant, const ZoneName& zone);
 
-/// Proxies that serve a group, by zone.
+/// Numbers of proxies that serve a group, in total and by zone.
 struct ServingProxies {
   std::uint64_t all = 0;
   std::map<ZoneName, std::uint64_t> in_zone;
@@ -46,9 +48,9 @@
   }
 };
 
-/// Of `usable` links to a backend of the zone `backend`, those of one serving proxy of the zone `proxy`.
-/// Proxies elsewhere may have more together than is kept back for them: they seldom use them, and the backend
-/// refuses what is too much.
+/// Returns how many of the `usable` links to a backend in the zone `backend` a serving proxy in the zone
+/// `proxy` may have. The proxies of other zones together may exceed the links reserved for them: they seldom
+/// use them, and the backend refuses excess connections.
 std::uint64_t links_of_proxy(std::uint64_t usable, const ServingProxies& serving, const ZoneName& backend,
                              const ZoneName& proxy);
 
--- a/src/registered/tenancy/tenant_limit.h
+++ b/src/registered/tenancy/tenant_limit.h
@@ -1,4 +1,4 @@
-// A tenant's limit, as src/limits counts it.
+// Converts a tenant's configured rate and burst to a limits::Limit.
 #pragma once
 
 #include "registered/limits/limit.h"
--- a/tests/registered/tenancy/key_revocation_model_test.cpp
+++ b/tests/registered/tenancy/key_revocation_model_test.cpp
@@ -1,9 +1,7 @@
-// A small model of tenancy/key_confirmation.h, searched exhaustively: control with a leader that may be
-// deposed, a proxy that asks for confirmations, and a caller whose key is removed. Time passes in ticks.
-// The promise: nothing runs that the caller sent later than the bound after the removal was acknowledged.
-//
-// Assumed, as the design does: clocks run alike within the margin, and a proxy that starts anew has nothing
-// confirmed.
+// Exhaustive model check of tenancy/key_confirmation.h: no statement runs that was sent later than the bound
+// after the removal of its key was acknowledged. Models a control leader that may be deposed, a proxy that
+// requests confirmations, and a caller; assumes clocks that agree within the margin, and restarts that lose
+// all confirmations.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -16,35 +14,34 @@
 namespace {
 
 constexpr int kBound = 4;           ///< ticks
-constexpr int kNever = kBound + 2;  ///< an age that stands for any later one
+constexpr int kNever = kBound + 2;  ///< upper limit of ages; represents all greater ages
 constexpr int kNotRemoved = -1;
 
-/// One guard left out each; all true is the design.
+/// Safety checks of the protocol, each of which a test can disable. All true is the protocol as implemented.
 struct Guards {
   bool leader_asks_quorum = true;
   bool counts_from_question = true;
-  bool confirms_with_document =
-      true;  ///< an answer that comes before the change it belongs to confirms nothing
+  bool confirms_with_document = true;  ///< an answer that arrives before its document change confirms nothing
   bool proxy_stops_in_the_end = true;
-  bool statements_are_checked = true;  ///< and not the opening of a session alone
+  bool statements_are_checked = true;  ///< each one, in addition to the opening of a session
   bool restart_forgets = true;
 };
 
 enum class Answer : std::uint8_t { kNone, kOld, kNew };
 
 struct State {
-  int removed_age = kNotRemoved;  ///< since the removal was acknowledged
+  int removed_age = kNotRemoved;  ///< ticks since the removal was acknowledged
   bool deposed_answers = false;   ///< the proxy talks to a leader that was replaced before the removal
   // The proxy.
-  int confirmed_age = kNever;  ///< since the question that was answered last; kNever: none, or too old
-  bool knows = false;          ///< of the removal
+  int confirmed_age = kNever;  ///< ticks since the last answered request was sent; kNever: none, or too old
+  bool knows = false;          ///< has received the removal
   bool asking = false;
   int question_age = 0;
-  Answer answer = Answer::kNone;  ///< on its way: without the removal, or with it
-  bool session_open = false;      ///< opened while the key was good
-  // A statement that was read and waits.
+  Answer answer = Answer::kNone;  ///< in transit: kOld without the removal, kNew with it
+  bool session_open = false;      ///< opened while the key was valid
+  // A statement that was read and is waiting to run.
   bool waits = false;
-  bool sent_late = false;  ///< later than the bound after the removal
+  bool sent_late = false;  ///< sent later than the bound after the removal was acknowledged
   auto operator<=>(const State&) const = default;
 };
 
@@ -110,7 +107,7 @@
       return;
     }
     if (state.answer == Answer::kNone) {
-      // A leader that was replaced finds no quorum: its answer does not come.
+      // A replaced leader finds no quorum and does not answer.
       if (state.deposed_answers && guards_.leader_asks_quorum) return;
       const bool knows = state.removed_age != kNotRemoved && !state.deposed_answers;
       next.answer = knows ? Answer::kNew : Answer::kOld;
@@ -118,7 +115,7 @@
       return;
     }
     take_answer(state, false);
-    // What is too much to send now comes later than the answer.
+    // A document change that is too large for the answer arrives after it.
     if (state.answer == Answer::kNew) take_answer(state, true);
   }
 
--- a/tests/registered/tenancy/tenant_directory_test.cpp
+++ b/tests/registered/tenancy/tenant_directory_test.cpp
@@ -1,4 +1,4 @@
-// Which tenant a key proves, and for how long a key may be believed.
+// Tests which tenant an API key authenticates, and how long keys remain valid without confirmation.
 #include "registered/tenancy/tenant_directory.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/tenancy/tenant_division_test.cpp
+++ b/tests/registered/tenancy/tenant_division_test.cpp
@@ -1,5 +1,5 @@
-// Where a tenant's statements run: 84 tenants and 53 connections a backend, with 16 proxies before each
-// group.
+// Tests which proxies run a tenant's statements and how the links to a backend are divided among them: with
+// 84 tenants, 16 proxies per group and 52 links to a backend.
 #include "registered/tenancy/tenant_division.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -24,7 +24,7 @@
   return result;
 }
 
-/// Where the statements of the tenant go that came in at each of `forwarders` proxies of a zone.
+/// Returns the proxies of a zone to which 27 forwarders of that zone send the tenant's statements first.
 std::set<NodeName> used_by(const TenantName& tenant, double part, const ZoneName& zone) {
   std::set<NodeName> used;
   const auto serving = proxies(16);
