--- a/src/registered/protocol/backend_link.h
+++ b/src/registered/protocol/backend_link.h
@@ -1,4 +1,4 @@
-// How a backend that keeps state per connection is met: one link is one connection.
+// Defines the interface to backends that keep session state per connection: one link is one connection.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace cairnhollow::registered {
 
-/// A caller's read, write or commit, passed on with its id and text.
+/// A caller's read, write or commit, forwarded with its id and text.
 struct PassOn {
   std::string id;
   std::string text;
-  std::optional<Position> required;  ///< refused as too stale by a backend whose log lacks it
+  std::optional<Position> required;  ///< a backend whose log has not reached it answers kTooStale
 };
-/// A caller's execution of a prepared statement, under the name that it has on this link.
+/// A caller's execution of a prepared statement; `name` is the one that it has on this link.
 struct Execute {
   std::string id;
   std::string name;
@@ -41,17 +41,17 @@
   bool writes = false;
   std::string shape;
 };
-/// Drops values and prepared statements.
+/// Discards the session's values and prepared statements.
 struct ResetState {};
-/// Asks a backend what it is; answered with one row, see BackendStatus.
+/// Requests the backend's role and position; answered with one row, see BackendStatus.
 struct AskStatus {};
-/// Makes a primary of a lower term a replica; answered with one row, see BackendStatus.
+/// Demotes a primary of a lower term to a replica; answered with one row, see BackendStatus.
 struct Demote {
   std::uint64_t term = 0;
 };
 
-/// Keeps a replica from receiving until Resume, its promotion or its restart; `term` is above any that it
-/// knows. Answered with one row, see BackendStatus.
+/// Suspends replication to a replica until Resume, its promotion or its restart; `term` must be higher than
+/// any that the replica has seen. Answered with one row, see BackendStatus.
 struct Pause {
   std::uint64_t term = 0;
 };
@@ -65,19 +65,21 @@
   bool is_primary = false;
   std::uint64_t term = 0;
   Position received;
-  std::uint64_t pause_term = 0;  ///< of the Pause that holds it; 0: none does
+  std::uint64_t pause_term = 0;  ///< term of the Pause in effect; 0 if there is none
 };
 
-/// One exchange at a time. A link whose answer is missing, late or out of order is closed for good.
+/// Runs one exchange at a time. A link whose answer is missing, late or out of order is closed permanently.
 class BackendLink {
  public:
   virtual ~BackendLink() = default;
-  /// Empty when no whole answer came; `sent` says whether the backend may have seen the request.
+  /// Returns std::nullopt if no complete answer was received by `deadline`; `sent` is then whether the
+  /// backend may have received the request.
   virtual Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint deadline,
                                                runtime::SendState& sent, Reason& reason) = 0;
-  /// What the row of an answer to AskStatus or Demote says; empty with kCorrupt.
+  /// Parses the row of an answer to AskStatus, Demote, Pause or Resume. Returns std::nullopt with
+  /// ReasonCode::kCorrupt if it is malformed.
   virtual std::optional<BackendStatus> read_status(const Answer& answer, Reason& reason) = 0;
-  /// Ends an exchange in flight; the backend rolls back what is open.
+  /// Aborts any exchange in flight; the backend rolls back an open transaction.
   virtual void close() = 0;
   [[nodiscard]] virtual bool is_open() const = 0;
   [[nodiscard]] virtual std::string peer() const = 0;
@@ -86,14 +88,14 @@
 struct BackendAddress {
   Endpoint endpoint;
   GroupName group;
-  BackendName backend;  ///< expected there
-  TenantName tenant{};  ///< whose statements the link is for; empty: nobody's, or callers without a key
+  BackendName backend;  ///< expected at the endpoint; another backend refuses with kWrongBackend
+  TenantName tenant{};  ///< whose statements use the link; empty: the proxy's own, or callers without a key
 };
 
 class BackendDialer {
  public:
   virtual ~BackendDialer() = default;
-  /// Null on failure; `refusal` is set when the backend itself refused.
+  /// Returns nullptr on failure; `refusal` is set if the backend itself refused the session.
   virtual Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress address, TimePoint deadline,
                                                        std::optional<Refusal>& refusal, Reason& reason) = 0;
 };
--- a/src/registered/protocol/caller_protocol.h
+++ b/src/registered/protocol/caller_protocol.h
@@ -1,4 +1,4 @@
-// How callers are met: the protocol's side of a caller's connection.
+// Defines the interface between sessions and the wire protocol of their callers.
 #pragma once
 
 #include <memory>
@@ -12,23 +12,25 @@
 
 namespace cairnhollow::registered {
 
-/// What a caller says first.
+/// The first message of a caller.
 struct SessionStart {
   DatabaseName database;
-  ApiKey key;  ///< means something only where the document requires keys
+  ApiKey key;  ///< ignored unless the document requires keys
 };
 
-/// One caller's connection. One statement is open at a time; the caller waits for its answer.
+/// The connection of one caller. One statement runs at a time; the caller waits for its answer.
 class CallerConnection {
  public:
   virtual ~CallerConnection() = default;
-  /// Empty when the caller went away or said something else first.
+  /// Returns std::nullopt if the caller disconnected, sent no message by `deadline`, or sent another one
+  /// first.
   virtual Awaitable<std::optional<SessionStart>> read_start(TimePoint deadline, Reason& reason) = 0;
-  /// The session is open.
+  /// Tells the caller that its session is open. Returns false on a write error.
   virtual Awaitable<bool> accept(Reason& reason) = 0;
-  /// Tells why there will be no session, and closes.
+  /// Sends the reason why no session is opened, and closes the connection.
   virtual Awaitable<void> refuse(Refusal refusal, std::string detail) = 0;
-  /// Empty when the caller ended the session or the connection is gone.
+  /// Returns std::nullopt if the caller ended the session (`reason` is then not set), sent a malformed line,
+  /// or disconnected.
   virtual Awaitable<std::optional<Statement>> read_statement(Reason& reason) = 0;
   virtual Awaitable<bool> answer(const Answer& answer, Reason& reason) = 0;
   virtual void close() = 0;
--- a/src/registered/protocol/statement.h
+++ b/src/registered/protocol/statement.h
@@ -1,4 +1,4 @@
-// Statements of a session and answers to them, independent of how they are spoken.
+// Defines the statements of a session and their answers, independent of the wire protocol.
 #pragma once
 
 #include <cstdint>
@@ -19,60 +19,61 @@
   kWrite,
   kSetValue,
   kPrepare,
-  kExecute,  ///< of a prepared statement; reads or writes as that does
+  kExecute,  ///< of a prepared statement, which determines whether it reads or writes
   kDeallocate,
-  kUnknown,  ///< none of the protocol's texts
+  kUnknown,  ///< not a statement of the protocol
 };
 
 /// One statement as a caller sent it.
 struct Statement {
   StatementKind kind = StatementKind::kUnknown;
-  std::string id;        ///< the caller's; goes with the statement to the backend
-  std::string text;      ///< whole and unchanged
-  std::string name;      ///< of the value or prepared statement
-  std::string argument;  ///< the value, the prepared shape, or what follows an executed statement's name
-  bool writes = false;   ///< of kPrepare: what is prepared; of kWrite
+  std::string id;    ///< assigned by the caller; sent to the backend with the statement
+  std::string text;  ///< complete and unmodified
+  std::string name;  ///< of the session value or the prepared statement
+  /// kSetValue: the value; kPrepare: the prepared text; kExecute: what follows the name.
+  std::string argument;
+  bool writes = false;  ///< true for kWrite, and for kPrepare of a statement that writes
 };
 
-/// Where a session's or a backend connection's transaction is.
+/// Transaction state of a session or of a backend connection.
 enum class TransactionState : std::uint8_t { kIdle, kOpen, kFailed };
 
-/// Why a statement was not answered with success. The first group promises that nothing of the caller's
-/// attempt is kept.
+/// Why a statement was refused or failed. The values before kInDoubt, and kOverLimit, guarantee that the
+/// attempt has no lasting effect.
 enum class Refusal : std::uint8_t {
-  kBusy,             ///< not run: no slot, queue full, or given up
-  kAborted,          ///< the transaction is rolled back
-  kTooStale,         ///< the data asked for is not there yet
-  kNotPrimary,       ///< a write met a replica
+  kBusy,             ///< not run: no free slot, queue full, or abandoned while waiting
+  kAborted,          ///< the transaction was rolled back
+  kTooStale,         ///< the replica has not reached the required position
+  kNotPrimary,       ///< a write was sent to a replica
   kWrongBackend,     ///< another backend is at this address
-  kConnectionLimit,  ///< the backend takes no more connections
-  // From here on there is no promise.
-  kInDoubt,           ///< sent, and the outcome is not known
-  kTimedOut,          ///< run, and not finished in time
+  kConnectionLimit,  ///< the backend accepts no more connections
+  // The following give no such guarantee, except kOverLimit.
+  kInDoubt,           ///< sent, outcome unknown
+  kTimedOut,          ///< started, but not finished before the deadline
   kFailed,            ///< run, and failed
-  kMalformed,         ///< not a statement, or not possible in this state
+  kMalformed,         ///< not a statement, or not valid in this state
   kUnknownStatement,  ///< no prepared statement of this name
-  kUnknownDatabase,   ///< no route names the database
-  kUnauthorized,      ///< the key proves no tenant, or does not any more; not run
-  kOverLimit,         ///< not run: the tenant has begun as many operations as it may; a promise, as kBusy
+  kUnknownDatabase,   ///< no route for this database
+  kUnauthorized,      ///< not run: no tenant has the key, or no longer has it
+  kOverLimit,         ///< not run: the tenant's rate limit is exhausted; no lasting effect, as with kBusy
 };
 inline constexpr std::size_t kRefusalCount = static_cast<std::size_t>(Refusal::kOverLimit) + 1;
 
-/// Stable lower-case name for logs and metrics, e.g. "in_doubt".
+/// Returns the stable lower-case name for logs and metrics, e.g. "in_doubt".
 const char* refusal_name(Refusal refusal);
-/// Whether the refusal promises that nothing of the attempt is kept.
+/// Returns whether the refusal guarantees that the attempt has no lasting effect.
 bool is_promise(Refusal refusal);
-/// Whether a backend that answers so has certainly not run the statement.
+/// Returns whether a backend that answers with this refusal has certainly not run the statement.
 bool is_not_run(Refusal refusal);
 
-/// The answer to one statement, of a backend or of the proxy itself.
+/// The answer to one statement, from a backend or from the proxy itself.
 struct Answer {
   std::vector<std::string> rows;
-  std::string signature;  ///< of the backend that ran it; "-" where none did
+  std::string signature;  ///< of the backend that ran the statement; "-" if none did
   std::optional<Refusal> refusal;
-  std::string detail;  ///< of the refusal, for people
+  std::string detail;  ///< human-readable detail of the refusal
   TransactionState state = TransactionState::kIdle;
-  std::optional<Position> position;  ///< of the backend's log, afterwards
+  std::optional<Position> position;  ///< of the backend's log after the statement
   [[nodiscard]] bool succeeded() const { return !refusal; }
 
   template <class Archive>
