--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -1,4 +1,5 @@
-// Bodies of the operator's and the backends' calls: the pages' examples, and each fault named by its field.
+// Tests parsing of the configuration document and of heartbeats: the examples of the platform's
+// documentation, and faults that name their field.
 #include "platform/document_json.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,7 +27,7 @@
   return text;
 }
 
-/// The document with these tenants.
+/// Returns kDocument with the JSON list `tenants` added.
 std::string with_tenants(const std::string& tenants) {
   std::string text = kDocument;
   text.pop_back();
--- a/tests/platform/evacuation_calls_test.cpp
+++ b/tests/platform/evacuation_calls_test.cpp
@@ -1,4 +1,4 @@
-// Orders to evacuate zones as control nodes answer them.
+// Tests how control nodes answer the calls that begin and end the evacuation of a zone.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform/control_calls.h"
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Notes orders, and answers as it is told to.
+/// Records the evacuation calls and answers each with `answer`.
 class NotingService : public registered::registry::ControlService {
  public:
   Awaitable<bool> replace_document(registered::registry::ConfigurationDocument, Reason&) override {
--- a/tests/platform/heartbeat_json_test.cpp
+++ b/tests/platform/heartbeat_json_test.cpp
@@ -1,4 +1,4 @@
-// What is no backend's heartbeat: which fault it has and which field is named.
+// Tests that invalid heartbeats are refused with the right fault and field name.
 #include "platform/heartbeat_json.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -24,7 +24,7 @@
 struct Bad {
   std::string body;
   RegistrationFault fault;
-  std::string detail;  ///< empty: in the library's words
+  std::string detail;  ///< empty: an error message of Boost.JSON, not compared
 };
 
 void assert_refused(const std::string& id, const Bad& bad) {
--- a/tests/platform/registration_calls_test.cpp
+++ b/tests/platform/registration_calls_test.cpp
@@ -1,4 +1,4 @@
-// Heartbeats as proxies answer them: what is known here, what goes to control.
+// Tests how proxies and control nodes answer heartbeats and deregistrations.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform/control_calls.h"
@@ -12,7 +12,7 @@
     R"({"Service":"huvo11a","Addr":"10.128.0.9:8080","Zone":"hafn-a","Version":"v1","Slots":2,)"
     R"("State":"ready","ColdRemainingMs":0,"DbRole":"replica","Seq":4})";
 
-/// Knows one backend, ready.
+/// Knows one backend, in the state "ready".
 class OneBackend : public registered::registry::RegistrationRelay {
  public:
   [[nodiscard]] bool knows(const registered::registry::BackendEntry& entry) const override {
@@ -27,7 +27,7 @@
   std::optional<Endpoint> control = Endpoint{"10.0.0.4", 8782};
 };
 
-/// Takes every registration and names a proxy for the next ones.
+/// Accepts every registration and names a proxy for subsequent heartbeats, or fails with `refuses_as`.
 class NamingService : public registered::registry::ControlService {
  public:
   Awaitable<bool> replace_document(registered::registry::ConfigurationDocument, Reason&) override {
@@ -136,7 +136,7 @@
   }
 
  private:
-  /// Whoever answers: each is refused with its fault's status, and told to who counts them.
+  /// Asserts that malformed calls are refused with the status of their fault and recorded in `refused`.
   void assert_malformed_is_refused(const std::vector<registered::registry::RefusedRegistration>& refused) {
     using registered::registry::RegistrationFault;
     using runtime::HttpMethod;
--- a/tests/platform/wire_connections_test.cpp
+++ b/tests/platform/wire_connections_test.cpp
@@ -1,4 +1,4 @@
-// The platform's wire over connections: answers in order, and whatever a broken peer sends.
+// Tests the wire protocol over connections: complete answers, and answers of a faulty backend.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "platform/wire_backends.h"
@@ -15,7 +15,7 @@
 
 const Endpoint kBackend{"10.0.0.2", 9000};
 
-/// Answers each line of a connection with the next text of a script; then falls silent.
+/// Answers each line of a connection with the next text of `script`, then sends nothing more.
 Awaitable<void> answer_by_script(VirtualRuntime& runtime, std::vector<std::string> script) {
   Reason reason;
   auto listener = runtime.lines().listen(kBackend, reason);
--- a/tests/platform/wire_property_test.cpp
+++ b/tests/platform/wire_property_test.cpp
@@ -1,5 +1,5 @@
-// Whatever comes over a connection, cut and joined in whatever way: a clear error or a close, never a crash,
-// never another's answer.
+// Property tests of the wire protocol: arbitrary input in arbitrary fragments leads to an error or a closed
+// connection, never to a crash or to the answer of another statement.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 #include <rapidcheck.h>
@@ -21,7 +21,7 @@
 const Endpoint kBackend{"10.0.0.2", 9000};
 const Endpoint kProxy{"10.2.0.1", 8784};
 
-/// Bytes in the pieces in which they are written.
+/// Fragments of a byte stream, each sent with a separate write.
 using Pieces = std::vector<std::string>;
 
 Pieces cut(const std::string& bytes, const std::vector<std::size_t>& sizes) {
@@ -51,7 +51,7 @@
       std::move(bytes), sizes);
 }
 
-/// What a backend may answer to one statement, whole or spoiled.
+/// Generates answers of a backend to one statement, valid or malformed.
 rc::Gen<Pieces> backend_bytes() {
   const auto line = rc::gen::elementOf(std::vector<std::string>{
       "ROW one\r\n", "ROW two\r\n", "DONE sig\r\n", "READY I 3.9\r\n", "READY T 3.9\r\n", "READY E -\r\n",
@@ -60,7 +60,7 @@
   return in_pieces(joined(rc::gen::container<std::vector<std::string>>(line)));
 }
 
-/// Each write its own token: the checker finds one that stands twice.
+/// Replaces each '#' by a unique number: the checker reports a write token that occurs twice.
 std::string with_own_tokens(const std::string& bytes) {
   static std::size_t next = 0;
   std::string own;
@@ -71,7 +71,7 @@
   return own;
 }
 
-/// What a client may send behind its START.
+/// Generates input that a client sends after START, valid or malformed.
 rc::Gen<Pieces> caller_bytes() {
   const auto line = rc::gen::elementOf(std::vector<std::string>{"START records x\r\n",
                                                                 "QUERY a1 READ r1\r\n",
@@ -137,10 +137,10 @@
   outcome.finished = true;
 }
 
-/// A client that sends the pieces and counts what it hears.
+/// What a client received after it sent arbitrary input.
 struct Hostile {
   std::size_t ready = 0;
-  std::size_t foreign = 0;  ///< lines that are no answer of the wire
+  std::size_t foreign = 0;  ///< lines that are not part of the wire protocol
   bool finished = false;
 };
 
--- a/tests/platform/wire_words_test.cpp
+++ b/tests/platform/wire_words_test.cpp
@@ -1,4 +1,4 @@
-// The platform's wire in the product's terms: the pages' examples, and whatever else may come.
+// Tests encoding and decoding of the wire protocol: the examples of its documentation, and malformed input.
 #include "platform/wire_words.h"
 
 #include <cppunit/extensions/HelperMacros.h>
