--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT(tenant.keys == (std::vector<ApiKey>{ApiKey("bkf8"), ApiKey("7qdq")}));
     CPPUNIT_ASSERT(tenant.rate_per_s == 218 && tenant.burst == 200 && tenant.priority == 1);
     const auto nobody = read_document(with_tenants("[]"), reason);
-    CPPUNIT_ASSERT_MESSAGE("the last tenant's end opens nothing", nobody && nobody->requires_keys);
+    CPPUNIT_ASSERT_MESSAGE("an empty tenant list still requires keys", nobody && nobody->requires_keys);
     const auto open =
         read_document(replaced(kDocument, R"("Priority":1)", R"("Priority":1,"Public":true)"), reason);
     CPPUNIT_ASSERT(open && open->routes[0].is_public && !open->routes[1].is_public);
@@ -107,11 +107,11 @@
                          fault(R"([{"Name":"a","ApiKeys":[]},{"Name":"a","ApiKeys":[]}])"));
     CPPUNIT_ASSERT_EQUAL(std::string("tenants[0].keys[0]: must not be empty"),
                          fault(R"([{"Name":"a","ApiKeys":[""]}])"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].RatePerS: must be a whole number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].RatePerS: must be a non-negative integer"),
                          fault(R"([{"Name":"a","ApiKeys":[],"RatePerS":-1}])"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].ApiKeys: must hold texts"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].ApiKeys: must contain only strings"),
                          fault(R"([{"Name":"a","ApiKeys":[7]}])"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Tenants: must be a list"), fault(R"({"a":1})"));
+    CPPUNIT_ASSERT_EQUAL(std::string("Tenants: must be an array"), fault(R"({"a":1})"));
     CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].Public: must be true or false"),
                          fault_of(replaced(kDocument, R"("Priority":1)", R"("Priority":1,"Public":"yes")")));
   }
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT(
         read_heartbeat("i", replaced(kHeartbeat, "\"ready\"", "\"draining\""), reason)->entry.leaving);
     CPPUNIT_ASSERT(!read_heartbeat("i", replaced(kHeartbeat, "10.128.0.9:8080", "database"), reason));
-    CPPUNIT_ASSERT_EQUAL(std::string("Addr: must be an IP address and a port"), reason.detail);
+    CPPUNIT_ASSERT_EQUAL(std::string("Addr: must be an IP address and port"), reason.detail);
   }
 
   void a_backends_start_and_cold_time_are_read() {
@@ -149,7 +149,7 @@
       const auto heartbeat =
           read_heartbeat("i", replaced(kHeartbeat, R"("Seq":4)", R"("Seq":4,"born":)" + born), reason);
       CPPUNIT_ASSERT_MESSAGE(born, !heartbeat);
-      CPPUNIT_ASSERT_EQUAL(std::string("born: must be a whole number that is not negative"), reason.detail);
+      CPPUNIT_ASSERT_EQUAL(std::string("born: must be a non-negative integer"), reason.detail);
     }
   }
 
@@ -180,18 +180,18 @@
     const auto group = [](const std::string& more) {
       return fault_of(replaced(kDocument, R"("SyncReplicas":1)", R"("SyncReplicas":1,)" + more));
     };
-    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a non-negative number"),
                          group(R"("ColdPerS":-0.5)"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a non-negative number"),
                          group(R"("ColdPerS":"many")"));
     CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdStartS: is too long"), group(R"("ColdStartS":1e12)"));
     const auto route = [](const std::string& regions) {
       return fault_of(
           replaced(kDocument, R"("Priority":1,)", R"("Priority":1,"AllowedRegions":)" + regions + ","));
     };
-    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must be a list"), route(R"("north")"));
+    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must be an array"), route(R"("north")"));
     for (const std::string regions : {"[7]", R"([""])", R"(["north",null])"})
-      CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must hold texts that are not empty"),
+      CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must contain only non-empty strings"),
                            route(regions));
   }
 
@@ -203,9 +203,9 @@
     CPPUNIT_ASSERT_EQUAL(
         std::string("routes[1].database: lepu270 with prefix / stands in routes[0] already"),
         fault_of(replaced(kDocument, "\"Hostname\":\"xapu221ny95\"", "\"Hostname\":\"lepu270\"")));
-    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].RouteKind: is unknown"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].RouteKind: is not a known value"),
                          fault_of(replaced(kDocument, "\"primary\"", "\"sharded\"")));
-    CPPUNIT_ASSERT_EQUAL(std::string("Version: must be a whole number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Version: must be a non-negative integer"),
                          fault_of(replaced(kDocument, "\"Version\":7", "\"Version\":-7")));
     CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].TimeoutMs: is missing"),
                          fault_of(replaced(kDocument, "\"TimeoutMs\":800,", "")));
--- a/tests/platform/heartbeat_json_test.cpp
+++ b/tests/platform/heartbeat_json_test.cpp
@@ -36,7 +36,7 @@
   CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, registration_fault_name(bad.fault), registration_fault_name(fault));
   CPPUNIT_ASSERT(reason.code == ReasonCode::kInvalidArgument);
   if (!bad.detail.empty()) CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, bad.detail, reason.detail);
-  CPPUNIT_ASSERT_MESSAGE("a line of bounded length", reason.detail.size() < 200);
+  CPPUNIT_ASSERT_MESSAGE("the message has a bounded length", reason.detail.size() < 200);
 }
 
 void assert_refused(const Bad& bad) { assert_refused("i-7f3a91c2", bad); }
@@ -78,27 +78,27 @@
     const auto refused = [](const std::string& from, const std::string& to, const std::string& detail) {
       assert_refused({replaced(from, to), RegistrationFault::kBadField, detail});
     };
-    refused(R"("Service":"huvo11a")", R"("Service":7)", "Service: must be a text");
-    refused(R"("Service":"huvo11a")", R"("Service":null)", "Service: must be a text");
-    refused(R"("Addr":"10.128.0.9:8080")", R"("Addr":["10.128.0.9:8080"])", "Addr: must be a text");
-    refused(R"("Zone":"hafn-a")", R"("Zone":{})", "Zone: must be a text");
-    refused(R"("Version":"v1")", R"("Version":1)", "Version: must be a text");
-    refused(R"("Slots":2)", R"("Slots":"2")", "Slots: must be a whole number that is not negative");
-    refused(R"("Slots":2)", R"("Slots":2.5)", "Slots: must be a whole number that is not negative");
-    refused(R"("State":"ready")", R"("State":true)", "State: must be a text");
-    refused(R"("DbRole":"replica")", R"("DbRole":0)", "DbRole: must be a text");
-    refused(R"("Seq":4)", R"("Seq":true)", "Seq: must be a whole number that is not negative");
+    refused(R"("Service":"huvo11a")", R"("Service":7)", "Service: must be a string");
+    refused(R"("Service":"huvo11a")", R"("Service":null)", "Service: must be a string");
+    refused(R"("Addr":"10.128.0.9:8080")", R"("Addr":["10.128.0.9:8080"])", "Addr: must be a string");
+    refused(R"("Zone":"hafn-a")", R"("Zone":{})", "Zone: must be a string");
+    refused(R"("Version":"v1")", R"("Version":1)", "Version: must be a string");
+    refused(R"("Slots":2)", R"("Slots":"2")", "Slots: must be a non-negative integer");
+    refused(R"("Slots":2)", R"("Slots":2.5)", "Slots: must be a non-negative integer");
+    refused(R"("State":"ready")", R"("State":true)", "State: must be a string");
+    refused(R"("DbRole":"replica")", R"("DbRole":0)", "DbRole: must be a string");
+    refused(R"("Seq":4)", R"("Seq":true)", "Seq: must be a non-negative integer");
     refused(R"("ColdRemainingMs":0)", R"("ColdRemainingMs":"0")",
-            "ColdRemainingMs: must be a number that is not negative");
-    refused(R"("born":1790000000123)", R"("born":null)", "born: must be a whole number that is not negative");
+            "ColdRemainingMs: must be a non-negative number");
+    refused(R"("born":1790000000123)", R"("born":null)", "born: must be a non-negative integer");
   }
 
   void a_state_or_part_that_nobody_knows_is_named() {
     for (const std::string state : {"leaving", "", "READY", "ready ", "Draining"})
       assert_refused({replaced(R"("State":"ready")", R"("State":")" + state + "\""),
-                      RegistrationFault::kUnknownWord, "State: is unknown"});
+                      RegistrationFault::kUnknownWord, "State: is not a known value"});
     assert_refused({replaced(R"("DbRole":"replica")", R"("DbRole":"witness")"),
-                    RegistrationFault::kUnknownWord, "DbRole: is unknown"});
+                    RegistrationFault::kUnknownWord, "DbRole: is not a known value"});
   }
 
   void numbers_that_no_backend_has_are_refused() {
@@ -109,7 +109,7 @@
     refused(R"("Slots":2)", R"("Slots":18446744073709551615)", "Slots: is out of range");
     refused(R"("Slots":2)", R"("Slots":1e400)", "");
     refused(R"("Seq":4)", R"("Seq":9007199254740992)", "Seq: is out of range");
-    refused(R"("Seq":4)", R"("Seq":-1)", "Seq: must be a whole number that is not negative");
+    refused(R"("Seq":4)", R"("Seq":-1)", "Seq: must be a non-negative integer");
     refused(R"("born":1790000000123)", R"("born":1790000000123000)", "born: is out of range");
     refused(R"("ColdRemainingMs":0)", R"("ColdRemainingMs":1e18)", "ColdRemainingMs: is too long");
   }
@@ -123,9 +123,9 @@
             {replaced(text, said), RegistrationFault::kBadField, fmt::format("{}: {}", field, fault)});
       };
       refused("", "must not be empty");
-      refused("a b", "must hold no blanks and no control characters");
-      refused(R"(a\r\nBYE)", "must hold no blanks and no control characters");
-      refused(R"(a\u0000)", "must hold no blanks and no control characters");
+      refused("a b", "must not contain spaces or control characters");
+      refused(R"(a\r\nBYE)", "must not contain spaces or control characters");
+      refused(R"(a\u0000)", "must not contain spaces or control characters");
       refused(std::string(300, 'a'), "is too long");
     }
   }
@@ -134,10 +134,10 @@
     for (const std::string address :
          {"10.128.0.9", "10.128.0.9:", "10.128.0.9:65536", "10.128.0.9:80 ", ":8080", "host:8080", "10.1:80"})
       assert_refused({replaced("10.128.0.9:8080", address), RegistrationFault::kBadField,
-                      "Addr: must be an IP address and a port"});
+                      "Addr: must be an IP address and port"});
     for (const std::string address : {"10.128.0.9:0", "0.0.0.0:8080", "[::]:8080"})
-      assert_refused(
-          {replaced("10.128.0.9:8080", address), RegistrationFault::kBadField, "Addr: can't be reached"});
+      assert_refused({replaced("10.128.0.9:8080", address), RegistrationFault::kBadField,
+                      "Addr: must not be a wildcard address or have port 0"});
   }
 
   void bytes_that_are_no_object_are_refused() {
@@ -151,14 +151,14 @@
 
   void a_body_longer_than_any_backends_is_not_read() {
     const std::string body = replaced("\"v1\"", "\"" + std::string(20'000, 'v') + "\"");
-    assert_refused({body, RegistrationFault::kTooLarge, "the body is too long"});
+    assert_refused({body, RegistrationFault::kTooLarge, "the body is too large"});
   }
 
   void ids_that_no_backend_has_are_refused() {
     for (const std::string& id :
          {std::string(), std::string("a b"), std::string("a\r\n"), std::string("a\0", 2), std::string("a/b"),
           std::string("i%2D7f"), std::string("i?x=1"), std::string("i\xC3\xA9"), std::string(300, 'i')}) {
-      assert_refused(id, {kHeartbeat, RegistrationFault::kBadName, "id: is none"});
+      assert_refused(id, {kHeartbeat, RegistrationFault::kBadName, "id: is not a valid backend id"});
     }
     CPPUNIT_ASSERT(is_backend_id("i-7f3a91c2"));
     CPPUNIT_ASSERT(is_backend_id("g1-b2.kelburn_3:4~5"));
--- a/tests/platform/registration_calls_test.cpp
+++ b/tests/platform/registration_calls_test.cpp
@@ -132,7 +132,8 @@
     const auto response = call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", kReady);
     CPPUNIT_ASSERT_EQUAL(200U, response.status);
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"HeartbeatAddr":"10.1.0.8:7441"})"), response.body);
-    CPPUNIT_ASSERT_MESSAGE("the next one comes elsewhere", response.close_connection);
+    CPPUNIT_ASSERT_MESSAGE("the connection closes, so that the next heartbeat goes to the named proxy",
+                           response.close_connection);
   }
 
  private:
@@ -153,7 +154,7 @@
         RegistrationFault::kBadName, RegistrationFault::kBadName};
     CPPUNIT_ASSERT_EQUAL(faults.size(), refused.size());
     for (std::size_t i = 0; i < faults.size(); ++i) CPPUNIT_ASSERT(faults[i] == refused[i].fault);
-    CPPUNIT_ASSERT_EQUAL(std::string("State: is unknown"), refused[0].reason.detail);
+    CPPUNIT_ASSERT_EQUAL(std::string("State: is not a known value"), refused[0].reason.detail);
     CPPUNIT_ASSERT_EQUAL(std::string("i-7f3a91c2"), refused[0].backend);
   }
 
--- a/tests/platform/wire_property_test.cpp
+++ b/tests/platform/wire_property_test.cpp
@@ -179,7 +179,7 @@
 
  public:
   void any_answer_of_a_backend_is_taken_whole_or_closes_the_link() {
-    CPPUNIT_ASSERT(rc::check("an answer is whole, or the link is closed", [] {
+    CPPUNIT_ASSERT(rc::check("an answer is complete, or the link is closed", [] {
       const Pieces pieces = *backend_bytes();
       World world({});
       Outcome outcome;
@@ -199,7 +199,7 @@
     RegisteredFleet fleet(RegisteredFleetSettings{});
     CPPUNIT_ASSERT(fleet.start());
     std::size_t number = 0;
-    CPPUNIT_ASSERT(rc::check("a client gets at most one answer a line", [&] {
+    CPPUNIT_ASSERT(rc::check("a client gets at most one answer per line", [&] {
       const Pieces pieces = *caller_bytes();
       const std::string name = fmt::format("hostile-{}", ++number);
       VirtualRuntime& client = fleet.world().start_bare(
@@ -223,7 +223,7 @@
     client.spawn("attack", attack(client, pieces, heard));
     fleet.world().run_until([&] { return heard.finished; }, seconds(5));
     CPPUNIT_ASSERT(heard.finished);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("only START was answered", std::size_t{1}, heard.ready);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("only START is answered", std::size_t{1}, heard.ready);
     for (const std::string& violation : fleet.finish()) CPPUNIT_ASSERT_EQUAL(std::string(), violation);
   }
 };
--- a/tests/platform/wire_words_test.cpp
+++ b/tests/platform/wire_words_test.cpp
@@ -104,7 +104,7 @@
   }
 
   void any_text_is_passed_on_unchanged() {
-    declared::config::assert_property("any text is passed on unchanged", [](const std::string& text) {
+    declared::config::assert_property("any text is forwarded unchanged", [](const std::string& text) {
       const auto statement = parse_statement("id", text);
       RC_ASSERT(statement.text == text);
       RC_ASSERT(statement.name.size() + statement.argument.size() <= text.size());
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -40,14 +40,16 @@
   void no_second_sees_more_than_is_allowed() {
     for (const double rate : {1.0, 6.0, 20.0, 60.0}) {
       const double worst = worst_of(seeds() / 2, {}, cold(rate));
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of what is allowed", rate, worst), worst <= 1.0);
+      CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of the allowance", rate, worst), worst <= 1.0);
       // At a rate of 1, three buckets of depth 1.75 grant three tokens, and the allowance is 6.5.
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: the load presses, {}", rate, worst), worst > 0.45);
+      CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: the load is too low to reach the limit, {}", rate, worst),
+                             worst > 0.45);
     }
     const double tight = worst_of(seeds(), {}, cold(60, kTight));
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of what is allowed", tight), tight <= 1.0);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance", tight), tight <= 1.0);
     const double short_lease = worst_of(seeds(), with_short_lease(4), cold(60, kTight));
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} with a short lease", short_lease), short_lease <= 1.0);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance with a short lease", short_lease),
+                           short_lease <= 1.0);
   }
 
   void each_guard_is_needed() {
@@ -55,12 +57,13 @@
                                   Guards guards = {}) {
       guards.*guard = false;
       const double worst = worst_of(400, guards, limit);
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {} of what is allowed", name, worst), worst > 1.0);
+      CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {} of the allowance", name, worst), worst > 1.0);
     };
     const Limit tight = cold(60, kTight);
-    expect_needed("waits until settled", &Guards::waits_until_settled, tight);
-    expect_needed("authority ends", &Guards::authority_ends, tight);
-    expect_needed("returning owner is new", &Guards::returning_home_is_new, tight, with_short_lease(1));
+    expect_needed("waits for a stable revision", &Guards::waits_until_settled, tight);
+    expect_needed("stops without confirmation", &Guards::authority_ends, tight);
+    expect_needed("a returning owner starts anew", &Guards::returning_home_is_new, tight,
+                  with_short_lease(1));
     // With a bucket depth of one token, no tokens are granted in advance, so none could expire.
     expect_needed("tokens expire", &Guards::tokens_expire, cold(6));
   }
@@ -87,7 +90,8 @@
     CPPUNIT_ASSERT(lowered.rate_per_s * kQuotaOwners > 29);
     const OwnerShare nothing = owner_share(cold(2, {proxy::kColdWindow, 0, 0}));
     CPPUNIT_ASSERT_EQUAL(0.0, nothing.rate_per_s);
-    CPPUNIT_ASSERT_MESSAGE("two statements a second can't be divided in three", nothing.depth < 1);
+    CPPUNIT_ASSERT_MESSAGE("an allowance of two statements cannot be divided among three owners",
+                           nothing.depth < 1);
   }
 
   void a_tenant_and_a_backend_of_one_name_are_counted_apart() {
--- a/tests/registered/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -41,9 +41,9 @@
     granted_in(tenant_of(300), seconds(10));
     ledger_->record_limit(tenant_of(300), tenant_of(30), now_);
     const int before = granted_in(tenant_of(30), seconds(2));
-    CPPUNIT_ASSERT_MESSAGE("a third of 300 a second", before >= 190);
+    CPPUNIT_ASSERT_MESSAGE("one owner's third of 300 per second", before >= 190);
     const int after = granted_in(tenant_of(30), seconds(2));
-    CPPUNIT_ASSERT_MESSAGE("a third of 30 a second and the depth", after <= 20 + 20);
+    CPPUNIT_ASSERT_MESSAGE("one owner's third of 30 per second, and the bucket depth", after <= 20 + 20);
   }
 
   void a_second_lowering_does_not_prolong_the_first() {
--- a/tests/registered/limits/quota_ledger_test.cpp
+++ b/tests/registered/limits/quota_ledger_test.cpp
@@ -48,18 +48,19 @@
  public:
   void no_window_sees_more_than_is_allowed() {
     const double worst = worst_of(seeds(), {}, tenant_of(117, 117));
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of what is allowed", worst), worst <= 1.0);
-    CPPUNIT_ASSERT_MESSAGE("the load presses", worst > 0.7);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance", worst), worst <= 1.0);
+    CPPUNIT_ASSERT_MESSAGE("the load is too low to reach the limit", worst > 0.7);
     const double strict = worst_of(seeds(), {}, tenant_of(120, 60, kStrict));
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of what is strictly allowed", strict), strict <= 1.0);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance without tolerance", strict), strict <= 1.0);
     const double short_lease = worst_of(seeds(), with_short_lease(4), tenant_of(120, 60, kStrict));
-    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} with a short lease", short_lease), short_lease <= 1.0);
+    CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance with a short lease", short_lease),
+                           short_lease <= 1.0);
   }
 
   void thin_tenants_are_bounded_alike() {
     for (const std::uint64_t rate : {1, 5, 12}) {
       const double worst = worst_of(seeds() / 4, {}, tenant_of(rate, rate));
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of what is allowed", rate, worst), worst <= 1.0);
+      CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of the allowance", rate, worst), worst <= 1.0);
     }
   }
 
@@ -69,12 +70,13 @@
       guards.*guard = false;
       const std::uint64_t burst = window.slack > 0 ? 120 : 60;
       const double worst = worst_of(400, guards, tenant_of(120, burst, window));
-      CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {} of what is allowed", name, worst), worst > 1.0);
+      CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {} of the allowance", name, worst), worst > 1.0);
     };
-    expect_needed("waits until settled", &Guards::waits_until_settled);
-    expect_needed("authority ends", &Guards::authority_ends);
+    expect_needed("waits for a stable revision", &Guards::waits_until_settled);
+    expect_needed("stops without confirmation", &Guards::authority_ends);
     expect_needed("bucket starts empty", &Guards::bucket_starts_empty, {});
-    expect_needed("returning owner is new", &Guards::returning_home_is_new, kStrict, with_short_lease(1));
+    expect_needed("a returning owner starts anew", &Guards::returning_home_is_new, kStrict,
+                  with_short_lease(1));
   }
 
   void a_home_that_returns_waits_like_a_new_one() {
@@ -110,7 +112,7 @@
     owner.record_confirmed(asked, 1, asked + milliseconds(200));
     const TimePoint end = asked + registry::kBudgetAuthority;
     CPPUNIT_ASSERT(outcome(end - milliseconds(1)) == GrantOutcome::kGranted);
-    CPPUNIT_ASSERT_MESSAGE("counted from the question", outcome(end) == GrantOutcome::kNotCounting);
+    CPPUNIT_ASSERT_MESSAGE("counted from the request", outcome(end) == GrantOutcome::kNotCounting);
     owner.record_confirmed(end, 1, end);
     CPPUNIT_ASSERT(outcome(end) == GrantOutcome::kGranted);
   }
@@ -162,7 +164,7 @@
       const OwnerShare share = owner_share(tenant);
       const double in_window = 5.25 * share.rate_per_s * kQuotaOwners + share.depth * kQuotaOwners;
       CPPUNIT_ASSERT(in_window <= allowance(tenant) + 1e-6);
-      CPPUNIT_ASSERT_MESSAGE("no less than the operator's burst",
+      CPPUNIT_ASSERT_MESSAGE("the total depth is at least the configured burst",
                              share.depth * kQuotaOwners >= static_cast<double>(rate));
     }
   }
--- a/tests/registered/locality/permitted_regions_test.cpp
+++ b/tests/registered/locality/permitted_regions_test.cpp
@@ -23,14 +23,14 @@
 };
 
 const std::vector<Case> kCases{
-    {"no list binds", {}, {}, "n1 n2 s1 e1 dark", "any"},
-    {"the route's", {"north"}, {}, "n1 n2", "north"},
-    {"the tenant's", {}, {"south"}, "s1", "south"},
-    {"both bind", {"north", "south"}, {"south", "east"}, "s1", "south"},
-    {"alike", {"north", "east"}, {"east", "north"}, "n1 n2 e1", "north, east"},
-    {"nothing in common", {"north"}, {"south"}, "", "none"},
-    {"a region that no zone has", {"west"}, {}, "", "west"},
-    {"one more that no zone has yet", {"west", "east"}, {}, "e1", "west, east"},
+    {"no restriction", {}, {}, "n1 n2 s1 e1 dark", "any"},
+    {"restricted by the route", {"north"}, {}, "n1 n2", "north"},
+    {"restricted by the tenant", {}, {"south"}, "s1", "south"},
+    {"restricted by both", {"north", "south"}, {"south", "east"}, "s1", "south"},
+    {"the same regions in another order", {"north", "east"}, {"east", "north"}, "n1 n2 e1", "north, east"},
+    {"no common region", {"north"}, {"south"}, "", "none"},
+    {"a region without zones", {"west"}, {}, "", "west"},
+    {"one region without zones, one with a zone", {"west", "east"}, {}, "e1", "west, east"},
 };
 
 }  // namespace
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(nowhere.is_nowhere());
     CPPUNIT_ASSERT(!nowhere.is_anywhere());
     const PermittedRegions unknown(map_, regions({"west"}), {});
-    CPPUNIT_ASSERT_MESSAGE("a zone of it may come", !unknown.is_nowhere());
+    CPPUNIT_ASSERT_MESSAGE("a zone of the region may be added later", !unknown.is_nowhere());
   }
 
  private:
--- a/tests/registered/tenancy/key_revocation_model_test.cpp
+++ b/tests/registered/tenancy/key_revocation_model_test.cpp
@@ -185,12 +185,15 @@
       guards.*guard = false;
       return Model(guards).finds_violation();
     };
-    CPPUNIT_ASSERT_MESSAGE("quorum", finds_without(&Guards::leader_asks_quorum));
-    CPPUNIT_ASSERT_MESSAGE("from the question", finds_without(&Guards::counts_from_question));
-    CPPUNIT_ASSERT_MESSAGE("with the document", finds_without(&Guards::confirms_with_document));
-    CPPUNIT_ASSERT_MESSAGE("stops", finds_without(&Guards::proxy_stops_in_the_end));
-    CPPUNIT_ASSERT_MESSAGE("each statement", finds_without(&Guards::statements_are_checked));
-    CPPUNIT_ASSERT_MESSAGE("restart", finds_without(&Guards::restart_forgets));
+    CPPUNIT_ASSERT_MESSAGE("leader confirms with a quorum", finds_without(&Guards::leader_asks_quorum));
+    CPPUNIT_ASSERT_MESSAGE("confirmation counts from the request",
+                           finds_without(&Guards::counts_from_question));
+    CPPUNIT_ASSERT_MESSAGE("confirmation needs the document change",
+                           finds_without(&Guards::confirms_with_document));
+    CPPUNIT_ASSERT_MESSAGE("proxy stops without confirmation",
+                           finds_without(&Guards::proxy_stops_in_the_end));
+    CPPUNIT_ASSERT_MESSAGE("each statement is checked", finds_without(&Guards::statements_are_checked));
+    CPPUNIT_ASSERT_MESSAGE("restart discards confirmations", finds_without(&Guards::restart_forgets));
   }
 };
 
--- a/tests/registered/tenancy/tenant_directory_test.cpp
+++ b/tests/registered/tenancy/tenant_directory_test.cpp
@@ -82,7 +82,8 @@
     CPPUNIT_ASSERT(keys.allows(asked + milliseconds(4899)));
     CPPUNIT_ASSERT(!keys.allows(asked + milliseconds(4900)));
     keys.record(asked - seconds(1));
-    CPPUNIT_ASSERT_MESSAGE("an answer to an older question", keys.allows(asked + milliseconds(4899)));
+    CPPUNIT_ASSERT_MESSAGE("an answer to an older request does not shorten the bound",
+                           keys.allows(asked + milliseconds(4899)));
     CPPUNIT_ASSERT(keys.is_confirmed_since(asked) && !keys.is_confirmed_since(asked + milliseconds(1)));
   }
 
--- a/tests/registered/tenancy/tenant_division_test.cpp
+++ b/tests/registered/tenancy/tenant_division_test.cpp
@@ -79,7 +79,7 @@
     for (std::size_t place = 0; place < 5; ++place)
       CPPUNIT_ASSERT_EQUAL(std::string("zone-2"), order[place]->zone.value);
     const auto elsewhere = order_for_tenant(proxies(16), TenantName("tenant"), 0.01, ZoneName("zone-9"));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("no proxy of the zone serves it", std::size_t{16}, elsewhere.size());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a zone without serving proxies", std::size_t{16}, elsewhere.size());
   }
 
   void forwarders_of_all_zones_meet_at_one_proxy() {
@@ -126,8 +126,9 @@
     const std::uint64_t share = links_of_proxy(52, serving, near, near);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, share);
     CPPUNIT_ASSERT_EQUAL(kFarLinks, links_of_proxy(52, serving, near, far));
-    CPPUNIT_ASSERT_MESSAGE("with one link at each of the others", share * 4 + 11 <= 52);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("few connections", std::uint64_t{1}, links_of_proxy(8, serving, near, near));
+    CPPUNIT_ASSERT_MESSAGE("including one link of each proxy in other zones", share * 4 + 11 <= 52);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("fewer links than reserved", std::uint64_t{1},
+                                 links_of_proxy(8, serving, near, near));
   }
 
   void links_are_divided_evenly_where_nobody_is_near() {
