--- a/fuzz/heartbeat_fuzzer.cpp
+++ b/fuzz/heartbeat_fuzzer.cpp
@@ -25,16 +25,17 @@
 
 std::string print(const Heartbeat& heartbeat) {
   const BackendEntry& entry = heartbeat.entry;
-  return boost::json::serialize(boost::json::value{{"Service", entry.group.value},
-                                                   {"Addr", entry.endpoint.to_string()},
-                                                   {"Zone", entry.zone.value},
-                                                   {"Version", ""},
-                                                   {"Slots", entry.slots},
-                                                   {"State", entry.leaving ? "draining" : "ready"},
-                                                   {"ColdRemainingMs", entry.cold_ms},
-                                                   {"DbRole", heartbeat.says_primary ? "primary" : "replica"},
-                                                   {"Seq", entry.sequence},
-                                                   {"born", entry.born_ms}});
+  return boost::json::serialize(
+      boost::json::value{{"Service", entry.group.value},
+                         {"Addr", entry.endpoint.to_string()},
+                         {"Zone", entry.zone.value},
+                         {"Version", ""},
+                         {"Slots", entry.slots},
+                         {"State", entry.leaving ? "draining" : "ready"},
+                         {"ColdRemainingMs", entry.cold_ms},
+                         {"DbRole", heartbeat.reports_primary ? "primary" : "replica"},
+                         {"Seq", entry.sequence},
+                         {"born", entry.born_ms}});
 }
 
 void check_refused(RegistrationFault fault, const Reason& reason) {
@@ -58,7 +59,8 @@
   expect(again->entry.name == heartbeat.entry.name && again->entry.same_facts(heartbeat.entry) &&
              again->entry.sequence == heartbeat.entry.sequence &&
              again->entry.born_ms == heartbeat.entry.born_ms &&
-             again->entry.cold_ms == heartbeat.entry.cold_ms && again->says_primary == heartbeat.says_primary,
+             again->entry.cold_ms == heartbeat.entry.cold_ms &&
+             again->reports_primary == heartbeat.reports_primary,
          "what was accepted reads the same again");
 }
 
--- a/fuzz/wire_fuzzer.cpp
+++ b/fuzz/wire_fuzzer.cpp
@@ -18,9 +18,9 @@
   if (const auto position = platform::parse_position(word))
     expect(platform::parse_position(platform::print_position(position)) == position, "positions read again");
   if (const auto state = platform::parse_state(word))
-    expect(platform::state_word(*state) == word, "states read again");
-  if (const auto refusal = platform::parse_error_word(word))
-    expect(platform::error_word(*refusal) == word, "refusals read again");
+    expect(platform::state_code(*state) == word, "states read again");
+  if (const auto refusal = platform::parse_refusal_code(word))
+    expect(platform::refusal_code(*refusal) == word, "refusals read again");
 }
 
 }  // namespace
--- a/src/cli/settings_registered.cpp
+++ b/src/cli/settings_registered.cpp
@@ -65,7 +65,7 @@
   Duration change_bound{0};
   reader.read("change_bound", change_bound, kIntervalRange);
   // The other half is for the way of the change to this proxy.
-  settings.limit_window.lowered_after = change_bound / 2;
+  settings.limit_window.lowering_grace_period = change_bound / 2;
   settings.metrics_endpoint = read_optional_endpoint(reader, "metrics_endpoint");
   settings.control_port = static_cast<std::uint16_t>(control_port);
   if (control_port == 0) reader.report("control_port", "is missing");
--- a/src/registered/control/failover/group_prober.cpp
+++ b/src/registered/control/failover/group_prober.cpp
@@ -11,7 +11,7 @@
 
 Awaitable<std::optional<BackendStatus>> GroupProber::ask(registry::BackendEntry entry, TimePoint deadline,
                                                          Reason& reason) {
-  BackendRequest request = AskStatus{};
+  BackendRequest request = GetStatus{};
   co_return co_await run(std::move(entry), std::move(request), deadline, reason);
 }
 
--- a/src/registered/limits/limit_window.h
+++ b/src/registered/limits/limit_window.h
@@ -16,7 +16,7 @@
   /// After a limit is lowered, the previous value stays in force for this long, measured by the clock of the
   /// proxy that received the change. Must be shorter than the time that operators allow for a change to take
   /// effect everywhere.
-  Duration lowered_after{0};
+  Duration lowering_grace_period{0};
 };
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/owner_share.cpp
+++ b/src/registered/limits/owner_share.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-double seconds_of(Duration duration) { return std::chrono::duration<double>(duration).count(); }
+double to_seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 }  // namespace
 
 double allowance(const Limit& limit) {
-  const double in_window = limit.rate_per_s * seconds_of(limit.window.window);
+  const double in_window = limit.rate_per_s * to_seconds(limit.window.window);
   return (in_window + limit.burst) * (1 + limit.window.overshoot) + limit.window.slack;
 }
 
 OwnerShare owner_share(const Limit& limit) {
-  constexpr double kLeastDepths = kQuotaOwners;
+  constexpr double kMinimumDepths = kQuotaOwners;
   const double allowed = allowance(limit);
-  if (allowed < kLeastDepths) return {0, 0};
-  const double counted_s = seconds_of(limit.window.window + kGrantLife);
-  const double rate = std::min(limit.rate_per_s, (allowed - kLeastDepths) / counted_s);
+  if (allowed < kMinimumDepths) return {0, 0};
+  const double counted_s = to_seconds(limit.window.window + kTokenLifetime);
+  const double rate = std::min(limit.rate_per_s, (allowed - kMinimumDepths) / counted_s);
   return {rate / kQuotaOwners, (allowed - rate * counted_s) / kQuotaOwners};
 }
 
--- a/src/registered/limits/owner_share.h
+++ b/src/registered/limits/owner_share.h
@@ -2,11 +2,12 @@
 //
 // A limit has kQuotaOwners owner proxies, in different zones if there are enough zones. Each owner has a
 // token bucket with 1/kQuotaOwners of the rate and of the total depth. An operation runs only with a token
-// that was requested after the caller sent the operation, and at most kGrantLife before it runs. With rate R,
-// operations that are both sent and run within a window W use tokens granted in W or in the kGrantLife before
-// it: at most R x (W + kGrantLife) + depths. The depths are the remainder of the allowance:
+// that was requested after the caller sent the operation, and at most kTokenLifetime before it runs. With
+// rate R, operations that are both sent and run within a window W use tokens granted in W or in the
+// kTokenLifetime before it: at most R x (W + kTokenLifetime) + depths. The depths are the remainder of the
+// allowance:
 //
-//   depths = (R x W + burst) x (1 + overshoot) + slack - R x (W + kGrantLife)
+//   depths = (R x W + burst) x (1 + overshoot) + slack - R x (W + kTokenLifetime)
 //
 // For tenants this exceeds the burst, so splitting the bucket refuses nothing that a single bucket would
 // accept. A bucket shallower than one token never grants: the rate is lowered until every bucket holds one
@@ -24,7 +25,7 @@
 inline constexpr std::size_t kQuotaOwners = 3;
 /// Lifetime of a token, from the request for it. A longer lifetime needs fewer requests, but reduces the
 /// total bucket depth by rate x lifetime.
-inline constexpr Duration kGrantLife = std::chrono::milliseconds(250);
+inline constexpr Duration kTokenLifetime = std::chrono::milliseconds(250);
 
 /// One owner's bucket.
 struct OwnerShare {
--- a/src/registered/limits/quota_ledger.h
+++ b/src/registered/limits/quota_ledger.h
@@ -24,12 +24,12 @@
 
 enum class GrantOutcome : std::uint8_t {
   kGranted,
-  kEmpty,       ///< no token available; see Grant::retry_after
-  kNotCounting  ///< this proxy may not grant tokens of this limit at present
+  kEmpty,         ///< no token available; see Grant::retry_after
+  kNotAuthorized  ///< this proxy may not grant tokens of this limit at present
 };
 
 struct Grant {
-  GrantOutcome outcome = GrantOutcome::kNotCounting;
+  GrantOutcome outcome = GrantOutcome::kNotAuthorized;
   std::uint64_t tokens = 0;
   Duration retry_after{0};
   bool operator==(const Grant&) const = default;
@@ -60,37 +60,37 @@
   void record_confirmed(TimePoint confirmed_at, std::uint64_t stable_revision, TimePoint now);
   [[nodiscard]] const QuotaOwners& owners() const { return owners_; }
 
-  /// Records the change of a limit from `former` to `limit`. If it was lowered, `former` stays in force for
-  /// LimitWindow::lowered_after.
-  void record_limit(const Limit& former, const Limit& limit, TimePoint now);
+  /// Records the change of a limit from `previous` to `limit`. If it was lowered, `previous` stays in
+  /// force for LimitWindow::lowering_grace_period.
+  void record_limit_change(const Limit& previous, const Limit& limit, TimePoint now);
   Grant grant(const Limit& limit, const TokenRequest& request, TimePoint now);
 
  private:
-  struct Count {
+  struct OwnedLimit {
     std::uint64_t owner_since = 0;  ///< revision of the membership that made this proxy an owner
     std::optional<TokenBucket> bucket;
   };
 
   /// The previous value of a lowered limit, in force before `until`.
-  struct FormerLimit {
+  struct PreviousLimit {
     double rate_per_s = 0;
     double burst = 0;
     TimePoint until{};
   };
 
-  [[nodiscard]] bool may_count(const Count& count, TimePoint now) const;
+  [[nodiscard]] bool may_grant(const OwnedLimit& owned, TimePoint now) const;
   /// Returns the share of one owner at `now`, considering the previous value of a lowered limit.
   OwnerShare share_of(const Limit& limit, TimePoint now);
 
   NodeName node_;
   QuotaOwners owners_;
   std::uint64_t revision_ = 0;
-  std::map<LimitedName, Count> counts_;
-  std::map<LimitedName, FormerLimit> former_;
+  std::map<LimitKey, OwnedLimit> owned_limits_;
+  std::map<LimitKey, PreviousLimit> previous_limits_;
   std::optional<TimePoint> confirmed_at_;
   std::uint64_t stable_revision_ = 0;
   /// Time since which no proxy acts on a membership older than revision_; std::nullopt while one may.
-  std::optional<TimePoint> settled_since_;
+  std::optional<TimePoint> stable_since_;
 };
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/quota_owners.cpp
+++ b/src/registered/limits/quota_owners.cpp
@@ -8,47 +8,47 @@
 
 namespace {
 
-std::vector<subset::ProxyPointer> owners_among(const subset::SubsetTable& table, const LimitedName& limited) {
-  return table.serving(GroupName(kind_name(limited.kind) + (" " + limited.name)),
+std::vector<subset::ProxyPointer> owners_among(const subset::SubsetTable& table, const LimitKey& key) {
+  return table.serving(GroupName(kind_name(key.kind) + (" " + key.name)),
                        static_cast<std::uint32_t>(kQuotaOwners));
 }
 
-bool holds(const std::vector<subset::ProxyPointer>& proxies, const NodeName& node) {
+bool contains(const std::vector<subset::ProxyPointer>& proxies, const NodeName& node) {
   return std::any_of(proxies.begin(), proxies.end(),
                      [&](const subset::ProxyPointer& proxy) { return proxy->name == node; });
 }
 
-std::vector<subset::ProxyPointer> united(const std::vector<subset::ProxyPointer>& takers,
-                                         const std::vector<subset::ProxyPointer>& changed) {
+std::vector<subset::ProxyPointer> union_of(const std::vector<subset::ProxyPointer>& accepting,
+                                           const std::vector<subset::ProxyPointer>& changed) {
   std::map<NodeName, subset::ProxyPointer> by_name;
-  for (const auto& proxy : takers) by_name.emplace(proxy->name, proxy);
+  for (const auto& proxy : accepting) by_name.emplace(proxy->name, proxy);
   for (const auto& proxy : changed) by_name.emplace(proxy->name, proxy);
-  std::vector<subset::ProxyPointer> both;
-  both.reserve(by_name.size());
-  for (const auto& [name, proxy] : by_name) both.push_back(proxy);
-  return both;
+  std::vector<subset::ProxyPointer> result;
+  result.reserve(by_name.size());
+  for (const auto& [name, proxy] : by_name) result.push_back(proxy);
+  return result;
 }
 
 }  // namespace
 
-QuotaOwners::QuotaOwners(const std::vector<subset::ProxyPointer>& takers,
+QuotaOwners::QuotaOwners(const std::vector<subset::ProxyPointer>& accepting,
                          const std::vector<subset::ProxyPointer>& changed)
-    : takers_(takers), with_changed_(united(takers, changed)) {
+    : accepting_(accepting), accepting_or_changed_(union_of(accepting, changed)) {
   for (const auto& proxy : changed) changed_.insert(proxy->name);
 }
 
-const std::vector<subset::ProxyPointer>& QuotaOwners::of(const LimitedName& limited) const {
-  const auto [owners, is_new] = owners_.try_emplace(limited);
-  if (is_new) owners->second = owners_among(takers_, limited);
+const std::vector<subset::ProxyPointer>& QuotaOwners::owners_of(const LimitKey& key) const {
+  const auto [owners, inserted] = owners_.try_emplace(key);
+  if (inserted) owners->second = owners_among(accepting_, key);
   return owners->second;
 }
 
-bool QuotaOwners::is_owner(const LimitedName& limited, const NodeName& node) const {
-  return holds(of(limited), node);
+bool QuotaOwners::is_owner(const LimitKey& key, const NodeName& node) const {
+  return contains(owners_of(key), node);
 }
 
-bool QuotaOwners::was_owner(const LimitedName& limited, const NodeName& node) const {
-  return changed_.count(node) == 0 && holds(owners_among(with_changed_, limited), node);
+bool QuotaOwners::remained_owner(const LimitKey& key, const NodeName& node) const {
+  return changed_.count(node) == 0 && contains(owners_among(accepting_or_changed_, key), node);
 }
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/quota_owners.h
+++ b/src/registered/limits/quota_owners.h
@@ -13,29 +13,29 @@
 
 /// The owners of all limits among the proxies that accept work, before and after a membership change.
 ///
-/// An owner among `takers` and `changed` together was an owner before the change as well: rendezvous hashing
-/// removes no member from a subset when others leave. An owner among `takers` only has become one with this
-/// change, and must wait until the previous owners have stopped (limits/quota_ledger.h).
+/// An owner among `accepting` and `changed` together was an owner before the change as well: rendezvous
+/// hashing removes no member from a subset when others leave. An owner among `accepting` only has become one
+/// with this change, and must wait until the previous owners have stopped (limits/quota_ledger.h).
 class QuotaOwners {
  public:
   QuotaOwners() = default;
   /// `changed`: proxies that joined, left or restarted since the previous view, including those that both
   /// joined and left in between.
-  QuotaOwners(const std::vector<subset::ProxyPointer>& takers,
+  QuotaOwners(const std::vector<subset::ProxyPointer>& accepting,
               const std::vector<subset::ProxyPointer>& changed);
 
   /// Returns up to kQuotaOwners proxies, in different zones as far as possible.
-  [[nodiscard]] const std::vector<subset::ProxyPointer>& of(const LimitedName& limited) const;
-  [[nodiscard]] bool is_owner(const LimitedName& limited, const NodeName& node) const;
+  [[nodiscard]] const std::vector<subset::ProxyPointer>& owners_of(const LimitKey& key) const;
+  [[nodiscard]] bool is_owner(const LimitKey& key, const NodeName& node) const;
   /// Returns whether `node`, which is an owner now, was one without interruption since the previous view.
-  [[nodiscard]] bool was_owner(const LimitedName& limited, const NodeName& node) const;
+  [[nodiscard]] bool remained_owner(const LimitKey& key, const NodeName& node) const;
 
  private:
-  subset::SubsetTable takers_;
-  subset::SubsetTable with_changed_;
+  subset::SubsetTable accepting_;
+  subset::SubsetTable accepting_or_changed_;
   std::set<NodeName> changed_;
-  /// Cache of of(), which is called for each operation; valid as long as this membership.
-  mutable std::map<LimitedName, std::vector<subset::ProxyPointer>> owners_;
+  /// Cache of owners_of(), which is called for each operation; valid as long as this membership.
+  mutable std::map<LimitKey, std::vector<subset::ProxyPointer>> owners_;
 };
 
 }  // namespace cairnhollow::registered::limits
--- a/src/registered/limits/token_bucket.h
+++ b/src/registered/limits/token_bucket.h
@@ -15,10 +15,10 @@
   /// Creates an empty bucket that fills from `now` on.
   explicit TokenBucket(TimePoint now) : filled_at_(now) {}
 
-  /// Takes up to `wanted` whole tokens and returns their number.
-  std::uint64_t take(std::uint64_t wanted, const OwnerShare& share, TimePoint now) {
+  /// Takes up to `requested` whole tokens and returns their number.
+  std::uint64_t take(std::uint64_t requested, const OwnerShare& share, TimePoint now) {
     fill(share, now);
-    const auto taken = std::min(wanted, static_cast<std::uint64_t>(tokens_));
+    const auto taken = std::min(requested, static_cast<std::uint64_t>(tokens_));
     tokens_ -= static_cast<double>(taken);
     return taken;
   }
--- a/src/registered/limits/token_stock.h
+++ b/src/registered/limits/token_stock.h
@@ -14,9 +14,9 @@
 
 /// Time constant of the exponential average of demand. Several token lifetimes, so that a short pause does
 /// not stop requests in advance.
-inline constexpr Duration kDemandMemory = std::chrono::seconds(1);
+inline constexpr Duration kDemandTimeConstant = std::chrono::seconds(1);
 
-class TokenStock {
+class TokenCache {
  public:
   /// Removes the token that expires first and returns its expiry time, or std::nullopt if there is none.
   std::optional<TimePoint> take(TimePoint now) {
@@ -26,28 +26,28 @@
     tokens_.pop_front();
     return expiry;
   }
-  /// Adds tokens that were requested at `asked_at`. They expire kGrantLife after it.
-  void put(std::uint64_t tokens, TimePoint asked_at) {
-    tokens_.insert(tokens_.end(), tokens, asked_at + kGrantLife);
+  /// Adds tokens that were requested at `asked_at`. They expire kTokenLifetime after it.
+  void add(std::uint64_t tokens, TimePoint asked_at) {
+    tokens_.insert(tokens_.end(), tokens, asked_at + kTokenLifetime);
   }
   /// Returns a token that was taken but not used, with its original expiry time.
-  void give_back(TimePoint expiry) { tokens_.push_front(expiry); }
+  void return_unused(TimePoint expiry) { tokens_.push_front(expiry); }
   /// Records that one more operation has requested a token.
   void record_demand(TimePoint now) {
-    rate_ = demand(now) + 1 / std::chrono::duration<double>(kDemandMemory).count();
+    rate_ = demand(now) + 1 / std::chrono::duration<double>(kDemandTimeConstant).count();
     recorded_at_ = now;
   }
-  /// Returns the number of operations expected within kGrantLife.
-  [[nodiscard]] std::uint64_t expected(TimePoint now) const {
-    const double life = std::chrono::duration<double>(kGrantLife).count();
-    return static_cast<std::uint64_t>(demand(now) * life);
+  /// Returns the number of operations expected within kTokenLifetime.
+  [[nodiscard]] std::uint64_t expected_demand(TimePoint now) const {
+    const double lifetime_s = std::chrono::duration<double>(kTokenLifetime).count();
+    return static_cast<std::uint64_t>(demand(now) * lifetime_s);
   }
   [[nodiscard]] std::size_t size() const { return tokens_.size(); }
 
  private:
   /// Returns the average demand in operations per second.
   [[nodiscard]] double demand(TimePoint now) const {
-    const double age = std::chrono::duration<double>(now - recorded_at_) / kDemandMemory;
+    const double age = std::chrono::duration<double>(now - recorded_at_) / kDemandTimeConstant;
     return rate_ * std::exp(-age);
   }
 
--- a/src/registered/locality/permitted_regions.cpp
+++ b/src/registered/locality/permitted_regions.cpp
@@ -12,23 +12,23 @@
 
 }  // namespace
 
-PermittedRegions::PermittedRegions(const RegionMap& map, const std::vector<RegionName>& of_route,
-                                   const std::vector<RegionName>& of_tenant) {
-  if (of_route.empty() && of_tenant.empty()) return;
+PermittedRegions::PermittedRegions(const RegionMap& map, const std::vector<RegionName>& route_regions,
+                                   const std::vector<RegionName>& tenant_regions) {
+  if (route_regions.empty() && tenant_regions.empty()) return;
   map_ = &map;
-  regions_ = of_route.empty() ? of_tenant : of_route;
-  if (of_route.empty() || of_tenant.empty()) return;
-  std::erase_if(regions_, [&](const RegionName& region) { return !contains(of_tenant, region); });
+  regions_ = route_regions.empty() ? tenant_regions : route_regions;
+  if (route_regions.empty() || tenant_regions.empty()) return;
+  std::erase_if(regions_, [&](const RegionName& region) { return !contains(tenant_regions, region); });
 }
 
-bool PermittedRegions::lists(const ZoneName& zone) const {
+bool PermittedRegions::includes(const ZoneName& zone) const {
   const RegionName* region = map_->find(zone);
   return region != nullptr && contains(regions_, *region);
 }
 
 std::string PermittedRegions::to_string() const {
-  if (is_anywhere()) return "any";
-  if (is_nowhere()) return "none";
+  if (is_unrestricted()) return "any";
+  if (allows_none()) return "none";
   std::string text;
   for (const RegionName& region : regions_) {
     if (!text.empty()) text += ", ";
--- a/src/registered/placement/attempt_outcome.cpp
+++ b/src/registered/placement/attempt_outcome.cpp
@@ -54,7 +54,7 @@
 
 Retry after_answer(const std::optional<Refusal>& refusal, const AttemptFacts& attempt) {
   if (!refusal) return {};
-  if (is_not_run(*refusal)) return run_again(attempt.needs_primary);
+  if (guarantees_not_run(*refusal)) return run_again(attempt.needs_primary);
   const bool may_fail_less_elsewhere = attempt.reads && attempt.attempts < kMaxFailedReads;
   if (*refusal == Refusal::kFailed && may_fail_less_elsewhere) return {NextStep::kChooseAgain, true};
   return {};
--- a/src/registered/protocol/backend_link.h
+++ b/src/registered/protocol/backend_link.h
@@ -15,7 +15,7 @@
 namespace cairnhollow::registered {
 
 /// A caller's read, write or commit, forwarded with its id and text.
-struct PassOn {
+struct ForwardedStatement {
   std::string id;
   std::string text;
   std::optional<Position> required;  ///< a backend whose log has not reached it answers kTooStale
@@ -44,7 +44,7 @@
 /// Discards the session's values and prepared statements.
 struct ResetState {};
 /// Requests the backend's role and position; answered with one row, see BackendStatus.
-struct AskStatus {};
+struct GetStatus {};
 /// Demotes a primary of a lower term to a replica; answered with one row, see BackendStatus.
 struct Demote {
   std::uint64_t term = 0;
@@ -58,8 +58,8 @@
 /// Ends a Pause; answered with one row, see BackendStatus.
 struct Resume {};
 
-using BackendRequest = std::variant<PassOn, Execute, Begin, Rollback, SetValue, Prepare, ResetState,
-                                    AskStatus, Demote, Pause, Resume>;
+using BackendRequest = std::variant<ForwardedStatement, Execute, Begin, Rollback, SetValue, Prepare,
+                                    ResetState, GetStatus, Demote, Pause, Resume>;
 
 struct BackendStatus {
   bool is_primary = false;
@@ -72,11 +72,11 @@
 class BackendLink {
  public:
   virtual ~BackendLink() = default;
-  /// Returns std::nullopt if no complete answer was received by `deadline`; `sent` is then whether the
+  /// Returns std::nullopt if no complete answer was received by `deadline`; `sent` is set to whether the
   /// backend may have received the request.
   virtual Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint deadline,
                                                runtime::SendState& sent, Reason& reason) = 0;
-  /// Parses the row of an answer to AskStatus, Demote, Pause or Resume. Returns std::nullopt with
+  /// Parses the row of an answer to GetStatus, Demote, Pause or Resume. Returns std::nullopt with
   /// ReasonCode::kCorrupt if it is malformed.
   virtual std::optional<BackendStatus> read_status(const Answer& answer, Reason& reason) = 0;
   /// Aborts any exchange in flight; the backend rolls back an open transaction.
--- a/src/registered/protocol/caller_protocol.h
+++ b/src/registered/protocol/caller_protocol.h
@@ -29,8 +29,8 @@
   virtual Awaitable<bool> accept(Reason& reason) = 0;
   /// Sends the reason why no session is opened, and closes the connection.
   virtual Awaitable<void> refuse(Refusal refusal, std::string detail) = 0;
-  /// Returns std::nullopt if the caller ended the session (`reason` is then not set), sent a malformed line,
-  /// or disconnected.
+  /// Returns std::nullopt if the caller ended the session (`reason` then holds no failure), sent a malformed
+  /// line, or disconnected.
   virtual Awaitable<std::optional<Statement>> read_statement(Reason& reason) = 0;
   virtual Awaitable<bool> answer(const Answer& answer, Reason& reason) = 0;
   virtual void close() = 0;
--- a/src/registered/protocol/statement.cpp
+++ b/src/registered/protocol/statement.cpp
@@ -36,9 +36,11 @@
   return "unknown";
 }
 
-bool is_promise(Refusal refusal) { return refusal < Refusal::kInDoubt || refusal == Refusal::kOverLimit; }
+bool guarantees_no_effect(Refusal refusal) {
+  return refusal < Refusal::kInDoubt || refusal == Refusal::kOverLimit;
+}
 
-bool is_not_run(Refusal refusal) {
+bool guarantees_not_run(Refusal refusal) {
   return refusal == Refusal::kBusy || refusal == Refusal::kTooStale || refusal == Refusal::kNotPrimary ||
          refusal == Refusal::kWrongBackend || refusal == Refusal::kConnectionLimit ||
          refusal == Refusal::kUnknownStatement || refusal == Refusal::kUnauthorized ||
--- a/src/registered/protocol/statement.h
+++ b/src/registered/protocol/statement.h
@@ -62,9 +62,9 @@
 /// Returns the stable lower-case name for logs and metrics, e.g. "in_doubt".
 const char* refusal_name(Refusal refusal);
 /// Returns whether the refusal guarantees that the attempt has no lasting effect.
-bool is_promise(Refusal refusal);
+bool guarantees_no_effect(Refusal refusal);
 /// Returns whether a backend that answers with this refusal has certainly not run the statement.
-bool is_not_run(Refusal refusal);
+bool guarantees_not_run(Refusal refusal);
 
 /// The answer to one statement, from a backend or from the proxy itself.
 struct Answer {
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -307,7 +307,7 @@
   if (!admitted) co_return result;
   const TenantName tenant = order.tenant;
   result = co_await runner_.run(std::move(order));
-  if (result.nothing_run && token) services_.limits.give_back(tenancy::limited(tenant), *token);
+  if (result.nothing_run && token) services_.limits.give_back(tenancy::limit_key(tenant), *token);
   co_return result;
 }
 
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -131,7 +131,7 @@
   for (const registry::TenantRule& tenant : delta.tenants) {
     const auto former = tenant_limit(tenant.name);
     tenants_.put(tenant);
-    if (former) quotas_.record_limit(*former, *tenant_limit(tenant.name), runtime_.now());
+    if (former) quotas_.record_limit_change(*former, *tenant_limit(tenant.name), runtime_.now());
   }
   if (!delta.tenants.empty() || !delta.removed_tenants.empty()) forward_for_.clear();
 }
@@ -218,7 +218,7 @@
   // Who leads next may be anywhere. Without a lease others may know more than this proxy.
   if (work == GroupWork::kAtPrimary && holds_lease_for(*found->second)) return std::nullopt;
   if (found->second->backends.reads_in(zone_)) return zone_;
-  const ZoneName reads = tenancy::zone_of_reads(found->second->backends.reading_zones(), tenant, zone_);
+  const ZoneName reads = tenancy::zone_for_reads(found->second->backends.reading_zones(), tenant, zone_);
   return reads.empty() ? zone_ : reads;
 }
 
@@ -244,7 +244,7 @@
   if (!zone) return nobody();
   const auto found = forward_for_.find(std::tie(group, tenant, *zone));
   if (found != forward_for_.end()) return found->second;
-  auto order = tenancy::order_for_tenant(serving_[group], tenant, tenants_.part_of(tenant), *zone);
+  auto order = tenancy::order_for_tenant(serving_[group], tenant, tenants_.limit_fraction(tenant), *zone);
   if (!order.empty() && order.front()->name == node_) order.clear();
   return forward_for_.emplace(TenantPlace{group, tenant, *zone}, std::move(order)).first->second;
 }
@@ -256,7 +256,7 @@
 locality::PermittedRegions FleetView::allowed_regions(const registry::RouteRule& route,
                                                       const TenantName& tenant) const {
   const registry::TenantRule* rule = nullptr;
-  if (!tenant.empty() && tenants_.any_names_regions()) rule = tenants_.find(tenant);
+  if (!tenant.empty() && tenants_.any_restricts_regions()) rule = tenants_.find(tenant);
   if (rule != nullptr) return {regions_, route.allowed_regions, rule->allowed_regions};
   if (route.allowed_regions.empty()) return {};
   return {regions_, route.allowed_regions, {}};
@@ -271,7 +271,7 @@
   return inside;
 }
 
-bool FleetView::names_regions() const { return routes_name_regions_ || tenants_.any_names_regions(); }
+bool FleetView::names_regions() const { return routes_name_regions_ || tenants_.any_restricts_regions(); }
 
 void FleetView::record_zone(const ZoneName& zone) {
   if (regions_.find(zone) != nullptr || !told_unknown_.insert(zone).second) return;
--- a/src/registered/proxy/group/connection_shares.cpp
+++ b/src/registered/proxy/group/connection_shares.cpp
@@ -20,7 +20,7 @@
 std::uint64_t ConnectionShares::links_to(const ZoneName& zone) const {
   const std::uint64_t usable = registry::usable_connections(rule_);
   if (usable == 0) return kMostConnections;
-  return serving_ ? tenancy::links_of_proxy(usable, *serving_, zone, zone_) : usable / proxies_;
+  return serving_ ? tenancy::links_per_proxy(usable, *serving_, zone, zone_) : usable / proxies_;
 }
 
 void ConnectionShares::apply_to(BackendUse& backend) const {
@@ -29,7 +29,7 @@
   const std::uint64_t links = std::clamp(links_to(backend.entry.zone), kLeastConnections, most);
   backend.pool.set_limit(links);
   backend.pool.set_idle_life(is_near ? kNearIdleLinkLife : kIdleLinkLife);
-  const std::uint64_t users = std::max<std::uint64_t>(is_near ? serving_->near(zone_) : proxies_, 1);
+  const std::uint64_t users = std::max<std::uint64_t>(is_near ? serving_->count_in(zone_) : proxies_, 1);
   const std::uint64_t slots = std::max<std::uint64_t>(backend.entry.slots / users, 1);
   backend.gate.set_bounds(static_cast<std::uint32_t>(slots), static_cast<std::uint32_t>(links));
 }
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -42,7 +42,7 @@
 }
 
 bool GroupAccess::is_primary_outside(const locality::PermittedRegions& allowed) const {
-  if (allowed.is_anywhere()) return false;
+  if (allowed.is_unrestricted()) return false;
   const auto leader = backends.open_primary();
   return leader && !allowed.allows(leader->entry.zone);
 }
--- a/src/registered/proxy/group/status_question.cpp
+++ b/src/registered/proxy/group/status_question.cpp
@@ -15,7 +15,7 @@
   if (!link) co_return std::nullopt;
   const TimePoint sent_at = runtime.now();
   runtime::SendState sent = runtime::SendState::kNotSent;
-  BackendRequest request = AskStatus{};
+  BackendRequest request = GetStatus{};
   const auto answer = co_await link->link().run(std::move(request), deadline, sent, reason);
   std::optional<BackendStatus> status;
   if (answer && answer->refusal) reason.detail = refusal_name(*answer->refusal);
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-ForwardTokens question(const limits::LimitedName& limited, const limits::TokenRequest& request) {
+ForwardTokens question(const limits::LimitKey& limited, const limits::TokenRequest& request) {
   ForwardTokens tokens{TenantName(), request.needed, request.ahead, BackendName()};
-  if (limited.kind == limits::LimitedKind::kTenant) {
+  if (limited.kind == limits::LimitKind::kTenant) {
     tokens.tenant = TenantName(limited.name);
   } else {
     tokens.cold_backend = BackendName(limited.name);
@@ -44,7 +44,7 @@
 }
 
 Awaitable<AdmissionAnswer> LimitClient::take_or_ask(limits::Limit limit) {
-  auto& held = accounts_[limit.of];
+  auto& held = accounts_[limit.key];
   if (!held) held = std::make_shared<Account>(runtime_);
   const AccountPointer account = held;
   const TimePoint begun = runtime_.now();
@@ -71,13 +71,13 @@
 Awaitable<void> LimitClient::ask_owners(limits::Limit limit, AccountPointer account) {
   const TimePoint asked_at = runtime_.now();
   const limits::TokenRequest request{std::max<std::uint64_t>(account->waiting, 1),
-                                     account->stock.expected(asked_at)};
+                                     account->stock.expected_demand(asked_at)};
   AdmissionAnswer answer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
-  for (const subset::ProxyPointer& owner : order_of(limit.of)) {
+  for (const subset::ProxyPointer& owner : order_of(limit.key)) {
     const Grant grant = co_await ask(limit, request, owner);
-    if (grant.outcome == GrantOutcome::kNotCounting) continue;
+    if (grant.outcome == GrantOutcome::kNotAuthorized) continue;
     if (grant.outcome == GrantOutcome::kGranted) {
-      account->stock.put(grant.tokens, asked_at);
+      account->stock.add(grant.tokens, asked_at);
       answer.outcome = AdmissionOutcome::kAdmitted;
       break;
     }
@@ -94,8 +94,8 @@
   account->answered.notify_all();
 }
 
-std::vector<subset::ProxyPointer> LimitClient::order_of(const limits::LimitedName& limited) const {
-  auto owners = view_.quotas().owners().of(limited);
+std::vector<subset::ProxyPointer> LimitClient::order_of(const limits::LimitKey& limited) const {
+  auto owners = view_.quotas().owners().owners_of(limited);
   const TimePoint now = runtime_.now();
   const auto rank = [&](const subset::ProxyPointer& owner) {
     const auto silent = silent_until_.find(owner->name);
@@ -119,19 +119,20 @@
   std::optional<ForwardAnswer> answer;
   if (connection) {
     ForwardRequest request;
-    request.body = question(limit.of, wanted);
+    request.body = question(limit.key, wanted);
     answer = co_await connection->call(std::move(request), deadline, reason);
   }
   if (answer) co_return answer->grant;
   silent_until_[owner->name] = runtime_.now() + kAvoidProxy;
-  runtime_.logger().log(runtime::LogLevel::kWarning, "tokens_not_granted", reason,
-                        {{limits::field_name(limit.of.kind), limit.of.name}, {"home", owner->name.value}});
+  runtime_.logger().log(
+      runtime::LogLevel::kWarning, "tokens_not_granted", reason,
+      {{limits::log_field_name(limit.key.kind), limit.key.name}, {"home", owner->name.value}});
   co_return Grant{};
 }
 
-void LimitClient::give_back(const limits::LimitedName& limited, TimePoint expires_at) {
+void LimitClient::give_back(const limits::LimitKey& limited, TimePoint expires_at) {
   const auto found = accounts_.find(limited);
-  if (found != accounts_.end()) found->second->stock.give_back(expires_at);
+  if (found != accounts_.end()) found->second->stock.return_unused(expires_at);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -47,12 +47,12 @@
   /// none, and the answer has none.
   Awaitable<AdmissionAnswer> admit_to_cold(BackendName backend);
   /// Nothing was run with a token that expires then.
-  void give_back(const limits::LimitedName& limited, TimePoint expires_at);
+  void give_back(const limits::LimitKey& limited, TimePoint expires_at);
 
  private:
   struct Account {
     explicit Account(runtime::Runtime& runtime) : answered(runtime) {}
-    limits::TokenStock stock;
+    limits::TokenCache stock;
     bool asking = false;
     std::uint64_t waiting = 0;  ///< operations
     AdmissionAnswer last;       ///< of the question asked last
@@ -65,13 +65,13 @@
   Awaitable<void> ask_owners(limits::Limit limit, AccountPointer account);
   Awaitable<limits::Grant> ask(limits::Limit limit, limits::TokenRequest wanted, subset::ProxyPointer owner);
   /// This proxy, those of its zone, the others; those that did not answer a moment ago last.
-  [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitedName& limited) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> order_of(const limits::LimitKey& limited) const;
 
   runtime::Runtime& runtime_;
   FleetView& view_;
   Forwarder& forwarder_;
   SessionMetrics& metrics_;
-  std::map<limits::LimitedName, AccountPointer> accounts_;
+  std::map<limits::LimitKey, AccountPointer> accounts_;
   std::map<NodeName, TimePoint> silent_until_;
 };
 
--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -26,8 +26,8 @@
 /// answers.
 inline constexpr double kColdCostMs = 66.0;
 
-inline limits::LimitedName limited(const BackendName& backend) {
-  return {limits::LimitedKind::kColdBackend, backend.value};
+inline limits::LimitKey limited(const BackendName& backend) {
+  return {limits::LimitKind::kColdBackend, backend.value};
 }
 
 /// `rate_per_s`: of its group, above 0.
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -12,7 +12,7 @@
 const placement::ProxyList* StatementPlacer::keep_inside(const placement::ProxyList& proxies,
                                                          const StatementRequest& order,
                                                          placement::ProxyList& kept) const {
-  if (order.allowed.is_anywhere()) return &proxies;
+  if (order.allowed.is_unrestricted()) return &proxies;
   kept = services_.view.in_regions(proxies, order.allowed);
   // The first choice is this proxy: nothing is to be passed on.
   if (!kept.empty() && kept.front()->name == services_.view.node()) kept.clear();
@@ -40,7 +40,7 @@
 }
 
 bool StatementPlacer::is_shut_out(const StatementRequest& order) {
-  if (order.allowed.is_nowhere()) return true;
+  if (order.allowed.allows_none()) return true;
   ReadNeed need;
   need.primary_only = !order.may_use_replicas();
   const auto choice = placement::choose_backend(
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 Awaitable<RunResult> StatementRunner::run(StatementRequest order) {
-  if (!order.allowed.is_anywhere() && StatementPlacer::is_shut_out(order))
+  if (!order.allowed.is_unrestricted() && StatementPlacer::is_shut_out(order))
     co_return refuse_outside(std::move(order));
   std::optional<placement::Forwarding> elsewhere;
   PeersInside inside;
@@ -54,7 +54,7 @@
   const bool stalls = writes && attempt->order.group->primary_health.refuses_commits();
   if (placement::commit_rejection(writes, stalls) != RejectionReason::kNone)
     co_return refuse_stalled(*attempt);
-  if (!attempt->order.allowed.is_anywhere()) co_await placer_.bring_position(attempt);
+  if (!attempt->order.allowed.is_unrestricted()) co_await placer_.bring_position(attempt);
   NextStep next = NextStep::kChooseAgain;
   while (next != NextStep::kAnswer) {
     const bool chosen = co_await choose(attempt);
@@ -243,7 +243,7 @@
   if (!begun) co_return apply(placement::run_again(attempt->needs_primary), *attempt);
   attempt->cold_token.reset();
   auto answer = co_await exchange(attempt);
-  const bool not_run = answer && answer->refusal && is_not_run(*answer->refusal);
+  const bool not_run = answer && answer->refusal && guarantees_not_run(*answer->refusal);
   if (attempt->sent == SendState::kMaybeSent && !not_run) attempt->order.may_have_run = true;
   attempt->at_backend += services_.runtime.now() - attempt->sent_at;
   leave_gate(backend->gate, answer, services_.runtime.now() - attempt->sent_at);
@@ -317,7 +317,7 @@
   const placement::AttemptFacts facts = attempt.facts(current);
   const placement::Retry retry = placement::after_answer(answer.refusal, facts);
   if (retry.next == NextStep::kAnswer) return take_final_answer(attempt, std::move(answer));
-  if (is_not_run(*answer.refusal)) {
+  if (guarantees_not_run(*answer.refusal)) {
     services_.metrics.count_retry(*answer.refusal);
     apply(placement::effects_of_refusal(*answer.refusal, facts), attempt);
     attempt.reason = Reason{ReasonCode::kOverloaded, "run_statement", backend.entry.name.value,
--- a/src/registered/tenancy/tenant_directory.h
+++ b/src/registered/tenancy/tenant_directory.h
@@ -11,7 +11,7 @@
 namespace cairnhollow::registered::tenancy {
 
 /// Number of tenants with metric labels of their own, about one dashboard page. All others share one label.
-inline constexpr std::size_t kNamedTenants = 20;
+inline constexpr std::size_t kLabeledTenants = 20;
 
 /// Invariant: a key is found if and only if a tenant of the directory has it.
 class TenantDirectory {
@@ -26,22 +26,22 @@
   [[nodiscard]] const registry::TenantRule* find(const TenantName& name) const;
   /// Returns the tenant's fraction of the rates of all tenants, 0 to 1; equal fractions if no tenant has a
   /// rate, and 0 for an unknown tenant.
-  [[nodiscard]] double part_of(const TenantName& name) const;
-  /// Returns whether the tenant is one of the kNamedTenants with the highest rates.
+  [[nodiscard]] double limit_fraction(const TenantName& name) const;
+  /// Returns whether the tenant is one of the kLabeledTenants with the highest rates.
   [[nodiscard]] bool is_large(const TenantName& name) const;
   /// Returns whether any tenant restricts the regions in which its statements run.
-  [[nodiscard]] bool any_names_regions() const { return naming_regions_ > 0; }
+  [[nodiscard]] bool any_restricts_regions() const { return region_restricted_count_ > 0; }
   [[nodiscard]] std::size_t size() const { return tenants_.size(); }
 
  private:
   void find_large() const;
 
   std::map<TenantName, registry::TenantRule> tenants_;
-  std::unordered_map<ApiKey, TenantName> holders_;
-  std::size_t naming_regions_ = 0;
-  std::uint64_t rates_ = 0;             ///< sum over all tenants, operations per second
-  mutable std::set<TenantName> large_;  ///< computed on demand, see large_is_old_
-  mutable bool large_is_old_ = true;
+  std::unordered_map<ApiKey, TenantName> tenant_by_key_;
+  std::size_t region_restricted_count_ = 0;
+  std::uint64_t total_rate_ = 0;        ///< sum over all tenants, operations per second
+  mutable std::set<TenantName> large_;  ///< computed on demand, see large_is_stale_
+  mutable bool large_is_stale_ = true;
 };
 
 }  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_division.h
+++ b/src/registered/tenancy/tenant_division.h
@@ -15,34 +15,34 @@
 namespace cairnhollow::registered::tenancy {
 
 /// A tenant with this fraction of all limits uses all proxies of a zone that serve a group.
-inline constexpr double kWholeZonePart = 0.5;
+inline constexpr double kWholeZoneFraction = 0.5;
 /// Links that a proxy may have to a backend of another zone. One of them is reserved in the backend's limit:
 /// for the proxy's own status requests, and for statements that it cannot run in a nearer zone.
-inline constexpr std::uint64_t kFarLinks = 2;
-inline constexpr std::uint64_t kFarLinksKeptBack = 1;
+inline constexpr std::uint64_t kRemoteZoneLinks = 2;
+inline constexpr std::uint64_t kReservedRemoteZoneLinks = 1;
 
 /// Returns the proxies of `serving` in the order of preference for the tenant: its own in `zone`, in the
 /// order of `serving`; then the others of that zone; then those of other zones, each zone by weight for the
 /// tenant. `serving`: the proxies that serve the group, in the order in which this proxy would forward to
-/// them. `part`: the tenant's fraction of all limits, 0 to 1.
+/// them. `fraction`: the tenant's fraction of all limits, 0 to 1.
 std::vector<subset::ProxyPointer> order_for_tenant(const std::vector<subset::ProxyPointer>& serving,
-                                                   const TenantName& tenant, double part,
+                                                   const TenantName& tenant, double fraction,
                                                    const ZoneName& zone);
 
-/// Returns how many of the `in_zone` proxies of a zone a tenant uses, at least 1. `part`: its fraction of all
-/// limits, 0 to 1.
-std::size_t proxies_of_tenant(std::size_t in_zone, double part);
+/// Returns how many of the `in_zone` proxies of a zone a tenant uses, at least 1. `fraction`: its fraction of
+/// all limits, 0 to 1.
+std::size_t tenant_proxy_count(std::size_t in_zone, double fraction);
 
 /// Returns the zone to which a proxy of `zone` sends a tenant's single reads: `zone` itself if it is in
 /// `reading`, the zones with readable backends; otherwise the one with the highest rendezvous weight for the
 /// tenant. Empty if `reading` is empty.
-ZoneName zone_of_reads(const std::vector<ZoneName>& reading, const TenantName& tenant, const ZoneName& zone);
+ZoneName zone_for_reads(const std::vector<ZoneName>& reading, const TenantName& tenant, const ZoneName& zone);
 
 /// Numbers of proxies that serve a group, in total and by zone.
 struct ServingProxies {
   std::uint64_t all = 0;
   std::map<ZoneName, std::uint64_t> in_zone;
-  [[nodiscard]] std::uint64_t near(const ZoneName& zone) const {
+  [[nodiscard]] std::uint64_t count_in(const ZoneName& zone) const {
     const auto found = in_zone.find(zone);
     return found == in_zone.end() ? 0 : found->second;
   }
@@ -51,7 +51,7 @@
 /// Returns how many of the `usable` links to a backend in the zone `backend` a serving proxy in the zone
 /// `proxy` may have. The proxies of other zones together may exceed the links reserved for them: they seldom
 /// use them, and the backend refuses excess connections.
-std::uint64_t links_of_proxy(std::uint64_t usable, const ServingProxies& serving, const ZoneName& backend,
-                             const ZoneName& proxy);
+std::uint64_t links_per_proxy(std::uint64_t usable, const ServingProxies& serving, const ZoneName& backend,
+                              const ZoneName& proxy);
 
 }  // namespace cairnhollow::registered::tenancy
--- a/src/registered/tenancy/tenant_limit.h
+++ b/src/registered/tenancy/tenant_limit.h
@@ -6,12 +6,12 @@
 
 namespace cairnhollow::registered::tenancy {
 
-inline limits::LimitedName limited(const TenantName& tenant) {
-  return {limits::LimitedKind::kTenant, tenant.value};
+inline limits::LimitKey limit_key(const TenantName& tenant) {
+  return {limits::LimitKind::kTenant, tenant.value};
 }
 
 inline limits::Limit limit_of(const registry::TenantRule& tenant, const limits::LimitWindow& window) {
-  return {limited(tenant.name), static_cast<double>(tenant.rate_per_s), static_cast<double>(tenant.burst),
+  return {limit_key(tenant.name), static_cast<double>(tenant.rate_per_s), static_cast<double>(tenant.burst),
           window};
 }
 
--- a/standins/registered/caller.cpp
+++ b/standins/registered/caller.cpp
@@ -56,7 +56,7 @@
       const std::string_view word = take_word(rest);
       if (word == "ROW") reply.rows.emplace_back(rest);
       if (word == "DONE") reply.done = true;
-      if (word == "ERR") reply.refusal = words::parse_error_word(take_word(rest));
+      if (word == "ERR") reply.refusal = words::parse_refusal_code(take_word(rest));
       if (word != "READY") continue;
       reply.whole = true;
       co_return reply;
@@ -146,7 +146,7 @@
   static void take_outcome(const Reply& reply, Attempt& attempt) {
     attempt.cut = !reply.whole;
     if (reply.done) attempt.outcome = AttemptOutcome::kAcknowledged;
-    if (reply.refusal && cairnhollow::registered::is_promise(*reply.refusal))
+    if (reply.refusal && cairnhollow::registered::guarantees_no_effect(*reply.refusal))
       attempt.outcome = AttemptOutcome::kPromisedNotKept;
   }
 
--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -51,20 +51,20 @@
 
 class DocumentJsonTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DocumentJsonTest);
-  CPPUNIT_TEST(the_document_of_the_pages);
-  CPPUNIT_TEST(the_tenants_of_the_pages);
-  CPPUNIT_TEST(faults_of_tenants_name_their_field_and_no_key);
-  CPPUNIT_TEST(the_heartbeat_of_the_pages);
-  CPPUNIT_TEST(a_backends_start_and_cold_time_are_read);
-  CPPUNIT_TEST(a_start_that_is_not_whole_is_refused);
-  CPPUNIT_TEST(places_and_cold_starts_of_a_document_are_read);
-  CPPUNIT_TEST(places_and_cold_starts_that_can_not_be_read_name_their_field);
+  CPPUNIT_TEST(parses_documented_example);
+  CPPUNIT_TEST(parses_documented_tenants);
+  CPPUNIT_TEST(tenant_faults_name_field_but_no_key);
+  CPPUNIT_TEST(parses_documented_heartbeat);
+  CPPUNIT_TEST(parses_start_time_and_cold_time);
+  CPPUNIT_TEST(refuses_start_time_that_is_no_integer);
+  CPPUNIT_TEST(parses_regions_and_cold_starts);
+  CPPUNIT_TEST(region_and_cold_start_faults_name_field);
   CPPUNIT_TEST(faults_name_their_field);
-  CPPUNIT_TEST(every_cut_of_a_body_is_refused);
+  CPPUNIT_TEST(refuses_every_truncated_document);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_document_of_the_pages() {
+  void parses_documented_example() {
     Reason reason;
     const auto document = read_document(kDocument, reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, document);
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(registered::registry::find_faults(*document).empty());
   }
 
-  void the_tenants_of_the_pages() {
+  void parses_documented_tenants() {
     Reason reason;
     const auto without = read_document(kDocument, reason);
     CPPUNIT_ASSERT(without && !without->requires_keys && without->tenants.empty());
@@ -91,14 +91,15 @@
     CPPUNIT_ASSERT_EQUAL(std::string("miny420"), tenant.name.value);
     CPPUNIT_ASSERT(tenant.keys == (std::vector<ApiKey>{ApiKey("bkf8"), ApiKey("7qdq")}));
     CPPUNIT_ASSERT(tenant.rate_per_s == 218 && tenant.burst == 200 && tenant.priority == 1);
-    const auto nobody = read_document(with_tenants("[]"), reason);
-    CPPUNIT_ASSERT_MESSAGE("an empty tenant list still requires keys", nobody && nobody->requires_keys);
-    const auto open =
+    const auto no_tenants = read_document(with_tenants("[]"), reason);
+    CPPUNIT_ASSERT_MESSAGE("an empty tenant list still requires keys",
+                           no_tenants && no_tenants->requires_keys);
+    const auto public_route =
         read_document(replaced(kDocument, R"("Priority":1)", R"("Priority":1,"Public":true)"), reason);
-    CPPUNIT_ASSERT(open && open->routes[0].is_public && !open->routes[1].is_public);
+    CPPUNIT_ASSERT(public_route && public_route->routes[0].is_public && !public_route->routes[1].is_public);
   }
 
-  void faults_of_tenants_name_their_field_and_no_key() {
+  void tenant_faults_name_field_but_no_key() {
     const auto fault = [](const std::string& tenants) { return fault_of(with_tenants(tenants)); };
     const std::string shared =
         fault(R"([{"Name":"a","ApiKeys":["secret"]},{"Name":"b","ApiKeys":["other","secret"]}])");
@@ -116,44 +117,44 @@
                          fault_of(replaced(kDocument, R"("Priority":1)", R"("Priority":1,"Public":"yes")")));
   }
 
-  void the_heartbeat_of_the_pages() {
+  void parses_documented_heartbeat() {
     Reason reason;
     const auto heartbeat = read_heartbeat("i-7f3a91c2", kHeartbeat, reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, heartbeat);
     CPPUNIT_ASSERT_EQUAL(std::string("i-7f3a91c2"), heartbeat->entry.name.value);
     CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"), heartbeat->entry.endpoint.to_string());
     CPPUNIT_ASSERT(!heartbeat->entry.leaving);
-    CPPUNIT_ASSERT(!heartbeat->says_primary);
+    CPPUNIT_ASSERT(!heartbeat->reports_primary);
     CPPUNIT_ASSERT(
         read_heartbeat("i", replaced(kHeartbeat, "\"ready\"", "\"draining\""), reason)->entry.leaving);
     CPPUNIT_ASSERT(!read_heartbeat("i", replaced(kHeartbeat, "10.128.0.9:8080", "database"), reason));
     CPPUNIT_ASSERT_EQUAL(std::string("Addr: must be an IP address and port"), reason.detail);
   }
 
-  void a_backends_start_and_cold_time_are_read() {
+  void parses_start_time_and_cold_time() {
     Reason reason;
     const auto without = read_heartbeat("i", kHeartbeat, reason);
     CPPUNIT_ASSERT(without && without->entry.born_ms == 0 && without->entry.cold_ms == 0);
     const std::string cold = replaced(kHeartbeat, R"("ColdRemainingMs":0)", R"("ColdRemainingMs":1500)");
-    const auto born =
+    const auto with_start =
         read_heartbeat("i", replaced(cold, R"("Seq":4)", R"("Seq":4,"born":1790000000123)"), reason);
-    CPPUNIT_ASSERT_MESSAGE(reason.detail, born);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, born->entry.born_ms);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1500}, born->entry.cold_ms);
+    CPPUNIT_ASSERT_MESSAGE(reason.detail, with_start);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, with_start->entry.born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1500}, with_start->entry.cold_ms);
   }
 
-  void a_start_that_is_not_whole_is_refused() {
-    for (const std::string born :
+  void refuses_start_time_that_is_no_integer() {
+    for (const std::string start :
          {"1790000000123.5", "\"1790000000123\"", "null", "-1", "1e300", "[1]", "true"}) {
       Reason reason;
       const auto heartbeat =
-          read_heartbeat("i", replaced(kHeartbeat, R"("Seq":4)", R"("Seq":4,"born":)" + born), reason);
-      CPPUNIT_ASSERT_MESSAGE(born, !heartbeat);
+          read_heartbeat("i", replaced(kHeartbeat, R"("Seq":4)", R"("Seq":4,"born":)" + start), reason);
+      CPPUNIT_ASSERT_MESSAGE(start, !heartbeat);
       CPPUNIT_ASSERT_EQUAL(std::string("born: must be a non-negative integer"), reason.detail);
     }
   }
 
-  void places_and_cold_starts_of_a_document_are_read() {
+  void parses_regions_and_cold_starts() {
     Reason reason;
     std::string text =
         replaced(kDocument, R"("SyncReplicas":1)", R"("ColdStartS":2.5,"ColdPerS":7.25,"SyncReplicas":1)");
@@ -176,7 +177,7 @@
                    without->groups[0].cold_rate_per_s == 0);
   }
 
-  void places_and_cold_starts_that_can_not_be_read_name_their_field() {
+  void region_and_cold_start_faults_name_field() {
     const auto group = [](const std::string& more) {
       return fault_of(replaced(kDocument, R"("SyncReplicas":1)", R"("SyncReplicas":1,)" + more));
     };
@@ -211,7 +212,7 @@
                          fault_of(replaced(kDocument, "\"TimeoutMs\":800,", "")));
   }
 
-  void every_cut_of_a_body_is_refused() {
+  void refuses_every_truncated_document() {
     for (std::size_t size = 0; size < kDocument.size(); ++size) {
       Reason reason;
       CPPUNIT_ASSERT(!read_document(kDocument.substr(0, size), reason));
--- a/tests/platform/evacuation_calls_test.cpp
+++ b/tests/platform/evacuation_calls_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Records the evacuation calls and answers each with `answer`.
-class NotingService : public registered::registry::ControlService {
+class RecordingControlService : public registered::registry::ControlService {
  public:
   Awaitable<bool> replace_document(registered::registry::ConfigurationDocument, Reason&) override {
     co_return false;
@@ -21,17 +21,17 @@
   }
   Awaitable<bool> deregister_backend(BackendName, Reason&) override { co_return false; }
   Awaitable<bool> begin_evacuation(ZoneName zone, Reason& reason) override {
-    orders.push_back("begin " + zone.value);
+    calls.push_back("begin " + zone.value);
     reason = answer;
     co_return !answer.failed();
   }
   Awaitable<bool> end_evacuation(ZoneName zone, Reason& reason) override {
-    orders.push_back("end " + zone.value);
+    calls.push_back("end " + zone.value);
     reason = answer;
     co_return !answer.failed();
   }
 
-  std::vector<std::string> orders;
+  std::vector<std::string> calls;
   Reason answer;
 };
 
@@ -39,27 +39,27 @@
 
 class EvacuationCallsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EvacuationCallsTest);
-  CPPUNIT_TEST(both_orders_are_passed_on);
-  CPPUNIT_TEST(an_unknown_zone_is_named);
-  CPPUNIT_TEST(without_a_clear_outcome_it_may_be_sent_again);
-  CPPUNIT_TEST(what_is_no_name_of_a_zone_is_refused);
+  CPPUNIT_TEST(forwards_begin_and_end);
+  CPPUNIT_TEST(names_unknown_zone);
+  CPPUNIT_TEST(answers_503_if_outcome_is_unknown);
+  CPPUNIT_TEST(refuses_invalid_zone_names);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
     runtime_ = &world_->start_bare({"node", "10.0.0.1", ZoneName("a")});
-    calls_ = make_control_calls(service_);
+    calls_ = make_control_handler(service_);
   }
   void tearDown() override { world_.reset(); }
 
-  void both_orders_are_passed_on() {
+  void forwards_begin_and_end() {
     CPPUNIT_ASSERT_EQUAL(200U, call(runtime::HttpMethod::kPost, "/evacuations/gl-erie").status);
     CPPUNIT_ASSERT_EQUAL(200U, call(runtime::HttpMethod::kDelete, "/evacuations/gl-erie").status);
-    CPPUNIT_ASSERT(service_.orders == (std::vector<std::string>{"begin gl-erie", "end gl-erie"}));
+    CPPUNIT_ASSERT(service_.calls == (std::vector<std::string>{"begin gl-erie", "end gl-erie"}));
   }
 
-  void an_unknown_zone_is_named() {
+  void names_unknown_zone() {
     service_.answer = Reason{ReasonCode::kNotFound, "evacuate_zone", "gl-eire", "no such zone is known"};
     for (const auto method : {runtime::HttpMethod::kPost, runtime::HttpMethod::kDelete}) {
       const auto response = call(method, "/evacuations/gl-eire");
@@ -68,12 +68,12 @@
     }
   }
 
-  void without_a_clear_outcome_it_may_be_sent_again() {
+  void answers_503_if_outcome_is_unknown() {
     service_.answer = Reason{ReasonCode::kNoQuorum, "submit", "", "no leader is known here"};
     CPPUNIT_ASSERT_EQUAL(503U, call(runtime::HttpMethod::kPost, "/evacuations/gl-erie").status);
   }
 
-  void what_is_no_name_of_a_zone_is_refused() {
+  void refuses_invalid_zone_names() {
     const std::vector<std::string> names{"", "a/b", "a%20b", "a b", std::string(200, 'a'), "\xff"};
     for (const std::string& name : names) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(name, 400U,
@@ -82,7 +82,7 @@
                                    call(runtime::HttpMethod::kDelete, "/evacuations/" + name).status);
     }
     CPPUNIT_ASSERT_EQUAL(404U, call(runtime::HttpMethod::kGet, "/evacuations/gl-erie").status);
-    CPPUNIT_ASSERT(service_.orders.empty());
+    CPPUNIT_ASSERT(service_.calls.empty());
   }
 
  private:
@@ -98,7 +98,7 @@
     return *response;
   }
 
-  NotingService service_;
+  RecordingControlService service_;
   std::unique_ptr<simulation::World> world_;
   runtime::Runtime* runtime_ = nullptr;
   std::unique_ptr<runtime::HttpHandler> calls_;
--- a/tests/platform/heartbeat_json_test.cpp
+++ b/tests/platform/heartbeat_json_test.cpp
@@ -21,45 +21,45 @@
   return text.replace(place, from.size(), to);
 }
 
-struct Bad {
+struct InvalidHeartbeat {
   std::string body;
   RegistrationFault fault;
   std::string detail;  ///< empty: an error message of Boost.JSON, not compared
 };
 
-void assert_refused(const std::string& id, const Bad& bad) {
+void assert_refused(const std::string& id, const InvalidHeartbeat& invalid) {
   Reason reason;
   RegistrationFault fault{};
-  const auto heartbeat = read_heartbeat(id, bad.body, fault, reason);
-  const std::string shown = bad.body.substr(0, 300);
+  const auto heartbeat = read_heartbeat(id, invalid.body, fault, reason);
+  const std::string shown = invalid.body.substr(0, 300);
   CPPUNIT_ASSERT_MESSAGE(shown, !heartbeat);
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, registration_fault_name(bad.fault), registration_fault_name(fault));
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, registration_fault_name(invalid.fault), registration_fault_name(fault));
   CPPUNIT_ASSERT(reason.code == ReasonCode::kInvalidArgument);
-  if (!bad.detail.empty()) CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, bad.detail, reason.detail);
+  if (!invalid.detail.empty()) CPPUNIT_ASSERT_EQUAL_MESSAGE(shown, invalid.detail, reason.detail);
   CPPUNIT_ASSERT_MESSAGE("the message has a bounded length", reason.detail.size() < 200);
 }
 
-void assert_refused(const Bad& bad) { assert_refused("i-7f3a91c2", bad); }
+void assert_refused(const InvalidHeartbeat& invalid) { assert_refused("i-7f3a91c2", invalid); }
 
 }  // namespace
 
 class HeartbeatJsonTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HeartbeatJsonTest);
-  CPPUNIT_TEST(a_field_that_is_missing_is_named);
-  CPPUNIT_TEST(a_field_of_another_type_is_named);
-  CPPUNIT_TEST(a_state_or_part_that_nobody_knows_is_named);
-  CPPUNIT_TEST(numbers_that_no_backend_has_are_refused);
-  CPPUNIT_TEST(names_that_would_forge_a_line_are_refused);
-  CPPUNIT_TEST(addresses_that_nobody_can_reach_are_refused);
-  CPPUNIT_TEST(bytes_that_are_no_object_are_refused);
-  CPPUNIT_TEST(a_body_longer_than_any_backends_is_not_read);
-  CPPUNIT_TEST(ids_that_no_backend_has_are_refused);
-  CPPUNIT_TEST(what_nobody_knows_is_passed_over);
-  CPPUNIT_TEST(every_cut_of_a_heartbeat_is_refused);
+  CPPUNIT_TEST(names_missing_field);
+  CPPUNIT_TEST(names_field_of_wrong_type);
+  CPPUNIT_TEST(refuses_unknown_state_or_role);
+  CPPUNIT_TEST(refuses_numbers_out_of_range);
+  CPPUNIT_TEST(refuses_names_that_could_forge_a_line);
+  CPPUNIT_TEST(refuses_unusable_addresses);
+  CPPUNIT_TEST(refuses_bodies_that_are_no_json_object);
+  CPPUNIT_TEST(refuses_oversized_body);
+  CPPUNIT_TEST(refuses_invalid_ids);
+  CPPUNIT_TEST(ignores_unknown_fields);
+  CPPUNIT_TEST(refuses_every_truncated_heartbeat);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_field_that_is_missing_is_named() {
+  void names_missing_field() {
     const std::vector<std::pair<std::string, std::string>> fields = {
         {"Service", R"("Service":"huvo11a",)"},
         {"Addr", R"("Addr":"10.128.0.9:8080",)"},
@@ -74,7 +74,7 @@
       assert_refused({replaced(text, ""), RegistrationFault::kMissingField, field + ": is missing"});
   }
 
-  void a_field_of_another_type_is_named() {
+  void names_field_of_wrong_type() {
     const auto refused = [](const std::string& from, const std::string& to, const std::string& detail) {
       assert_refused({replaced(from, to), RegistrationFault::kBadField, detail});
     };
@@ -93,7 +93,7 @@
     refused(R"("born":1790000000123)", R"("born":null)", "born: must be a non-negative integer");
   }
 
-  void a_state_or_part_that_nobody_knows_is_named() {
+  void refuses_unknown_state_or_role() {
     for (const std::string state : {"leaving", "", "READY", "ready ", "Draining"})
       assert_refused({replaced(R"("State":"ready")", R"("State":")" + state + "\""),
                       RegistrationFault::kUnknownWord, "State: is not a known value"});
@@ -101,7 +101,7 @@
                     RegistrationFault::kUnknownWord, "DbRole: is not a known value"});
   }
 
-  void numbers_that_no_backend_has_are_refused() {
+  void refuses_numbers_out_of_range() {
     const auto refused = [](const std::string& from, const std::string& to, const std::string& detail) {
       assert_refused({replaced(from, to), RegistrationFault::kBadField, detail});
     };
@@ -114,7 +114,7 @@
     refused(R"("ColdRemainingMs":0)", R"("ColdRemainingMs":1e18)", "ColdRemainingMs: is too long");
   }
 
-  void names_that_would_forge_a_line_are_refused() {
+  void refuses_names_that_could_forge_a_line() {
     for (const std::string field : {"Service", "Zone"}) {
       const std::string text = field == "Zone" ? R"("Zone":"hafn-a")" : R"("Service":"huvo11a")";
       const auto refused = [&](const std::string& name, const std::string& fault) {
@@ -130,7 +130,7 @@
     }
   }
 
-  void addresses_that_nobody_can_reach_are_refused() {
+  void refuses_unusable_addresses() {
     for (const std::string address :
          {"10.128.0.9", "10.128.0.9:", "10.128.0.9:65536", "10.128.0.9:80 ", ":8080", "host:8080", "10.1:80"})
       assert_refused({replaced("10.128.0.9:8080", address), RegistrationFault::kBadField,
@@ -140,7 +140,7 @@
                       "Addr: must not be a wildcard address or have port 0"});
   }
 
-  void bytes_that_are_no_object_are_refused() {
+  void refuses_bodies_that_are_no_json_object() {
     const std::string deep(5000, '[');
     for (const std::string& body :
          {std::string(), std::string("[]"), std::string("null"), std::string("\xff\xfe\x00", 3), deep,
@@ -149,12 +149,12 @@
       assert_refused({body, RegistrationFault::kUnreadable, ""});
   }
 
-  void a_body_longer_than_any_backends_is_not_read() {
+  void refuses_oversized_body() {
     const std::string body = replaced("\"v1\"", "\"" + std::string(20'000, 'v') + "\"");
     assert_refused({body, RegistrationFault::kTooLarge, "the body is too large"});
   }
 
-  void ids_that_no_backend_has_are_refused() {
+  void refuses_invalid_ids() {
     for (const std::string& id :
          {std::string(), std::string("a b"), std::string("a\r\n"), std::string("a\0", 2), std::string("a/b"),
           std::string("i%2D7f"), std::string("i?x=1"), std::string("i\xC3\xA9"), std::string(300, 'i')}) {
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT(is_backend_id("g1-b2.kelburn_3:4~5"));
   }
 
-  void what_nobody_knows_is_passed_over() {
+  void ignores_unknown_fields() {
     Reason reason;
     RegistrationFault fault{};
     const auto heartbeat = read_heartbeat("i", replaced("{", R"({"Weather":{"wind":[3]},)"), fault, reason);
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, heartbeat->entry.born_ms);
   }
 
-  void every_cut_of_a_heartbeat_is_refused() {
+  void refuses_every_truncated_heartbeat() {
     for (std::size_t size = 0; size < kHeartbeat.size(); ++size)
       assert_refused({kHeartbeat.substr(0, size), RegistrationFault::kUnreadable, ""});
   }
--- a/tests/platform/registration_calls_test.cpp
+++ b/tests/platform/registration_calls_test.cpp
@@ -13,22 +13,22 @@
     R"("State":"ready","ColdRemainingMs":0,"DbRole":"replica","Seq":4})";
 
 /// Knows one backend, in the state "ready".
-class OneBackend : public registered::registry::RegistrationRelay {
+class SingleBackendRelay : public registered::registry::RegistrationRelay {
  public:
   [[nodiscard]] bool knows(const registered::registry::BackendEntry& entry) const override {
     return entry.name.value == "i-7f3a91c2" && !entry.leaving;
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override { return control; }
-  void record_refused(const registered::registry::RefusedRegistration& said) const override {
-    refused.push_back(said);
+  void record_refused(const registered::registry::RefusedRegistration& refusal) const override {
+    refused.push_back(refusal);
   }
 
   mutable std::vector<registered::registry::RefusedRegistration> refused;
   std::optional<Endpoint> control = Endpoint{"10.0.0.4", 8782};
 };
 
-/// Accepts every registration and names a proxy for subsequent heartbeats, or fails with `refuses_as`.
-class NamingService : public registered::registry::ControlService {
+/// Accepts every registration and names a proxy for subsequent heartbeats, or fails with `failure`.
+class FakeControlService : public registered::registry::ControlService {
  public:
   Awaitable<bool> replace_document(registered::registry::ConfigurationDocument, Reason&) override {
     co_return false;
@@ -36,25 +36,25 @@
   Awaitable<std::optional<std::string>> read_document(Reason&) override { co_return std::nullopt; }
   Awaitable<std::optional<registered::registry::Registration>> register_backend(
       registered::registry::BackendEntry, Reason& reason) override {
-    ++taken;
-    if (refuses_as == ReasonCode::kNone)
+    ++accepted_count;
+    if (failure == ReasonCode::kNone)
       co_return registered::registry::Registration{Endpoint{"10.1.0.8", 7441}};
-    reason = Reason{refuses_as, "register_backend", "", "refused"};
+    reason = Reason{failure, "register_backend", "", "refused"};
     co_return std::nullopt;
   }
   Awaitable<bool> deregister_backend(BackendName, Reason&) override {
-    ++taken;
+    ++accepted_count;
     co_return true;
   }
-  void record_refused(const registered::registry::RefusedRegistration& said) override {
-    refused.push_back(said);
+  void record_refused(const registered::registry::RefusedRegistration& refusal) override {
+    refused.push_back(refusal);
   }
 
   Awaitable<bool> begin_evacuation(ZoneName, Reason&) override { co_return false; }
   Awaitable<bool> end_evacuation(ZoneName, Reason&) override { co_return false; }
 
-  ReasonCode refuses_as = ReasonCode::kNone;
-  int taken = 0;
+  ReasonCode failure = ReasonCode::kNone;
+  int accepted_count = 0;
   std::vector<registered::registry::RefusedRegistration> refused;
 };
 
@@ -62,29 +62,29 @@
 
 class RegistrationCallsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistrationCallsTest);
-  CPPUNIT_TEST(what_is_known_is_answered);
-  CPPUNIT_TEST(news_and_goodbyes_go_to_control);
-  CPPUNIT_TEST(without_control_the_backend_goes_on_to_the_next_node);
-  CPPUNIT_TEST(what_can_not_be_read_is_refused);
-  CPPUNIT_TEST(control_names_where_to_say_it_again);
-  CPPUNIT_TEST(control_passes_on_nothing_that_is_malformed);
-  CPPUNIT_TEST(a_proxy_passes_on_nothing_that_is_malformed);
-  CPPUNIT_TEST(the_status_tells_whose_fault_it_is);
+  CPPUNIT_TEST(answers_known_heartbeat);
+  CPPUNIT_TEST(redirects_changes_and_deregistrations_to_control);
+  CPPUNIT_TEST(answers_503_to_changes_without_control);
+  CPPUNIT_TEST(refuses_unreadable_calls);
+  CPPUNIT_TEST(control_names_proxy_for_next_heartbeat);
+  CPPUNIT_TEST(control_refuses_malformed_calls);
+  CPPUNIT_TEST(proxy_refuses_malformed_calls);
+  CPPUNIT_TEST(status_distinguishes_invalid_from_unavailable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
     runtime_ = &world_->start_bare({"node", "10.0.0.1", ZoneName("a")});
-    calls_ = make_registration_calls(relay_);
+    calls_ = make_registration_handler(relay_);
   }
   void tearDown() override { world_.reset(); }
 
-  void what_is_known_is_answered() {
+  void answers_known_heartbeat() {
     CPPUNIT_ASSERT_EQUAL(200U, call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", kReady).status);
   }
 
-  void news_and_goodbyes_go_to_control() {
+  void redirects_changes_and_deregistrations_to_control() {
     std::string leaving = kReady;
     leaving.replace(leaving.find("ready"), 5, "draining");
     const auto news = call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", leaving);
@@ -95,40 +95,40 @@
     CPPUNIT_ASSERT_EQUAL(307U, call(runtime::HttpMethod::kDelete, "/instances/i-7f3a91c2", "").status);
   }
 
-  void without_control_the_backend_goes_on_to_the_next_node() {
+  void answers_503_to_changes_without_control() {
     relay_.control.reset();
     CPPUNIT_ASSERT_EQUAL(503U, call(runtime::HttpMethod::kPut, "/instances/i-other", kReady).status);
     CPPUNIT_ASSERT_EQUAL(200U, call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", kReady).status);
   }
 
-  void what_can_not_be_read_is_refused() {
+  void refuses_unreadable_calls() {
     CPPUNIT_ASSERT_EQUAL(400U, call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", "{}").status);
     CPPUNIT_ASSERT_EQUAL(404U, call(runtime::HttpMethod::kPut, "/config", "{}").status);
   }
 
-  void control_passes_on_nothing_that_is_malformed() {
-    NamingService service;
-    calls_ = make_control_calls(service);
+  void control_refuses_malformed_calls() {
+    FakeControlService service;
+    calls_ = make_control_handler(service);
     assert_malformed_is_refused(service.refused);
-    CPPUNIT_ASSERT_EQUAL(0, service.taken);
+    CPPUNIT_ASSERT_EQUAL(0, service.accepted_count);
   }
 
-  void a_proxy_passes_on_nothing_that_is_malformed() { assert_malformed_is_refused(relay_.refused); }
+  void proxy_refuses_malformed_calls() { assert_malformed_is_refused(relay_.refused); }
 
-  void the_status_tells_whose_fault_it_is() {
-    NamingService service;
-    calls_ = make_control_calls(service);
+  void status_distinguishes_invalid_from_unavailable() {
+    FakeControlService service;
+    calls_ = make_control_handler(service);
     const std::vector<std::pair<ReasonCode, unsigned>> statuses = {
         {ReasonCode::kNotFound, 404}, {ReasonCode::kConflict, 409}, {ReasonCode::kNoQuorum, 503}};
     for (const auto& [code, status] : statuses) {
-      service.refuses_as = code;
+      service.failure = code;
       CPPUNIT_ASSERT_EQUAL(status, call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", kReady).status);
     }
   }
 
-  void control_names_where_to_say_it_again() {
-    NamingService service;
-    calls_ = make_control_calls(service);
+  void control_names_proxy_for_next_heartbeat() {
+    FakeControlService service;
+    calls_ = make_control_handler(service);
     const auto response = call(runtime::HttpMethod::kPut, "/instances/i-7f3a91c2", kReady);
     CPPUNIT_ASSERT_EQUAL(200U, response.status);
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"HeartbeatAddr":"10.1.0.8:7441"})"), response.body);
@@ -141,9 +141,9 @@
   void assert_malformed_is_refused(const std::vector<registered::registry::RefusedRegistration>& refused) {
     using registered::registry::RegistrationFault;
     using runtime::HttpMethod;
-    std::string rubbish = kReady;
-    rubbish.replace(rubbish.find("ready"), 5, "bored");
-    CPPUNIT_ASSERT_EQUAL(400U, call(HttpMethod::kPut, "/instances/i-7f3a91c2", rubbish).status);
+    std::string malformed = kReady;
+    malformed.replace(malformed.find("ready"), 5, "bored");
+    CPPUNIT_ASSERT_EQUAL(400U, call(HttpMethod::kPut, "/instances/i-7f3a91c2", malformed).status);
     CPPUNIT_ASSERT_EQUAL(400U, call(HttpMethod::kPut, "/instances/i-7f3a91c2", "\xff").status);
     CPPUNIT_ASSERT_EQUAL(413U,
                          call(HttpMethod::kPut, "/instances/i-7f3a91c2", std::string(20'000, ' ')).status);
@@ -171,7 +171,7 @@
     return *response;
   }
 
-  OneBackend relay_;
+  SingleBackendRelay relay_;
   std::unique_ptr<simulation::World> world_;
   runtime::Runtime* runtime_ = nullptr;
   std::unique_ptr<runtime::HttpHandler> calls_;
--- a/tests/platform/wire_words_test.cpp
+++ b/tests/platform/wire_words_test.cpp
@@ -13,17 +13,17 @@
 
 class WireWordsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WireWordsTest);
-  CPPUNIT_TEST(statements_of_the_pages);
-  CPPUNIT_TEST(texts_that_are_no_statement);
-  CPPUNIT_TEST(answers_are_printed_as_on_the_pages);
-  CPPUNIT_TEST(requests_are_printed_as_on_the_pages);
-  CPPUNIT_TEST(positions);
-  CPPUNIT_TEST(error_words_go_both_ways);
-  CPPUNIT_TEST(any_text_is_passed_on_unchanged);
+  CPPUNIT_TEST(parses_documented_statements);
+  CPPUNIT_TEST(invalid_statements_are_unknown);
+  CPPUNIT_TEST(formats_documented_answers);
+  CPPUNIT_TEST(formats_documented_requests);
+  CPPUNIT_TEST(parses_and_formats_positions);
+  CPPUNIT_TEST(refusal_codes_round_trip);
+  CPPUNIT_TEST(any_text_is_kept_unchanged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void statements_of_the_pages() {
+  void parses_documented_statements() {
     const auto prepare = parse_statement("5c0e7a21d94b36f8", "PREPARE s1 WRITE q2c");
     CPPUNIT_ASSERT(prepare.kind == StatementKind::kPrepare);
     CPPUNIT_ASSERT_EQUAL(std::string("s1"), prepare.name);
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("s1"), parse_statement("i", "DEALLOC s1").name);
   }
 
-  void texts_that_are_no_statement() {
+  void invalid_statements_are_unknown() {
     for (const char* text :
          {"", "READ", "WRITE", "BEGIN WRITE", "COMMIT now", "AFTER 3.1 READ x", "PREPARE s1",
           "PREPARE s1 SCAN q", "PREPARE s1 READ", "RESET", "STATUS", "DEMOTE 4", "read x"}) {
@@ -49,7 +49,7 @@
     }
   }
 
-  void answers_are_printed_as_on_the_pages() {
+  void formats_documented_answers() {
     registered::Answer answer;
     answer.rows = {"qhzkwmtrbelo"};
     answer.signature = "7.1f3.c.2b.90e1c4d2a7b3f655";
@@ -68,11 +68,11 @@
     CPPUNIT_ASSERT_EQUAL(std::string("DONE -\r\nREADY I -\r\n"), print_answer(own));
   }
 
-  void requests_are_printed_as_on_the_pages() {
-    registered::PassOn read{"5c0e7a21d94b36f8", "READ 1a4", Position{3, 1207}};
+  void formats_documented_requests() {
+    registered::ForwardedStatement read{"5c0e7a21d94b36f8", "READ 1a4", Position{3, 1207}};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY 5c0e7a21d94b36f8 AFTER 3.1207 READ 1a4\r\n"),
                          print_request(read));
-    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - STATUS\r\n"), print_request(registered::AskStatus{}));
+    CPPUNIT_ASSERT_EQUAL(std::string("QUERY - STATUS\r\n"), print_request(registered::GetStatus{}));
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY - BEGIN\r\n"), print_request(registered::Begin{}));
     registered::Begin begin{true, Position{3, 7}};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY - AFTER 3.7 BEGIN READ\r\n"), print_request(begin));
@@ -83,27 +83,27 @@
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY - DEMOTE 4\r\n"), print_request(registered::Demote{4}));
   }
 
-  void positions() {
+  void parses_and_formats_positions() {
     CPPUNIT_ASSERT(parse_position("3.1207") == (Position{3, 1207}));
     for (const char* text : {"-", "", "3", "3.", ".4", "3.x", "3.4.5", "-3.4", "3.99999999999999999999"})
       CPPUNIT_ASSERT_MESSAGE(text, !parse_position(text));
     CPPUNIT_ASSERT_EQUAL(std::string("-"), print_position(std::nullopt));
   }
 
-  void error_words_go_both_ways() {
+  void refusal_codes_round_trip() {
     for (const char* word : {"BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "CONNLIMIT", "INDOUBT",
                              "TIMEOUT", "FAILED", "MALFORMED", "NOSTMT", "NODB"}) {
-      const auto refusal = parse_error_word(word);
+      const auto refusal = parse_refusal_code(word);
       CPPUNIT_ASSERT_MESSAGE(word, refusal);
-      CPPUNIT_ASSERT_EQUAL(std::string(word), std::string(error_word(*refusal)));
+      CPPUNIT_ASSERT_EQUAL(std::string(word), std::string(refusal_code(*refusal)));
     }
-    CPPUNIT_ASSERT(!parse_error_word("busy"));
-    CPPUNIT_ASSERT(registered::is_promise(Refusal::kConnectionLimit));
-    CPPUNIT_ASSERT(!registered::is_promise(Refusal::kInDoubt));
-    CPPUNIT_ASSERT(!registered::is_promise(Refusal::kFailed));
+    CPPUNIT_ASSERT(!parse_refusal_code("busy"));
+    CPPUNIT_ASSERT(registered::guarantees_no_effect(Refusal::kConnectionLimit));
+    CPPUNIT_ASSERT(!registered::guarantees_no_effect(Refusal::kInDoubt));
+    CPPUNIT_ASSERT(!registered::guarantees_no_effect(Refusal::kFailed));
   }
 
-  void any_text_is_passed_on_unchanged() {
+  void any_text_is_kept_unchanged() {
     declared::config::assert_property("any text is forwarded unchanged", [](const std::string& text) {
       const auto statement = parse_statement("id", text);
       RC_ASSERT(statement.text == text);
--- a/tests/registered/control/control_stand.cpp
+++ b/tests/registered/control/control_stand.cpp
@@ -23,7 +23,7 @@
                                        Reason& reason) override {
     sent = runtime::SendState::kMaybeSent;
     ControlStand::Member& member = stand_.members[member_];
-    if (std::holds_alternative<AskStatus>(request)) ++member.questions;
+    if (std::holds_alternative<GetStatus>(request)) ++member.questions;
     if (!member.answers) {
       co_await stand_.runtime().sleep_for(deadline - stand_.now());
       close();
--- a/tests/registered/limits/cold_backend_limit_test.cpp
+++ b/tests/registered/limits/cold_backend_limit_test.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-using play::Guards;
-using play::seeds;
-using play::with_short_lease;
-using play::worst_of;
+using fleet_model::Guards;
+using fleet_model::seeds;
+using fleet_model::with_short_lease;
+using fleet_model::worst_usage;
 
 const LimitWindow kUsual{proxy::kColdWindow, 0.5, 5};
 /// Leaves each owner a bucket depth of one token.
@@ -29,46 +29,46 @@
 
 class ColdBackendLimitTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ColdBackendLimitTest);
-  CPPUNIT_TEST(no_second_sees_more_than_is_allowed);
-  CPPUNIT_TEST(each_guard_is_needed);
-  CPPUNIT_TEST(the_parts_of_all_homes_fit_into_the_allowance);
-  CPPUNIT_TEST(a_bucket_holds_a_token_where_that_is_allowed);
-  CPPUNIT_TEST(a_tenant_and_a_backend_of_one_name_are_counted_apart);
+  CPPUNIT_TEST(limit_holds_in_every_second);
+  CPPUNIT_TEST(limit_is_exceeded_without_any_guard);
+  CPPUNIT_TEST(owner_shares_fit_into_allowance);
+  CPPUNIT_TEST(bucket_holds_one_token_if_allowance_suffices);
+  CPPUNIT_TEST(counts_tenant_and_backend_of_same_name_separately);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void no_second_sees_more_than_is_allowed() {
+  void limit_holds_in_every_second() {
     for (const double rate : {1.0, 6.0, 20.0, 60.0}) {
-      const double worst = worst_of(seeds() / 2, {}, cold(rate));
+      const double worst = worst_usage(seeds() / 2, {}, cold(rate));
       CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of the allowance", rate, worst), worst <= 1.0);
       // At a rate of 1, three buckets of depth 1.75 grant three tokens, and the allowance is 6.5.
       CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: the load is too low to reach the limit, {}", rate, worst),
                              worst > 0.45);
     }
-    const double tight = worst_of(seeds(), {}, cold(60, kTight));
+    const double tight = worst_usage(seeds(), {}, cold(60, kTight));
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance", tight), tight <= 1.0);
-    const double short_lease = worst_of(seeds(), with_short_lease(4), cold(60, kTight));
+    const double short_lease = worst_usage(seeds(), with_short_lease(4), cold(60, kTight));
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance with a short lease", short_lease),
                            short_lease <= 1.0);
   }
 
-  void each_guard_is_needed() {
-    const auto expect_needed = [](const std::string& name, bool Guards::*guard, const Limit& limit,
-                                  Guards guards = {}) {
+  void limit_is_exceeded_without_any_guard() {
+    const auto expect_exceeded_without = [](const std::string& name, bool Guards::*guard, const Limit& limit,
+                                            Guards guards = {}) {
       guards.*guard = false;
-      const double worst = worst_of(400, guards, limit);
+      const double worst = worst_usage(400, guards, limit);
       CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {} of the allowance", name, worst), worst > 1.0);
     };
     const Limit tight = cold(60, kTight);
-    expect_needed("waits for a stable revision", &Guards::waits_until_settled, tight);
-    expect_needed("stops without confirmation", &Guards::authority_ends, tight);
-    expect_needed("a returning owner starts anew", &Guards::returning_home_is_new, tight,
-                  with_short_lease(1));
+    expect_exceeded_without("waits for a stable revision", &Guards::waits_for_stable_revision, tight);
+    expect_exceeded_without("stops without confirmation", &Guards::stops_without_confirmation, tight);
+    expect_exceeded_without("a returning owner starts anew", &Guards::returning_owner_starts_anew, tight,
+                            with_short_lease(1));
     // With a bucket depth of one token, no tokens are granted in advance, so none could expire.
-    expect_needed("tokens expire", &Guards::tokens_expire, cold(6));
+    expect_exceeded_without("tokens expire", &Guards::tokens_expire, cold(6));
   }
 
-  void the_parts_of_all_homes_fit_into_the_allowance() {
+  void owner_shares_fit_into_allowance() {
     for (const double rate : {0.5, 3.0, 12.5, 80.0}) {
       for (const LimitWindow& window :
            {kUsual, kTight, LimitWindow{proxy::kColdWindow, 0, 4}, LimitWindow{proxy::kColdWindow, -1, 5}}) {
@@ -81,7 +81,7 @@
     }
   }
 
-  void a_bucket_holds_a_token_where_that_is_allowed() {
+  void bucket_holds_one_token_if_allowance_suffices() {
     const OwnerShare usual = owner_share(cold(3));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, usual.rate_per_s, 1e-9);
     CPPUNIT_ASSERT(usual.depth >= 1);
@@ -94,15 +94,15 @@
                            nothing.depth < 1);
   }
 
-  void a_tenant_and_a_backend_of_one_name_are_counted_apart() {
-    const LimitedName tenant{LimitedKind::kTenant, "one"};
-    const LimitedName backend{LimitedKind::kColdBackend, "one"};
+  void counts_tenant_and_backend_of_same_name_separately() {
+    const LimitKey tenant{LimitKind::kTenant, "one"};
+    const LimitKey backend{LimitKind::kColdBackend, "one"};
     const auto proxy =
         std::make_shared<subset::ProxyView>(subset::ProxyView{NodeName("p"), ZoneName("a"), {"10.0.0.1", 1}});
     QuotaLedger owner(NodeName("p"));
     owner.set_owners(QuotaOwners({proxy}, {proxy}), 1);
-    owner.record_confirmed(TimePoint(play::seconds(10)), 1, TimePoint(play::seconds(10)));
-    const TimePoint later(play::seconds(12));
+    owner.record_confirmed(TimePoint(fleet_model::seconds(10)), 1, TimePoint(fleet_model::seconds(10)));
+    const TimePoint later(fleet_model::seconds(12));
     const Limit tenant_limit{tenant, 3, 0, kUsual};
     const Limit backend_limit{backend, 3, 0, kUsual};
     CPPUNIT_ASSERT(owner.grant(tenant_limit, {1, 0}, later).outcome == GrantOutcome::kGranted);
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -1,5 +1,5 @@
-// Simulates a fleet with one distributed limit: membership and each proxy's copy of it, connectivity, freezes
-// and restarts.
+// Simulates a fleet with one distributed limit: membership and each proxy's copy of it, connectivity,
+// freezes and restarts.
 #pragma once
 
 #include <fmt/format.h>
@@ -17,7 +17,7 @@
 #include "registered/registry/budget_authority.h"
 #include "registered/registry/stable_revision.h"
 
-namespace cairnhollow::registered::limits::play {
+namespace cairnhollow::registered::limits::fleet_model {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -27,15 +27,16 @@
 constexpr Duration kReportEvery = milliseconds(400);
 constexpr int kNodes = 7;
 
-/// Safety checks of the protocol, each of which a test can disable. All true is the protocol as implemented.
+/// Safety checks of the protocol, each of which a test can disable. All true is the protocol as
+/// implemented.
 struct Guards {
-  bool waits_until_settled = true;
-  bool authority_ends = true;
+  bool waits_for_stable_revision = true;
+  bool stops_without_confirmation = true;
   bool bucket_starts_empty = true;
-  bool returning_home_is_new = true;
+  bool returning_owner_starts_anew = true;
   bool tokens_expire = true;
   Duration lease = milliseconds(1500);  ///< control's serving lease
-  int only_event = -1;                  ///< the only kind of fault to inject (see disturb()); -1: all kinds
+  int only_fault = -1;  ///< the only kind of fault to inject (see inject_fault()); -1: all kinds
 };
 
 /// Proxies, the leader of control, and callers of one limit, simulated in steps of kTick.
@@ -43,33 +44,33 @@
  public:
   Fleet(std::uint64_t seed, Guards guards, Limit limit)
       : random_(seed), guards_(guards), limit_(std::move(limit)) {
-    for (int number = 0; number < kNodes; ++number) {
-      rows_[name_of(number)] = Row{};
+    for (int index = 0; index < kNodes; ++index) {
+      members_[name_of(index)] = Member{};
       nodes_.emplace_back();
-      start(number);
+      start(index);
     }
   }
 
   /// Simulates `length` and returns the maximum of operations in any window, as a fraction of the allowance.
-  double play(Duration length) {
+  double run(Duration length) {
     const TimePoint end = now_ + length;
     while (now_ < end) {
       now_ += kTick;
-      if (chance(0.012)) disturb();
-      if (now_ >= turns_at_) {
-        asks_ = !asks_;
-        turns_at_ = now_ + (asks_ ? between(3000, 8000) : between(500, 4000));
+      if (with_probability(0.012)) inject_fault();
+      if (now_ >= next_load_change_) {
+        callers_active_ = !callers_active_;
+        next_load_change_ = now_ + (callers_active_ ? random_between(3000, 8000) : random_between(500, 4000));
       }
-      lead();
-      for (int number = 0; number < kNodes; ++number) step(number);
-      for (int number = 0; number < kNodes; ++number) call(number);
+      run_leader();
+      for (int index = 0; index < kNodes; ++index) step(index);
+      for (int index = 0; index < kNodes; ++index) send_operations(index);
     }
-    return most_in_a_window() / allowance(limit_);
+    return max_in_window() / allowance(limit_);
   }
-  [[nodiscard]] std::size_t operations() const { return runs_.size(); }
+  [[nodiscard]] std::size_t operations() const { return operation_times_.size(); }
 
  private:
-  struct Row {
+  struct Member {
     bool leaving = false;
     std::uint64_t incarnation = 0;
     std::uint64_t changed_at = 0;
@@ -77,15 +78,15 @@
   struct Update {
     TimePoint due;
     TimePoint asked_at;
-    std::map<std::string, Row> rows;
+    std::map<std::string, Member> members;
     std::uint64_t revision = 0;
-    std::uint64_t settled = 0;
+    std::uint64_t stable_revision = 0;
     std::uint64_t incarnation = 0;
   };
   struct Node {
     std::unique_ptr<QuotaLedger> owner;
-    TokenStock stock;
-    std::map<std::string, Row> view;
+    TokenCache cache;
+    std::map<std::string, Member> view;
     std::vector<int> owners;  ///< according to its copy of the membership
     std::uint64_t revision = 0;
     std::uint64_t incarnation = 0;
@@ -96,23 +97,27 @@
     TimePoint draining_until{};
     std::deque<Update> updates;
   };
-  struct Life {
+  struct LastReport {
     std::uint64_t incarnation = 0;
     std::uint64_t revision = 0;
     TimePoint received{};
   };
 
-  static std::string name_of(int number) { return fmt::format("proxy-{}", number); }
-  static ZoneName zone_of(int number) { return ZoneName(fmt::format("zone-{}", number % 3)); }
-  bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
-  int below(int count) { return std::uniform_int_distribution<>(0, count - 1)(random_); }
-  Duration between(int least_ms, int most_ms) { return milliseconds(least_ms + below(most_ms - least_ms)); }
+  static std::string name_of(int index) { return fmt::format("proxy-{}", index); }
+  static ZoneName zone_of(int index) { return ZoneName(fmt::format("zone-{}", index % 3)); }
+  bool with_probability(double probability) {
+    return std::uniform_real_distribution<>(0, 1)(random_) < probability;
+  }
+  int random_below(int count) { return std::uniform_int_distribution<>(0, count - 1)(random_); }
+  Duration random_between(int least_ms, int most_ms) {
+    return milliseconds(least_ms + random_below(most_ms - least_ms));
+  }
 
-  void start(int number) {
-    Node& node = nodes_[number];
-    const Node fresh{};
-    node.owner = std::make_unique<QuotaLedger>(NodeName(name_of(number)));
-    node.stock = TokenStock();
+  void start(int index) {
+    Node& node = nodes_[index];
+    const Node initial{};
+    node.owner = std::make_unique<QuotaLedger>(NodeName(name_of(index)));
+    node.cache = TokenCache();
     node.view.clear();
     node.owners.clear();
     node.revision = 0;
@@ -121,180 +126,184 @@
     node.next_report = now_;
   }
 
-  void disturb() {
-    const int number = below(kNodes);
-    Node& node = nodes_[number];
-    const int event = below(7);
-    switch (guards_.only_event < 0 ? event : guards_.only_event) {
+  void inject_fault() {
+    const int index = random_below(kNodes);
+    Node& node = nodes_[index];
+    const int fault = random_below(7);
+    switch (guards_.only_fault < 0 ? fault : guards_.only_fault) {
       case 0:  // killed and restarted
-        node.down_until = now_ + between(20, 4000);
-        start(number);
+        node.down_until = now_ + random_between(20, 4000);
+        start(index);
         break;
       case 1:  // some are partitioned from control together, and keep running
-        for (int each = 0; each < kNodes; ++each) {
-          if (each == number || chance(0.4)) nodes_[each].cut_until = now_ + between(2500, 7000);
+        for (int other = 0; other < kNodes; ++other) {
+          if (other == index || with_probability(0.4))
+            nodes_[other].cut_until = now_ + random_between(2500, 7000);
         }
         break;
       case 2:  // frozen while it holds tokens
-        if (runs(node)) {
-          for (int question = 0; question < 3; ++question) ask(number);
+        if (is_running(node)) {
+          for (int attempt = 0; attempt < 3; ++attempt) request_tokens(index);
         }
-        node.frozen_until = now_ + between(200, 5000);
+        node.frozen_until = now_ + random_between(200, 5000);
         break;
       case 3:
-        node.draining_until = now_ + between(1000, 6000);
+        node.draining_until = now_ + random_between(1000, 6000);
         break;
       case 4:  // a new leader, which has no reports yet; some proxies do not reach it
-        lives_.clear();
-        leads_since_ = now_;
-        for (Node& each : nodes_) {
-          if (chance(0.7)) each.cut_until = now_ + between(2500, 4000);
+        last_reports_.clear();
+        leader_since_ = now_;
+        for (Node& other : nodes_) {
+          if (with_probability(0.7)) other.cut_until = now_ + random_between(2500, 4000);
         }
         break;
       case 5:  // no quorum: no answers and no membership changes
-        quorum_at_ = now_ + between(200, 6000);
+        quorum_from_ = now_ + random_between(200, 6000);
         break;
       default:  // all proxies restart and the leader changes
-        if (!chance(0.3)) break;
-        for (int each = 0; each < kNodes; ++each) {
-          nodes_[each].down_until = now_ + between(100, 900);
-          start(each);
+        if (!with_probability(0.3)) break;
+        for (int other = 0; other < kNodes; ++other) {
+          nodes_[other].down_until = now_ + random_between(100, 900);
+          start(other);
         }
-        lives_.clear();
-        leads_since_ = now_ + milliseconds(300);
-        quorum_at_ = leads_since_;
+        last_reports_.clear();
+        leader_since_ = now_ + milliseconds(300);
+        quorum_from_ = leader_since_;
     }
   }
 
-  void put(const std::string& name, Row row) {
-    row.changed_at = ++revision_;
-    rows_[name] = row;
+  void update_member(const std::string& name, Member member) {
+    member.changed_at = ++revision_;
+    members_[name] = member;
   }
 
   TimePoint lease_end(const std::string& name, std::uint64_t incarnation) const {
-    TimePoint end = leads_since_ + guards_.lease;
-    const auto life = lives_.find(name);
-    if (life != lives_.end() && life->second.incarnation == incarnation)
-      end = std::max(end, life->second.received + guards_.lease);
+    TimePoint end = leader_since_ + guards_.lease;
+    const auto last_report = last_reports_.find(name);
+    if (last_report != last_reports_.end() && last_report->second.incarnation == incarnation)
+      end = std::max(end, last_report->second.received + guards_.lease);
     return end;
   }
 
-  void lead() {
-    if (now_ < quorum_at_) return;
-    for (auto& [name, row] : rows_) {
-      if (row.leaving || now_ <= lease_end(name, row.incarnation) + kAbsentAfter) continue;
-      Row absent = row;
+  void run_leader() {
+    if (now_ < quorum_from_) return;
+    for (auto& [name, member] : members_) {
+      if (member.leaving || now_ <= lease_end(name, member.incarnation) + kAbsentAfter) continue;
+      Member absent = member;
       absent.leaving = true;
-      put(name, absent);
+      update_member(name, absent);
     }
   }
 
-  std::uint64_t settled() const {
-    if (!guards_.waits_until_settled) return revision_;
+  std::uint64_t stable_revision() const {
+    if (!guards_.waits_for_stable_revision) return revision_;
     std::vector<registry::ProxyKnowledge> known;
-    for (const auto& [name, row] : rows_) {
-      const auto life = lives_.find(name);
-      const bool same = life != lives_.end() && life->second.incarnation == row.incarnation;
-      known.push_back({same ? life->second.revision : 0,
-                       lease_end(name, row.incarnation) - guards_.lease + registry::kBudgetAuthorityWait});
+    for (const auto& [name, member] : members_) {
+      const auto last_report = last_reports_.find(name);
+      const bool same =
+          last_report != last_reports_.end() && last_report->second.incarnation == member.incarnation;
+      known.push_back({same ? last_report->second.revision : 0,
+                       lease_end(name, member.incarnation) - guards_.lease + registry::kBudgetAuthorityWait});
     }
     return registry::stable_revision(known, revision_, now_);
   }
 
-  bool runs(const Node& node) const { return now_ >= node.down_until && now_ >= node.frozen_until; }
-  bool reaches_control(const Node& node) const { return now_ >= node.cut_until && now_ >= quorum_at_; }
+  bool is_running(const Node& node) const { return now_ >= node.down_until && now_ >= node.frozen_until; }
+  bool reaches_control(const Node& node) const { return now_ >= node.cut_until && now_ >= quorum_from_; }
 
-  void step(int number) {
-    Node& node = nodes_[number];
-    if (!runs(node)) return;
+  void step(int index) {
+    Node& node = nodes_[index];
+    if (!is_running(node)) return;
     while (!node.updates.empty() && node.updates.front().due <= now_) {
-      take(number, node.updates.front());
+      apply_update(index, node.updates.front());
       node.updates.pop_front();
     }
     if (now_ < node.next_report) return;
-    node.next_report = now_ + kReportEvery + between(0, 200);
+    node.next_report = now_ + kReportEvery + random_between(0, 200);
     if (!reaches_control(node)) return;
-    report(number);
+    report(index);
   }
 
-  void report(int number) {
-    Node& node = nodes_[number];
-    const std::string name = name_of(number);
-    Row row = rows_[name];
+  void report(int index) {
+    Node& node = nodes_[index];
+    const std::string name = name_of(index);
+    Member member = members_[name];
     const bool leaving = now_ < node.draining_until;
-    if (row.incarnation != node.incarnation || row.leaving != leaving) {
-      row.incarnation = node.incarnation;
-      row.leaving = leaving;
-      put(name, row);
+    if (member.incarnation != node.incarnation || member.leaving != leaving) {
+      member.incarnation = node.incarnation;
+      member.leaving = leaving;
+      update_member(name, member);
     }
-    lives_[name] = Life{node.incarnation, node.revision, now_};
-    node.updates.push_back({now_ + between(0, 60), now_, rows_, revision_, settled(), node.incarnation});
+    last_reports_[name] = LastReport{node.incarnation, node.revision, now_};
+    node.updates.push_back(
+        {now_ + random_between(0, 60), now_, members_, revision_, stable_revision(), node.incarnation});
   }
 
-  void take(int number, const Update& update) {
-    Node& node = nodes_[number];
+  void apply_update(int index, const Update& update) {
+    Node& node = nodes_[index];
     if (update.incarnation != node.incarnation) return;
     if (update.revision > node.revision) {
-      std::vector<subset::ProxyPointer> takers;
+      std::vector<subset::ProxyPointer> accepting;
       std::vector<subset::ProxyPointer> changed;
-      for (int each = 0; each < kNodes; ++each) {
-        const std::string name = name_of(each);
-        const Row& row = update.rows.at(name);
+      for (int other = 0; other < kNodes; ++other) {
+        const std::string name = name_of(other);
+        const Member& member = update.members.at(name);
         const auto proxy = std::make_shared<subset::ProxyView>(
-            subset::ProxyView{NodeName(name), zone_of(each), {"10.0.0.1", 1}});
-        if (!row.leaving) takers.push_back(proxy);
-        const bool was_told = node.view.count(name) > 0 && node.view.at(name).leaving == row.leaving;
-        const bool is_changed = node.revision == 0 || row.changed_at > node.revision;
-        if (is_changed && (guards_.returning_home_is_new || !was_told)) changed.push_back(proxy);
+            subset::ProxyView{NodeName(name), zone_of(other), {"10.0.0.1", 1}});
+        if (!member.leaving) accepting.push_back(proxy);
+        const bool was_known = node.view.count(name) > 0 && node.view.at(name).leaving == member.leaving;
+        const bool changed_since_view = node.revision == 0 || member.changed_at > node.revision;
+        if (changed_since_view && (guards_.returning_owner_starts_anew || !was_known))
+          changed.push_back(proxy);
       }
-      node.owner->set_owners(QuotaOwners(takers, changed), update.revision);
+      node.owner->set_owners(QuotaOwners(accepting, changed), update.revision);
       node.owners.clear();
-      for (const auto& owner : node.owner->owners().of(limit_.of))
+      for (const auto& owner : node.owner->owners().owners_of(limit_.key))
         node.owners.push_back(std::stoi(owner->name.value.substr(name_of(0).size() - 1)));
-      node.view = update.rows;
+      node.view = update.members;
       node.revision = update.revision;
     }
-    node.owner->record_confirmed(update.asked_at, update.settled, now_);
+    node.owner->record_confirmed(update.asked_at, update.stable_revision, now_);
   }
 
-  void call(int number) {
-    Node& node = nodes_[number];
-    if (!runs(node) || !asks_) return;
-    if (!guards_.authority_ends) node.owner->record_confirmed(now_, 0, now_);
+  void send_operations(int index) {
+    Node& node = nodes_[index];
+    if (!is_running(node) || !callers_active_) return;
+    if (!guards_.stops_without_confirmation) node.owner->record_confirmed(now_, 0, now_);
     for (int operation = 0; operation < 3; ++operation) {
       const TimePoint taken_at = guards_.tokens_expire ? now_ : TimePoint{};
-      if (!node.stock.take(taken_at)) {
-        ask(number);
-        if (!node.stock.take(taken_at)) return;
+      if (!node.cache.take(taken_at)) {
+        request_tokens(index);
+        if (!node.cache.take(taken_at)) return;
       }
-      runs_.push_back(now_);
+      operation_times_.push_back(now_);
     }
   }
 
-  void ask(int number) {
-    Node& node = nodes_[number];
+  void request_tokens(int index) {
+    Node& node = nodes_[index];
     for (const int owner : node.owners) {
       Node& other = nodes_[owner];
-      if (!runs(other)) continue;
+      if (!is_running(other)) continue;
       // Sometimes requests tokens in advance, to be used until shortly before they expire.
-      const TokenRequest request{1, chance(0.2) ? 40U : 0U};
+      const TokenRequest request{1, with_probability(0.2) ? 40U : 0U};
       Grant grant = other.owner->grant(limit_, request, now_);
-      if (!guards_.bucket_starts_empty && fresh_.insert(other.incarnation).second)
+      if (!guards_.bucket_starts_empty && granted_initial_.insert(other.incarnation).second)
         grant.tokens += static_cast<std::uint64_t>(owner_share(limit_).depth);
       if (grant.tokens == 0) continue;
-      node.stock.put(grant.tokens, now_);
+      node.cache.add(grant.tokens, now_);
       return;
     }
   }
 
-  [[nodiscard]] double most_in_a_window() const {
+  [[nodiscard]] double max_in_window() const {
     std::size_t first = 0;
-    std::size_t most = 0;
-    for (std::size_t last = 0; last < runs_.size(); ++last) {
-      while (runs_[last] - runs_[first] > limit_.window.window) ++first;
-      most = std::max(most, last - first + 1);
+    std::size_t maximum = 0;
+    for (std::size_t last = 0; last < operation_times_.size(); ++last) {
+      while (operation_times_[last] - operation_times_[first] > limit_.window.window) ++first;
+      maximum = std::max(maximum, last - first + 1);
     }
-    return static_cast<double>(most);
+    return static_cast<double>(maximum);
   }
 
   std::mt19937_64 random_;
@@ -303,23 +312,23 @@
   TimePoint now_{seconds(1)};
   std::vector<Node> nodes_;
   std::uint64_t incarnations_ = 0;
-  std::map<std::string, Row> rows_;
+  std::map<std::string, Member> members_;
   std::uint64_t revision_ = 1;
-  std::map<std::string, Life> lives_;
-  TimePoint leads_since_{seconds(1)};
-  TimePoint quorum_at_{};
-  std::set<std::uint64_t> fresh_;
-  std::vector<TimePoint> runs_;
-  bool asks_ = false;  ///< whether callers send operations; the buckets fill while they don't
-  TimePoint turns_at_{};
+  std::map<std::string, LastReport> last_reports_;
+  TimePoint leader_since_{seconds(1)};
+  TimePoint quorum_from_{};
+  std::set<std::uint64_t> granted_initial_;
+  std::vector<TimePoint> operation_times_;
+  bool callers_active_ = false;  ///< whether callers send operations; the buckets fill while they don't
+  TimePoint next_load_change_{};
 };
 
 /// A short lease, with which a lost owner is replaced sooner. The limit must hold for any length of the
 /// lease.
-inline Guards with_short_lease(int only_event) {
+inline Guards with_short_lease(int only_fault) {
   Guards guards;
   guards.lease = milliseconds(400);
-  guards.only_event = only_event;
+  guards.only_fault = only_fault;
   return guards;
 }
 
@@ -330,14 +339,14 @@
   return text == nullptr ? 20 : std::stoi(text);
 }
 
-/// Returns the maximum of Fleet::play() over the seeds 1 to `seeds`; stops at the first above 1.
-inline double worst_of(int seeds, const Guards& guards, const Limit& limit) {
+/// Returns the maximum of Fleet::run() over the seeds 1 to `seeds`; stops at the first above 1.
+inline double worst_usage(int seeds, const Guards& guards, const Limit& limit) {
   double worst = 0;
   for (int seed = 1; seed <= seeds && worst <= 1.0; ++seed) {
     Fleet fleet(static_cast<std::uint64_t>(seed), guards, limit);
-    worst = std::max(worst, fleet.play(seconds(40)));
+    worst = std::max(worst, fleet.run(seconds(40)));
   }
   return worst;
 }
 
-}  // namespace cairnhollow::registered::limits::play
+}  // namespace cairnhollow::registered::limits::fleet_model
--- a/tests/registered/limits/lowered_limit_test.cpp
+++ b/tests/registered/limits/lowered_limit_test.cpp
@@ -14,17 +14,17 @@
 /// The grace period after a reduction is 2 s.
 Limit tenant_of(std::uint64_t rate) {
   const LimitWindow window{seconds(5), 0.1, 20, seconds(2)};
-  return {{LimitedKind::kTenant, "tenant"}, static_cast<double>(rate), 10, window};
+  return {{LimitKind::kTenant, "tenant"}, static_cast<double>(rate), 10, window};
 }
 
 }  // namespace
 
 class LoweredLimitTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoweredLimitTest);
-  CPPUNIT_TEST(a_lowered_limit_is_counted_with_for_a_while);
-  CPPUNIT_TEST(a_second_lowering_does_not_prolong_the_first);
-  CPPUNIT_TEST(a_raised_limit_holds_at_once);
-  CPPUNIT_TEST(a_first_limit_holds_at_once);
+  CPPUNIT_TEST(keeps_previous_limit_for_grace_period);
+  CPPUNIT_TEST(second_reduction_does_not_extend_grace_period);
+  CPPUNIT_TEST(raised_limit_applies_immediately);
+  CPPUNIT_TEST(first_limit_applies_immediately);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -37,35 +37,35 @@
     confirm();
   }
 
-  void a_lowered_limit_is_counted_with_for_a_while() {
+  void keeps_previous_limit_for_grace_period() {
     granted_in(tenant_of(300), seconds(10));
-    ledger_->record_limit(tenant_of(300), tenant_of(30), now_);
+    ledger_->record_limit_change(tenant_of(300), tenant_of(30), now_);
     const int before = granted_in(tenant_of(30), seconds(2));
     CPPUNIT_ASSERT_MESSAGE("one owner's third of 300 per second", before >= 190);
     const int after = granted_in(tenant_of(30), seconds(2));
     CPPUNIT_ASSERT_MESSAGE("one owner's third of 30 per second, and the bucket depth", after <= 20 + 20);
   }
 
-  void a_second_lowering_does_not_prolong_the_first() {
+  void second_reduction_does_not_extend_grace_period() {
     granted_in(tenant_of(300), seconds(10));
-    ledger_->record_limit(tenant_of(300), tenant_of(240), now_);
+    ledger_->record_limit_change(tenant_of(300), tenant_of(240), now_);
     granted_in(tenant_of(240), milliseconds(1900));
-    ledger_->record_limit(tenant_of(240), tenant_of(30), now_);
+    ledger_->record_limit_change(tenant_of(240), tenant_of(30), now_);
     granted_in(tenant_of(30), milliseconds(100));
     CPPUNIT_ASSERT(granted_in(tenant_of(30), seconds(2)) <= 20 + 20);
   }
 
-  void a_raised_limit_holds_at_once() {
+  void raised_limit_applies_immediately() {
     granted_in(tenant_of(30), seconds(10));
-    ledger_->record_limit(tenant_of(30), tenant_of(300), now_);
+    ledger_->record_limit_change(tenant_of(30), tenant_of(300), now_);
     CPPUNIT_ASSERT(granted_in(tenant_of(300), seconds(2)) >= 190);
     CPPUNIT_ASSERT(granted_in(tenant_of(300), seconds(2)) >= 190);
   }
 
-  void a_first_limit_holds_at_once() {
+  void first_limit_applies_immediately() {
     Limit none = tenant_of(0);
     none.burst = 0;
-    ledger_->record_limit(none, tenant_of(30), now_);
+    ledger_->record_limit_change(none, tenant_of(30), now_);
     CPPUNIT_ASSERT(granted_in(tenant_of(30), seconds(2)) <= 20 + 20);
   }
 
--- a/tests/registered/limits/quota_ledger_test.cpp
+++ b/tests/registered/limits/quota_ledger_test.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-using play::Guards;
-using play::seeds;
-using play::with_short_lease;
-using play::worst_of;
+using fleet_model::Guards;
+using fleet_model::seeds;
+using fleet_model::with_short_lease;
+using fleet_model::worst_usage;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 Limit tenant_of(std::uint64_t rate, std::uint64_t burst, LimitWindow window = {}) {
-  return {{LimitedKind::kTenant, "tenant"}, static_cast<double>(rate), static_cast<double>(burst), window};
+  return {{LimitKind::kTenant, "tenant"}, static_cast<double>(rate), static_cast<double>(burst), window};
 }
 
 /// No tolerance above the rate and the burst.
@@ -33,53 +33,53 @@
 
 class QuotaLedgerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaLedgerTest);
-  CPPUNIT_TEST(no_window_sees_more_than_is_allowed);
-  CPPUNIT_TEST(thin_tenants_are_bounded_alike);
-  CPPUNIT_TEST(each_guard_is_needed);
-  CPPUNIT_TEST(a_home_that_returns_waits_like_a_new_one);
-  CPPUNIT_TEST(a_home_stops_when_control_was_not_heard_for_long);
-  CPPUNIT_TEST(a_incarnation_that_said_nothing_is_waited_for);
-  CPPUNIT_TEST(a_token_expires_also_when_it_was_given_back);
-  CPPUNIT_TEST(a_calm_fleet_gives_the_whole_rate);
-  CPPUNIT_TEST(two_homes_of_three_give_two_thirds);
-  CPPUNIT_TEST(the_part_of_a_home_adds_up);
+  CPPUNIT_TEST(limit_holds_in_every_window);
+  CPPUNIT_TEST(limit_holds_for_low_rates);
+  CPPUNIT_TEST(limit_is_exceeded_without_any_guard);
+  CPPUNIT_TEST(returning_owner_waits_like_a_new_one);
+  CPPUNIT_TEST(owner_stops_without_confirmation);
+  CPPUNIT_TEST(waits_for_silent_incarnation);
+  CPPUNIT_TEST(returned_token_keeps_its_expiry);
+  CPPUNIT_TEST(owners_together_grant_full_rate_and_burst);
+  CPPUNIT_TEST(two_of_three_owners_grant_two_thirds);
+  CPPUNIT_TEST(owner_shares_add_up_to_allowance);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void no_window_sees_more_than_is_allowed() {
-    const double worst = worst_of(seeds(), {}, tenant_of(117, 117));
+  void limit_holds_in_every_window() {
+    const double worst = worst_usage(seeds(), {}, tenant_of(117, 117));
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance", worst), worst <= 1.0);
     CPPUNIT_ASSERT_MESSAGE("the load is too low to reach the limit", worst > 0.7);
-    const double strict = worst_of(seeds(), {}, tenant_of(120, 60, kStrict));
+    const double strict = worst_usage(seeds(), {}, tenant_of(120, 60, kStrict));
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance without tolerance", strict), strict <= 1.0);
-    const double short_lease = worst_of(seeds(), with_short_lease(4), tenant_of(120, 60, kStrict));
+    const double short_lease = worst_usage(seeds(), with_short_lease(4), tenant_of(120, 60, kStrict));
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} of the allowance with a short lease", short_lease),
                            short_lease <= 1.0);
   }
 
-  void thin_tenants_are_bounded_alike() {
+  void limit_holds_for_low_rates() {
     for (const std::uint64_t rate : {1, 5, 12}) {
-      const double worst = worst_of(seeds() / 4, {}, tenant_of(rate, rate));
+      const double worst = worst_usage(seeds() / 4, {}, tenant_of(rate, rate));
       CPPUNIT_ASSERT_MESSAGE(fmt::format("rate {}: {} of the allowance", rate, worst), worst <= 1.0);
     }
   }
 
-  void each_guard_is_needed() {
-    const auto expect_needed = [](const std::string& name, bool Guards::*guard, LimitWindow window = kStrict,
-                                  Guards guards = {}) {
+  void limit_is_exceeded_without_any_guard() {
+    const auto expect_exceeded_without = [](const std::string& name, bool Guards::*guard,
+                                            LimitWindow window = kStrict, Guards guards = {}) {
       guards.*guard = false;
       const std::uint64_t burst = window.slack > 0 ? 120 : 60;
-      const double worst = worst_of(400, guards, tenant_of(120, burst, window));
+      const double worst = worst_usage(400, guards, tenant_of(120, burst, window));
       CPPUNIT_ASSERT_MESSAGE(fmt::format("{}: {} of the allowance", name, worst), worst > 1.0);
     };
-    expect_needed("waits for a stable revision", &Guards::waits_until_settled);
-    expect_needed("stops without confirmation", &Guards::authority_ends);
-    expect_needed("bucket starts empty", &Guards::bucket_starts_empty, {});
-    expect_needed("a returning owner starts anew", &Guards::returning_home_is_new, kStrict,
-                  with_short_lease(1));
+    expect_exceeded_without("waits for a stable revision", &Guards::waits_for_stable_revision);
+    expect_exceeded_without("stops without confirmation", &Guards::stops_without_confirmation);
+    expect_exceeded_without("bucket starts empty", &Guards::bucket_starts_empty, {});
+    expect_exceeded_without("a returning owner starts anew", &Guards::returning_owner_starts_anew, kStrict,
+                            with_short_lease(1));
   }
 
-  void a_home_that_returns_waits_like_a_new_one() {
+  void returning_owner_waits_like_a_new_one() {
     const auto proxy = std::make_shared<subset::ProxyView>(
         subset::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
     QuotaLedger owner(NodeName("home"));
@@ -94,15 +94,15 @@
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
     // It was no owner for a while, and others may still grant in its place.
     owner.set_owners(QuotaOwners({proxy}, {proxy}), 4);
-    CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
+    CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotAuthorized);
     owner.record_confirmed(now, 3, now);
-    CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotCounting);
+    CPPUNIT_ASSERT(outcome() == GrantOutcome::kNotAuthorized);
     owner.record_confirmed(now, 4, now);
     now += seconds(1);
     CPPUNIT_ASSERT(outcome() == GrantOutcome::kGranted);
   }
 
-  void a_home_stops_when_control_was_not_heard_for_long() {
+  void owner_stops_without_confirmation() {
     const auto proxy = std::make_shared<subset::ProxyView>(
         subset::ProxyView{NodeName("home"), ZoneName("a"), {"10.0.0.1", 1}});
     QuotaLedger owner(NodeName("home"));
@@ -112,12 +112,12 @@
     owner.record_confirmed(asked, 1, asked + milliseconds(200));
     const TimePoint end = asked + registry::kBudgetAuthority;
     CPPUNIT_ASSERT(outcome(end - milliseconds(1)) == GrantOutcome::kGranted);
-    CPPUNIT_ASSERT_MESSAGE("counted from the request", outcome(end) == GrantOutcome::kNotCounting);
+    CPPUNIT_ASSERT_MESSAGE("counted from the request", outcome(end) == GrantOutcome::kNotAuthorized);
     owner.record_confirmed(end, 1, end);
     CPPUNIT_ASSERT(outcome(end) == GrantOutcome::kGranted);
   }
 
-  void a_incarnation_that_said_nothing_is_waited_for() {
+  void waits_for_silent_incarnation() {
     const TimePoint now{seconds(10)};
     const registry::ProxyKnowledge knows{12, now + seconds(2)};
     const registry::ProxyKnowledge silent{0, now + seconds(1)};
@@ -127,19 +127,19 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{15}, registry::stable_revision({knows, silent}, 15, now + seconds(3)));
   }
 
-  void a_token_expires_also_when_it_was_given_back() {
+  void returned_token_keeps_its_expiry() {
     const TimePoint asked{seconds(10)};
-    TokenStock stock;
-    stock.put(2, asked);
-    const auto taken = stock.take(asked + kGrantLife - milliseconds(1));
-    CPPUNIT_ASSERT(taken == asked + kGrantLife);
-    stock.give_back(*taken);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stock.size());
-    CPPUNIT_ASSERT(!stock.take(asked + kGrantLife));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, stock.size());
+    TokenCache cache;
+    cache.add(2, asked);
+    const auto taken = cache.take(asked + kTokenLifetime - milliseconds(1));
+    CPPUNIT_ASSERT(taken == asked + kTokenLifetime);
+    cache.return_unused(*taken);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, cache.size());
+    CPPUNIT_ASSERT(!cache.take(asked + kTokenLifetime));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cache.size());
   }
 
-  void a_calm_fleet_gives_the_whole_rate() {
+  void owners_together_grant_full_rate_and_burst() {
     // Without faults, the owners together grant what one bucket of the full rate and burst would.
     const Limit tenant = tenant_of(30, 30);
     std::vector<TokenBucket> buckets(kQuotaOwners, TokenBucket(TimePoint{}));
@@ -153,12 +153,12 @@
     CPPUNIT_ASSERT(granted >= 30 * 10 + 30);
   }
 
-  void two_homes_of_three_give_two_thirds() {
+  void two_of_three_owners_grant_two_thirds() {
     const OwnerShare share = owner_share(tenant_of(90, 90));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(60.0, share.rate_per_s * 2, 1e-9);
   }
 
-  void the_part_of_a_home_adds_up() {
+  void owner_shares_add_up_to_allowance() {
     for (const std::uint64_t rate : {5, 117, 900}) {
       const Limit tenant = tenant_of(rate, rate);
       const OwnerShare share = owner_share(tenant);
--- a/tests/registered/locality/permitted_regions_test.cpp
+++ b/tests/registered/locality/permitted_regions_test.cpp
@@ -16,8 +16,8 @@
 
 struct Case {
   const char* what;
-  std::vector<std::string> of_route;
-  std::vector<std::string> of_tenant;
+  std::vector<std::string> route_regions;
+  std::vector<std::string> tenant_regions;
   std::string allowed;  ///< among the zones n1, n2, s1, e1 and `dark`, whose region is not configured
   std::string text;
 };
@@ -37,14 +37,14 @@
 
 class PermittedRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PermittedRegionsTest);
-  CPPUNIT_TEST(both_lists_bind);
-  CPPUNIT_TEST(the_extremes);
+  CPPUNIT_TEST(allows_regions_of_both_lists);
+  CPPUNIT_TEST(distinguishes_unrestricted_from_no_region);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void both_lists_bind() {
+  void allows_regions_of_both_lists() {
     for (const Case& one : kCases) {
-      const PermittedRegions allowed(map_, regions(one.of_route), regions(one.of_tenant));
+      const PermittedRegions allowed(map_, regions(one.route_regions), regions(one.tenant_regions));
       std::string zones;
       for (const char* zone : {"n1", "n2", "s1", "e1", "dark"}) {
         if (!allowed.allows(ZoneName(zone))) continue;
@@ -56,15 +56,15 @@
     }
   }
 
-  void the_extremes() {
-    CPPUNIT_ASSERT(PermittedRegions().is_anywhere());
-    CPPUNIT_ASSERT(!PermittedRegions().is_nowhere());
-    CPPUNIT_ASSERT(PermittedRegions(map_, {}, {}).is_anywhere());
+  void distinguishes_unrestricted_from_no_region() {
+    CPPUNIT_ASSERT(PermittedRegions().is_unrestricted());
+    CPPUNIT_ASSERT(!PermittedRegions().allows_none());
+    CPPUNIT_ASSERT(PermittedRegions(map_, {}, {}).is_unrestricted());
     const PermittedRegions nowhere(map_, regions({"north"}), regions({"south"}));
-    CPPUNIT_ASSERT(nowhere.is_nowhere());
-    CPPUNIT_ASSERT(!nowhere.is_anywhere());
+    CPPUNIT_ASSERT(nowhere.allows_none());
+    CPPUNIT_ASSERT(!nowhere.is_unrestricted());
     const PermittedRegions unknown(map_, regions({"west"}), {});
-    CPPUNIT_ASSERT_MESSAGE("a zone of the region may be added later", !unknown.is_nowhere());
+    CPPUNIT_ASSERT_MESSAGE("a zone of the region may be added later", !unknown.allows_none());
   }
 
  private:
--- a/tests/registered/proxy/callers/caller_session_test.cpp
+++ b/tests/registered/proxy/callers/caller_session_test.cpp
@@ -168,7 +168,7 @@
     CPPUNIT_ASSERT(ask(StatementKind::kWrite, "w").succeeded());
     stand_->run_for(milliseconds(200));
     const Answer late = ask(StatementKind::kWrite, "late");
-    CPPUNIT_ASSERT(late.refusal && is_promise(*late.refusal));
+    CPPUNIT_ASSERT(late.refusal && guarantees_no_effect(*late.refusal));
     CPPUNIT_ASSERT(late.state == TransactionState::kFailed);
     CPPUNIT_ASSERT(ask(StatementKind::kCommit, "commit").refusal == Refusal::kAborted);
     CPPUNIT_ASSERT(stand_->sent_to(SessionStand::kPrimary) == (std::vector<std::string>{"begin", "w"}));
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT(ask(StatementKind::kWrite, "w").succeeded());
     stand_->run_for(milliseconds(200));
     const Answer late = ask(StatementKind::kCommit, "commit");
-    CPPUNIT_ASSERT(late.refusal && is_promise(*late.refusal));
+    CPPUNIT_ASSERT(late.refusal && guarantees_no_effect(*late.refusal));
     CPPUNIT_ASSERT(late.state == TransactionState::kIdle);
     CPPUNIT_ASSERT(stand_->sent_to(SessionStand::kPrimary) == (std::vector<std::string>{"begin", "w"}));
   }
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -92,14 +92,14 @@
   }
 
   void route_and_tenant_both_bind() {
-    CPPUNIT_ASSERT(allowed("free", "").is_anywhere());
-    CPPUNIT_ASSERT(allowed("free", "kea").is_anywhere());
-    CPPUNIT_ASSERT(allowed("free", "nobody").is_anywhere());
+    CPPUNIT_ASSERT(allowed("free", "").is_unrestricted());
+    CPPUNIT_ASSERT(allowed("free", "kea").is_unrestricted());
+    CPPUNIT_ASSERT(allowed("free", "nobody").is_unrestricted());
     CPPUNIT_ASSERT_EQUAL(std::string("south"), allowed("free", "tui").to_string());
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("northern", "").to_string());
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("northern", "kea").to_string());
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("northern", "ako").to_string());
-    CPPUNIT_ASSERT(allowed("northern", "tui").is_nowhere());
+    CPPUNIT_ASSERT(allowed("northern", "tui").allows_none());
   }
 
   void a_changed_document_binds_from_then_on() {
@@ -112,7 +112,7 @@
     view_->apply(delta);
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("free", "tui").to_string());
     CPPUNIT_ASSERT_EQUAL_MESSAGE("what began before", std::string("south"), before.to_string());
-    CPPUNIT_ASSERT(!view_->tenants().any_names_regions());
+    CPPUNIT_ASSERT(!view_->tenants().any_restricts_regions());
   }
 
   void statements_are_sent_into_allowed_regions_only() {
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -341,7 +341,7 @@
     group_->put_backend(elsewhere);
     group_->backends.share_connections({15, {{ZoneName("a"), 4}, {ZoneName("b"), 4}, {ZoneName("c"), 7}}});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, use("replica-1").pool.limit());
-    CPPUNIT_ASSERT_EQUAL(tenancy::kFarLinks, use("replica-3").pool.limit());
+    CPPUNIT_ASSERT_EQUAL(tenancy::kRemoteZoneLinks, use("replica-3").pool.limit());
     registry::BackendEntry late = backend("replica-4", 5);
     group_->put_backend(late);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("also one that joins", std::uint64_t{10}, use("replica-4").pool.limit());
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -24,7 +24,7 @@
   StatusLink(runtime::Runtime& runtime, Told& told) : runtime_(runtime), told_(told) {}
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
                                        runtime::SendState& /*sent*/, Reason& /*reason*/) override {
-    if (std::holds_alternative<AskStatus>(request)) ++told_.questions;
+    if (std::holds_alternative<GetStatus>(request)) ++told_.questions;
     if (told_.takes > Duration(0)) co_await runtime_.sleep_for(told_.takes);
     Answer answer;
     answer.position = told_.status.received;
--- a/tests/registered/proxy/links/tenant_links_test.cpp
+++ b/tests/registered/proxy/links/tenant_links_test.cpp
@@ -129,7 +129,7 @@
     const std::vector<ZoneName> reading{ZoneName("zone-0"), ZoneName("zone-1"), ZoneName("zone-2")};
     const bool at_primary = random() % 5 == 0;
     const ZoneName came_in(fmt::format("zone-{}", random() % 4));
-    const ZoneName zone = at_primary ? ZoneName("zone-0") : tenancy::zone_of_reads(reading, tenant, came_in);
+    const ZoneName zone = at_primary ? ZoneName("zone-0") : tenancy::zone_for_reads(reading, tenant, came_in);
     const NodeName forwarder(fmt::format("{}-{}", came_in.value, random() % 20));
     const auto order =
         tenancy::order_for_tenant(subset::forwarding_order(serving_, forwarder, came_in), tenant, part, zone);
@@ -146,7 +146,7 @@
     registry::GroupRule rule;
     rule.max_connections = 56;
     found->second.set_limit(
-        tenancy::links_of_proxy(registry::usable_connections(rule), counts_, zone, proxy->zone));
+        tenancy::links_per_proxy(registry::usable_connections(rule), counts_, zone, proxy->zone));
     found->second.set_idle_life(proxy->zone == zone ? kNearIdleLinkLife : kIdleLinkLife);
     return found->second;
   }
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -30,13 +30,13 @@
                                        runtime::SendState& sent, Reason& /*reason*/) override {
     sent = runtime::SendState::kMaybeSent;
     co_await runtime_.sleep_for(milliseconds(3));
-    if (std::holds_alternative<AskStatus>(request)) {
+    if (std::holds_alternative<GetStatus>(request)) {
       ++script_.statuses;
       if (script_.meanwhile) script_.meanwhile();
     }
     if (std::holds_alternative<Begin>(request)) in_transaction_ = true;
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
-    if (std::holds_alternative<PassOn>(request)) ++script_.statements;
+    if (std::holds_alternative<ForwardedStatement>(request)) ++script_.statements;
     Answer answer;
     answer.state = in_transaction_ ? TransactionState::kOpen : TransactionState::kIdle;
     co_return answer;
--- a/tests/registered/tenancy/key_revocation_model_test.cpp
+++ b/tests/registered/tenancy/key_revocation_model_test.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-constexpr int kBound = 4;           ///< ticks
-constexpr int kNever = kBound + 2;  ///< upper limit of ages; represents all greater ages
+constexpr int kBound = 4;                ///< ticks
+constexpr int kMaximumAge = kBound + 2;  ///< upper limit of ages; represents all greater ages
 constexpr int kNotRemoved = -1;
 
 /// Safety checks of the protocol, each of which a test can disable. All true is the protocol as implemented.
 struct Guards {
   bool leader_asks_quorum = true;
-  bool counts_from_question = true;
+  bool counts_from_request = true;
   bool confirms_with_document = true;  ///< an answer that arrives before its document change confirms nothing
-  bool proxy_stops_in_the_end = true;
+  bool proxy_stops_without_confirmation = true;
   bool statements_are_checked = true;  ///< each one, in addition to the opening of a session
   bool restart_forgets = true;
 };
@@ -33,10 +33,11 @@
   int removed_age = kNotRemoved;  ///< ticks since the removal was acknowledged
   bool deposed_answers = false;   ///< the proxy talks to a leader that was replaced before the removal
   // The proxy.
-  int confirmed_age = kNever;  ///< ticks since the last answered request was sent; kNever: none, or too old
-  bool knows = false;          ///< has received the removal
-  bool asking = false;
-  int question_age = 0;
+  /// Ticks since the last answered request was sent; kMaximumAge: none, or too old.
+  int confirmed_age = kMaximumAge;
+  bool knows_removal = false;  ///< has received the removal
+  bool has_request = false;
+  int request_age = 0;
   Answer answer = Answer::kNone;  ///< in transit: kOld without the removal, kNew with it
   bool session_open = false;      ///< opened while the key was valid
   // A statement that was read and is waiting to run.
@@ -51,32 +52,33 @@
 
   bool finds_violation() {
     visit(State{});
-    while (!open_.empty() && !violated_) {
-      const State state = open_.front();
-      open_.pop_front();
+    while (!queue_.empty() && !violated_) {
+      const State state = queue_.front();
+      queue_.pop_front();
       expand(state);
     }
     return violated_;
   }
-  [[nodiscard]] std::size_t states() const { return reached_.size(); }
+  [[nodiscard]] std::size_t states() const { return visited_.size(); }
 
  private:
   void visit(const State& state) {
-    if (reached_.insert(state).second) open_.push_back(state);
+    if (visited_.insert(state).second) queue_.push_back(state);
   }
 
-  static int older(int age) { return age >= kNever ? kNever : age + 1; }
+  static int older(int age) { return age >= kMaximumAge ? kMaximumAge : age + 1; }
 
   [[nodiscard]] bool allows(const State& state) const {
-    if (state.knows) return false;
-    return !guards_.proxy_stops_in_the_end ? state.confirmed_age != kNever || state.session_open
-                                           : state.confirmed_age < kBound;
+    if (state.knows_removal) return false;
+    return !guards_.proxy_stops_without_confirmation
+               ? state.confirmed_age != kMaximumAge || state.session_open
+               : state.confirmed_age < kBound;
   }
 
   void expand(const State& state) {
     tick(state);
     control_steps(state);
-    question_steps(state);
+    request_steps(state);
     caller_steps(state);
     restart(state);
   }
@@ -84,7 +86,7 @@
   void tick(State state) {
     if (state.removed_age != kNotRemoved) state.removed_age = older(state.removed_age);
     state.confirmed_age = older(state.confirmed_age);
-    if (state.asking) state.question_age = older(state.question_age);
+    if (state.has_request) state.request_age = older(state.request_age);
     visit(state);
   }
 
@@ -97,11 +99,11 @@
     visit(deposed);
   }
 
-  void question_steps(const State& state) {
+  void request_steps(const State& state) {
     State next = state;
-    if (!state.asking) {
-      next.asking = true;
-      next.question_age = 0;
+    if (!state.has_request) {
+      next.has_request = true;
+      next.request_age = 0;
       next.answer = Answer::kNone;
       visit(next);
       return;
@@ -109,8 +111,8 @@
     if (state.answer == Answer::kNone) {
       // A replaced leader finds no quorum and does not answer.
       if (state.deposed_answers && guards_.leader_asks_quorum) return;
-      const bool knows = state.removed_age != kNotRemoved && !state.deposed_answers;
-      next.answer = knows ? Answer::kNew : Answer::kOld;
+      const bool knows_removal = state.removed_age != kNotRemoved && !state.deposed_answers;
+      next.answer = knows_removal ? Answer::kNew : Answer::kOld;
       visit(next);
       return;
     }
@@ -120,12 +122,12 @@
   }
 
   void take_answer(State state, bool without_change) {
-    state.asking = false;
+    state.has_request = false;
     const bool confirms = !without_change || !guards_.confirms_with_document;
-    if (state.answer == Answer::kNew && !without_change) state.knows = true;
-    if (confirms) state.confirmed_age = guards_.counts_from_question ? state.question_age : 0;
+    if (state.answer == Answer::kNew && !without_change) state.knows_removal = true;
+    if (confirms) state.confirmed_age = guards_.counts_from_request ? state.request_age : 0;
     state.answer = Answer::kNone;
-    state.question_age = 0;
+    state.request_age = 0;
     visit(state);
   }
 
@@ -159,8 +161,8 @@
   }
 
   Guards guards_;
-  std::set<State> reached_;
-  std::deque<State> open_;
+  std::set<State> visited_;
+  std::deque<State> queue_;
   bool violated_ = false;
 };
 
@@ -168,18 +170,18 @@
 
 class KeyRevocationModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(KeyRevocationModelTest);
-  CPPUNIT_TEST(no_order_of_events_runs_what_was_sent_too_late);
-  CPPUNIT_TEST(each_guard_is_needed);
+  CPPUNIT_TEST(no_order_of_events_runs_a_late_statement);
+  CPPUNIT_TEST(late_statement_runs_without_any_guard);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void no_order_of_events_runs_what_was_sent_too_late() {
+  void no_order_of_events_runs_a_late_statement() {
     Model model({});
     CPPUNIT_ASSERT(!model.finds_violation());
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} states", model.states()), model.states() > 1000);
   }
 
-  void each_guard_is_needed() {
+  void late_statement_runs_without_any_guard() {
     const auto finds_without = [](bool Guards::*guard) {
       Guards guards;
       guards.*guard = false;
@@ -187,11 +189,11 @@
     };
     CPPUNIT_ASSERT_MESSAGE("leader confirms with a quorum", finds_without(&Guards::leader_asks_quorum));
     CPPUNIT_ASSERT_MESSAGE("confirmation counts from the request",
-                           finds_without(&Guards::counts_from_question));
+                           finds_without(&Guards::counts_from_request));
     CPPUNIT_ASSERT_MESSAGE("confirmation needs the document change",
                            finds_without(&Guards::confirms_with_document));
     CPPUNIT_ASSERT_MESSAGE("proxy stops without confirmation",
-                           finds_without(&Guards::proxy_stops_in_the_end));
+                           finds_without(&Guards::proxy_stops_without_confirmation));
     CPPUNIT_ASSERT_MESSAGE("each statement is checked", finds_without(&Guards::statements_are_checked));
     CPPUNIT_ASSERT_MESSAGE("restart discards confirmations", finds_without(&Guards::restart_forgets));
   }
--- a/tests/registered/tenancy/tenant_directory_test.cpp
+++ b/tests/registered/tenancy/tenant_directory_test.cpp
@@ -19,7 +19,7 @@
   return rule;
 }
 
-std::string holder_of(const TenantDirectory& directory, const std::string& key) {
+std::string tenant_with_key(const TenantDirectory& directory, const std::string& key) {
   const auto* found = directory.find_by_key(ApiKey(key));
   return found == nullptr ? std::string() : found->name.value;
 }
@@ -28,38 +28,38 @@
 
 class TenantDirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantDirectoryTest);
-  CPPUNIT_TEST(a_key_proves_its_tenant_as_long_as_that_has_it);
-  CPPUNIT_TEST(a_key_that_changes_hands_proves_the_new_tenant_in_either_order);
-  CPPUNIT_TEST(metrics_name_the_largest_only);
-  CPPUNIT_TEST(keys_are_believed_until_the_bound_after_the_question);
-  CPPUNIT_TEST(without_a_bound_keys_are_always_believed);
+  CPPUNIT_TEST(finds_tenant_while_it_has_the_key);
+  CPPUNIT_TEST(moved_key_finds_new_tenant_in_either_order);
+  CPPUNIT_TEST(only_tenants_with_highest_rates_are_large);
+  CPPUNIT_TEST(keys_are_valid_until_bound_after_request);
+  CPPUNIT_TEST(keys_are_always_valid_without_bound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_key_proves_its_tenant_as_long_as_that_has_it() {
+  void finds_tenant_while_it_has_the_key() {
     TenantDirectory directory;
     directory.put(tenant("one", {"a", "b"}));
-    CPPUNIT_ASSERT_EQUAL(std::string("one"), holder_of(directory, "b"));
-    CPPUNIT_ASSERT_EQUAL(std::string(), holder_of(directory, ""));
+    CPPUNIT_ASSERT_EQUAL(std::string("one"), tenant_with_key(directory, "b"));
+    CPPUNIT_ASSERT_EQUAL(std::string(), tenant_with_key(directory, ""));
     directory.put(tenant("one", {"a"}));
-    CPPUNIT_ASSERT_EQUAL(std::string(), holder_of(directory, "b"));
+    CPPUNIT_ASSERT_EQUAL(std::string(), tenant_with_key(directory, "b"));
     directory.remove(TenantName("one"));
-    CPPUNIT_ASSERT_EQUAL(std::string(), holder_of(directory, "a"));
+    CPPUNIT_ASSERT_EQUAL(std::string(), tenant_with_key(directory, "a"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, directory.size());
   }
 
-  void a_key_that_changes_hands_proves_the_new_tenant_in_either_order() {
-    for (const bool giver_first : {true, false}) {
+  void moved_key_finds_new_tenant_in_either_order() {
+    for (const bool removed_first : {true, false}) {
       TenantDirectory directory;
       directory.put(tenant("one", {"a"}));
-      if (giver_first) directory.put(tenant("one", {}));
+      if (removed_first) directory.put(tenant("one", {}));
       directory.put(tenant("two", {"a"}));
-      if (!giver_first) directory.put(tenant("one", {}));
-      CPPUNIT_ASSERT_EQUAL(std::string("two"), holder_of(directory, "a"));
+      if (!removed_first) directory.put(tenant("one", {}));
+      CPPUNIT_ASSERT_EQUAL(std::string("two"), tenant_with_key(directory, "a"));
     }
   }
 
-  void metrics_name_the_largest_only() {
+  void only_tenants_with_highest_rates_are_large() {
     TenantDirectory directory;
     for (std::uint64_t number = 0; number < 30; ++number) {
       registry::TenantRule rule = tenant("tenant-" + std::to_string(number), {});
@@ -71,10 +71,10 @@
     CPPUNIT_ASSERT(!directory.is_large(TenantName("nobody")));
     directory.remove(TenantName("tenant-29"));
     CPPUNIT_ASSERT(directory.is_large(TenantName("tenant-9")));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(28.0 / 406, directory.part_of(TenantName("tenant-28")), 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(28.0 / 406, directory.limit_fraction(TenantName("tenant-28")), 1e-9);
   }
 
-  void keys_are_believed_until_the_bound_after_the_question() {
+  void keys_are_valid_until_bound_after_request() {
     KeyConfirmation keys(seconds(5));
     const TimePoint asked{seconds(100)};
     CPPUNIT_ASSERT_MESSAGE("never confirmed", !keys.allows(asked));
@@ -87,7 +87,7 @@
     CPPUNIT_ASSERT(keys.is_confirmed_since(asked) && !keys.is_confirmed_since(asked + milliseconds(1)));
   }
 
-  void without_a_bound_keys_are_always_believed() {
+  void keys_are_always_valid_without_bound() {
     const KeyConfirmation keys(std::nullopt);
     CPPUNIT_ASSERT(keys.allows(TimePoint{seconds(1000)}));
   }
--- a/tests/registered/tenancy/tenant_division_test.cpp
+++ b/tests/registered/tenancy/tenant_division_test.cpp
@@ -25,13 +25,13 @@
 }
 
 /// Returns the proxies of a zone to which 27 forwarders of that zone send the tenant's statements first.
-std::set<NodeName> used_by(const TenantName& tenant, double part, const ZoneName& zone) {
+std::set<NodeName> first_choices(const TenantName& tenant, double fraction, const ZoneName& zone) {
   std::set<NodeName> used;
   const auto serving = proxies(16);
   for (int forwarder = 0; forwarder < 27; ++forwarder) {
     const auto order =
         subset::forwarding_order(serving, NodeName(fmt::format("forwarder-{}", forwarder)), zone);
-    used.insert(order_for_tenant(order, tenant, part, zone).front()->name);
+    used.insert(order_for_tenant(order, tenant, fraction, zone).front()->name);
   }
   return used;
 }
@@ -40,40 +40,40 @@
 
 class TenantDivisionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantDivisionTest);
-  CPPUNIT_TEST(a_small_tenant_has_one_proxy_a_zone);
-  CPPUNIT_TEST(a_large_tenant_has_several);
-  CPPUNIT_TEST(tenants_spread);
-  CPPUNIT_TEST(statements_stay_in_their_zone_first);
-  CPPUNIT_TEST(a_lost_proxy_moves_its_own_tenants_only);
-  CPPUNIT_TEST(forwarders_of_all_zones_meet_at_one_proxy);
-  CPPUNIT_TEST(reads_stay_where_there_is_a_backend);
-  CPPUNIT_TEST(reads_from_elsewhere_spread_by_tenant);
-  CPPUNIT_TEST(most_links_go_to_the_backends_zone);
-  CPPUNIT_TEST(links_are_divided_evenly_where_nobody_is_near);
+  CPPUNIT_TEST(small_tenant_uses_one_proxy_per_zone);
+  CPPUNIT_TEST(large_tenant_uses_several_proxies);
+  CPPUNIT_TEST(tenants_spread_over_proxies);
+  CPPUNIT_TEST(prefers_proxies_of_the_zone);
+  CPPUNIT_TEST(lost_proxy_moves_only_its_tenants);
+  CPPUNIT_TEST(forwarders_of_all_zones_select_same_proxy);
+  CPPUNIT_TEST(reads_stay_in_zone_with_backend);
+  CPPUNIT_TEST(remote_reads_spread_by_tenant);
+  CPPUNIT_TEST(most_links_go_to_proxies_in_backend_zone);
+  CPPUNIT_TEST(links_are_divided_evenly_without_proxies_in_backend_zone);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_small_tenant_has_one_proxy_a_zone() {
+  void small_tenant_uses_one_proxy_per_zone() {
     for (int number = 0; number < 84; ++number) {
       const TenantName tenant(fmt::format("tenant-{}", number));
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, used_by(tenant, 1.0 / 84, ZoneName("zone-1")).size());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first_choices(tenant, 1.0 / 84, ZoneName("zone-1")).size());
     }
   }
 
-  void a_large_tenant_has_several() {
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, used_by(TenantName("large"), 0.15, ZoneName("zone-1")).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, used_by(TenantName("all"), 1.0, ZoneName("zone-1")).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, proxies_of_tenant(0, 0.5));
+  void large_tenant_uses_several_proxies() {
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, first_choices(TenantName("large"), 0.15, ZoneName("zone-1")).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, first_choices(TenantName("all"), 1.0, ZoneName("zone-1")).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, tenant_proxy_count(0, 0.5));
   }
 
-  void tenants_spread() {
+  void tenants_spread_over_proxies() {
     std::set<NodeName> used;
     for (int number = 0; number < 84; ++number)
-      used.merge(used_by(TenantName(fmt::format("tenant-{}", number)), 0.01, ZoneName("zone-1")));
+      used.merge(first_choices(TenantName(fmt::format("tenant-{}", number)), 0.01, ZoneName("zone-1")));
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, used.size());
   }
 
-  void statements_stay_in_their_zone_first() {
+  void prefers_proxies_of_the_zone() {
     const auto order = order_for_tenant(proxies(16), TenantName("tenant"), 0.01, ZoneName("zone-2"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{16}, order.size());
     for (std::size_t place = 0; place < 5; ++place)
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("a zone without serving proxies", std::size_t{16}, elsewhere.size());
   }
 
-  void forwarders_of_all_zones_meet_at_one_proxy() {
+  void forwarders_of_all_zones_select_same_proxy() {
     const auto serving = proxies(16);
     std::set<NodeName> used;
     for (int forwarder = 0; forwarder < 27; ++forwarder) {
@@ -96,49 +96,49 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, used.size());
   }
 
-  void reads_stay_where_there_is_a_backend() {
+  void reads_stay_in_zone_with_backend() {
     const std::vector<ZoneName> reading{ZoneName("zone-0"), ZoneName("zone-1")};
     for (int number = 0; number < 84; ++number) {
       const TenantName tenant(fmt::format("tenant-{}", number));
-      CPPUNIT_ASSERT_EQUAL(std::string("zone-1"), zone_of_reads(reading, tenant, ZoneName("zone-1")).value);
+      CPPUNIT_ASSERT_EQUAL(std::string("zone-1"), zone_for_reads(reading, tenant, ZoneName("zone-1")).value);
     }
-    CPPUNIT_ASSERT(zone_of_reads({}, TenantName("tenant"), ZoneName("zone-1")).empty());
+    CPPUNIT_ASSERT(zone_for_reads({}, TenantName("tenant"), ZoneName("zone-1")).empty());
   }
 
-  void reads_from_elsewhere_spread_by_tenant() {
+  void remote_reads_spread_by_tenant() {
     const std::vector<ZoneName> reading{ZoneName("zone-0"), ZoneName("zone-1"), ZoneName("zone-2")};
     const std::vector<ZoneName> other_order{ZoneName("zone-2"), ZoneName("zone-1"), ZoneName("zone-0")};
     std::map<ZoneName, int> tenants;
     for (int number = 0; number < 84; ++number) {
       const TenantName tenant(fmt::format("tenant-{}", number));
-      const ZoneName chosen = zone_of_reads(reading, tenant, ZoneName("zone-9"));
-      CPPUNIT_ASSERT(chosen == zone_of_reads(other_order, tenant, ZoneName("zone-9")));
+      const ZoneName chosen = zone_for_reads(reading, tenant, ZoneName("zone-9"));
+      CPPUNIT_ASSERT(chosen == zone_for_reads(other_order, tenant, ZoneName("zone-9")));
       ++tenants[chosen];
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, tenants.size());
     for (const auto& [zone, count] : tenants) CPPUNIT_ASSERT_MESSAGE(zone.value, count >= 14);
   }
 
-  void most_links_go_to_the_backends_zone() {
+  void most_links_go_to_proxies_in_backend_zone() {
     const ZoneName near("zone-0");
     const ZoneName far("zone-3");
     const ServingProxies serving{15, {{near, 4}, {ZoneName("zone-1"), 4}, {ZoneName("zone-2"), 4}, {far, 3}}};
-    const std::uint64_t share = links_of_proxy(52, serving, near, near);
+    const std::uint64_t share = links_per_proxy(52, serving, near, near);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, share);
-    CPPUNIT_ASSERT_EQUAL(kFarLinks, links_of_proxy(52, serving, near, far));
+    CPPUNIT_ASSERT_EQUAL(kRemoteZoneLinks, links_per_proxy(52, serving, near, far));
     CPPUNIT_ASSERT_MESSAGE("including one link of each proxy in other zones", share * 4 + 11 <= 52);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("fewer links than reserved", std::uint64_t{1},
-                                 links_of_proxy(8, serving, near, near));
+                                 links_per_proxy(8, serving, near, near));
   }
 
-  void links_are_divided_evenly_where_nobody_is_near() {
+  void links_are_divided_evenly_without_proxies_in_backend_zone() {
     const ZoneName zone("zone-0");
     const ServingProxies serving{15, {{zone, 15}}};
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, links_of_proxy(52, serving, ZoneName("zone-9"), zone));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, links_of_proxy(52, serving, zone, zone));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, links_per_proxy(52, serving, ZoneName("zone-9"), zone));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, links_per_proxy(52, serving, zone, zone));
   }
 
-  void a_lost_proxy_moves_its_own_tenants_only() {
+  void lost_proxy_moves_only_its_tenants() {
     const ZoneName zone("zone-1");
     for (int number = 0; number < 84; ++number) {
       const TenantName tenant(fmt::format("tenant-{}", number));
