--- a/src/registered/protocol/backend_link.h
+++ b/src/registered/protocol/backend_link.h
@@ -15,7 +15,7 @@
 namespace cairnhollow::registered {
 
 /// A caller's read, write or commit, forwarded with its id and text.
-struct ForwardedStatement {
+struct SimpleQuery {
   std::string id;
   std::string text;
   std::optional<Position> required;  ///< a backend whose log has not reached it answers kTooStale
@@ -58,8 +58,8 @@
 /// Ends a Pause; answered with one row, see BackendStatus.
 struct Resume {};
 
-using BackendRequest = std::variant<ForwardedStatement, Execute, Begin, Rollback, SetValue, Prepare,
-                                    ResetState, GetStatus, Demote, Pause, Resume>;
+using BackendRequest = std::variant<SimpleQuery, Execute, Begin, Rollback, SetValue, Prepare, ResetState,
+                                    GetStatus, Demote, Pause, Resume>;
 
 struct BackendStatus {
   bool is_primary = false;
--- a/src/registered/proxy/statement/statement_sending.cpp
+++ b/src/registered/proxy/statement/statement_sending.cpp
@@ -6,7 +6,7 @@
 
 BackendRequest make_request(const StatementRequest& order, const StatefulLink& link,
                             std::optional<Position> required) {
-  if (!order.prepared) return ForwardedStatement{order.id, order.text, required};
+  if (!order.prepared) return SimpleQuery{order.id, order.text, required};
   return Execute{order.id, link.prepared_name(*order.prepared), order.argument, required};
 }
 
--- a/tests/platform/wire_connections_test.cpp
+++ b/tests/platform/wire_connections_test.cpp
@@ -45,7 +45,7 @@
   auto link = co_await dialer->open(address, deadline, outcome.refusal, outcome.reason);
   outcome.opened = link != nullptr;
   if (link) {
-    registered::BackendRequest request = registered::ForwardedStatement{"5c0e", "READ 1a4", std::nullopt};
+    registered::BackendRequest request = registered::SimpleQuery{"5c0e", "READ 1a4", std::nullopt};
     outcome.answer = co_await link->run(std::move(request), deadline, outcome.sent, outcome.reason);
     outcome.is_link_open = link->is_open();
   }
--- a/tests/platform/wire_property_test.cpp
+++ b/tests/platform/wire_property_test.cpp
@@ -131,7 +131,7 @@
   const TimePoint deadline = runtime.now() + seconds(1);
   std::optional<registered::Refusal> refusal;
   auto link = co_await dialer->open(address, deadline, refusal, outcome.reason);
-  registered::BackendRequest request = registered::ForwardedStatement{"5c0e", "READ 1a4", std::nullopt};
+  registered::BackendRequest request = registered::SimpleQuery{"5c0e", "READ 1a4", std::nullopt};
   runtime::SendState sent = runtime::SendState::kNotSent;
   outcome.answer = co_await link->run(std::move(request), deadline, sent, outcome.reason);
   outcome.is_link_open = link->is_open();
--- a/tests/platform/wire_words_test.cpp
+++ b/tests/platform/wire_words_test.cpp
@@ -69,7 +69,7 @@
   }
 
   void formats_documented_requests() {
-    registered::ForwardedStatement read{"5c0e7a21d94b36f8", "READ 1a4", Position{3, 1207}};
+    registered::SimpleQuery read{"5c0e7a21d94b36f8", "READ 1a4", Position{3, 1207}};
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY 5c0e7a21d94b36f8 AFTER 3.1207 READ 1a4\r\n"),
                          print_request(read));
     CPPUNIT_ASSERT_EQUAL(std::string("QUERY - STATUS\r\n"), print_request(registered::GetStatus{}));
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -33,7 +33,7 @@
 }
 
 std::string text_of(const BackendRequest& request) {
-  if (const auto* passed = std::get_if<ForwardedStatement>(&request)) return passed->text;
+  if (const auto* passed = std::get_if<SimpleQuery>(&request)) return passed->text;
   return "execute " + std::get<Execute>(request).argument;
 }
 
@@ -131,7 +131,7 @@
     Answer answer;
     const Step step = step_of(request);
     if (step == Step::kBegin) in_transaction_ = true;
-    const auto* passed = std::get_if<ForwardedStatement>(&request);
+    const auto* passed = std::get_if<SimpleQuery>(&request);
     if (step == Step::kRollback || (passed != nullptr && passed->text == "commit")) in_transaction_ = false;
     if (in_transaction_) answer.state = TransactionState::kOpen;
     if (step == Step::kStatement) answer.position = Position{1, ++stand_.position_};
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -40,8 +40,8 @@
       co_await runtime_.sleep_for(backend_.setup_takes);
       if (backend_.during_setup) backend_.during_setup();
     }
-    if (std::holds_alternative<ForwardedStatement>(request)) ++backend_.statements;
-    if (std::holds_alternative<ForwardedStatement>(request) && backend_.breaks_off) {
+    if (std::holds_alternative<SimpleQuery>(request)) ++backend_.statements;
+    if (std::holds_alternative<SimpleQuery>(request) && backend_.breaks_off) {
       reason = Reason{ReasonCode::kConnectionLost, "run", kBackend.value, "broke off"};
       open_ = false;
       co_return std::nullopt;
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -57,7 +57,7 @@
       co_await runtime_.sleep_for(backends_.takes);
       if (backends_.meanwhile) backends_.meanwhile();
     }
-    if (std::holds_alternative<ForwardedStatement>(request)) {
+    if (std::holds_alternative<SimpleQuery>(request)) {
       ++backends_.statements[name_];
       co_await runtime_.sleep_for(backends_.statement_takes);
       if (!open_) co_return std::nullopt;
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -36,7 +36,7 @@
     }
     if (std::holds_alternative<Begin>(request)) in_transaction_ = true;
     if (std::holds_alternative<Rollback>(request)) in_transaction_ = false;
-    if (std::holds_alternative<ForwardedStatement>(request)) ++script_.statements;
+    if (std::holds_alternative<SimpleQuery>(request)) ++script_.statements;
     Answer answer;
     answer.state = in_transaction_ ? TransactionState::kOpen : TransactionState::kIdle;
     co_return answer;
