--- a/src/registered/placement/attempt_outcome.cpp
+++ b/src/registered/placement/attempt_outcome.cpp
@@ -57,7 +57,7 @@
 
 Retry after_answer(const std::optional<Refusal>& refusal, const AttemptFacts& attempt) {
   if (!refusal) return {};
-  if (is_not_run(*refusal)) return make_retry(attempt.needs_primary);
+  if (guarantees_not_run(*refusal)) return make_retry(attempt.needs_primary);
   const bool may_succeed_elsewhere = attempt.reads && attempt.attempts < kMaxFailedReads;
   if (*refusal == Refusal::kFailed && may_succeed_elsewhere) return {NextStep::kReselectBackend, true};
   return {};
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -131,7 +131,7 @@
   for (const registry::TenantRule& tenant : delta.tenants) {
     const auto previous = tenant_limit(tenant.name);
     tenants_.put(tenant);
-    if (previous) quotas_.record_limit(*previous, *tenant_limit(tenant.name), runtime_.now());
+    if (previous) quotas_.record_limit_change(*previous, *tenant_limit(tenant.name), runtime_.now());
   }
   if (!delta.tenants.empty() || !delta.removed_tenants.empty()) tenant_forwarding_targets_.clear();
 }
@@ -218,7 +218,7 @@
   // The next primary may be in any zone. Without a lease other proxies may be better informed.
   if (work == GroupWork::kAtPrimary && holds_lease_for(*found->second)) return std::nullopt;
   if (found->second->backends.has_readers_in(zone_)) return zone_;
-  const ZoneName reads = tenancy::zone_of_reads(found->second->backends.reading_zones(), tenant, zone_);
+  const ZoneName reads = tenancy::zone_for_reads(found->second->backends.reading_zones(), tenant, zone_);
   return reads.empty() ? zone_ : reads;
 }
 
@@ -245,7 +245,7 @@
   if (!zone) return no_proxies();
   const auto found = tenant_forwarding_targets_.find(std::tie(group, tenant, *zone));
   if (found != tenant_forwarding_targets_.end()) return found->second;
-  auto order = tenancy::order_for_tenant(serving_[group], tenant, tenants_.part_of(tenant), *zone);
+  auto order = tenancy::order_for_tenant(serving_[group], tenant, tenants_.limit_fraction(tenant), *zone);
   if (!order.empty() && order.front()->name == node_) order.clear();
   return tenant_forwarding_targets_.emplace(TenantOrderKey{group, tenant, *zone}, std::move(order))
       .first->second;
@@ -258,7 +258,7 @@
 locality::PermittedRegions FleetView::allowed_regions(const registry::RouteRule& route,
                                                       const TenantName& tenant) const {
   const registry::TenantRule* rule = nullptr;
-  if (!tenant.empty() && tenants_.any_names_regions()) rule = tenants_.find(tenant);
+  if (!tenant.empty() && tenants_.any_restricts_regions()) rule = tenants_.find(tenant);
   if (rule != nullptr) return {regions_, route.allowed_regions, rule->allowed_regions};
   if (route.allowed_regions.empty()) return {};
   return {regions_, route.allowed_regions, {}};
@@ -274,7 +274,7 @@
 }
 
 bool FleetView::has_region_restrictions() const {
-  return routes_restrict_regions_ || tenants_.any_names_regions();
+  return routes_restrict_regions_ || tenants_.any_restricts_regions();
 }
 
 void FleetView::log_if_region_unknown(const ZoneName& zone) {
--- a/src/registered/proxy/limits/limit_client.cpp
+++ b/src/registered/proxy/limits/limit_client.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-ForwardTokens make_token_request(const limits::LimitedName& limited, const limits::TokenRequest& request) {
+ForwardTokens make_token_request(const limits::LimitKey& limited, const limits::TokenRequest& request) {
   ForwardTokens tokens{TenantName(), request.needed, request.ahead, BackendName()};
-  if (limited.kind == limits::LimitedKind::kTenant) {
+  if (limited.kind == limits::LimitKind::kTenant) {
     tokens.tenant = TenantName(limited.name);
   } else {
     tokens.cold_backend = BackendName(limited.name);
@@ -44,7 +44,7 @@
 }
 
 Awaitable<AdmissionAnswer> LimitClient::take_or_request_token(limits::Limit limit) {
-  auto& account_slot = accounts_[limit.of];
+  auto& account_slot = accounts_[limit.key];
   if (!account_slot) account_slot = std::make_shared<TokenAccount>(runtime_);
   const TokenAccountPointer account = account_slot;
   const TimePoint started_at = runtime_.now();
@@ -72,13 +72,13 @@
 Awaitable<void> LimitClient::request_tokens(limits::Limit limit, TokenAccountPointer account) {
   const TimePoint asked_at = runtime_.now();
   const limits::TokenRequest request{std::max<std::uint64_t>(account->waiting, 1),
-                                     account->stock.expected(asked_at)};
+                                     account->stock.expected_demand(asked_at)};
   AdmissionAnswer answer{AdmissionOutcome::kNotCounted, placement::kRetryAfterWithoutPrimary, {}};
-  for (const subset::ProxyPointer& owner : owners_by_preference(limit.of)) {
+  for (const subset::ProxyPointer& owner : owners_by_preference(limit.key)) {
     const Grant grant = co_await request_from(limit, request, owner);
-    if (grant.outcome == GrantOutcome::kNotCounting) continue;
+    if (grant.outcome == GrantOutcome::kNotAuthorized) continue;
     if (grant.outcome == GrantOutcome::kGranted) {
-      account->stock.put(grant.tokens, asked_at);
+      account->stock.add(grant.tokens, asked_at);
       answer.outcome = AdmissionOutcome::kAdmitted;
       break;
     }
@@ -95,9 +95,8 @@
   account->answered.notify_all();
 }
 
-std::vector<subset::ProxyPointer> LimitClient::owners_by_preference(
-    const limits::LimitedName& limited) const {
-  auto owners = view_.quotas().owners().of(limited);
+std::vector<subset::ProxyPointer> LimitClient::owners_by_preference(const limits::LimitKey& limited) const {
+  auto owners = view_.quotas().owners().owners_of(limited);
   const TimePoint now = runtime_.now();
   const auto rank = [&](const subset::ProxyPointer& owner) {
     const auto silent = unresponsive_until_.find(owner->name);
@@ -121,19 +120,20 @@
   std::optional<ForwardAnswer> answer;
   if (connection) {
     ForwardRequest forward;
-    forward.body = make_token_request(limit.of, request);
+    forward.body = make_token_request(limit.key, request);
     answer = co_await connection->call(std::move(forward), deadline, reason);
   }
   if (answer) co_return answer->grant;
   unresponsive_until_[owner->name] = runtime_.now() + kAvoidProxyFor;
-  runtime_.logger().log(runtime::LogLevel::kWarning, "tokens_not_granted", reason,
-                        {{limits::field_name(limit.of.kind), limit.of.name}, {"home", owner->name.value}});
+  runtime_.logger().log(
+      runtime::LogLevel::kWarning, "tokens_not_granted", reason,
+      {{limits::log_field_name(limit.key.kind), limit.key.name}, {"home", owner->name.value}});
   co_return Grant{};
 }
 
-void LimitClient::give_back(const limits::LimitedName& limited, TimePoint expires_at) {
+void LimitClient::give_back(const limits::LimitKey& limited, TimePoint expires_at) {
   const auto found = accounts_.find(limited);
-  if (found != accounts_.end()) found->second->stock.give_back(expires_at);
+  if (found != accounts_.end()) found->second->stock.return_unused(expires_at);
 }
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -47,12 +47,12 @@
   /// backend has no limit now, the answer is kAdmitted without a token.
   Awaitable<AdmissionAnswer> admit_to_cold(BackendName backend);
   /// Returns a token that expires at `expires_at` and with which nothing was run.
-  void give_back(const limits::LimitedName& limited, TimePoint expires_at);
+  void give_back(const limits::LimitKey& limited, TimePoint expires_at);
 
  private:
   struct TokenAccount {
     explicit TokenAccount(runtime::Runtime& runtime) : answered(runtime) {}
-    limits::TokenStock stock;
+    limits::TokenCache stock;
     bool requesting = false;
     std::uint64_t waiting = 0;  ///< number of operations waiting for an answer
     AdmissionAnswer last;       ///< the owners' answer to the last request
@@ -67,14 +67,13 @@
                                         subset::ProxyPointer owner);
   /// The quota owners in the order in which to ask them: this proxy, those of its zone, those of other zones,
   /// and last those that recently did not answer or are unreachable.
-  [[nodiscard]] std::vector<subset::ProxyPointer> owners_by_preference(
-      const limits::LimitedName& limited) const;
+  [[nodiscard]] std::vector<subset::ProxyPointer> owners_by_preference(const limits::LimitKey& limited) const;
 
   runtime::Runtime& runtime_;
   FleetView& view_;
   Forwarder& forwarder_;
   SessionMetrics& metrics_;
-  std::map<limits::LimitedName, TokenAccountPointer> accounts_;
+  std::map<limits::LimitKey, TokenAccountPointer> accounts_;
   std::map<NodeName, TimePoint> unresponsive_until_;
 };
 
--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -25,8 +25,8 @@
 /// one's first answers.
 inline constexpr double kColdCostMs = 66.0;
 
-inline limits::LimitedName limited(const BackendName& backend) {
-  return {limits::LimitedKind::kColdBackend, backend.value};
+inline limits::LimitKey limited(const BackendName& backend) {
+  return {limits::LimitKind::kColdBackend, backend.value};
 }
 
 /// `rate_per_s`: cold rate of the group, in statements a second; must be positive.
--- a/src/registered/proxy/statement/statement_placer.cpp
+++ b/src/registered/proxy/statement/statement_placer.cpp
@@ -12,7 +12,7 @@
 const placement::ProxyList* StatementPlacer::filter_permitted(const placement::ProxyList& proxies,
                                                               const StatementRequest& request,
                                                               placement::ProxyList& permitted) const {
-  if (request.allowed.is_anywhere()) return &proxies;
+  if (request.allowed.is_unrestricted()) return &proxies;
   permitted = services_.view.filter_by_region(proxies, request.allowed);
   // This proxy is the first choice: do not forward.
   if (!permitted.empty() && permitted.front()->name == services_.view.node()) permitted.clear();
@@ -40,7 +40,7 @@
 }
 
 bool StatementPlacer::lacks_permitted_backend(const StatementRequest& request) {
-  if (request.allowed.is_nowhere()) return true;
+  if (request.allowed.allows_none()) return true;
   ReadNeed need;
   need.primary_only = !request.may_use_replicas();
   const auto choice = placement::choose_backend(
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 Awaitable<RunResult> StatementRunner::run(StatementRequest request) {
-  if (!request.allowed.is_anywhere() && StatementPlacer::lacks_permitted_backend(request))
+  if (!request.allowed.is_unrestricted() && StatementPlacer::lacks_permitted_backend(request))
     co_return refuse_outside_regions(std::move(request));
   std::optional<placement::Forwarding> forwarding;
   PermittedProxies permitted;
@@ -56,7 +56,7 @@
   const bool stalls = writes && attempt->request.group->primary_health.refuses_commits();
   if (placement::commit_rejection(writes, stalls) != RejectionReason::kNone)
     co_return refuse_stalled_write(*attempt);
-  if (!attempt->request.allowed.is_anywhere()) co_await placer_.await_primary_position(attempt);
+  if (!attempt->request.allowed.is_unrestricted()) co_await placer_.await_primary_position(attempt);
   NextStep next = NextStep::kReselectBackend;
   while (next != NextStep::kAnswer) {
     const bool chosen = co_await choose(attempt);
@@ -248,7 +248,7 @@
   if (!begun) co_return apply(placement::make_retry(attempt->needs_primary), *attempt);
   attempt->cold_token.reset();
   auto answer = co_await exchange(attempt);
-  const bool not_run = answer && answer->refusal && is_not_run(*answer->refusal);
+  const bool not_run = answer && answer->refusal && guarantees_not_run(*answer->refusal);
   if (attempt->sent == SendState::kMaybeSent && !not_run) attempt->request.may_have_run = true;
   attempt->backend_time += services_.runtime.now() - attempt->sent_at;
   leave_gate(backend->gate, answer, services_.runtime.now() - attempt->sent_at);
@@ -324,7 +324,7 @@
   const placement::AttemptFacts facts = attempt.facts(current);
   const placement::Retry retry = placement::after_answer(answer.refusal, facts);
   if (retry.next == NextStep::kAnswer) return handle_final_answer(attempt, std::move(answer));
-  if (is_not_run(*answer.refusal)) {
+  if (guarantees_not_run(*answer.refusal)) {
     services_.metrics.count_retry(*answer.refusal);
     apply(placement::effects_of_refusal(*answer.refusal, facts), attempt);
     attempt.reason = Reason{ReasonCode::kOverloaded, "run_statement", backend.entry.name.value,
--- a/src/registered/proxy/statement/statement_sending.cpp
+++ b/src/registered/proxy/statement/statement_sending.cpp
@@ -6,7 +6,7 @@
 
 BackendRequest make_request(const StatementRequest& request, const StatefulLink& link,
                             std::optional<Position> required) {
-  if (!request.prepared) return PassOn{request.id, request.text, required};
+  if (!request.prepared) return SimpleQuery{request.id, request.text, required};
   return Execute{request.id, link.prepared_name(*request.prepared), request.argument, required};
 }
 
--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -1,4 +1,5 @@
-// Bodies of the operator's and the backends' calls: the pages' examples, and each fault named by its field.
+// Tests parsing of the configuration document and of heartbeats: the examples of the platform's
+// documentation, and faults that name their field.
 #include "platform/document_json.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,7 +27,7 @@
   return text;
 }
 
-/// The document with these tenants.
+/// Returns kDocument with the JSON list `tenants` added.
 std::string with_tenants(const std::string& tenants) {
   std::string text = kDocument;
   text.pop_back();
@@ -50,20 +51,20 @@
 
 class DocumentJsonTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DocumentJsonTest);
-  CPPUNIT_TEST(the_document_of_the_pages);
-  CPPUNIT_TEST(the_tenants_of_the_pages);
-  CPPUNIT_TEST(faults_of_tenants_name_their_field_and_no_key);
-  CPPUNIT_TEST(the_heartbeat_of_the_pages);
-  CPPUNIT_TEST(a_backends_start_and_cold_time_are_read);
-  CPPUNIT_TEST(a_start_that_is_not_whole_is_refused);
-  CPPUNIT_TEST(places_and_cold_starts_of_a_document_are_read);
-  CPPUNIT_TEST(places_and_cold_starts_that_can_not_be_read_name_their_field);
+  CPPUNIT_TEST(parses_documented_example);
+  CPPUNIT_TEST(parses_documented_tenants);
+  CPPUNIT_TEST(tenant_faults_name_field_but_no_key);
+  CPPUNIT_TEST(parses_documented_heartbeat);
+  CPPUNIT_TEST(parses_start_time_and_cold_time);
+  CPPUNIT_TEST(refuses_start_time_that_is_no_integer);
+  CPPUNIT_TEST(parses_regions_and_cold_starts);
+  CPPUNIT_TEST(region_and_cold_start_faults_name_field);
   CPPUNIT_TEST(faults_name_their_field);
-  CPPUNIT_TEST(every_cut_of_a_body_is_refused);
+  CPPUNIT_TEST(refuses_every_truncated_document);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void the_document_of_the_pages() {
+  void parses_documented_example() {
     Reason reason;
     const auto document = read_document(kDocument, reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, document);
@@ -77,7 +78,7 @@
     CPPUNIT_ASSERT(registered::registry::find_faults(*document).empty());
   }
 
-  void the_tenants_of_the_pages() {
+  void parses_documented_tenants() {
     Reason reason;
     const auto without = read_document(kDocument, reason);
     CPPUNIT_ASSERT(without && !without->requires_keys && without->tenants.empty());
@@ -90,14 +91,15 @@
     CPPUNIT_ASSERT_EQUAL(std::string("miny420"), tenant.name.value);
     CPPUNIT_ASSERT(tenant.keys == (std::vector<ApiKey>{ApiKey("bkf8"), ApiKey("7qdq")}));
     CPPUNIT_ASSERT(tenant.rate_per_s == 218 && tenant.burst == 200 && tenant.priority == 1);
-    const auto nobody = read_document(with_tenants("[]"), reason);
-    CPPUNIT_ASSERT_MESSAGE("the last tenant's end opens nothing", nobody && nobody->requires_keys);
-    const auto open =
+    const auto no_tenants = read_document(with_tenants("[]"), reason);
+    CPPUNIT_ASSERT_MESSAGE("an empty tenant list still requires keys",
+                           no_tenants && no_tenants->requires_keys);
+    const auto public_route =
         read_document(replaced(kDocument, R"("Priority":1)", R"("Priority":1,"Public":true)"), reason);
-    CPPUNIT_ASSERT(open && open->routes[0].is_public && !open->routes[1].is_public);
+    CPPUNIT_ASSERT(public_route && public_route->routes[0].is_public && !public_route->routes[1].is_public);
   }
 
-  void faults_of_tenants_name_their_field_and_no_key() {
+  void tenant_faults_name_field_but_no_key() {
     const auto fault = [](const std::string& tenants) { return fault_of(with_tenants(tenants)); };
     const std::string shared =
         fault(R"([{"Name":"a","ApiKeys":["secret"]},{"Name":"b","ApiKeys":["other","secret"]}])");
@@ -106,53 +108,53 @@
                          fault(R"([{"Name":"a","ApiKeys":[]},{"Name":"a","ApiKeys":[]}])"));
     CPPUNIT_ASSERT_EQUAL(std::string("tenants[0].keys[0]: must not be empty"),
                          fault(R"([{"Name":"a","ApiKeys":[""]}])"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].RatePerS: must be a whole number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].RatePerS: must be a non-negative integer"),
                          fault(R"([{"Name":"a","ApiKeys":[],"RatePerS":-1}])"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].ApiKeys: must hold texts"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Tenants[0].ApiKeys: must contain only strings"),
                          fault(R"([{"Name":"a","ApiKeys":[7]}])"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Tenants: must be a list"), fault(R"({"a":1})"));
+    CPPUNIT_ASSERT_EQUAL(std::string("Tenants: must be an array"), fault(R"({"a":1})"));
     CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].Public: must be true or false"),
                          fault_of(replaced(kDocument, R"("Priority":1)", R"("Priority":1,"Public":"yes")")));
   }
 
-  void the_heartbeat_of_the_pages() {
+  void parses_documented_heartbeat() {
     Reason reason;
     const auto heartbeat = read_heartbeat("i-7f3a91c2", kHeartbeat, reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, heartbeat);
     CPPUNIT_ASSERT_EQUAL(std::string("i-7f3a91c2"), heartbeat->entry.name.value);
     CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"), heartbeat->entry.endpoint.to_string());
     CPPUNIT_ASSERT(!heartbeat->entry.leaving);
-    CPPUNIT_ASSERT(!heartbeat->says_primary);
+    CPPUNIT_ASSERT(!heartbeat->reports_primary);
     CPPUNIT_ASSERT(
         read_heartbeat("i", replaced(kHeartbeat, "\"ready\"", "\"draining\""), reason)->entry.leaving);
     CPPUNIT_ASSERT(!read_heartbeat("i", replaced(kHeartbeat, "10.128.0.9:8080", "database"), reason));
-    CPPUNIT_ASSERT_EQUAL(std::string("Addr: must be an IP address and a port"), reason.detail);
+    CPPUNIT_ASSERT_EQUAL(std::string("Addr: must be an IP address and port"), reason.detail);
   }
 
-  void a_backends_start_and_cold_time_are_read() {
+  void parses_start_time_and_cold_time() {
     Reason reason;
     const auto without = read_heartbeat("i", kHeartbeat, reason);
     CPPUNIT_ASSERT(without && without->entry.born_ms == 0 && without->entry.cold_ms == 0);
     const std::string cold = replaced(kHeartbeat, R"("ColdRemainingMs":0)", R"("ColdRemainingMs":1500)");
-    const auto born =
+    const auto with_start =
         read_heartbeat("i", replaced(cold, R"("Seq":4)", R"("Seq":4,"born":1790000000123)"), reason);
-    CPPUNIT_ASSERT_MESSAGE(reason.detail, born);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, born->entry.born_ms);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1500}, born->entry.cold_ms);
+    CPPUNIT_ASSERT_MESSAGE(reason.detail, with_start);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, with_start->entry.born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1500}, with_start->entry.cold_ms);
   }
 
-  void a_start_that_is_not_whole_is_refused() {
-    for (const std::string born :
+  void refuses_start_time_that_is_no_integer() {
+    for (const std::string start :
          {"1790000000123.5", "\"1790000000123\"", "null", "-1", "1e300", "[1]", "true"}) {
       Reason reason;
       const auto heartbeat =
-          read_heartbeat("i", replaced(kHeartbeat, R"("Seq":4)", R"("Seq":4,"born":)" + born), reason);
-      CPPUNIT_ASSERT_MESSAGE(born, !heartbeat);
-      CPPUNIT_ASSERT_EQUAL(std::string("born: must be a whole number that is not negative"), reason.detail);
+          read_heartbeat("i", replaced(kHeartbeat, R"("Seq":4)", R"("Seq":4,"born":)" + start), reason);
+      CPPUNIT_ASSERT_MESSAGE(start, !heartbeat);
+      CPPUNIT_ASSERT_EQUAL(std::string("born: must be a non-negative integer"), reason.detail);
     }
   }
 
-  void places_and_cold_starts_of_a_document_are_read() {
+  void parses_regions_and_cold_starts() {
     Reason reason;
     std::string text =
         replaced(kDocument, R"("SyncReplicas":1)", R"("ColdStartS":2.5,"ColdPerS":7.25,"SyncReplicas":1)");
@@ -175,22 +177,22 @@
                    without->groups[0].cold_rate_per_s == 0);
   }
 
-  void places_and_cold_starts_that_can_not_be_read_name_their_field() {
+  void region_and_cold_start_faults_name_field() {
     const auto group = [](const std::string& more) {
       return fault_of(replaced(kDocument, R"("SyncReplicas":1)", R"("SyncReplicas":1,)" + more));
     };
-    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a non-negative number"),
                          group(R"("ColdPerS":-0.5)"));
-    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdPerS: must be a non-negative number"),
                          group(R"("ColdPerS":"many")"));
     CPPUNIT_ASSERT_EQUAL(std::string("Services[0].ColdStartS: is too long"), group(R"("ColdStartS":1e12)"));
     const auto route = [](const std::string& regions) {
       return fault_of(
           replaced(kDocument, R"("Priority":1,)", R"("Priority":1,"AllowedRegions":)" + regions + ","));
     };
-    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must be a list"), route(R"("north")"));
+    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must be an array"), route(R"("north")"));
     for (const std::string regions : {"[7]", R"([""])", R"(["north",null])"})
-      CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must hold texts that are not empty"),
+      CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].AllowedRegions: must contain only non-empty strings"),
                            route(regions));
   }
 
@@ -202,15 +204,15 @@
     CPPUNIT_ASSERT_EQUAL(
         std::string("routes[1].database: lepu270 with prefix / stands in routes[0] already"),
         fault_of(replaced(kDocument, "\"Hostname\":\"xapu221ny95\"", "\"Hostname\":\"lepu270\"")));
-    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].RouteKind: is unknown"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].RouteKind: is not a known value"),
                          fault_of(replaced(kDocument, "\"primary\"", "\"sharded\"")));
-    CPPUNIT_ASSERT_EQUAL(std::string("Version: must be a whole number that is not negative"),
+    CPPUNIT_ASSERT_EQUAL(std::string("Version: must be a non-negative integer"),
                          fault_of(replaced(kDocument, "\"Version\":7", "\"Version\":-7")));
     CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].TimeoutMs: is missing"),
                          fault_of(replaced(kDocument, "\"TimeoutMs\":800,", "")));
   }
 
-  void every_cut_of_a_body_is_refused() {
+  void refuses_every_truncated_document() {
     for (std::size_t size = 0; size < kDocument.size(); ++size) {
       Reason reason;
       CPPUNIT_ASSERT(!read_document(kDocument.substr(0, size), reason));
--- a/tests/registered/locality/permitted_regions_test.cpp
+++ b/tests/registered/locality/permitted_regions_test.cpp
@@ -1,4 +1,4 @@
-// Where a statement may go by the lists of its route and its tenant.
+// Tests which zones are allowed by the region lists of a route and a tenant.
 #include "registered/locality/permitted_regions.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,35 +16,35 @@
 
 struct Case {
   const char* what;
-  std::vector<std::string> of_route;
-  std::vector<std::string> of_tenant;
-  std::string allowed;  ///< of the zones n1, n2, s1, e1 and `dark`, whose region nothing tells
+  std::vector<std::string> route_regions;
+  std::vector<std::string> tenant_regions;
+  std::string allowed;  ///< among the zones n1, n2, s1, e1 and `dark`, whose region is not configured
   std::string text;
 };
 
 const std::vector<Case> kCases{
-    {"no list binds", {}, {}, "n1 n2 s1 e1 dark", "any"},
-    {"the route's", {"north"}, {}, "n1 n2", "north"},
-    {"the tenant's", {}, {"south"}, "s1", "south"},
-    {"both bind", {"north", "south"}, {"south", "east"}, "s1", "south"},
-    {"alike", {"north", "east"}, {"east", "north"}, "n1 n2 e1", "north, east"},
-    {"nothing in common", {"north"}, {"south"}, "", "none"},
-    {"a region that no zone has", {"west"}, {}, "", "west"},
-    {"one more that no zone has yet", {"west", "east"}, {}, "e1", "west, east"},
+    {"no restriction", {}, {}, "n1 n2 s1 e1 dark", "any"},
+    {"restricted by the route", {"north"}, {}, "n1 n2", "north"},
+    {"restricted by the tenant", {}, {"south"}, "s1", "south"},
+    {"restricted by both", {"north", "south"}, {"south", "east"}, "s1", "south"},
+    {"the same regions in another order", {"north", "east"}, {"east", "north"}, "n1 n2 e1", "north, east"},
+    {"no common region", {"north"}, {"south"}, "", "none"},
+    {"a region without zones", {"west"}, {}, "", "west"},
+    {"one region without zones, one with a zone", {"west", "east"}, {}, "e1", "west, east"},
 };
 
 }  // namespace
 
 class PermittedRegionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PermittedRegionsTest);
-  CPPUNIT_TEST(both_lists_bind);
-  CPPUNIT_TEST(the_extremes);
+  CPPUNIT_TEST(allows_regions_of_both_lists);
+  CPPUNIT_TEST(distinguishes_unrestricted_from_no_region);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void both_lists_bind() {
+  void allows_regions_of_both_lists() {
     for (const Case& one : kCases) {
-      const PermittedRegions allowed(map_, regions(one.of_route), regions(one.of_tenant));
+      const PermittedRegions allowed(map_, regions(one.route_regions), regions(one.tenant_regions));
       std::string zones;
       for (const char* zone : {"n1", "n2", "s1", "e1", "dark"}) {
         if (!allowed.allows(ZoneName(zone))) continue;
@@ -56,15 +56,15 @@
     }
   }
 
-  void the_extremes() {
-    CPPUNIT_ASSERT(PermittedRegions().is_anywhere());
-    CPPUNIT_ASSERT(!PermittedRegions().is_nowhere());
-    CPPUNIT_ASSERT(PermittedRegions(map_, {}, {}).is_anywhere());
+  void distinguishes_unrestricted_from_no_region() {
+    CPPUNIT_ASSERT(PermittedRegions().is_unrestricted());
+    CPPUNIT_ASSERT(!PermittedRegions().allows_none());
+    CPPUNIT_ASSERT(PermittedRegions(map_, {}, {}).is_unrestricted());
     const PermittedRegions nowhere(map_, regions({"north"}), regions({"south"}));
-    CPPUNIT_ASSERT(nowhere.is_nowhere());
-    CPPUNIT_ASSERT(!nowhere.is_anywhere());
+    CPPUNIT_ASSERT(nowhere.allows_none());
+    CPPUNIT_ASSERT(!nowhere.is_unrestricted());
     const PermittedRegions unknown(map_, regions({"west"}), {});
-    CPPUNIT_ASSERT_MESSAGE("a zone of it may come", !unknown.is_nowhere());
+    CPPUNIT_ASSERT_MESSAGE("a zone of the region may be added later", !unknown.allows_none());
   }
 
  private:
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -93,14 +93,14 @@
   }
 
   void intersects_regions_of_route_and_tenant() {
-    CPPUNIT_ASSERT(allowed("free", "").is_anywhere());
-    CPPUNIT_ASSERT(allowed("free", "kea").is_anywhere());
-    CPPUNIT_ASSERT(allowed("free", "nobody").is_anywhere());
+    CPPUNIT_ASSERT(allowed("free", "").is_unrestricted());
+    CPPUNIT_ASSERT(allowed("free", "kea").is_unrestricted());
+    CPPUNIT_ASSERT(allowed("free", "nobody").is_unrestricted());
     CPPUNIT_ASSERT_EQUAL(std::string("south"), allowed("free", "tui").to_string());
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("northern", "").to_string());
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("northern", "kea").to_string());
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("northern", "ako").to_string());
-    CPPUNIT_ASSERT(allowed("northern", "tui").is_nowhere());
+    CPPUNIT_ASSERT(allowed("northern", "tui").allows_none());
   }
 
   void document_change_applies_to_later_statements() {
@@ -114,7 +114,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("north"), allowed("free", "tui").to_string());
     CPPUNIT_ASSERT_EQUAL_MESSAGE("regions determined before the change", std::string("south"),
                                  before.to_string());
-    CPPUNIT_ASSERT(!view_->tenants().any_names_regions());
+    CPPUNIT_ASSERT(!view_->tenants().any_restricts_regions());
   }
 
   void filters_proxies_by_allowed_regions() {
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -346,7 +346,7 @@
     group_->put_backend(remote);
     group_->backends.share_connections({15, {{ZoneName("a"), 4}, {ZoneName("b"), 4}, {ZoneName("c"), 7}}});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, state("replica-1").pool.limit());
-    CPPUNIT_ASSERT_EQUAL(tenancy::kFarLinks, state("replica-3").pool.limit());
+    CPPUNIT_ASSERT_EQUAL(tenancy::kRemoteZoneLinks, state("replica-3").pool.limit());
     registry::BackendEntry joined_later = backend("replica-4", 5);
     group_->put_backend(joined_later);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("applies to a backend that joins later", std::uint64_t{10},
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -25,7 +25,7 @@
   StatusLink(runtime::Runtime& runtime, BackendReport& report) : runtime_(runtime), report_(report) {}
   Awaitable<std::optional<Answer>> run(BackendRequest request, TimePoint /*deadline*/,
                                        runtime::SendState& /*sent*/, Reason& /*reason*/) override {
-    if (std::holds_alternative<AskStatus>(request)) ++report_.queries;
+    if (std::holds_alternative<GetStatus>(request)) ++report_.queries;
     if (report_.answer_delay > Duration(0)) co_await runtime_.sleep_for(report_.answer_delay);
     Answer answer;
     answer.position = report_.status.received;
--- a/tests/registered/proxy/statement/runner_fixture.h
+++ b/tests/registered/proxy/statement/runner_fixture.h
@@ -56,7 +56,7 @@
       co_await runtime_.sleep_for(backends_.setup_takes);
       if (backends_.during_setup) backends_.during_setup();
     }
-    if (std::holds_alternative<PassOn>(request)) {
+    if (std::holds_alternative<SimpleQuery>(request)) {
       ++backends_.statements[name_];
       co_await runtime_.sleep_for(backends_.statement_takes);
       if (!open_) co_return std::nullopt;
--- a/tests/registered/tenancy/key_revocation_model_test.cpp
+++ b/tests/registered/tenancy/key_revocation_model_test.cpp
@@ -1,9 +1,7 @@
-// A small model of tenancy/key_confirmation.h, searched exhaustively: control with a leader that may be
-// deposed, a proxy that asks for confirmations, and a caller whose key is removed. Time passes in ticks.
-// The promise: nothing runs that the caller sent later than the bound after the removal was acknowledged.
-//
-// Assumed, as the design does: clocks run alike within the margin, and a proxy that starts anew has nothing
-// confirmed.
+// Exhaustive model check of tenancy/key_confirmation.h: no statement runs that was sent later than the bound
+// after the removal of its key was acknowledged. Models a control leader that may be deposed, a proxy that
+// requests confirmations, and a caller; assumes clocks that agree within the margin, and restarts that lose
+// all confirmations.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -15,36 +13,36 @@
 
 namespace {
 
-constexpr int kBound = 4;           ///< ticks
-constexpr int kNever = kBound + 2;  ///< an age that stands for any later one
+constexpr int kBound = 4;                ///< ticks
+constexpr int kMaximumAge = kBound + 2;  ///< upper limit of ages; represents all greater ages
 constexpr int kNotRemoved = -1;
 
-/// One guard left out each; all true is the design.
+/// Safety checks of the protocol, each of which a test can disable. All true is the protocol as implemented.
 struct Guards {
   bool leader_asks_quorum = true;
-  bool counts_from_question = true;
-  bool confirms_with_document =
-      true;  ///< an answer that comes before the change it belongs to confirms nothing
-  bool proxy_stops_in_the_end = true;
-  bool statements_are_checked = true;  ///< and not the opening of a session alone
+  bool counts_from_request = true;
+  bool confirms_with_document = true;  ///< an answer that arrives before its document change confirms nothing
+  bool proxy_stops_without_confirmation = true;
+  bool statements_are_checked = true;  ///< each one, in addition to the opening of a session
   bool restart_forgets = true;
 };
 
 enum class Answer : std::uint8_t { kNone, kOld, kNew };
 
 struct State {
-  int removed_age = kNotRemoved;  ///< since the removal was acknowledged
+  int removed_age = kNotRemoved;  ///< ticks since the removal was acknowledged
   bool deposed_answers = false;   ///< the proxy talks to a leader that was replaced before the removal
   // The proxy.
-  int confirmed_age = kNever;  ///< since the question that was answered last; kNever: none, or too old
-  bool knows = false;          ///< of the removal
-  bool asking = false;
-  int question_age = 0;
-  Answer answer = Answer::kNone;  ///< on its way: without the removal, or with it
-  bool session_open = false;      ///< opened while the key was good
-  // A statement that was read and waits.
+  /// Ticks since the last answered request was sent; kMaximumAge: none, or too old.
+  int confirmed_age = kMaximumAge;
+  bool knows_removal = false;  ///< has received the removal
+  bool has_request = false;
+  int request_age = 0;
+  Answer answer = Answer::kNone;  ///< in transit: kOld without the removal, kNew with it
+  bool session_open = false;      ///< opened while the key was valid
+  // A statement that was read and is waiting to run.
   bool waits = false;
-  bool sent_late = false;  ///< later than the bound after the removal
+  bool sent_late = false;  ///< sent later than the bound after the removal was acknowledged
   auto operator<=>(const State&) const = default;
 };
 
@@ -54,32 +52,33 @@
 
   bool finds_violation() {
     visit(State{});
-    while (!open_.empty() && !violated_) {
-      const State state = open_.front();
-      open_.pop_front();
+    while (!queue_.empty() && !violated_) {
+      const State state = queue_.front();
+      queue_.pop_front();
       expand(state);
     }
     return violated_;
   }
-  [[nodiscard]] std::size_t states() const { return reached_.size(); }
+  [[nodiscard]] std::size_t states() const { return visited_.size(); }
 
  private:
   void visit(const State& state) {
-    if (reached_.insert(state).second) open_.push_back(state);
+    if (visited_.insert(state).second) queue_.push_back(state);
   }
 
-  static int older(int age) { return age >= kNever ? kNever : age + 1; }
+  static int older(int age) { return age >= kMaximumAge ? kMaximumAge : age + 1; }
 
   [[nodiscard]] bool allows(const State& state) const {
-    if (state.knows) return false;
-    return !guards_.proxy_stops_in_the_end ? state.confirmed_age != kNever || state.session_open
-                                           : state.confirmed_age < kBound;
+    if (state.knows_removal) return false;
+    return !guards_.proxy_stops_without_confirmation
+               ? state.confirmed_age != kMaximumAge || state.session_open
+               : state.confirmed_age < kBound;
   }
 
   void expand(const State& state) {
     tick(state);
     control_steps(state);
-    question_steps(state);
+    request_steps(state);
     caller_steps(state);
     restart(state);
   }
@@ -87,7 +86,7 @@
   void tick(State state) {
     if (state.removed_age != kNotRemoved) state.removed_age = older(state.removed_age);
     state.confirmed_age = older(state.confirmed_age);
-    if (state.asking) state.question_age = older(state.question_age);
+    if (state.has_request) state.request_age = older(state.request_age);
     visit(state);
   }
 
@@ -100,35 +99,35 @@
     visit(deposed);
   }
 
-  void question_steps(const State& state) {
+  void request_steps(const State& state) {
     State next = state;
-    if (!state.asking) {
-      next.asking = true;
-      next.question_age = 0;
+    if (!state.has_request) {
+      next.has_request = true;
+      next.request_age = 0;
       next.answer = Answer::kNone;
       visit(next);
       return;
     }
     if (state.answer == Answer::kNone) {
-      // A leader that was replaced finds no quorum: its answer does not come.
+      // A replaced leader finds no quorum and does not answer.
       if (state.deposed_answers && guards_.leader_asks_quorum) return;
-      const bool knows = state.removed_age != kNotRemoved && !state.deposed_answers;
-      next.answer = knows ? Answer::kNew : Answer::kOld;
+      const bool knows_removal = state.removed_age != kNotRemoved && !state.deposed_answers;
+      next.answer = knows_removal ? Answer::kNew : Answer::kOld;
       visit(next);
       return;
     }
     take_answer(state, false);
-    // What is too much to send now comes later than the answer.
+    // A document change that is too large for the answer arrives after it.
     if (state.answer == Answer::kNew) take_answer(state, true);
   }
 
   void take_answer(State state, bool without_change) {
-    state.asking = false;
+    state.has_request = false;
     const bool confirms = !without_change || !guards_.confirms_with_document;
-    if (state.answer == Answer::kNew && !without_change) state.knows = true;
-    if (confirms) state.confirmed_age = guards_.counts_from_question ? state.question_age : 0;
+    if (state.answer == Answer::kNew && !without_change) state.knows_removal = true;
+    if (confirms) state.confirmed_age = guards_.counts_from_request ? state.request_age : 0;
     state.answer = Answer::kNone;
-    state.question_age = 0;
+    state.request_age = 0;
     visit(state);
   }
 
@@ -162,8 +161,8 @@
   }
 
   Guards guards_;
-  std::set<State> reached_;
-  std::deque<State> open_;
+  std::set<State> visited_;
+  std::deque<State> queue_;
   bool violated_ = false;
 };
 
@@ -171,29 +170,32 @@
 
 class KeyRevocationModelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(KeyRevocationModelTest);
-  CPPUNIT_TEST(no_order_of_events_runs_what_was_sent_too_late);
-  CPPUNIT_TEST(each_guard_is_needed);
+  CPPUNIT_TEST(no_order_of_events_runs_a_late_statement);
+  CPPUNIT_TEST(late_statement_runs_without_any_guard);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void no_order_of_events_runs_what_was_sent_too_late() {
+  void no_order_of_events_runs_a_late_statement() {
     Model model({});
     CPPUNIT_ASSERT(!model.finds_violation());
     CPPUNIT_ASSERT_MESSAGE(fmt::format("{} states", model.states()), model.states() > 1000);
   }
 
-  void each_guard_is_needed() {
+  void late_statement_runs_without_any_guard() {
     const auto finds_without = [](bool Guards::*guard) {
       Guards guards;
       guards.*guard = false;
       return Model(guards).finds_violation();
     };
-    CPPUNIT_ASSERT_MESSAGE("quorum", finds_without(&Guards::leader_asks_quorum));
-    CPPUNIT_ASSERT_MESSAGE("from the question", finds_without(&Guards::counts_from_question));
-    CPPUNIT_ASSERT_MESSAGE("with the document", finds_without(&Guards::confirms_with_document));
-    CPPUNIT_ASSERT_MESSAGE("stops", finds_without(&Guards::proxy_stops_in_the_end));
-    CPPUNIT_ASSERT_MESSAGE("each statement", finds_without(&Guards::statements_are_checked));
-    CPPUNIT_ASSERT_MESSAGE("restart", finds_without(&Guards::restart_forgets));
+    CPPUNIT_ASSERT_MESSAGE("leader confirms with a quorum", finds_without(&Guards::leader_asks_quorum));
+    CPPUNIT_ASSERT_MESSAGE("confirmation counts from the request",
+                           finds_without(&Guards::counts_from_request));
+    CPPUNIT_ASSERT_MESSAGE("confirmation needs the document change",
+                           finds_without(&Guards::confirms_with_document));
+    CPPUNIT_ASSERT_MESSAGE("proxy stops without confirmation",
+                           finds_without(&Guards::proxy_stops_without_confirmation));
+    CPPUNIT_ASSERT_MESSAGE("each statement is checked", finds_without(&Guards::statements_are_checked));
+    CPPUNIT_ASSERT_MESSAGE("restart discards confirmations", finds_without(&Guards::restart_forgets));
   }
 };
 
