--- a/src/registered/control/control_metrics.h
+++ b/src/registered/control/control_metrics.h
@@ -1,4 +1,4 @@
-// Metrics of a control node of a registered fleet, rendered when they are asked for.
+// Prometheus metrics of a registered-fleet control node, rendered on request.
 #pragma once
 
 #include "consensus/consensus.h"
@@ -12,7 +12,7 @@
 
 namespace cairnhollow::registered::control {
 
-/// Answers `GET /metrics`. What it refers to outlives it.
+/// Serves `GET /metrics`. The referenced objects are not owned and must outlive this object.
 class ControlMetrics : public runtime::HttpHandler {
  public:
   ControlMetrics(const consensus::Consensus& consensus, const registry::FleetStateMachine& fleet,
--- a/src/registered/control/control_node_directory.h
+++ b/src/registered/control/control_node_directory.h
@@ -1,4 +1,4 @@
-// The control nodes that this one knows of: members of the consensus group, those heard of lately, and seeds.
+// Directory of known control nodes: consensus members, recently seen nodes and configured seeds.
 #pragma once
 
 #include <map>
@@ -10,13 +10,13 @@
 
 namespace cairnhollow::registered::control {
 
-/// How often a control node tells the leader that it lives. Chosen, not measured.
+/// Interval at which a control node reports its presence to the leader.
 inline constexpr Duration kPresenceInterval = std::chrono::milliseconds(400);
-/// A control node that was not heard for this long, a little more than three intervals, is not alive. Chosen,
-/// not measured.
+/// A control node is considered offline when no presence report arrived for this long: slightly more than three
+/// intervals.
 inline constexpr Duration kPresenceLapse = std::chrono::milliseconds(1300);
 
-/// A node's name in the consensus group is its address: addresses are all that seeds say.
+/// A node's name in the consensus group is its address, because seeds are configured by address only.
 inline NodeName consensus_name(const Endpoint& endpoint) { return NodeName(endpoint.address); }
 
 class ControlNodeDirectory {
@@ -27,20 +27,21 @@
   void record_presence(const consensus::Member& member, TimePoint now) {
     presences_[member.node] = Presence{member, now};
   }
-  /// Endpoints that a leader told of.
+  /// Replaces the endpoints advertised by the leader. An empty list is ignored.
   void record_endpoints(const std::vector<Endpoint>& endpoints) {
     if (!endpoints.empty()) told_ = endpoints;
   }
-  /// Who was heard within kPresenceLapse, by name.
+  /// Returns std::nullopt if the node sent no presence report within kPresenceLapse.
   [[nodiscard]] std::optional<consensus::Member> alive(const NodeName& node, TimePoint now) const {
     const auto found = presences_.find(node);
     if (found == presences_.end() || now - found->second.heard_at > kPresenceLapse) return std::nullopt;
     return found->second.member;
   }
   [[nodiscard]] std::vector<consensus::Member> all_alive(TimePoint now) const;
-  /// Every endpoint worth asking, each once: members first, then what was told, seeds last.
+  /// All candidate endpoints without duplicates: consensus members first, then advertised endpoints, then
+  /// seeds.
   [[nodiscard]] std::vector<Endpoint> endpoints() const;
-  /// Members and nodes heard lately; what followers are told.
+  /// Consensus members and live control nodes, as advertised to followers.
   [[nodiscard]] std::vector<Endpoint> serving_endpoints(TimePoint now) const;
 
  private:
--- a/src/registered/control/evacuation_orders.cpp
+++ b/src/registered/control/evacuation_orders.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// An order of an operator that found no leader is given again after the pause, for as long as the limit: an
-/// election takes 0.07 to 0.3 s, and is begun 0.4 s after the leader was last heard.
+/// An evacuation order that finds no leader is retried at this interval, up to this timeout, which covers the
+/// detection of a lost leader and an election.
 constexpr Duration kOrderRetryPause = std::chrono::milliseconds(30);
 constexpr Duration kOrderPatience = std::chrono::milliseconds(1800);
 constexpr std::array<const char*, kOrderOutcomes> kOutcomeNames{"taken", "repeated", "refused", "unsettled"};
@@ -55,7 +55,7 @@
 
 Awaitable<OrderOutcome> EvacuationOrders::settle(ZoneName zone, bool evacuated, Reason& reason) {
   const TimePoint limit = runtime_.now() + kOrderPatience;
-  // What this node holds may be past: neither "it holds already" nor "no such zone" is said without a round.
+  // Local state may be stale, so kRepeated and kRefused both require a quorum round.
   if (!knows_zone(zone) || fleet_.is_evacuated(zone) == evacuated) {
     const bool confirmed = co_await confirm(limit, reason);
     if (!confirmed) co_return OrderOutcome::kUnsettled;
--- a/src/registered/control/evacuation_orders.h
+++ b/src/registered/control/evacuation_orders.h
@@ -1,4 +1,4 @@
-// Operators' orders to evacuate zones and to take them back, as any control node takes them.
+// Executes operator requests to begin or end the evacuation of a zone, on any control node.
 #pragma once
 
 #include <array>
@@ -13,28 +13,28 @@
 
 namespace cairnhollow::registered::control {
 
-/// What became of an order.
+/// Outcome of an evacuation order.
 enum class OrderOutcome : std::uint8_t {
-  kTaken,      ///< it is in the log
-  kRepeated,   ///< it held already, confirmed by a quorum round
-  kRefused,    ///< there is no such zone
-  kUnsettled,  ///< no clear outcome
+  kTaken,      ///< committed to the log
+  kRepeated,   ///< already in effect, confirmed by a quorum round
+  kRefused,    ///< unknown zone
+  kUnsettled,  ///< outcome unknown
 };
 inline constexpr std::size_t kOrderOutcomes = static_cast<std::size_t>(OrderOutcome::kUnsettled) + 1;
 
-/// Lower-case name for logs and metrics.
+/// Stable lower-case name used in logs and metrics.
 const char* outcome_name(OrderOutcome outcome);
 
-/// What it refers to outlives it.
+/// The referenced objects are not owned and must outlive this object.
 class EvacuationOrders {
  public:
-  /// `zones`: known from the settings, beside those that backends and proxies register from.
+  /// `zones`: configured zones, in addition to those of registered backends and proxies.
   EvacuationOrders(runtime::Runtime& runtime, consensus::Consensus& consensus,
                    registry::FleetStateMachine& fleet, LeaderCalls& calls, std::vector<ZoneName> zones)
       : runtime_(runtime), consensus_(consensus), fleet_(fleet), calls_(calls), zones_(std::move(zones)) {}
 
-  /// True once it is durable that the zone is evacuated, or is not. kNotFound names an unknown zone. Other
-  /// codes: no clear outcome.
+  /// Returns true once the requested state of the zone is durable. Fails with kNotFound if the zone is
+  /// unknown; with any other code the outcome is unknown.
   Awaitable<bool> take(ZoneName zone, bool evacuated, Reason& reason);
   [[nodiscard]] std::uint64_t count(OrderOutcome outcome) const {
     return counts_[static_cast<std::size_t>(outcome)];
@@ -43,7 +43,8 @@
  private:
   Awaitable<OrderOutcome> settle(ZoneName zone, bool evacuated, Reason& reason);
   Awaitable<bool> submit(ZoneName zone, bool evacuated, TimePoint limit, Reason& reason);
-  /// Waits out the loss of a leader; both are without effect when they come twice.
+  /// Runs a quorum round; like submit(), it retries until `limit` so that an order survives a change of
+  /// leader. Both are idempotent.
   Awaitable<bool> confirm(TimePoint limit, Reason& reason);
   Awaitable<bool> may_try_again(TimePoint limit);
   [[nodiscard]] bool knows_zone(const ZoneName& zone) const;
--- a/src/registered/control/leader_calls.cpp
+++ b/src/registered/control/leader_calls.cpp
@@ -8,12 +8,11 @@
 
 namespace {
 
-/// Commands that may be gathered go to the log at most once in this time, each time with at most so many.
-/// With 900 backends that register at once and no gathering, 786 were taken within 8 s and 412 calls failed;
-/// with it all were taken within 2 s.
+/// Batches are submitted at most once per interval, with at most this many commands each, so that mass
+/// registrations do not overload the log.
 constexpr Duration kGathering = std::chrono::milliseconds(20);
 constexpr std::size_t kMostGathered = 512;
-/// Longest wait for the leader's answer to a call of this node. Chosen, not measured.
+/// Timeout for the leader's response to a presence report.
 constexpr Duration kLeaderCallTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
--- a/src/registered/control/leader_calls.h
+++ b/src/registered/control/leader_calls.h
@@ -1,4 +1,4 @@
-// Calls from control nodes to the leader: commands for the log, and word that a node lives.
+// RPCs from control nodes to the leader: log commands and presence reports.
 #pragma once
 
 #include <deque>
@@ -16,29 +16,29 @@
 
 namespace cairnhollow::registered::control {
 
-/// Longest wait for a command to be committed, or for a quorum round, on behalf of a caller. Chosen, not
-/// measured.
+/// Timeout for committing a command or for a quorum round on behalf of a caller.
 inline constexpr Duration kCommitTimeout = std::chrono::milliseconds(800);
 
-/// Both sides. What it refers to outlives it; it lives until the process ends.
+/// Client and server side of the RPCs. The referenced objects are not owned and must outlive this object,
+/// which must live until the process ends because its coroutines refer to it.
 class LeaderCalls {
  public:
   LeaderCalls(runtime::Runtime& runtime, consensus::Consensus& consensus, ControlNodeDirectory& directory,
               NodeName node, Endpoint own_endpoint);
 
-  /// Puts a command into the log, here or through the leader. True once it is committed and applied at the
-  /// node that proposed it; its effect is found in the state machine.
+  /// Submits a command to the log, directly or through the leader. Returns true once it is committed and
+  /// applied on the node that proposed it; its effect is visible in the state machine.
   Awaitable<bool> submit(registry::Command command, Reason& reason);
-  /// The same for what many backends and proxies may say at once: commands that come within 20 ms of
-  /// each other go as one entry of the log.
+  /// Like submit(), but batches commands that arrive within 20 ms of each other into one log entry. For
+  /// commands that many backends and proxies may send at the same time.
   Awaitable<bool> submit_gathered(registry::SingleCommand command, Reason& reason);
-  /// Tells the leader, whoever it is, again and again, that this node lives under `identity`.
+  /// Starts periodic presence reports to the current leader. `self` carries this node's identity.
   void announce(consensus::Member self);
   void stop() { stopping_ = true; }
 
-  /// Serves one incoming connection until it ends.
+  /// Serves one incoming connection until it closes.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection);
-  /// Where the leader listens; empty while none is known.
+  /// Returns std::nullopt if no leader is known.
   [[nodiscard]] std::optional<Endpoint> leader_endpoint() const;
 
  private:
@@ -47,7 +47,7 @@
     std::shared_ptr<runtime::FrameConnection> connection;
   };
 
-  /// Commands that go together, and their common outcome.
+  /// Commands submitted as one log entry, and their shared outcome.
   struct Batch {
     explicit Batch(runtime::Runtime& runtime) : ended(runtime) {}
     std::vector<registry::SingleCommand> commands;
@@ -77,7 +77,7 @@
   ControlNodeDirectory& directory_;
   NodeName node_;
   Endpoint own_endpoint_;
-  std::shared_ptr<Batch> gathering_;  ///< takes further commands; null: none is being gathered
+  std::shared_ptr<Batch> gathering_;  ///< batch that accepts further commands; null if none
   TimePoint last_gathered_{};
   std::deque<Link> idle_;
   std::optional<Endpoint> hinted_leader_;
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -57,7 +57,7 @@
   return zones;
 }
 
-/// The parts' coroutines refer to it until the process ends.
+/// Must live until the process ends, because the coroutines of its components refer to it.
 class RegisteredControlNode : public runtime::Role {
  public:
   RegisteredControlNode(runtime::Runtime& runtime, RegisteredControlSettings settings,
--- a/src/registered/control/registered_control_node.h
+++ b/src/registered/control/registered_control_node.h
@@ -1,5 +1,5 @@
-// The control node of a registered fleet: consensus member or standby, leases of proxies, registrations,
-// changes of primary.
+// Control node of a registered fleet: consensus member or standby, proxy leases, backend registrations and
+// failovers.
 #pragma once
 
 #include <functional>
@@ -15,21 +15,24 @@
 
 namespace cairnhollow::registered::control {
 
-/// How the node speaks with the world around the fleet. Made once, at the start.
+/// Factories for the control node's external interfaces. Each is called once, during construction of the
+/// node.
 struct ControlEdge {
   std::function<std::unique_ptr<runtime::HttpHandler>(registry::ControlService&)> make_operator_calls;
   std::function<std::unique_ptr<registry::PromotionCaller>(runtime::Runtime&, Endpoint)> make_promotions;
   std::function<std::unique_ptr<BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
 };
 
-/// Creates a control node on `runtime`, which outlives it.
+/// Creates a control node. `runtime` must outlive the returned object.
 std::unique_ptr<runtime::Role> make_registered_control_node(runtime::Runtime& runtime,
                                                             RegisteredControlSettings settings,
                                                             const ControlEdge& edge);
 
-/// The consensus term in which a node made here leads; empty when it does not lead. For status and tests.
+/// Returns the consensus term in which the node leads, or std::nullopt if it is not the leader.
+/// `control_node` must come from make_registered_control_node(). For status output and tests.
 std::optional<std::uint64_t> leading_term(runtime::Role& control_node);
-/// What the node has applied; for tests and the simulator. `control_node` was made here.
+/// The node's applied state, for tests and the simulator. `control_node` must come from
+/// make_registered_control_node().
 const registry::FleetStateMachine& fleet_of(runtime::Role& control_node);
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -9,14 +9,12 @@
 
 namespace {
 
-/// Incarnations of backends that are over and register all the same, remembered so that each is logged once:
-/// more than start in an hour where 500 machines are replaced a day. Beyond it they are logged anew.
+/// Outdated incarnations remembered so that each is logged only once. When the limit is reached the set is
+/// cleared and they are logged again.
 constexpr std::size_t kMostToldOutdated = 1024;
-/// The proxies that backends are sent to for saying the same again are looked up at most this often. Chosen,
-/// not measured.
+/// Minimum interval between rebuilds of the proxy endpoints that backends are referred to.
 constexpr Duration kTakersInterval = std::chrono::milliseconds(200);
-/// How long after its start a node waits for the consensus group to have all its voters. Chosen, not
-/// measured.
+/// Time after start during which requests are refused while the consensus group lacks voters.
 constexpr Duration kFormationPatience = std::chrono::seconds(6);
 
 }  // namespace
@@ -153,7 +151,7 @@
   if (!named) co_return std::nullopt;
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
   const registry::Registration registration = place(entry.name, entry.zone);
-  // The old news is in the log already, so that it binds whoever serves.
+  // The log already contains newer state that every node honors, so the registration can be acknowledged.
   if (is_of_former_incarnation(entry)) {
     mark_outdated(entry);
     co_return registration;
@@ -193,7 +191,7 @@
 
 Awaitable<bool> RegistrationService::deregister_backend(BackendName name, Reason& reason) {
   if (fleet_.find_backend(name) == nullptr && fleet_.is_deregistered(name)) co_return true;
-  // The incarnation that is present now: one that registers while this is on its way into the log goes on.
+  // Deregister only the current incarnation: one that registers before this command commits must remain.
   const bool confirmed = co_await confirm(reason);
   if (!confirmed) co_return false;
   const std::string text = name.value;
--- a/src/registered/control/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -1,4 +1,4 @@
-// What operators and backends ask of any control node of a registered fleet.
+// Handles operator and backend requests on any control node of a registered fleet.
 #pragma once
 
 #include <set>
@@ -14,13 +14,13 @@
 
 namespace cairnhollow::registered::control {
 
-/// Registrations that were acknowledged here and changed more, or less, than others do.
+/// Counts of registrations acknowledged by this node that were ignored or that replaced an incarnation.
 struct RegistrationCounts {
-  std::uint64_t outdated = 0;  ///< of an incarnation before the one that holds: without effect
-  std::uint64_t replaced = 0;  ///< of an incarnation that takes the place of another of its name
+  std::uint64_t outdated = 0;  ///< from an earlier incarnation; ignored
+  std::uint64_t replaced = 0;  ///< from an incarnation that replaced another of the same name
 };
 
-/// What it refers to outlives it.
+/// The referenced objects are not owned and must outlive this object.
 class RegistrationService : public registry::ControlService {
  public:
   RegistrationService(runtime::Runtime& runtime, consensus::Consensus& consensus,
@@ -50,26 +50,27 @@
 
  private:
   Awaitable<bool> confirm(Reason& reason);
-  /// The first voters alone might not keep what is acknowledged; for a while after the start the others are
-  /// waited for.
+  /// Returns false while the consensus group lacks voters, because an acknowledged write might not survive.
+  /// Stops waiting for the missing voters after kFormationPatience.
   [[nodiscard]] bool may_acknowledge(const char* step, Reason& reason) const;
 
-  /// Whether the document names the entry's group, as far as this node knows it. Before the first document
-  /// every group may be one. A backend that is held stays one of its group until it ends, so that it can
-  /// take its leave.
+  /// Returns true if the local document contains the entry's group, or if no document exists yet. A
+  /// registered backend remains valid in its group after the group was removed, so that it can deregister.
   [[nodiscard]] bool belongs_here(const registry::BackendEntry& entry) const;
-  /// The same, by the newest document where this node's does not say so: it may be behind, and what is valid
-  /// must not get lost. kNotFound: it is named nowhere. Other codes: not to be known now.
+  /// Like belongs_here(), but consults the newest document before rejecting, because local state may be stale
+  /// and a valid registration must not be lost. Fails with kNotFound if the group is not configured; with any
+  /// other code the answer is unknown.
   Awaitable<bool> is_named(registry::BackendEntry entry, Reason& reason);
-  /// Whether the entry is of an incarnation that is over, by what the log holds of its name and its address.
+  /// Returns true if the log contains a later incarnation of the entry's name or address, or the
+  /// deregistration of this incarnation.
   [[nodiscard]] bool is_of_former_incarnation(const registry::BackendEntry& entry) const;
-  /// Counts one that is, and logs the first of each incarnation.
+  /// Counts an outdated registration and logs the first one of each incarnation.
   void mark_outdated(const registry::BackendEntry& entry);
-  /// Whether another backend, registered at the same address, answers there: then the registration is a late
-  /// one of an incarnation that is gone. Taken in, it would displace the other for good, since who was
-  /// displaced does not come back.
+  /// Returns true if a different backend that is registered at the same address answers there. The
+  /// registration is then a late one of a terminated incarnation. Accepting it would displace the other
+  /// backend permanently, because a displaced incarnation cannot register again.
   Awaitable<bool> is_outdated(registry::BackendEntry entry);
-  /// One proxy for each backend, of its zone where there are any.
+  /// Assigns the backend a proxy of its zone, if there is one, for further heartbeats.
   [[nodiscard]] registry::Registration place(const BackendName& name, const ZoneName& zone);
   void refresh_takers();
 
@@ -82,10 +83,11 @@
   EvacuationOrders evacuations_;
   TimePoint begun_;
   RegistrationCounts counts_;
-  std::set<registry::BackendIncarnation> told_outdated_;  ///< logged already
-  std::map<ZoneName, std::vector<Endpoint>> takers_;      ///< proxies that stay, by zone
+  std::set<registry::BackendIncarnation> told_outdated_;  ///< already logged
+  /// registration endpoints of non-leaving proxies, by zone
+  std::map<ZoneName, std::vector<Endpoint>> takers_;
   registry::RegistrationFaultCounts refused_;
-  std::uint64_t takers_revision_ = 0;  ///< of the fleet that they were taken from
+  std::uint64_t takers_revision_ = 0;  ///< fleet revision from which `takers_` was built
   TimePoint takers_at_{};
 };
 
--- a/src/registered/control/voter_keeper.cpp
+++ b/src/registered/control/voter_keeper.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// A voter not heard for this long is replaced where another node stands by. Chosen, not measured.
+/// A voter that was not seen for this long is replaced if a standby node is available.
 constexpr Duration kVoterLostAfter = std::chrono::milliseconds(2500);
-/// How often the voters are checked. Chosen, not measured.
+/// Interval of the voter check.
 constexpr Duration kVoterTick = std::chrono::milliseconds(250);
-/// Longest wait for one change of the consensus group's members. Chosen, not measured.
+/// Timeout of one membership change of the consensus group.
 constexpr Duration kVoterChangeLimit = std::chrono::seconds(10);
 
 std::size_t count_voters(const consensus::ConsensusStatus& status) {
@@ -51,7 +51,8 @@
 
 std::optional<VoterKeeper::Change> VoterKeeper::find_change(TimePoint now) {
   const consensus::ConsensusStatus status = consensus_.status();
-  // After a freeze of this node, or before it led, it does not know for how long a voter has been silent.
+  // After a pause of this process, or before it became leader, it cannot tell how long a voter has been
+  // silent.
   const bool looked_lately = now - pre_send_check_ < 4 * kVoterTick;
   pre_send_check_ = now;
   if (status.state != consensus::ServerState::kLeader || !looked_lately) heard_at_.clear();
@@ -108,7 +109,7 @@
   const Member* present = find_member(status, standby.node);
   const bool replaces_itself = change.lost && change.lost->node == standby.node;
   if (present != nullptr && present->identity != standby.identity && !replaces_itself) {
-    // A learner whose disk was lost meanwhile.
+    // A learner that lost its disk and returned with a new identity.
     co_await consensus_.remove_member(standby.node, deadline, reason);
   }
   bool done = false;
--- a/src/registered/control/voter_keeper.h
+++ b/src/registered/control/voter_keeper.h
@@ -1,5 +1,5 @@
-// Keeps as many voters in the consensus group as the disks that may be lost demand, out of the control nodes
-// that live. Acts on the leader only.
+// Maintains the number of consensus voters required to tolerate the configured disk failures, replacing lost
+// voters by live control nodes. Active on the leader only.
 #pragma once
 
 #include <map>
@@ -12,7 +12,8 @@
 
 namespace cairnhollow::registered::control {
 
-/// What it refers to outlives it; it lives until the process ends.
+/// The referenced objects are not owned and must outlive this object, which must live until the process ends
+/// because its coroutine refers to it.
 class VoterKeeper {
  public:
   VoterKeeper(runtime::Runtime& runtime, consensus::Consensus& consensus,
@@ -20,12 +21,13 @@
 
   void start();
   void stop() { stopping_ = true; }
-  /// Whether the group has as many voters as it should: before that an acknowledgement might not survive.
+  /// Returns true if the group has the required number of voters. Before that, an acknowledged write might
+  /// not survive the tolerated disk failures.
   [[nodiscard]] bool is_complete() const;
 
  private:
   struct Change {
-    std::optional<consensus::Member> lost;  ///< empty: a voter is added
+    std::optional<consensus::Member> lost;  ///< std::nullopt if a voter is only added
     consensus::Member standby;
   };
 
--- a/tests/registered/control/control_stand.cpp
+++ b/tests/registered/control/control_stand.cpp
@@ -14,7 +14,7 @@
 
 const GroupName kGroup("group");
 
-/// A connection to one of the stand's backends.
+/// Connection to one of the fixture's backends.
 class MemberLink : public BackendLink {
  public:
   MemberLink(ControlStand& stand, std::string member) : stand_(stand), member_(std::move(member)) {}
@@ -160,7 +160,7 @@
   members["primary"].status.is_primary = true;
 }
 
-// What still waits refers to the rest.
+// Destroys the world first, because its suspended coroutines refer to the other members.
 ControlStand::~ControlStand() { world_.reset(); }
 
 bool ControlStand::finish(Awaitable<void> task) {
--- a/tests/registered/control/control_stand.h
+++ b/tests/registered/control/control_stand.h
@@ -1,6 +1,6 @@
-// The parts of a registered fleet's control node on a bare runtime: a log that a quorum confirms or not,
-// backends that say what the test wants, proxies whose reports the test writes, and orders of promotion that
-// are noted.
+// Test fixture with the components of a registered-fleet control node on a bare simulated runtime: a scripted
+// consensus log, backends with scripted status, proxy connections driven by the test, and recorded
+// promotions.
 #pragma once
 
 #include <deque>
@@ -23,7 +23,7 @@
 
 namespace cairnhollow::registered::control {
 
-/// A log of one node that leads as long as the test says so.
+/// Single-node consensus log whose leadership and quorum are set by the test.
 class ScriptedConsensus : public consensus::Consensus {
  public:
   ScriptedConsensus(runtime::Runtime& runtime, registry::FleetStateMachine& fleet)
@@ -39,15 +39,15 @@
   }
   [[nodiscard]] consensus::ConsensusStatus status() const override;
 
-  /// Puts a command into the log at once.
+  /// Applies a command immediately, without a quorum round.
   void commit(registry::Command command);
 
   bool is_leader = true;
-  bool has_quorum = true;  ///< else nothing is committed or confirmed, though it goes on thinking it leads
+  bool has_quorum = true;  ///< if false, nothing is committed or confirmed although `is_leader` remains set
   std::uint64_t led_term = 1;
   Duration barrier_takes = std::chrono::milliseconds(1);
-  std::function<void()> during_barrier;  ///< happens once, in the middle of the next one
-  int barriers = 0;                      ///< asked for
+  std::function<void()> during_barrier;  ///< called once, halfway through the next barrier
+  int barriers = 0;                      ///< number of barriers requested
 
  private:
   runtime::Runtime& runtime_;
@@ -55,7 +55,7 @@
   std::uint64_t index_ = 0;
 };
 
-/// A proxy's connection: the test writes reports and reads updates.
+/// Connection of a proxy: the test writes reports and reads updates.
 class ProxyFrames : public runtime::FrameConnection {
  public:
   explicit ProxyFrames(runtime::Runtime& runtime) : changed_(runtime) {}
@@ -67,9 +67,9 @@
   void report(const registry::ProxyReport& report);
   void stall_sends(bool stalls);
   std::vector<registry::ProxyUpdate> updates;
-  /// The longest lease of all updates.
+  /// The longest lease in any update; zero if none was granted.
   [[nodiscard]] Duration lease() const;
-  /// The newest refusal; kNone where none came.
+  /// Returns true if any update carried a refusal.
   [[nodiscard]] bool was_refused() const;
 
  private:
@@ -83,25 +83,25 @@
  public:
   static constexpr Duration kLease = std::chrono::milliseconds(1500);
 
-  /// A document with one group, and three backends in it, of which "primary" leads term 1.
+  /// Installs a document with one group of three backends, of which "primary" leads term 1.
   ControlStand();
   ~ControlStand() override;
 
   [[nodiscard]] runtime::Runtime& runtime() const { return *runtime_; }
   [[nodiscard]] TimePoint now() const { return runtime().now(); }
   void run_for(Duration duration) { world_->run_for(duration); }
-  /// Runs the task to its end.
+  /// Runs the simulation until the task completes, for at most 20 s. Returns false on timeout.
   bool finish(Awaitable<void> task);
   static registry::BackendEntry entry(const std::string& name, std::uint16_t port);
-  /// Opens the group under "primary".
+  /// Opens the group with "primary" as its primary.
   void open_group();
-  /// A proxy is admitted in its first incarnation.
+  /// Admits the first incarnation of a proxy.
   void admit(const std::string& proxy);
-  /// A proxy that is connected to the lease keeper.
+  /// Connects a proxy to the lease keeper.
   std::shared_ptr<ProxyFrames> connect(const std::string& proxy);
   [[nodiscard]] registry::GroupTerm term() const;
 
-  // What the backends do.
+  // Simulated backend behavior.
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress address, TimePoint deadline,
                                                std::optional<Refusal>& refusal, Reason& reason) override;
   Awaitable<bool> promote(registry::PromotionOrder order, TimePoint deadline, Reason& reason) override;
@@ -110,18 +110,18 @@
     BackendStatus status;
     bool answers = true;
     bool forgets_pauses = false;
-    int questions = 0;  ///< for its status
+    int questions = 0;  ///< number of status queries received
   };
   std::map<std::string, Member> members;
-  bool refuses_promotions = false;  ///< takes no order, and says so
-  /// Who answers at an address, where that is not who registered there last.
+  bool refuses_promotions = false;  ///< rejects promotion orders with kOverloaded
+  /// Name of the backend that answers at an address, where it differs from the registered one.
   std::map<Endpoint, std::string> answering_at;
   struct Event {
     std::string what;  ///< e.g. "pause replica-1", "promote replica-1"
     TimePoint at{};
   };
   std::vector<Event> events;
-  /// Null when nothing of the kind happened.
+  /// The first event whose description starts with `what`; null if there is none.
   [[nodiscard]] const Event* first(const std::string& what) const;
 
   registry::FleetStateMachine& fleet() { return *fleet_; }
--- a/tests/registered/control/registration_guards_test.cpp
+++ b/tests/registered/control/registration_guards_test.cpp
@@ -1,4 +1,5 @@
-// What a control node tells operators and backends is in force at the moment at which it says so.
+// Verifies that a control node acknowledges requests of operators and backends only while it can guarantee
+// the result.
 #include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/control/registration_refusal_test.cpp
+++ b/tests/registered/control/registration_refusal_test.cpp
@@ -1,5 +1,5 @@
-// Which registrations control takes: a group that the document does not name is no backend's, and nothing
-// that is valid gets lost while a document is on its way.
+// Verifies that registrations for unconfigured groups are refused and that valid ones are not lost while a
+// document is propagating.
 #include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// A consensus group of one: what is proposed is applied at once. What others committed comes in with a
-/// quorum round.
+/// Single-voter consensus: proposals are applied immediately; commands committed by other nodes are applied
+/// in the next quorum round.
 class OneVoter : public consensus::Consensus {
  public:
   explicit OneVoter(registry::FleetStateMachine& fleet) : fleet_(fleet) {}
@@ -44,14 +44,14 @@
   }
 
   bool has_quorum = true;
-  std::optional<std::string> behind;  ///< committed, and not known here yet
+  std::optional<std::string> behind;  ///< committed command that is not applied locally yet
 
  private:
   registry::FleetStateMachine& fleet_;
   std::uint64_t index_ = 0;
 };
 
-/// Whoever is dialled says that another backend is there, or nothing.
+/// Dialer whose target either reports itself as another backend or does not answer.
 class StrangerOrSilence : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress, TimePoint, std::optional<Refusal>& refusal,
@@ -237,7 +237,7 @@
     ControlMetrics metrics;
   };
 
-  /// kNone: it was taken. Else why not.
+  /// Returns kNone if the registration was accepted, otherwise the code of the failure.
   ReasonCode take(registry::BackendEntry entry) {
     std::optional<registry::Registration> taken;
     const auto run = [&]() -> Awaitable<void> {
--- a/tests/registered/control/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -1,5 +1,4 @@
-// What a control node does with registrations of incarnations of backends that are over, or that replace
-// others.
+// Verifies how a control node handles registrations from outdated and from replacing backend incarnations.
 #include "registered/control/registration_service.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Nobody answers clearly at any address.
+/// Dialer that never opens a connection.
 class SilentDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress /*address*/, TimePoint /*deadline*/,
@@ -35,7 +34,7 @@
   return entry;
 }
 
-/// One control node that leads.
+/// A control node that is the leader.
 struct Node {
   explicit Node(runtime::Runtime& runtime)
       : fleet(runtime),
@@ -101,7 +100,7 @@
     CPPUNIT_ASSERT(held("b1") == nullptr);
   }
 
-  /// The next incarnation registers while the removal of the former one is on its way into the log.
+  /// The next incarnation registers before the deregistration of the previous one is committed.
   void a_late_removal_does_not_end_the_next_incarnation() {
     CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
     const auto removal = [this]() -> Awaitable<void> {
@@ -116,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
   }
 
-  /// It hears of the next incarnation only in the quorum round.
+  /// The node learns about the next incarnation only during the quorum round.
   void a_removal_at_a_node_that_is_behind_ends_the_present_incarnation() {
     CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
     node_->log.during_barrier = [this] { put(incarnation("b1", 1, 2000)); };
@@ -142,7 +141,7 @@
       co_return taken.has_value();
     });
   }
-  /// As another control node does it.
+  /// Applies a registration that another control node committed.
   void put(const registry::BackendEntry& entry) {
     registry::LoggedCommand logged{registry::RegisterBackend{entry}};
     node_->fleet.apply(1, wire::encode_from(logged, wire::kWrittenFormat));
