--- a/src/registered/control/leases/leader_wait.h
+++ b/src/registered/control/leases/leader_wait.h
@@ -1,5 +1,5 @@
-// Keeps proxies' questions while no control node leads, so that leases go out with an election and not with
-// the next round of questions.
+// Holds proxies' lease requests while no leader is known, so that they are answered as soon as an election
+// completes instead of on the next request.
 #pragma once
 
 #include "consensus/consensus.h"
@@ -9,22 +9,23 @@
 
 namespace cairnhollow::registered::control {
 
-/// A proxy's question is kept so long while no leader is known, and answered at once when one is: within the
-/// time for which proxies wait for a first answer (0.9 s), and longer than an election takes (0.07 to 0.3 s).
+/// Maximum time a lease request is held while no leader is known. Shorter than the time for which a proxy
+/// waits for its first answer (0.9 s) and longer than an election.
 inline constexpr Duration kLeaderPatience = std::chrono::milliseconds(600);
-/// How often the consensus group is asked meanwhile. Chosen, not measured.
+/// Polling interval for a leader while requests are held.
 inline constexpr Duration kLeaderCheckInterval = std::chrono::milliseconds(5);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// The referenced objects are not owned and must outlive this object, which must live until the process ends
+/// because its coroutines refer to it.
 class LeaderWait {
  public:
   LeaderWait(runtime::Runtime& runtime, const consensus::Consensus& consensus, const LeaderCalls& calls)
       : runtime_(runtime), consensus_(consensus), calls_(calls), known_(runtime) {}
 
   void stop() { stopping_ = true; }
-  /// Whether this node leads, or knows who does.
+  /// Returns true if this node is the leader or knows the leader's endpoint.
   [[nodiscard]] bool knows_leader() const;
-  /// Until a leader is known, at most for kLeaderPatience.
+  /// Waits until a leader is known, for at most kLeaderPatience.
   Awaitable<void> wait();
 
  private:
--- a/src/registered/control/leases/lease_bounds.h
+++ b/src/registered/control/leases/lease_bounds.h
@@ -1,20 +1,20 @@
-// Until when what was promised to a proxy may hold, as control sees it. Pure arithmetic; the caller gives the
-// times. All times are of this node's clock, and every bound is late rather than early: whoever waits for it
-// acts only when the promise surely is over.
+// Upper bounds on how long promises made to a proxy may remain valid, as the control node computes them. Pure
+// arithmetic; the caller passes the times. All times are of this node's clock, and every bound errs on the
+// late side, so that code that waits for it acts only after the promise has expired.
 //
-// Each promise with what the proxy counts it from, what control waits for, and the margin between the two:
-// - Control lets a proxy serve (serving lease). Counted from its question; control waits until a serving
-//   lease after the reception. The margin is the question's way.
-// - A leader before this one let it serve. Counted from its question; control waits until a serving lease
-//   after its own election. The margin is the same.
-// - A group's members let it use the primary (registry/member_lease.h). Counted from its questions to them;
-//   control waits until the pause and kMemberLeaseWait. The margin is a fifth.
-// - Control lets it count operations (registry/budget_authority.h). Counted from its question; control waits
-//   until the reception of that and kBudgetAuthorityWait. The margin is a fiftieth.
+// Each promise, the event from which the proxy counts it, the time for which control waits, and the margin:
+// - Serving lease granted by this leader. The proxy counts from sending its report; control waits one serving
+//   lease from receiving it. The margin is the report's transit time.
+// - Serving lease granted by a previous leader. The proxy counts from sending its report; control waits one
+//   serving lease from its own election. The margin is the same.
+// - Lease granted by the group's members for use of the primary (registry/member_lease.h). The proxy counts
+//   from sending its status queries; control waits kMemberLeaseWait from the pause. The margin is one fifth.
+// - Authority to count operations (registry/budget_authority.h). The proxy counts from sending its report;
+//   control waits kBudgetAuthorityWait from receiving it. The margin is one fiftieth.
 //
-// A serving lease needs no margin for clocks that do not run alike beyond the question's way: at 1.5 s, two
-// clocks that differ by 200 ppm are 0.3 ms apart at its end. The quorum round behind each lease begins after
-// the question was received, so a leader that was replaced before that gives none.
+// The transit time is a sufficient margin for clock drift over a serving lease: at 1.5 s, two clocks that
+// differ by 200 ppm diverge by 0.3 ms. The quorum round that backs each lease starts after the report was
+// received, so a leader that was replaced before then grants none.
 #pragma once
 
 #include <algorithm>
@@ -27,51 +27,54 @@
 
 namespace cairnhollow::registered::control {
 
-/// A proxy whose lease ran out this long ago serves no group until it is back. Where half of 66 proxies lose
-/// power, worth is 0.556 with it and was 0.491 while they kept their share of connections for 8 s.
+/// A proxy whose lease expired this long ago is excluded from the division of groups until it returns. Short,
+/// so that a failed proxy's share of backend connections is reassigned quickly.
 inline constexpr Duration kAbsentProxyAfter = std::chrono::milliseconds(200);
-/// It is forgotten once it can't serve by leases of the groups' members any more, either: 2 s later.
+/// A proxy is removed 2 s after it can no longer serve by member leases either.
 inline constexpr Duration kForgetProxyAfter = registry::kServeWithoutControl + std::chrono::seconds(2);
 
-/// What becomes of a proxy after the end of its lease.
+/// State of a proxy relative to the end of its lease.
 enum class ProxyPresence : std::uint8_t {
-  kPresent,    ///< it holds a lease, or did a moment ago
-  kAbsent,     ///< it takes no part in the division of groups; what it acknowledged still counts
-  kForgotten,  ///< it takes no part in anything
+  kPresent,    ///< its lease is valid, or expired at most kAbsentProxyAfter ago
+  kAbsent,     ///< excluded from the division of groups; the commits it acknowledged still count
+  kForgotten,  ///< removed from the fleet
 };
 
-/// `lease_end`: the latest at which its serving lease may hold.
+/// `lease_end`: the latest time at which its serving lease may be valid.
 inline ProxyPresence presence_after(TimePoint lease_end, TimePoint now) {
   if (now > lease_end + kForgetProxyAfter) return ProxyPresence::kForgotten;
   if (now > lease_end + kAbsentProxyAfter) return ProxyPresence::kAbsent;
   return ProxyPresence::kPresent;
 }
 
-/// Until when a proxy may count operations for others by what control confirmed to it last.
+/// The latest time at which a proxy may still count operations on behalf of others, based on its last
+/// confirmation by control.
 inline TimePoint budget_authority_end(TimePoint lease_end, Duration serving_lease) {
   return lease_end - serving_lease + registry::kBudgetAuthorityWait;
 }
 
-/// Since when, or from when on, each proxy that serves without control asks a member of a group as well,
-/// which is known here since `known_since`, when the fleet got `known_revision`. `silent_revision`: the least
-/// that a proxy without an answer is known to hold of the fleet. A proxy that had its last lease before the
-/// member was known may serve without asking it until the second bound.
+/// The time from which every proxy that serves without control also queries a given group member. The member
+/// has been known to this node since `known_since`, at fleet revision `known_revision`. `silent_revision`:
+/// the lowest fleet revision that any proxy without an answer is known to hold. A proxy whose last lease
+/// predates the member may serve without querying it until `known_since` + kServeWithoutControl +
+/// kMemberLease.
 inline TimePoint asked_by_all_from(TimePoint known_since, std::uint64_t known_revision,
                                    std::uint64_t silent_revision) {
   if (silent_revision >= known_revision) return known_since;
   return known_since + registry::kServeWithoutControl + registry::kMemberLease;
 }
 
-/// When the leases that a member gave before its pause are over, also at proxies that may not have asked it.
+/// The time by which all leases that depend on a member's answers before its pause have expired, including
+/// those of proxies that may not have queried the member.
 inline TimePoint member_lease_end(TimePoint paused_at, TimePoint asked_by_all) {
   return std::max(paused_at + registry::kMemberLeaseWait, asked_by_all);
 }
 
-/// Proxies ask for leases no closer together than this, as far as their leases allow. Chosen, not measured.
+/// Target interval between lease requests of all proxies together, as far as the lease duration allows.
 inline constexpr Duration kReportSpacing = std::chrono::milliseconds(4);
 
-/// How often a proxy is to ask for a lease: more seldom the more proxies there are, but often enough that one
-/// lost question does not cost it its lease.
+/// Interval at which a proxy requests a lease. Grows with the number of proxies, but is clamped so that one
+/// lost report does not cost a proxy its lease.
 inline Duration report_interval(std::size_t proxies, Duration serving_lease) {
   const Duration by_load = kReportSpacing * static_cast<Duration::rep>(proxies);
   return std::clamp<Duration>(by_load, serving_lease / 4, serving_lease * 2 / 5);
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -8,10 +8,9 @@
 
 namespace {
 
-/// Longest wait for a quorum round behind a lease. Chosen, not measured.
+/// Timeout of the quorum round that backs a lease.
 constexpr Duration kLeaseBarrierTimeout = std::chrono::milliseconds(500);
-/// The lowest revision in use is worked out again no more often: it costs a check of each proxy. Chosen, not
-/// measured.
+/// Minimum interval between computations of the stable revision, which iterate over all proxies.
 constexpr Duration kStableRevisionInterval = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -122,7 +121,7 @@
     const bool is_last = acknowledgements_.record(follower.node, follower.incarnation, group);
     any_is_over = any_is_over || is_last;
   }
-  // One by one they would each wake the changes of primary of all closed groups.
+  // Notify once for all groups, because each notification wakes the failovers of all closed groups.
   if (any_is_over) answered_.notify_all();
 }
 
@@ -158,8 +157,8 @@
       runtime_.spawn("proxy_lapsed", take_out(registry::ForgetProxy{proxy.node, proxy.incarnation},
                                               proxy.node, "proxy_forgotten"));
     } else if (presence == ProxyPresence::kAbsent && !proxy.leaving) {
-      // It may come back in the same incarnation: what it acknowledged still counts, but nobody waits for it
-      // to serve.
+      // The proxy may return in the same incarnation, so the commits it acknowledged still count, but it no
+      // longer takes part in the division of groups.
       registry::AdmittedProxy absent = proxy;
       absent.leaving = true;
       runtime_.spawn("proxy_lapsed", take_out(registry::AdmitProxy{absent}, proxy.node, "proxy_absent"));
--- a/src/registered/control/leases/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -1,10 +1,9 @@
-// The leader's side of the proxies: admits them, gives them serving leases, tells them what changed, and
-// collects their acknowledgements of the fence when a group is closed. Who promises what to whom until when
-// is in lease_bounds.h.
+// Leader side of the proxy protocol: admits proxies, grants serving leases, pushes changes, and collects
+// fence acknowledgements when a group is closed. The expiry bounds of all promises are in lease_bounds.h.
 //
-// A lease is given to a question once the proxy is admitted in the log and a quorum round that began after
-// the question has ended, all in one term of this node's lead: then no other leader can have closed a group
-// without this node's knowing, and every later leader waits for the proxy.
+// A lease is granted for a report after the proxy was admitted in the log and a quorum round that started
+// after the report was received has completed, all in one leadership term of this node. No other leader can
+// then have closed a group without this node's knowledge, and every later leader waits for the proxy.
 #pragma once
 
 #include <functional>
@@ -28,10 +27,11 @@
 
 namespace cairnhollow::registered::control {
 
-/// Proxies' leases are checked for their end this often. Chosen, not measured.
+/// Interval of the check for expired proxy leases.
 inline constexpr Duration kLapsedTick = std::chrono::milliseconds(400);
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// The referenced objects are not owned and must outlive this object, which must live until the process ends
+/// because its coroutines refer to it.
 class LeaseKeeper {
  public:
   using OnSuspicion = std::function<void(const NodeName& proxy, const registry::PrimarySuspicion&)>;
@@ -42,25 +42,27 @@
   void start();
   void stop();
   void on_suspicion(OnSuspicion callback) { on_suspicion_ = std::move(callback); }
-  /// Serves one proxy's connection until it ends.
+  /// Serves one proxy's connection until it closes.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
 
-  /// What the proxies have said of the group's close, and who may still hold a lease without having said it.
+  /// The proxies' acknowledgements of the group's close, and the proxies that may still hold a lease without
+  /// having acknowledged it.
   [[nodiscard]] FenceProgress fence_progress(const GroupName& group, std::uint64_t epoch);
-  /// Notified when the last proxy has answered the close of a group. Leases that run out meanwhile notify
-  /// nobody.
+  /// Notified when the last proxy has acknowledged the close of a group. Not notified when a lease expires
+  /// instead.
   runtime::Signal& answered() { return answered_; }
   [[nodiscard]] std::size_t followers() const { return updates_.size(); }
 
  private:
   Awaitable<void> take_report(std::shared_ptr<Follower> follower, registry::ProxyReport report);
-  /// Whether the proxy may serve, with the quorum round behind its lease.
+  /// Returns true if the proxy may be granted a lease. Runs the quorum round that backs it.
   Awaitable<bool> grant(std::shared_ptr<Follower> follower, Reason& reason);
   Awaitable<bool> admit(std::shared_ptr<Follower> follower, Reason& reason);
   void record_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed);
-  /// Lets the acknowledgements be judged by the proxies that are admitted now.
+  /// Updates the set of proxies whose acknowledgements are required from the admitted proxies.
   void refresh_acknowledging();
-  /// Proxies whose leases ran out leave the division of groups, and are forgotten when they stay away.
+  /// Periodically excludes proxies with expired leases from the division of groups, and removes those that do
+  /// not return.
   Awaitable<void> watch_lapsed();
   void take_out_lapsed();
   Awaitable<void> take_out(registry::SingleCommand command, NodeName node, std::string event);
@@ -79,9 +81,10 @@
   ProxyUpdates updates_;
   ServingLeases leases_;
   FenceAcknowledgements acknowledgements_;
-  std::optional<std::uint64_t> acknowledging_revision_;  ///< of the proxies that `acknowledgements_` knows
+  /// fleet revision of the proxies in `acknowledgements_`
+  std::optional<std::uint64_t> acknowledging_revision_;
   std::uint64_t stable_revision_ = 0;
-  TimePoint stable_revision_at_{};  ///< when it was worked out
+  TimePoint stable_revision_at_{};  ///< time of the last computation
   std::uint64_t led_term_ = 0;
   bool stopping_ = false;
 };
--- a/src/registered/control/leases/proxy_updates.cpp
+++ b/src/registered/control/leases/proxy_updates.cpp
@@ -11,17 +11,16 @@
 
 namespace {
 
-/// Changes are gathered for so long for each follower before they are pushed, at most for the limit; a group
-/// that closed or opened waits at most for the urgent limit. With 297 proxies and each change pushed by
-/// itself the leader used 0.18 of its 0.30 cores, with gathering (of registrations as well) 0.057.
+/// Delay per follower during which changes are collected before a push, and its upper limit, so that frequent
+/// changes do not cost one message each per follower. The urgent values apply when a group was closed or
+/// opened.
 constexpr Duration kPushGathering = std::chrono::milliseconds(1);
 constexpr Duration kPushGatheringLimit = std::chrono::milliseconds(300);
 constexpr Duration kUrgentGathering = std::chrono::microseconds(200);
 constexpr Duration kUrgentGatheringLimit = std::chrono::milliseconds(100);
-/// Deltas that are on their way at once, in bytes, so that a restart of all proxies does not fill the memory
-/// of the leader: 297 whole tables at once took 259 MB; with the bound, and with heartbeats answered by
-/// proxies, 74 MB. Small ones are sent all the same. Who waits for room is served after the tick at the
-/// latest.
+/// Limits the bytes of deltas in flight, so that a simultaneous restart of all proxies does not exhaust the
+/// leader's memory. Deltas of at most kSmallDelta bytes are exempt. A follower that waits for capacity checks
+/// again at least every kRoomTick.
 constexpr std::size_t kMostBytesOnTheirWay = std::size_t{12} << 20;
 constexpr std::size_t kSmallDelta = std::size_t{8} << 10;
 constexpr Duration kRoomTick = std::chrono::milliseconds(200);
@@ -53,7 +52,7 @@
 }
 
 Awaitable<void> ProxyUpdates::gather_changes() {
-  // Changes that come together are told together; the more followers there are, the longer they are gathered.
+  // The delay grows with the number of followers.
   const auto followers = static_cast<Duration::rep>(followers_.size());
   const TimePoint first = runtime_.now();
   const TimePoint due = first + std::min<Duration>(kPushGathering * followers, kPushGatheringLimit);
@@ -78,7 +77,7 @@
   update.refusal = std::exchange(follower.refusal, std::nullopt);
   if (!follower.admitted) return update;
   const bool lacks_something = follower.revision_sent < fleet_.revision();
-  // A lease is worth something only together with what is in force.
+  // A lease must not be granted without the state in force, so it is withheld when the delta is deferred.
   if (lacks_something && !with_delta) update.lease = Duration(0);
   if (lacks_something && with_delta) {
     update.delta = delta_for(follower);
--- a/src/registered/control/leases/proxy_updates.h
+++ b/src/registered/control/leases/proxy_updates.h
@@ -1,9 +1,9 @@
-// What the proxies that follow this control node are sent: answers to their questions, and what changed since
-// the revision that each holds.
+// Sends updates to the proxies that follow this control node: answers to their reports, and changes since the
+// revision that each of them holds.
 //
-// What goes over the wire grows with changes and proxies, never with what there is: changes that come
-// together go as one delta, which is encoded once for all who lack the same. Only a proxy that starts gets
-// the whole.
+// Traffic is proportional to the number of changes and proxies, not to the size of the state: changes that
+// arrive together are sent as one delta, which is encoded once for all proxies at the same revision. Only a
+// proxy that starts receives the full state.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
 
 namespace cairnhollow::registered::control {
 
-/// A proxy's connection, and what it has been told and asks for.
+/// State of one proxy's connection: what was sent to it and what it is waiting for.
 struct Follower {
   std::shared_ptr<runtime::FrameConnection> connection;
   NodeName node;
@@ -31,18 +31,19 @@
   Endpoint peer_endpoint;
   bool draining = false;
   std::uint64_t revision_sent = 0;
-  bool admitted = false;  ///< has had a lease on this connection
+  bool admitted = false;  ///< was granted a lease on this connection
   bool sending = false;
-  std::uint64_t answer_nonce = 0;  ///< of the report to be answered next; 0: none
-  bool grant = false;              ///< with a lease
+  std::uint64_t answer_nonce = 0;  ///< nonce of the report to answer next; 0: none
+  bool grant = false;              ///< whether that answer grants a lease
   std::optional<Reason> refusal;
   std::vector<Endpoint> endpoints_sent;
 };
 
-/// The objects that it is given outlive it; it lives until the process ends.
+/// The referenced objects are not owned and must outlive this object, which must live until the process ends
+/// because its coroutines refer to it.
 class ProxyUpdates {
  public:
-  /// What answers with a lease tell of the revisions in use (registry/stable_revision.h).
+  /// Computes the stable revision sent with each lease (registry/stable_revision.h).
   using StableRevision = std::function<std::uint64_t()>;
 
   ProxyUpdates(runtime::Runtime& runtime, registry::FleetStateMachine& fleet, ControlNodeDirectory& directory,
@@ -57,11 +58,12 @@
   void start();
   /// Closes all connections.
   void stop();
-  /// The number by which remove() knows the follower.
+  /// Returns the id to pass to remove().
   std::uint64_t add(const std::shared_ptr<Follower>& follower);
   void remove(std::uint64_t id) { followers_.erase(id); }
   [[nodiscard]] std::size_t size() const { return followers_.size(); }
-  /// Sends what the follower lacks, and goes on until it lacks nothing.
+  /// Starts sending pending answers and changes to the follower until none are left. Does nothing if a send
+  /// is already running.
   void flush(const std::shared_ptr<Follower>& follower);
 
  private:
@@ -71,12 +73,12 @@
   };
 
   Awaitable<void> push_changes();
-  /// Until what changed is to be told.
+  /// Delays a push so that changes that arrive close together are sent as one delta.
   Awaitable<void> gather_changes();
   Awaitable<void> send(std::shared_ptr<Follower> follower);
   [[nodiscard]] bool has_something_for(const Follower& follower) const;
   registry::ProxyUpdate make_update(Follower& follower, bool with_delta);
-  /// Whether what the follower lacks is small, or may be on its way beside what is on its way to others.
+  /// Returns true if the follower's delta is small or fits within the limit on bytes in flight.
   [[nodiscard]] bool has_room_for(const Follower& follower);
   const std::string& delta_for(const Follower& follower);
   const std::vector<Endpoint>& endpoints();
@@ -87,11 +89,11 @@
   Duration serving_lease_;
   StableRevision stable_revision_;
   runtime::Signal room_;                ///< notified when a large delta has been sent
-  std::size_t bytes_on_their_way_ = 0;  ///< of deltas
+  std::size_t bytes_on_their_way_ = 0;  ///< deltas being sent now
   std::map<std::uint64_t, std::shared_ptr<Follower>> followers_;
   std::uint64_t next_follower_ = 1;
-  std::map<std::uint64_t, EncodedDelta> deltas_;  ///< by the revision that they begin from
-  std::uint64_t deltas_to_ = 0;                   ///< the revision that they lead to
+  std::map<std::uint64_t, EncodedDelta> deltas_;  ///< by base revision
+  std::uint64_t deltas_to_ = 0;                   ///< target revision of all entries in `deltas_`
   std::vector<Endpoint> endpoints_;
   TimePoint endpoints_at_{};
   std::uint64_t pushed_revision_ = 0;
--- a/src/registered/control/leases/serving_leases.h
+++ b/src/registered/control/leases/serving_leases.h
@@ -1,5 +1,5 @@
-// The serving leases that this control node's side of the fleet promised to proxies, and until when each may
-// hold. Pure: no I/O, and the caller gives the times. The bounds' arithmetic is in lease_bounds.h.
+// Tracks serving leases granted to proxies and the latest time at which each may still be valid. Pure: no
+// I/O, and the caller passes the times. The arithmetic of the bounds is in lease_bounds.h.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,21 @@
 
 class ServingLeases {
  public:
-  /// `serving_lease`: how long each lease is.
+  /// `serving_lease`: duration of each lease.
   explicit ServingLeases(Duration serving_lease) : serving_lease_(serving_lease) {}
 
-  /// This node was elected: what it gave in an earlier lead says nothing any more, and what others gave since
-  /// runs out one serving lease from now at the latest.
+  /// Called when this node becomes leader. Discards leases from an earlier leadership of this node; those
+  /// granted by other leaders since then expire at the latest one serving lease from `now`.
   void begin_lead(TimePoint now);
-  /// This incarnation of the proxy runs now: what another one was given is over.
+  /// Records the proxy's current incarnation. Leases of any other incarnation are discarded.
   void begin_incarnation(const NodeName& proxy, std::uint64_t incarnation);
-  /// The incarnation of the proxy was given a lease for a question that was received at `asked`, in which it
-  /// said that it holds `revision` of the fleet.
+  /// Records a lease granted to the proxy's incarnation for a report that was received at `asked` and stated
+  /// that the proxy holds fleet revision `revision`.
   void grant(const NodeName& proxy, std::uint64_t incarnation, std::uint64_t revision, TimePoint asked);
-  /// The latest moment at which that incarnation may hold a lease, of this leader or of one before.
+  /// The latest time at which the incarnation may hold a lease, from this leader or an earlier one.
   [[nodiscard]] TimePoint end_of(const NodeName& proxy, std::uint64_t incarnation) const;
-  /// The newest revision that it said it holds when it was given a lease; 0: this leader gave it none.
+  /// The highest fleet revision that the incarnation reported when it was granted a lease; 0 if this leader
+  /// granted none.
   [[nodiscard]] std::uint64_t revision_of(const NodeName& proxy, std::uint64_t incarnation) const;
 
  private:
--- a/tests/registered/control/leases/lease_bounds_test.cpp
+++ b/tests/registered/control/leases/lease_bounds_test.cpp
@@ -1,4 +1,4 @@
-// Until when what was promised to proxies may hold, and what becomes of them then.
+// Verifies the expiry bounds of promises made to proxies, and the states of a proxy after its lease.
 #include "registered/control/leases/lease_bounds.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -1,4 +1,4 @@
-// Who is given a lease, and who may still hold one when a group is closed.
+// Verifies when a lease is granted, and which proxies may still hold one when a group is closed.
 #include "registered/control/leases/lease_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -55,7 +55,7 @@
   void no_lease_over_a_change_of_leader() {
     stand_->admit("proxy");
     const auto proxy = stand_->connect("proxy");
-    // Another led meanwhile, and may have replaced the primary.
+    // Another node led in the meantime and may have replaced the primary.
     stand_->consensus().during_barrier = [this] {
       stand_->consensus().led_term += 2;
       const auto other = stand_->connect("other");
@@ -73,7 +73,7 @@
     report(*second);
     CPPUNIT_ASSERT(second->lease() == ControlStand::kLease);
     second->updates.clear();
-    // So much that it is sent to one after the other.
+    // The delta is large enough that it cannot be in flight to both proxies at once.
     first->stall_sends(true);
     registry::ConfigurationDocument document;
     document.version = 2;
@@ -134,7 +134,8 @@
   }
 
  private:
-  /// In the proxy's first incarnation; `closed_epoch` 0: it tells of no closed group.
+  /// Sends a report of the proxy's first incarnation. `closed_epoch` 0: without an acknowledgement of a
+  /// close.
   void report(ProxyFrames& proxy, std::uint64_t closed_epoch = 0) {
     registry::ProxyReport report;
     report.nonce = ++nonce_;
--- a/tests/registered/control/leases/member_lease_model_test.cpp
+++ b/tests/registered/control/leases/member_lease_model_test.cpp
@@ -1,11 +1,11 @@
-// A small model of registry/member_lease.h, searched exhaustively: one proxy that control does not reach, the
-// two members that may follow the primary, and the leader that promotes one of them. Time passes in ticks.
-// The promise: from the moment a promotion takes effect the proxy holds no lease for the old primary.
+// Exhaustively searched model of registry/member_lease.h: one proxy that control cannot reach, the two
+// members that may follow the primary, and the leader that promotes one of them. Time advances in ticks.
+// Invariant: once a promotion takes effect, the proxy holds no lease for the old primary.
 //
-// A member may start again under its name between any two steps: it has no pause and no log then, until it
-// has caught up with the old primary, and nobody has heard of its new incarnation. Assumed, as the design
-// does: clocks run alike within the margin of the leader's wait, and no member restarts *and catches up*
-// between the leader's last look at it and the effect of the promotion (0.3 s).
+// A member may restart under its name between any two steps. It then has no pause and no log until it has
+// caught up with the old primary, and no other process knows its new incarnation. Assumptions, as in the
+// design: clock drift stays within the margin of the leader's wait, and no member restarts and catches up
+// between the leader's last status query to it and the effect of the promotion (0.3 s).
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -25,18 +25,18 @@
 constexpr int kLease = 2;         ///< kMemberLease, in ticks
 constexpr int kWait = 3;          ///< kMemberLeaseWait
 constexpr int kServeAlone = 4;    ///< kServeWithoutControl
-constexpr int kMembers = 2;       ///< A and B; A registered long ago
-constexpr int kMostLeaders = 2;   ///< leaders one after the other
-constexpr int kMostRestarts = 1;  ///< of members
+constexpr int kMembers = 2;       ///< A and B; A is known to every proxy
+constexpr int kMostLeaders = 2;   ///< consecutive leaders
+constexpr int kMostRestarts = 1;  ///< restarts of members
 
-/// One guard left out each; all true is the design.
+/// The guards of the protocol. The design enables all of them; each test case disables one.
 struct Guards {
   bool leader_pauses = true;
   bool leader_waits = true;
   bool wait_covers_lease = true;
   bool leader_looks_again = true;
   bool leader_minds_new_members = true;
-  bool candidate_is_paused = true;  ///< and not just any member
+  bool candidate_is_paused = true;  ///< the candidate itself, not just any member
   bool proxy_minds_pause = true;
   bool proxy_minds_term = true;
   bool proxy_asks_all = true;
@@ -49,27 +49,27 @@
 struct Member {
   bool paused = false;
   bool leads_next_term = false;
-  bool lost_log = false;  ///< it started again, and has not caught up
+  bool lost_log = false;  ///< restarted and has not caught up
   auto operator<=>(const Member&) const = default;
 };
 
-/// What the leader holds of a pause that it ordered.
+/// State of a pause as seen by the leader.
 enum class Pause : std::uint8_t { kNone, kOrdered, kAnswered };
 
 struct State {
   std::array<Member, kMembers> members{};
-  // The proxy.
+  // State of the proxy.
   int lease_left = 0;
   int serve_left = kServeAlone;
   bool knows_b = true;
   bool asking = false;
   int question_age = 0;
-  std::array<bool, kMembers> answered{};  ///< with what allows the lease
-  // The leader.
+  std::array<bool, kMembers> answered{};  ///< answered in a way that permits the lease
+  // State of the leader.
   std::array<Pause, kMembers> pauses{};
   std::array<int, kMembers> wait_left{};
-  int b_new_left = 0;  ///< ticks until every proxy that still serves knows B
-  int promoting = -1;  ///< the member that was ordered
+  int b_new_left = 0;  ///< ticks until every serving proxy knows B
+  int promoting = -1;  ///< index of the member ordered to promote; -1: none
   bool done = false;
   int leaders = 1;
   int restarts = 0;
@@ -80,7 +80,7 @@
  public:
   explicit Model(Guards guards) : guards_(guards) {}
 
-  /// True when some order of events breaks the promise.
+  /// Returns true if some order of events violates the invariant.
   bool finds_violation() {
     State known;
     visit(known);
@@ -97,7 +97,7 @@
     return violated_;
   }
   [[nodiscard]] std::size_t states() const { return reached_from_.size(); }
-  /// The events that break the promise, a state a line.
+  /// The states on the path to the violation, one per line.
   [[nodiscard]] const std::string& trace() const { return trace_; }
 
  private:
@@ -180,7 +180,7 @@
     visit(lost);
   }
 
-  /// It hears of B, and says so in its next report: for the leader B is not new any more.
+  /// The proxy learns of B and reports it, so B no longer counts as new for the leader.
   void proxy_learns(const State& state) {
     if (state.knows_b) return;
     State told = state;
@@ -246,7 +246,7 @@
     led.members[place] = Member{false, true, led.members[place].lost_log};
     led.done = true;
     visit(led);
-    // The others receive again once the new primary was seen to lead.
+    // The other members resume once the new primary was seen to lead.
     for (Member& member : led.members) member.paused = false;
     visit(led);
   }
@@ -259,7 +259,7 @@
     visit(restarted);
   }
 
-  /// From the old primary, which may still run.
+  /// The member catches up from the old primary, which may still be running.
   void catch_up(const State& state, int place) {
     if (!state.members[place].lost_log || state.members[place].paused || state.promoting >= 0) return;
     State caught_up = state;
@@ -267,7 +267,7 @@
     visit(caught_up);
   }
 
-  /// Finds the group closed, and knows nothing of the pauses of the one before.
+  /// The next leader finds the group closed and has no record of its predecessor's pauses.
   void next_leader(const State& state) {
     if (state.done || state.promoting >= 0 || state.leaders >= kMostLeaders) return;
     State other = state;
