--- a/src/registered/registry/budget_authority.h
+++ b/src/registered/registry/budget_authority.h
@@ -1,4 +1,4 @@
-// How long a proxy may count operations for a tenant after control confirmed its membership.
+// Time limit on a proxy's authority to count operations for a tenant after control confirmed its membership.
 #pragma once
 
 #include <chrono>
@@ -7,13 +7,12 @@
 
 namespace cairnhollow::registered::registry {
 
-/// Counted by the proxy from its question to control. Twice control's lease: while control has no quorum the
-/// homes go on counting for as long as callers with a key are owed service (0.6 of the time in which a
-/// removed key must end, 5 s on the deployments). Longer: a tenant whose home was lost has two thirds of its
-/// limit until that home's time is over.
+/// Counted by the proxy from sending its report. Twice the serving lease, so that home proxies continue to
+/// count during a loss of quorum for as long as callers with a key must be served (0.6 of the time within
+/// which a removed key must stop working, 5 s on the deployments). Not longer, because a tenant whose home
+/// proxy failed has two thirds of its limit until this authority expires.
 inline constexpr Duration kBudgetAuthority = std::chrono::seconds(3);
-/// Counted by control from the proxy's question, as it received it. A fiftieth more, for clocks that do not
-/// run alike.
+/// Counted by control from receiving the proxy's report. One fiftieth longer, to allow for clock drift.
 inline constexpr Duration kBudgetAuthorityWait = kBudgetAuthority + kBudgetAuthority / 50;
 
 }  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::registered::registry {
 
-/// Holds when its version is above the one held.
+/// Takes effect only if its version is higher than the current one.
 struct ReplaceDocument {
   ConfigurationDocument document;
   template <class Archive>
@@ -30,7 +30,7 @@
 
 struct DeregisterBackend {
   BackendName name;
-  std::uint64_t born_ms = 0;  ///< of the incarnation that ends; 0: the one that is held
+  std::uint64_t born_ms = 0;  ///< start time of the incarnation that ends; 0: the registered one
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name);
@@ -38,7 +38,7 @@
   }
 };
 
-/// Before a proxy's first lease, so that the next leader knows who may hold one.
+/// Committed before a proxy's first lease, so that the next leader knows which proxies may hold one.
 struct AdmitProxy {
   AdmittedProxy proxy;
   template <class Archive>
@@ -47,7 +47,7 @@
   }
 };
 
-/// Once the proxy's leases have surely run out.
+/// Committed once all leases of the proxy have expired.
 struct ForgetProxy {
   NodeName node;
   std::uint64_t incarnation = 0;
@@ -57,7 +57,7 @@
   }
 };
 
-/// The primary of this epoch is given up.
+/// Closes the group: the primary of this epoch must no longer be used.
 struct CloseGroup {
   GroupName group;
   std::uint64_t epoch = 0;  ///< that the sender saw; another one: no effect
@@ -67,13 +67,13 @@
   }
 };
 
-/// `primary` leads `term`. Follows a close, or is the first of a group.
+/// Opens the group with `primary` leading `term`. Follows a close, or is the first command of a group.
 struct OpenGroup {
   GroupName group;
   std::uint64_t epoch = 0;  ///< that the sender saw; another one: no effect
   std::uint64_t term = 0;
   BackendName primary;
-  std::uint64_t primary_born_ms = 0;  ///< which incarnation of it; 0: not known
+  std::uint64_t primary_born_ms = 0;  ///< start time of the primary's incarnation; 0: unknown
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, epoch, term, primary);
@@ -81,7 +81,7 @@
   }
 };
 
-/// Nothing more is to be sent to the zone's backends.
+/// Stops all traffic to the zone's backends.
 struct BeginEvacuation {
   ZoneName zone;
   template <class Archive>
@@ -90,7 +90,7 @@
   }
 };
 
-/// The zone's backends may be used again.
+/// Permits traffic to the zone's backends again.
 struct EndEvacuation {
   ZoneName zone;
   template <class Archive>
@@ -103,7 +103,7 @@
 using SingleCommand = std::variant<ReplaceDocument, RegisterBackend, DeregisterBackend, AdmitProxy,
                                    ForgetProxy, CloseGroup, OpenGroup, BeginEvacuation, EndEvacuation>;
 
-/// Commands that take effect one after the other, as one change of the state.
+/// Commands that are applied in order as one change of the state.
 struct CommandBatch {
   std::vector<SingleCommand> commands;
   template <class Archive>
@@ -116,7 +116,7 @@
 using Command = std::variant<ReplaceDocument, RegisterBackend, DeregisterBackend, AdmitProxy, ForgetProxy,
                              CloseGroup, OpenGroup, CommandBatch, BeginEvacuation, EndEvacuation>;
 
-/// One command as it stands in the log.
+/// A log entry.
 struct LoggedCommand {
   Command command;
   template <class Archive>
--- a/src/registered/registry/control_service.h
+++ b/src/registered/registry/control_service.h
@@ -1,4 +1,5 @@
-// What a control node of a registered fleet does for operators and backends, independent of how they speak.
+// Transport-independent interfaces that a registered fleet offers to operators and backends, and the
+// promotion calls it makes.
 #pragma once
 
 #include <optional>
@@ -11,9 +12,9 @@
 
 namespace cairnhollow::registered::registry {
 
-/// What a backend is told when its registration is taken.
+/// Result of an accepted registration.
 struct Registration {
-  /// Where it is to say the same again, until that fails; empty: anywhere.
+  /// Endpoint for further heartbeats, until it fails; std::nullopt: any control node.
   std::optional<Endpoint> again_at;
 };
 
@@ -21,54 +22,56 @@
  public:
   virtual ~ControlService() = default;
 
-  /// True once a document of this or a higher version is in force. kInvalidArgument: the document is invalid,
-  /// whatever its version; `reason.detail` names every fault. Other codes: no clear outcome, ask again.
+  /// Returns true once a document of this or a higher version is in force. Fails with kInvalidArgument if the
+  /// document is invalid, whatever its version; `reason.detail` then names every fault. With any other code
+  /// the outcome is unknown and the caller should retry.
   virtual Awaitable<bool> replace_document(ConfigurationDocument document, Reason& reason) = 0;
-  /// The newest document's text, confirmed by a quorum round that began after the call. kNotFound: there is
-  /// none yet. Other codes: this node can't be certain.
+  /// Returns the text of the newest document, confirmed by a quorum round that started after the call. Fails
+  /// with kNotFound if there is none; with any other code this node cannot determine it.
   virtual Awaitable<std::optional<std::string>> read_document(Reason& reason) = 0;
-  /// Answers once what the backend says of itself is known for good. kNotFound: the newest document does not
-  /// name its group. kConflict: another backend answers at its address. Other codes: no clear outcome, ask
-  /// again.
+  /// Returns once the registration is durable. Fails with kNotFound if the newest document does not contain
+  /// the backend's group, and with kConflict if another backend answers at its address. With any other code
+  /// the outcome is unknown and the caller should retry.
   virtual Awaitable<std::optional<Registration>> register_backend(BackendEntry entry, Reason& reason) = 0;
   virtual Awaitable<bool> deregister_backend(BackendName name, Reason& reason) = 0;
-  /// A registration could not be read: to be counted and logged.
+  /// Counts and logs a registration that could not be parsed.
   virtual void record_refused(const RefusedRegistration& /*refused*/) {}
-  /// True once it is durable that nothing more is to be sent to the zone's backends, as far as no later order
-  /// ends it. kNotFound: no such zone. Other codes: no clear outcome, ask again. An order that holds already
-  /// is confirmed by a quorum round that began after the call.
+  /// Returns true once it is durable that nothing more is sent to the zone's backends, until a later order
+  /// ends the evacuation. Fails with kNotFound if the zone is unknown; with any other code the outcome is
+  /// unknown and the caller should retry. If the evacuation is already in effect, it is confirmed by a quorum
+  /// round that started after the call.
   virtual Awaitable<bool> begin_evacuation(ZoneName zone, Reason& reason) = 0;
-  /// The same for the end: the zone's backends may be used again.
+  /// Ends an evacuation, so that the zone's backends may be used again. Otherwise like begin_evacuation().
   virtual Awaitable<bool> end_evacuation(ZoneName zone, Reason& reason) = 0;
 };
 
-/// What a proxy does for backends that say again what the fleet knows: so that their number times their
-/// heartbeats falls on the proxies, whose number grows as theirs, and not on a handful of control nodes.
+/// Answers repeated heartbeats on proxies, so that this load is spread over the proxies, whose number grows
+/// with the number of backends, instead of over a few control nodes.
 class RegistrationRelay {
  public:
   virtual ~RegistrationRelay() = default;
-  /// Whether every control node knows this already. Registrations that are not known go to control.
+  /// Returns true if every control node already holds this registration. Unknown registrations go to control.
   [[nodiscard]] virtual bool knows(const BackendEntry& entry) const = 0;
-  /// Where control takes registrations; empty while no control node is followed.
+  /// Endpoint for registrations on a control node; std::nullopt while no control node is followed.
   [[nodiscard]] virtual std::optional<Endpoint> control_endpoint() const = 0;
-  /// A registration could not be read: to be counted and logged.
+  /// Counts and logs a registration that could not be parsed.
   virtual void record_refused(const RefusedRegistration& /*refused*/) const {}
 };
 
-/// Orders that only the leader gives, one at a time in the whole fleet.
+/// A promotion order. Issued only by the leader, one at a time in the whole fleet.
 struct PromotionOrder {
   GroupName group;
   BackendName backend;
-  NodeName holder;            ///< of the duty
-  std::uint64_t fencing = 0;  ///< grows whenever the holder changes
+  NodeName holder;            ///< holder of the promotion duty
+  std::uint64_t fencing = 0;  ///< fencing token; grows whenever the holder changes
 };
 
-/// Makes a replica the primary of its group's next term.
+/// Promotes a replica to primary of its group's next term.
 class PromotionCaller {
  public:
   virtual ~PromotionCaller() = default;
-  /// True when the order was taken. kConflict: the backend does not run. kOverloaded: not taken, too many
-  /// were given. Other codes: it may have been taken.
+  /// Returns true if the order was accepted. Fails with kConflict if the backend is not running, and with
+  /// kOverloaded if the order was rejected by a rate limit. With any other code it may have been accepted.
   virtual Awaitable<bool> promote(PromotionOrder order, TimePoint deadline, Reason& reason) = 0;
 };
 
--- a/src/registered/registry/delta.h
+++ b/src/registered/registry/delta.h
@@ -1,4 +1,4 @@
-// What changed in a registered fleet between two revisions, as proxies are told.
+// Changes of a registered fleet between two revisions, as sent to proxies.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,11 @@
 
 namespace cairnhollow::registered::registry {
 
-/// `is_whole`: replaces all that the receiver has; else it changes what it names.
+/// If `is_whole` is set, replaces the receiver's entire state; otherwise changes only the rows that it
+/// contains.
 struct FleetDelta {
   bool is_whole = false;
-  std::uint64_t revision = 0;  ///< that the receiver holds afterwards; 0: nothing is known yet
+  std::uint64_t revision = 0;  ///< revision of the receiver after applying it; 0: nothing is known yet
   std::uint64_t document_version = 0;
   std::uint64_t transaction_idle_ms = 0;
   std::vector<RouteRule> routes;
@@ -21,12 +22,12 @@
   std::vector<BackendEntry> backends;
   std::vector<BackendName> removed_backends;
   std::vector<GroupTerm> terms;
-  std::vector<AdmittedProxy> proxies;  ///< they share each backend's connections
+  std::vector<AdmittedProxy> proxies;  ///< proxies that divide each backend's connections among themselves
   std::vector<NodeName> removed_proxies;
-  bool requires_keys = false;  ///< as in the document
+  bool requires_keys = false;  ///< see ConfigurationDocument::requires_keys
   std::vector<TenantRule> tenants;
   std::vector<TenantName> removed_tenants;
-  std::vector<Evacuation> evacuations;  ///< begun
+  std::vector<Evacuation> evacuations;  ///< zones with an evacuation in effect
   std::vector<ZoneName> ended_evacuations;
 
   template <class Archive>
--- a/src/registered/registry/division.h
+++ b/src/registered/registry/division.h
@@ -1,5 +1,5 @@
-// How many proxies serve a database group. Worked out alike by the proxies, which divide the groups among
-// themselves, and by the leader, which judges what those who serve a group say of its primary.
+// Computes how many proxies serve a database group. Used by the proxies to divide the groups among themselves
+// and by the leader to weigh proxies' reports about a group's primary, so both must compute the same result.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +10,20 @@
 
 namespace cairnhollow::registered::registry {
 
-/// Proxies that serve one group, at most, for each slot of its backends.
+/// Maximum number of proxies that serve a group, per slot of its backends.
 inline constexpr std::uint64_t kServingProxiesPerSlot = 5;
-/// The same where links are of one tenant each. Fewer proxies are larger caches of links: 3 proxies a zone
-/// with a third of 52 links each open 23 for 100 uses, 15 open 31 (docs/design/links.md).
+/// The same limit if each link belongs to one tenant. Lower, because fewer proxies with larger link caches
+/// reuse links more often (docs/design/links.md).
 inline constexpr std::uint64_t kServingProxiesPerSlotOfTenants = 3;
-/// Connections of a backend kept back from the shares, for control nodes and for proxies that start.
+/// Connections of a backend reserved for control nodes and for starting proxies.
 inline constexpr std::uint64_t kReservedConnections = 4;
 
-/// Connections to one backend that all proxies together may have; 0: no limit.
+/// Number of connections to one backend available to all proxies together; 0: unlimited.
 std::uint64_t usable_connections(const GroupRule& rule);
 
-/// Of `proxies` that take work: so many that each has connections to work with, and that together they do not
-/// send a backend more than it can queue. `slots`: of each backend of the group; 0: not known. `tenants`:
-/// each link is of one tenant.
+/// Number of proxies, out of `proxies` that accept work, that serve the group. Limited so that each has
+/// enough connections and so that together they do not send a backend more than it can queue. `slots`: slots
+/// of each backend of the group; 0: unknown. `tenants`: true if each link belongs to one tenant.
 std::size_t serving_proxies(const GroupRule& rule, const std::vector<std::uint64_t>& slots,
                             std::size_t proxies, bool tenants);
 
--- a/src/registered/registry/messages.h
+++ b/src/registered/registry/messages.h
@@ -1,4 +1,5 @@
-// What a registered fleet's processes say to each other: proxies and standing-by control nodes to the leader.
+// Messages between the processes of a registered fleet: from proxies and standby control nodes to the leader,
+// and its responses.
 #pragma once
 
 #include <cereal/types/variant.hpp>
@@ -15,11 +16,12 @@
 
 namespace cairnhollow::registered::registry {
 
-/// A proxy has stopped using the primary of a closed group and acknowledges nothing of it any more.
+/// The proxy has stopped using the primary of a closed group and acknowledges no further commits of it.
 struct ClosedGroup {
   GroupName group;
-  std::uint64_t epoch = 0;        ///< of the close
-  Position highest_acknowledged;  ///< in any term, by this incarnation of the proxy
+  std::uint64_t epoch = 0;  ///< epoch of the close
+  /// highest position acknowledged in any term by this incarnation of the proxy
+  Position highest_acknowledged;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -27,13 +29,13 @@
   }
 };
 
-/// A statement to a primary failed in a way that a dead or cut-off one explains.
+/// A statement to a primary failed in a way that suggests that the primary is down or unreachable.
 struct PrimarySuspicion {
   GroupName group;
   BackendName backend;
   std::uint64_t term = 0;
-  bool commits_stall = false;  ///< it answers, but commits do not
-  bool unreachable = false;    ///< no connection to it can be opened, or it breaks off all that it is sent
+  bool commits_stall = false;  ///< the primary responds, but commits do not complete
+  bool unreachable = false;    ///< connections to it cannot be opened, or are closed before any response
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -41,15 +43,15 @@
   }
 };
 
-/// Proxy to leader. Asks for a lease, and answers closes.
+/// Proxy to leader: requests a lease and acknowledges closed groups.
 struct ProxyReport {
   std::uint64_t nonce = 0;
   std::uint64_t incarnation = 0;
-  std::uint64_t revision = 0;  ///< that the proxy holds; 0: nothing
+  std::uint64_t revision = 0;  ///< fleet revision that the proxy holds; 0: none
   std::vector<ClosedGroup> closed;
   std::vector<PrimarySuspicion> suspicions;
   bool draining = false;
-  Endpoint peer_endpoint;  ///< where other proxies reach this one
+  Endpoint peer_endpoint;  ///< endpoint for connections from other proxies
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -57,17 +59,18 @@
   }
 };
 
-/// Leader to proxy: a lease (an answer to a report), a change, or both.
+/// Leader to proxy: a lease in response to a report, a state change, or both.
 struct ProxyUpdate {
-  std::uint64_t nonce = 0;  ///< of the newest report that this answers; 0: pushed unasked
-  Duration lease{0};        ///< from the moment of asking, on the proxy's clock; 0: none
-  /// An encoded FleetDelta, compressed where the conversation is; empty: nothing changed. Encoded once for
-  /// all who lack the same.
+  std::uint64_t nonce = 0;  ///< nonce of the newest report that this answers; 0: unsolicited push
+  Duration lease{0};        ///< counted from sending the report, on the proxy's clock; 0: no lease
+  /// An encoded FleetDelta, compressed if the conversation is; empty: no changes. Encoded once for all
+  /// proxies at the same revision.
   std::string delta;
-  Duration report_interval{0};  ///< in which the proxy is to ask again; grows with the number of proxies
-  std::vector<Endpoint> control_endpoints;  ///< where control nodes are; empty: as before
+  Duration report_interval{0};  ///< interval until the next report; grows with the number of proxies
+  std::vector<Endpoint> control_endpoints;  ///< endpoints of the control nodes; empty: unchanged
   std::optional<Reason> refusal;            ///< kNotLeader names the leader's address as peer, where known
-  /// Every proxy that may act on what control confirmed holds this revision or a later one; 0: not known.
+  /// Every proxy whose authority from control may still be valid holds at least this fleet revision; 0:
+  /// unknown.
   std::uint64_t stable_revision = 0;
 
   template <class Archive>
@@ -81,7 +84,7 @@
   }
 };
 
-/// Control node to leader: a command to put into the log.
+/// Control node to leader: a command to propose to the log.
 struct SubmitCommand {
   Command command;
   template <class Archive>
@@ -90,7 +93,8 @@
   }
 };
 
-/// Control node to leader, again and again: it lives, under this identity, at this endpoint.
+/// Control node to leader, sent periodically: reports that the node is running, with its identity and
+/// endpoint.
 struct Presence {
   consensus::Member sender;
   template <class Archive>
@@ -111,7 +115,7 @@
 struct ControlAnswer {
   std::uint64_t correlation = 0;
   std::optional<Reason> refusal;            ///< kNotLeader names the leader's address as peer, where known
-  std::vector<Endpoint> control_endpoints;  ///< of all control nodes that the leader knows
+  std::vector<Endpoint> control_endpoints;  ///< all control nodes known to the leader
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/registered/registry/model.h
+++ b/src/registered/registry/model.h
@@ -1,5 +1,5 @@
-// What a registered fleet consists of: the configuration document, the backends that registered themselves,
-// the terms of the database groups, and the proxies that may hold a serving lease.
+// Data model of a registered fleet: the configuration document, registered backends, terms of database
+// groups, and proxies that may hold a serving lease.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,26 @@
 
 namespace cairnhollow::registered::registry {
 
-/// How fresh the data must be that a route's reads show.
+/// Freshness required of the data returned by a route's reads.
 enum class ReadPolicy : std::uint8_t {
-  kPrimary = 0,           ///< everything acknowledged before the read began
-  kBoundedStaleness = 1,  ///< everything acknowledged more than the bound ago
-  kReadYourWrites = 2,    ///< the same, and everything that the session itself committed
+  kPrimary = 0,           ///< all writes acknowledged before the read began
+  kBoundedStaleness = 1,  ///< all writes acknowledged longer ago than the staleness bound
+  kReadYourWrites = 2,    ///< like kBoundedStaleness, plus all commits of the session itself
 };
 
-/// Which database group serves a database, and how.
+/// Maps a database to the group that serves it, with the settings of that service.
 struct RouteRule {
   RouteName name;
   DatabaseName database;
-  std::string path_prefix;  ///< with the database's name unique in a document
+  std::string path_prefix;  ///< unique in the document together with the database name
   GroupName group;
   ReadPolicy reads = ReadPolicy::kPrimary;
-  std::uint64_t timeout_ms = 0;         ///< of one statement; not 0
-  std::uint64_t target_latency_ms = 0;  ///< that callers aim at, of a whole operation
-  std::uint64_t priority = 0;           ///< 0 is the highest
+  std::uint64_t timeout_ms = 0;         ///< timeout of one statement; must not be 0
+  std::uint64_t target_latency_ms = 0;  ///< callers' latency target for a whole operation
+  std::uint64_t priority = 0;           ///< 0 is the highest priority
   std::uint64_t max_staleness_ms = 0;
-  bool is_public = false;  ///< serves callers without a key, who belong to no tenant
-  /// Where its statements may run; empty: anywhere.
+  bool is_public = false;  ///< also serves callers without a key, which belong to no tenant
+  /// Regions in which the route's statements may run; empty: any.
   std::vector<RegionName> allowed_regions;
   bool operator==(const RouteRule&) const = default;
 
@@ -45,11 +45,11 @@
 
 struct GroupRule {
   GroupName name;
-  std::uint64_t max_connections = 0;  ///< that one backend takes from all callers; 0: no limit
+  std::uint64_t max_connections = 0;  ///< per backend, from all callers together; 0: unlimited
   std::uint64_t synchronous_replicas = 0;
-  std::uint64_t cold_start_ms = 0;  ///< for how long a backend is slow after its start; 0: never
+  std::uint64_t cold_start_ms = 0;  ///< how long a backend is slow after its start; 0: never
   double cold_rate_per_s =
-      0;  ///< statements that a cold backend takes a second, from all callers; 0: no limit
+      0;  ///< statements per second that a cold backend accepts from all callers together; 0: unlimited
   bool operator==(const GroupRule&) const = default;
 
   template <class Archive>
@@ -60,14 +60,15 @@
   }
 };
 
-/// Callers that are told apart by their keys and limited together, over all proxies.
+/// A group of callers that is identified by its API keys and whose limits apply across all proxies.
 struct TenantRule {
   TenantName name;
-  std::vector<ApiKey> keys;      ///< each proves the tenant; of one tenant only
-  std::uint64_t rate_per_s = 0;  ///< operations that may begin, on average; 0 with `burst` 0: no limit
-  std::uint64_t burst = 0;       ///< operations that may begin at once after a rest
-  std::uint64_t priority = 0;    ///< as the operator gave it; kept, and not used yet
-  /// Where its statements may run, beside what their route allows; empty: anywhere.
+  std::vector<ApiKey> keys;  ///< each key authenticates exactly one tenant
+  /// Operations that may start per second on average; unlimited if `burst` is 0 too.
+  std::uint64_t rate_per_s = 0;
+  std::uint64_t burst = 0;     ///< operations that may start at once after an idle period
+  std::uint64_t priority = 0;  ///< as configured; stored but not used yet
+  /// Regions in which the tenant's statements may run, in addition to the route's restriction; empty: any.
   std::vector<RegionName> allowed_regions;
   bool operator==(const TenantRule&) const = default;
   [[nodiscard]] bool is_limited() const { return rate_per_s > 0 || burst > 0; }
@@ -79,14 +80,15 @@
   }
 };
 
-/// The whole configuration of a registered fleet. The highest version holds.
+/// The complete configuration of a registered fleet. The highest version is in force.
 struct ConfigurationDocument {
   std::uint64_t version = 0;
-  std::string text;  ///< as it was sent; read back as it is
+  std::string text;  ///< the document as submitted, returned unchanged on read
   std::vector<RouteRule> routes;
   std::vector<GroupRule> groups;
-  std::uint64_t transaction_idle_ms = 0;  ///< a transaction that rests longer may be ended; 0: never
-  /// Callers prove their tenant by a key, but on public routes. False in documents that know no tenants.
+  std::uint64_t transaction_idle_ms = 0;  ///< a transaction idle for longer may be terminated; 0: never
+  /// Callers must authenticate with a tenant's key, except on public routes. False in documents without
+  /// tenants.
   bool requires_keys = false;
   std::vector<TenantRule> tenants;
 
@@ -98,11 +100,10 @@
   }
 };
 
-/// One run of a backend's process. A backend that starts again under its name holds nothing of what the one
-/// before held.
+/// One run of a backend process. A backend that restarts under its name retains no data of the previous run.
 struct BackendIncarnation {
   BackendName name;
-  std::uint64_t born_ms = 0;  ///< Unix time of its start, by its own clock; 0: it tells none
+  std::uint64_t born_ms = 0;  ///< Unix time of the process start on its own clock; 0: not reported
   auto operator<=>(const BackendIncarnation&) const = default;
 
   template <class Archive>
@@ -111,7 +112,7 @@
   }
 };
 
-/// One backend as it registered itself.
+/// A backend as it registered itself.
 struct BackendEntry {
   BackendName name;
   GroupName group;
@@ -119,27 +120,27 @@
   ZoneName zone;
   std::uint64_t slots = 0;
   bool leaving = false;
-  std::uint64_t sequence =
-      0;  ///< of the registration in this incarnation; a lower one that comes later is old
-  std::uint64_t born_ms = 0;  ///< Unix time of its start, by its own clock; 0: it tells none
-  std::uint64_t cold_ms = 0;  ///< for how much longer it was cold when it registered this; 0: it is warm
+  /// Sequence number of the registration within this incarnation; a lower one that arrives later is stale.
+  std::uint64_t sequence = 0;
+  std::uint64_t born_ms = 0;  ///< Unix time of the process start on its own clock; 0: not reported
+  std::uint64_t cold_ms = 0;  ///< remaining cold time at registration; 0: warm
   [[nodiscard]] BackendIncarnation incarnation() const { return {name, born_ms}; }
-  /// Whether it tells which incarnation it is of.
+  /// Returns true if the backend reported its start time.
   [[nodiscard]] bool tells_birth() const { return born_ms != 0; }
-  /// Whether a newer registration says nothing new. Turning cold or warm is news; what is left of the cold
-  /// time is none.
+  /// Returns true if the two registrations carry the same state. A change between cold and warm counts as a
+  /// change; a change of the remaining cold time does not.
   [[nodiscard]] bool same_facts(const BackendEntry& other) const {
     return born_ms == other.born_ms && group == other.group && endpoint == other.endpoint &&
            zone == other.zone && slots == other.slots && leaving == other.leaving &&
            (cold_ms > 0) == (other.cold_ms > 0);
   }
-  /// Whether this one, of the same name or address, belongs to the past of `held`: of an earlier incarnation,
-  /// or of none where `held` tells one.
+  /// Returns true if this entry, which has the same name or address as `held`, belongs to an earlier
+  /// incarnation, or reports no start time while `held` does.
   [[nodiscard]] bool is_of_earlier_incarnation_than(const BackendEntry& held) const {
     return born_ms < held.born_ms;
   }
-  /// Whether it changes what `held`, of the same name, says: it is of a later incarnation, or of the same one
-  /// with news.
+  /// Returns true if this entry replaces `held`, which has the same name: it belongs to a later incarnation,
+  /// or to the same one with a higher sequence number and changed state.
   [[nodiscard]] bool supersedes(const BackendEntry& held) const {
     if (born_ms != held.born_ms) return born_ms > held.born_ms;
     return sequence > held.sequence && !same_facts(held);
@@ -153,22 +154,23 @@
   }
 };
 
-/// Who leads a group, as the fleet knows it. A group is closed from the moment in which its primary is given
-/// up until the next one is known to lead; a closed group takes no writes and acknowledges none.
+/// The primary of a group as known to the fleet. A group is closed from the time at which its primary is
+/// given up until the next primary is confirmed; a closed group accepts and acknowledges no writes.
 struct GroupTerm {
   GroupName group;
   std::uint64_t term = 0;
   BackendName primary;
   bool open = false;
-  std::uint64_t epoch = 0;            ///< grows with each change of this entry
-  std::uint64_t opened_at = 0;        ///< revision at which the primary was last known to lead
-  std::uint64_t primary_born_ms = 0;  ///< which incarnation of `primary` leads; 0: not known
-  /// Whether a backend of the primary's name is known to be another incarnation of it, which does not lead.
+  std::uint64_t epoch = 0;            ///< incremented on each change of this entry
+  std::uint64_t opened_at = 0;        ///< revision at which the primary was last confirmed
+  std::uint64_t primary_born_ms = 0;  ///< start time of the incarnation of `primary` that leads; 0: unknown
+  /// Returns true if the backend has the primary's name but is known to be another incarnation, which does
+  /// not lead.
   [[nodiscard]] bool is_restarted_primary(const BackendEntry& entry) const {
     return entry.name == primary && entry.born_ms != 0 && primary_born_ms != 0 &&
            entry.born_ms != primary_born_ms;
   }
-  /// Whether the backend is the primary, as far as is known.
+  /// Returns true if the backend is the primary, as far as is known.
   [[nodiscard]] bool is_led_by(const BackendEntry& entry) const {
     return entry.name == primary && !is_restarted_primary(entry);
   }
@@ -180,7 +182,7 @@
   }
 };
 
-/// Operators want nothing more sent to the backends of a zone.
+/// An operator's order to send nothing more to a zone's backends.
 struct Evacuation {
   ZoneName zone;
   bool operator==(const Evacuation&) const = default;
@@ -191,13 +193,13 @@
   }
 };
 
-/// One run of a proxy's process that may hold a serving lease.
+/// One run of a proxy process that may hold a serving lease.
 struct AdmittedProxy {
   NodeName node;
   std::uint64_t incarnation = 0;
   ZoneName zone;
-  Endpoint peer_endpoint;  ///< where other proxies reach it
-  bool leaving = false;    ///< takes no new work from other proxies
+  Endpoint peer_endpoint;  ///< endpoint for connections from other proxies
+  bool leaving = false;    ///< accepts no new work from other proxies
   bool operator==(const AdmittedProxy&) const = default;
 
   template <class Archive>
@@ -206,7 +208,7 @@
   }
 };
 
-/// Where a proxy answers registrations that say nothing new: the port after the one of its peers.
+/// Endpoint at which a proxy answers repeated registrations: the port after its peer port.
 inline Endpoint registrations_at(const Endpoint& peer_endpoint) {
   return {peer_endpoint.address, static_cast<std::uint16_t>(peer_endpoint.port + 1)};
 }
--- a/src/registered/registry/registration_fault.h
+++ b/src/registered/registry/registration_fault.h
@@ -1,5 +1,5 @@
-// Why a backend's registration was refused. Registrations come from other writers, too: one that is refused
-// names no backend to use and changes nothing of one that is held.
+// Reasons for refusing a backend's registration. Registrations may come from arbitrary senders; a refused one
+// adds no backend and does not change a registered one.
 #pragma once
 
 #include <array>
@@ -14,22 +14,22 @@
 namespace cairnhollow::registered::registry {
 
 enum class RegistrationFault : std::uint8_t {
-  kUnreadable = 0,  ///< the bytes are no object
-  kTooLarge,        ///< longer than any backend says
-  kBadName,         ///< no backend is called so
-  kMissingField,    ///< what every backend says of itself is left out
-  kBadField,        ///< of another type, or a number that no backend has
-  kUnknownWord,     ///< a state or a part in its group that nobody knows
-  kUnknownGroup,    ///< a database group that the document does not name
+  kUnreadable = 0,  ///< the body is not an object
+  kTooLarge,        ///< larger than any valid registration
+  kBadName,         ///< not a valid backend name
+  kMissingField,    ///< a required field is missing
+  kBadField,        ///< a field has the wrong type or an out-of-range number
+  kUnknownWord,     ///< an unknown state or role
+  kUnknownGroup,    ///< the database group is not in the document
   kAddressInUse,    ///< another backend answers at its address
 };
 
 inline constexpr std::size_t kRegistrationFaults = 8;
 
-/// The stable lower-case name of a fault, e.g. "missing_field"; a metric's label.
+/// The stable lower-case name of a fault, e.g. "missing_field"; used as a metric label.
 std::string_view registration_fault_name(RegistrationFault fault);
 
-/// How many registrations were refused for each fault since the process started.
+/// Number of registrations refused for each fault since the process started.
 class RegistrationFaultCounts {
  public:
   void count(RegistrationFault fault) { ++counts_[static_cast<std::size_t>(fault)]; }
@@ -43,17 +43,17 @@
 
 struct RefusedRegistration {
   RegistrationFault fault = RegistrationFault::kUnreadable;
-  std::string backend;  ///< as it was called; may be any bytes
+  std::string backend;  ///< name as received; may contain any bytes
   Reason reason;        ///< `detail` names the field
 };
 
-/// Names in log lines and answers end here: who writes them is not known.
+/// Maximum length of a name in log lines and responses, in bytes, because senders are not authenticated.
 inline constexpr std::size_t kMostLoggedName = 64;
 
-/// At most kMostLoggedName bytes, those that can't be printed as '?'.
+/// Truncates `name` to kMostLoggedName bytes and replaces non-printable bytes by '?'.
 std::string printable_name(std::string_view name);
 
-/// One line `registration_refused`, of bounded length.
+/// Logs one `registration_refused` line of bounded length.
 void log_refused_registration(runtime::Logger& logger, const RefusedRegistration& refused);
 
 }  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/revised_table.h
+++ b/src/registered/registry/revised_table.h
@@ -1,5 +1,5 @@
-// A table that knows at which revision each of its rows changed or went, so that a follower is sent only what
-// is new to it.
+// A table that records the revision at which each row was last changed or removed, so that a follower can be
+// sent only the changes it lacks.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
     rows_[key] = Revised{std::move(row), revision};
     removed_.erase(key);
   }
-  /// True when there was such a row.
+  /// Returns true if the row existed.
   bool remove(const Key& key, std::uint64_t revision) {
     if (rows_.erase(key) == 0) return false;
     removed_[key] = revision;
     return true;
   }
-  /// When the row was put last; 0: there is none.
+  /// The revision at which the row was last written; 0 if there is no such row.
   [[nodiscard]] std::uint64_t revision_of(const Key& key) const {
     const auto found = rows_.find(key);
     return found == rows_.end() ? 0 : found->second.revision;
@@ -49,7 +49,8 @@
   [[nodiscard]] std::size_t size() const { return rows_.size(); }
   [[nodiscard]] std::size_t removed_count() const { return removed_.size(); }
   [[nodiscard]] bool was_removed(const Key& key) const { return removed_.count(key) > 0; }
-  /// Forgets what was removed up to `revision`. Followers from before need everything.
+  /// Discards records of rows removed up to `revision`. Followers at earlier revisions then need the full
+  /// state.
   void forget_removed(std::uint64_t revision) {
     for (auto entry = removed_.begin(); entry != removed_.end();) {
       entry = entry->second <= revision ? removed_.erase(entry) : std::next(entry);
--- a/src/registered/registry/stable_revision.h
+++ b/src/registered/registry/stable_revision.h
@@ -1,4 +1,4 @@
-// Which revision of the membership nobody acts on an older one than.
+// Computes the stable revision: the highest membership revision such that no proxy acts on an older one.
 #pragma once
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 
 namespace cairnhollow::registered::registry {
 
-/// What the leader knows of one incarnation of a proxy that may count operations for tenants.
+/// The leader's knowledge of one incarnation of a proxy that may count operations for tenants.
 struct ProxyKnowledge {
-  std::uint64_t revision = 0;   ///< that it said it holds, to this leader; 0: it said nothing yet
-  TimePoint may_count_until{};  ///< at the latest, by what was confirmed to it (registry/budget_authority.h)
+  std::uint64_t revision = 0;   ///< last reported to this leader; 0: none reported yet
+  TimePoint may_count_until{};  ///< latest end of its authority (registry/budget_authority.h)
 };
 
-/// The least revision that a proxy which may still count can act on; `newest` when none can act on an old
-/// one.
+/// The lowest revision held by a proxy that may still count operations, or `newest` if there is no such proxy
+/// at an older one.
 inline std::uint64_t stable_revision(const std::vector<ProxyKnowledge>& proxies, std::uint64_t newest,
                                      TimePoint now) {
   std::uint64_t settled = newest;
--- a/src/registered/registry/state_machine.cpp
+++ b/src/registered/registry/state_machine.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Removed rows remembered at most, of each table.
+/// Maximum number of removed rows recorded per table.
 constexpr std::size_t kMaxRemovedRows = 4096;
 
 }  // namespace
@@ -18,7 +18,7 @@
 void FleetStateMachine::apply(std::uint64_t /*index*/, const std::string& command) {
   Reason reason;
   auto logged = wire::decode<LoggedCommand>(command, reason);
-  if (!logged) return;  // of a newer build; every node of this one passes it over
+  if (!logged) return;  // written by a newer build; skipped by every node of this build
   const bool effective = std::visit([this](auto& alternative) { return take(alternative); }, logged->command);
   if (!effective) return;
   state_.revision = next_revision();
@@ -67,7 +67,8 @@
   const auto found = at_endpoint_.find(entry.endpoint);
   if (found == at_endpoint_.end() || found->second == entry.name) return true;
   const BackendEntry* other = state_.backends.find(found->second);
-  // An address belongs to who started there last, or registered there last where both tell no start.
+  // An address belongs to the backend that started there last or, if neither reports a start time, registered
+  // there last.
   if (entry.is_of_earlier_incarnation_than(*other)) return false;
   remove_backend(BackendName(found->second));
   return true;
@@ -75,7 +76,7 @@
 
 bool FleetStateMachine::take(DeregisterBackend& command) {
   const BackendEntry* held = state_.backends.find(command.name);
-  // Of a former incarnation: the one that is held goes on.
+  // The command refers to an earlier incarnation; the registered one remains.
   if (held != nullptr && command.born_ms != 0 && command.born_ms < held->born_ms) return false;
   return remove_backend(command.name);
 }
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -1,4 +1,4 @@
-// The replicated state of a registered fleet.
+// Replicated state machine of a registered fleet.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 namespace cairnhollow::registered::registry {
 
-/// Deterministic: the same commands in the same order give the same state on every node. A command without
-/// effect leaves the revision as it is.
+/// Deterministic: the same commands in the same order produce the same state on every node. A command without
+/// effect does not change the revision.
 class FleetStateMachine : public consensus::ReplicatedStateMachine {
  public:
   explicit FleetStateMachine(runtime::Runtime& runtime) : changed_(runtime) {}
@@ -27,18 +27,19 @@
   bool restore_snapshot(const std::string& bytes, Reason& reason) override;
 
   [[nodiscard]] std::uint64_t revision() const { return state_.revision; }
-  /// At which a group last closed or opened, as far as this process has seen.
+  /// Revision at which a group last closed or opened since this process started.
   [[nodiscard]] std::uint64_t terms_revision() const { return terms_revision_; }
-  /// At which a proxy was last admitted, changed or forgotten, as far as this process has seen.
+  /// Revision at which a proxy was last admitted, changed or removed since this process started.
   [[nodiscard]] std::uint64_t proxies_revision() const { return proxies_revision_; }
   [[nodiscard]] std::uint64_t document_version() const { return state_.document_version; }
-  /// The document as it was sent; empty before the first.
+  /// The document as submitted; empty before the first one.
   [[nodiscard]] const std::string& document_text() const { return state_.document_text; }
   [[nodiscard]] std::vector<GroupRule> groups() const { return state_.groups.all(); }
   [[nodiscard]] std::vector<RouteRule> routes() const { return state_.routes.all(); }
   [[nodiscard]] std::vector<TenantRule> tenants() const { return state_.tenants.all(); }
   [[nodiscard]] bool requires_keys() const { return state_.requires_keys; }
-  /// Whether proxies count for tenants or cold backends together.
+  /// Returns true if limits that proxies enforce together are configured: those of tenants or of cold
+  /// backends.
   [[nodiscard]] bool has_shared_limits() const { return state_.requires_keys || limits_cold_backends_; }
   [[nodiscard]] const GroupRule* find_group(const GroupName& group) const {
     return state_.groups.find(group);
@@ -46,26 +47,27 @@
   [[nodiscard]] const BackendEntry* find_backend(const BackendName& name) const {
     return state_.backends.find(name);
   }
-  /// Who registered last at an address and is not gone; null: nobody.
+  /// Returns the backend registered at the address, or null if there is none.
   [[nodiscard]] const BackendEntry* find_backend_at(const Endpoint& endpoint) const;
-  /// The incarnation of that start was deregistered for good, or is before one that was; a late heartbeat
-  /// does not bring it back.
+  /// Returns true if the incarnation with that start time was deregistered, or precedes one that was. A late
+  /// heartbeat does not register it again.
   [[nodiscard]] bool is_deregistered(const BackendName& name, std::uint64_t born_ms = 0) const {
     return state_.backends.was_removed(name) && born_ms <= ended_birth(name);
   }
-  /// The start of the last incarnation of a removed backend; 0: it told none, or is not known.
+  /// Start time of the last incarnation of a removed backend; 0 if it reported none or is unknown.
   [[nodiscard]] std::uint64_t ended_birth(const BackendName& name) const {
     const auto found = state_.ended_births.find(name);
     return found == state_.ended_births.end() ? 0 : found->second;
   }
-  /// The fleet's revision at which the backend was put as it is now: who holds a later one knows it.
+  /// The fleet revision at which the backend's entry last changed; a holder of this or a later revision has
+  /// the current entry.
   [[nodiscard]] std::uint64_t backend_revision(const BackendName& name) const {
     return state_.backends.revision_of(name);
   }
   [[nodiscard]] std::vector<BackendEntry> backends_of(const GroupName& group) const;
-  /// Names of the group's backends; empty where none registered.
+  /// Names of the group's backends; empty if none registered.
   [[nodiscard]] const std::set<BackendName>& members_of(const GroupName& group) const;
-  /// The group's backends, each as the incarnation that is registered.
+  /// The registered incarnations of the group's backends.
   [[nodiscard]] std::set<BackendIncarnation> incarnations_of(const GroupName& group) const;
   [[nodiscard]] std::vector<BackendEntry> backends() const { return state_.backends.all(); }
   [[nodiscard]] const GroupTerm* find_term(const GroupName& group) const { return state_.terms.find(group); }
@@ -73,7 +75,7 @@
   [[nodiscard]] bool is_evacuated(const ZoneName& zone) const {
     return state_.evacuations.find(zone) != nullptr;
   }
-  /// The zone was evacuated once and is not now, as far as that is remembered.
+  /// Returns true if the zone was evacuated earlier and is not now. Old records are discarded eventually.
   [[nodiscard]] bool was_evacuated(const ZoneName& zone) const {
     return state_.evacuations.was_removed(zone);
   }
@@ -83,21 +85,22 @@
     return state_.proxies.find(node);
   }
 
-  /// Whether every proxy that may have acknowledged something since the group's primary led is still
-  /// admitted.
+  /// Returns true if every proxy that may have acknowledged commits since the group's primary was confirmed
+  /// is still admitted.
   [[nodiscard]] bool knows_all_acknowledgers(const GroupTerm& term) const {
     return state_.proxy_lost_at <= term.opened_at;
   }
 
-  /// What a follower that holds `revision` lacks; everything when that is cheaper or it holds nothing.
+  /// The changes since `revision`; the full state if `revision` is 0 or too old for the removed rows to be
+  /// known.
   [[nodiscard]] FleetDelta delta_since(std::uint64_t revision) const;
-  /// Notified after each command with an effect.
+  /// Notified after each command that changed the state, and after a snapshot was restored.
   runtime::Signal& changed() { return changed_; }
 
  private:
   struct State {
     std::uint64_t revision = 0;
-    /// Removed rows are known from this revision on.
+    /// Removed rows are complete from this revision on.
     std::uint64_t complete_from = 0;
     std::uint64_t document_version = 0;
     std::string document_text;
@@ -109,9 +112,9 @@
     RevisedTable<NodeName, AdmittedProxy> proxies;
     bool requires_keys = false;
     RevisedTable<TenantName, TenantRule> tenants;
-    std::uint64_t proxy_lost_at =
-        0;  ///< revision at which an incarnation of a proxy was last replaced or forgotten
-    /// Of removed backends, the start of the last incarnation: what an earlier one says comes late.
+    std::uint64_t proxy_lost_at = 0;  ///< revision at which a proxy incarnation was last replaced or removed
+    /// Start time of the last incarnation of each removed backend; registrations of earlier incarnations are
+    /// stale.
     std::map<BackendName, std::uint64_t> ended_births;
     RevisedTable<ZoneName, Evacuation> evacuations;
 
@@ -139,13 +142,13 @@
   void put_term(const GroupTerm& term);
   void put_backend(BackendEntry entry);
   bool remove_backend(const BackendName& name);
-  /// Takes out who registered at the entry's address before. False: the entry comes late, another started
-  /// there after it.
+  /// Removes the backend previously registered at the entry's address. Returns false if the entry is stale
+  /// because another backend started there after it.
   bool take_address(const BackendEntry& entry);
-  /// Ended incarnations are remembered as long as their names are.
+  /// Discards start times of removed backends whose removal is no longer recorded.
   void bound_ended_births();
   void record_backend(const BackendEntry& entry);
-  /// Makes a table hold these rows, by their names. Rows that stay as they are keep their revision.
+  /// Replaces the table's rows, keyed by name. Unchanged rows keep their revision.
   template <class Key, class Row>
   void replace_rows(RevisedTable<Key, Row>& table, const std::vector<Row>& rows);
   void record_groups();
@@ -153,10 +156,10 @@
   [[nodiscard]] std::uint64_t next_revision() const { return state_.revision + 1; }
 
   State state_;
-  // Worked out of `state_.backends`, so that no command and no look at one group goes through all of them.
+  // Indexes derived from `state_.backends`, so that neither commands nor group lookups scan all backends.
   std::map<GroupName, std::set<BackendName>> members_;
   std::map<Endpoint, BackendName> at_endpoint_;
-  bool limits_cold_backends_ = false;  ///< some group has a cold rate
+  bool limits_cold_backends_ = false;  ///< true if any group limits cold backends
   std::uint64_t terms_revision_ = 0;
   std::uint64_t proxies_revision_ = 0;
   runtime::Signal changed_;
--- a/src/registered/registry/validation.cpp
+++ b/src/registered/registry/validation.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Regions that no machine is in yet are no fault: machines may come later.
+/// Regions without machines are accepted, because machines may be added later.
 void check_regions(const std::vector<RegionName>& regions, const std::string& field,
                    std::vector<std::string>& faults) {
   std::set<RegionName> known;
@@ -32,7 +32,7 @@
   }
 }
 
-/// Faults name tenants, never keys.
+/// Messages must name tenants only, never keys.
 void check_tenants(const ConfigurationDocument& document, std::vector<std::string>& faults) {
   std::set<TenantName> names;
   std::map<ApiKey, std::size_t> holders;
--- a/src/registered/registry/validation.h
+++ b/src/registered/registry/validation.h
@@ -1,4 +1,4 @@
-// What a configuration document must satisfy before it is taken.
+// Validates configuration documents before they are accepted.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,8 @@
 
 namespace cairnhollow::registered::registry {
 
-/// Every fault of the document, each naming its field, e.g. "routes[2].timeout: must not be 0"; empty: valid.
+/// Returns all faults of the document, each naming its field, e.g. "routes[2].timeout: must not be 0". Empty
+/// if the document is valid.
 std::vector<std::string> find_faults(const ConfigurationDocument& document);
 
 }  // namespace cairnhollow::registered::registry
--- a/tests/registered/registry/division_test.cpp
+++ b/tests/registered/registry/division_test.cpp
@@ -1,4 +1,4 @@
-// How many proxies serve a group.
+// Verifies how many proxies serve a group.
 #include "registered/registry/division.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state of a registered fleet: what commands do, and that followers are told what they lack.
+// Verifies the effect of each command and the deltas sent to followers.
 #include "registered/registry/state_machine.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/registered/registry/validation_test.cpp
+++ b/tests/registered/registry/validation_test.cpp
@@ -1,4 +1,4 @@
-// What a configuration document must satisfy before it is taken, as far as allowed regions go.
+// Verifies the validation of allowed regions in configuration documents.
 #include "registered/registry/validation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
