--- a/src/registered/control/control_metrics.cpp
+++ b/src/registered/control/control_metrics.cpp
@@ -25,22 +25,24 @@
     if (term != nullptr && term->open) ++open_groups;
   }
   const bool leads = status.state == consensus::ServerState::kLeader;
-  gauge("cairnhollow_registry_is_leader", "1 on the leader of the control nodes.", leads ? 1 : 0);
-  gauge("cairnhollow_registry_consensus_term", "Term of the consensus group.", status.term);
-  gauge("cairnhollow_registry_applied_index", "Last log index applied.", status.applied_index);
-  gauge("cairnhollow_registry_document_version", "Version of the document held.", fleet_.document_version());
-  gauge("cairnhollow_registry_revision", "Revision of the fleet's state.", fleet_.revision());
-  gauge("cairnhollow_registry_groups", "Database groups of the document.", fleet_.groups().size());
-  gauge("cairnhollow_registry_groups_open", "Groups whose primary may be used.", open_groups);
-  gauge("cairnhollow_registry_backends", "Backends registered.", fleet_.backends().size());
-  gauge("cairnhollow_registry_proxies", "Proxies that may hold a lease.", fleet_.proxies().size());
+  gauge("cairnhollow_registry_is_leader", "1 if this node is the consensus leader, else 0.", leads ? 1 : 0);
+  gauge("cairnhollow_registry_consensus_term", "Current term of the consensus group.", status.term);
+  gauge("cairnhollow_registry_applied_index", "Index of the last applied log entry.", status.applied_index);
+  gauge("cairnhollow_registry_document_version", "Version of the configuration document held.",
+        fleet_.document_version());
+  gauge("cairnhollow_registry_revision", "Revision of the applied fleet state.", fleet_.revision());
+  gauge("cairnhollow_registry_groups", "Database groups in the configuration document.",
+        fleet_.groups().size());
+  gauge("cairnhollow_registry_groups_open", "Open database groups, whose primary may be used.", open_groups);
+  gauge("cairnhollow_registry_backends", "Registered backends.", fleet_.backends().size());
+  gauge("cairnhollow_registry_proxies", "Admitted proxies, which may hold a lease.", fleet_.proxies().size());
   gauge("cairnhollow_registry_followers", "Proxies connected to this node.", leases_.followers());
   for (std::size_t place = 0; place < registry::kRegistrationFaults; ++place) {
     const auto fault = static_cast<registry::RegistrationFault>(place);
     const std::string cause(registry::registration_fault_name(fault));
     metrics
         .counter("cairnhollow_registry_registrations_refused_total",
-                 "Registrations that name no backend to use.", {{"cause", cause}})
+                 "Refused backend registrations, by cause.", {{"cause", cause}})
         .Increment(static_cast<double>(registrations_.refused().of(fault)));
   }
   const auto counter = [&](const char* name, const char* help, std::uint64_t value) {
@@ -48,19 +50,18 @@
   };
   const RegistrationCounts& counts = registrations_.counts();
   counter("cairnhollow_registry_registrations_outdated_total",
-          "Registrations of lives of backends that were over.", counts.outdated);
+          "Ignored registrations of outdated backend incarnations.", counts.outdated);
   counter("cairnhollow_registry_incarnations_replaced_total",
-          "Registrations that put another life in the place of one of the same name.", counts.replaced);
+          "Registrations that replaced another incarnation of the same backend.", counts.replaced);
   counter("cairnhollow_registry_unproved_promotions_total",
-          "Primaries promoted although acknowledged commits may be gone.", groups_.unproved_promotions());
-  gauge("cairnhollow_registry_evacuated_zones", "Zones to whose backends nothing is to be sent.",
+          "Promotions after which acknowledged commits may be missing.", groups_.unproved_promotions());
+  gauge("cairnhollow_registry_evacuated_zones", "Zones with an evacuation in effect.",
         fleet_.evacuations().size());
   for (std::size_t outcome = 0; outcome < kOrderOutcomes; ++outcome) {
     const auto kind = static_cast<OrderOutcome>(outcome);
     metrics
         .counter("cairnhollow_registry_evacuation_orders_total",
-                 "Orders to evacuate a zone or to take it back, as this node answered them.",
-                 {{"outcome", outcome_name(kind)}})
+                 "Evacuation orders answered by this node, by outcome.", {{"outcome", outcome_name(kind)}})
         .Increment(static_cast<double>(registrations_.evacuations().count(kind)));
   }
   return metrics.render();
--- a/src/registered/control/control_node_directory.h
+++ b/src/registered/control/control_node_directory.h
@@ -12,8 +12,8 @@
 
 /// Interval at which a control node reports its presence to the leader.
 inline constexpr Duration kPresenceInterval = std::chrono::milliseconds(400);
-/// A control node is considered offline when no presence report arrived for this long: slightly more than three
-/// intervals.
+/// A control node is considered offline when no presence report arrived for this long: slightly more than
+/// three intervals.
 inline constexpr Duration kPresenceLapse = std::chrono::milliseconds(1300);
 
 /// A node's name in the consensus group is its address, because seeds are configured by address only.
--- a/src/registered/control/evacuation_orders.cpp
+++ b/src/registered/control/evacuation_orders.cpp
@@ -61,7 +61,7 @@
     if (!confirmed) co_return OrderOutcome::kUnsettled;
     reason = Reason();
     if (!knows_zone(zone)) {
-      reason = Reason{ReasonCode::kNotFound, "evacuate_zone", zone.value, "no such zone is known"};
+      reason = Reason{ReasonCode::kNotFound, "evacuate_zone", zone.value, "unknown zone; order refused"};
       co_return OrderOutcome::kRefused;
     }
     if (fleet_.is_evacuated(zone) == evacuated) co_return OrderOutcome::kRepeated;
--- a/src/registered/control/leader_calls.cpp
+++ b/src/registered/control/leader_calls.cpp
@@ -35,7 +35,7 @@
 
 Reason LeaderCalls::not_leader() const {
   const NodeName leader = consensus_.status().leader;
-  return Reason{ReasonCode::kNotLeader, "find_leader", leader.value, "this control node does not lead"};
+  return Reason{ReasonCode::kNotLeader, "find_leader", leader.value, "this control node is not the leader"};
 }
 
 Awaitable<bool> LeaderCalls::submit(registry::Command command, Reason& reason) {
@@ -83,7 +83,8 @@
 Awaitable<bool> LeaderCalls::submit_to_leader(registry::Command command, Reason& reason) {
   const auto leader = leader_endpoint();
   if (!leader) {
-    reason = Reason{ReasonCode::kNoQuorum, "submit", "", "no leader is known here"};
+    reason = Reason{ReasonCode::kNoQuorum, "submit", "",
+                    "no leader is known to this control node; command not submitted"};
     co_return false;
   }
   registry::ControlCall request;
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -93,7 +93,8 @@
 Awaitable<bool> LeaseKeeper::grant(std::shared_ptr<Follower> follower, Reason& reason) {
   if (!leads()) {
     const auto leader = calls_.leader_endpoint();
-    reason = Reason{ReasonCode::kNotLeader, "renew_lease", leader ? leader->address : "", "does not lead"};
+    reason = Reason{ReasonCode::kNotLeader, "renew_lease", leader ? leader->address : "",
+                    "this control node is not the leader; lease not granted"};
     co_return false;
   }
   const bool admitted = co_await admit(follower, reason);
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -28,7 +28,8 @@
 
 bool RegistrationService::may_acknowledge(const char* step, Reason& reason) const {
   if (voters_.is_complete() || runtime_.now() > begun_ + kFormationPatience) return true;
-  reason = Reason{ReasonCode::kNoQuorum, step, "", "the consensus group is not complete yet"};
+  reason = Reason{ReasonCode::kNoQuorum, step, "",
+                  "the consensus group does not have all its voters yet; request refused"};
   return false;
 }
 
@@ -70,7 +71,8 @@
   const bool confirmed = co_await confirm(reason);
   if (!confirmed) co_return std::nullopt;
   if (fleet_.document_version() > 0) co_return fleet_.document_text();
-  reason = Reason{ReasonCode::kNotFound, "read_document", "", "there is no document yet"};
+  reason =
+      Reason{ReasonCode::kNotFound, "read_document", "", "no configuration document has been submitted yet"};
   co_return std::nullopt;
 }
 
@@ -109,7 +111,7 @@
   if (!confirmed) co_return false;
   if (fleet_.document_version() == 0 || belongs_here(entry)) co_return true;
   reason = Reason{ReasonCode::kNotFound, "register_backend", "",
-                  fmt::format("group: {} is not named by the document of version {}",
+                  fmt::format("group: {} is not in the configuration document of version {}",
                               registry::printable_name(entry.group.value), fleet_.document_version())};
   record_refused({registry::RegistrationFault::kUnknownGroup, entry.name.value, reason});
   co_return false;
@@ -162,7 +164,7 @@
   const bool outdated = co_await is_outdated(entry);
   if (outdated) {
     reason = Reason{ReasonCode::kConflict, "register_backend", entry.endpoint.to_string(),
-                    "another backend answers at its address"};
+                    "another backend answers at this address; registration refused"};
     refused_.count(registry::RegistrationFault::kAddressInUse);
     runtime_.logger().log(LogLevel::kWarning, "backend_not_registered", reason,
                           {{"backend", entry.name.value}, {"group", entry.group.value}});
--- a/src/registered/registry/validation.cpp
+++ b/src/registered/registry/validation.cpp
@@ -18,7 +18,8 @@
     if (regions[i].empty())
       faults.push_back(fmt::format("{}.allowed_regions[{}]: must not be empty", field, i));
     if (!known.insert(regions[i]).second)
-      faults.push_back(fmt::format("{}.allowed_regions[{}]: {} stands twice", field, i, regions[i].value));
+      faults.push_back(
+          fmt::format("{}.allowed_regions[{}]: {} appears more than once", field, i, regions[i].value));
   }
 }
 
@@ -28,7 +29,7 @@
     const GroupName& name = document.groups[i].name;
     if (name.empty()) faults.push_back(fmt::format("groups[{}].name: must not be empty", i));
     if (!known.insert(name).second)
-      faults.push_back(fmt::format("groups[{}].name: {} stands twice", i, name.value));
+      faults.push_back(fmt::format("groups[{}].name: {} appears more than once", i, name.value));
   }
 }
 
@@ -40,7 +41,7 @@
     const TenantRule& tenant = document.tenants[i];
     if (tenant.name.empty()) faults.push_back(fmt::format("tenants[{}].name: must not be empty", i));
     if (!names.insert(tenant.name).second)
-      faults.push_back(fmt::format("tenants[{}].name: {} stands twice", i, tenant.name.value));
+      faults.push_back(fmt::format("tenants[{}].name: {} appears more than once", i, tenant.name.value));
     check_regions(tenant.allowed_regions, fmt::format("tenants[{}]", i), faults);
     for (std::size_t k = 0; k < tenant.keys.size(); ++k) {
       if (tenant.keys[k].empty())
@@ -48,7 +49,7 @@
       const auto [holder, is_new] = holders.emplace(tenant.keys[k], i);
       if (!is_new && holder->second != i)
         faults.push_back(
-            fmt::format("tenants[{}].keys[{}]: is a key of tenants[{}], too", i, k, holder->second));
+            fmt::format("tenants[{}].keys[{}]: is already a key of tenants[{}]", i, k, holder->second));
     }
   }
 }
@@ -65,13 +66,14 @@
   for (std::size_t i = 0; i < document.routes.size(); ++i) {
     const RouteRule& route = document.routes[i];
     if (known.count(route.group) == 0)
-      faults.push_back(fmt::format("routes[{}].group: {} is unknown", i, route.group.value));
+      faults.push_back(
+          fmt::format("routes[{}].group: {} is not defined in the document", i, route.group.value));
     if (route.timeout_ms == 0) faults.push_back(fmt::format("routes[{}].timeout: must not be 0", i));
     check_regions(route.allowed_regions, fmt::format("routes[{}]", i), faults);
     const auto [first, is_new] = places.emplace(std::pair(route.database, route.path_prefix), i);
     if (!is_new) {
-      faults.push_back(fmt::format("routes[{}].database: {} with prefix {} stands in routes[{}] already", i,
-                                   route.database.value, route.path_prefix, first->second));
+      faults.push_back(fmt::format("routes[{}].database: {} with prefix {} is already served by routes[{}]",
+                                   i, route.database.value, route.path_prefix, first->second));
     }
   }
   return faults;
--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -101,8 +101,8 @@
     const auto fault = [](const std::string& tenants) { return fault_of(with_tenants(tenants)); };
     const std::string shared =
         fault(R"([{"Name":"a","ApiKeys":["secret"]},{"Name":"b","ApiKeys":["other","secret"]}])");
-    CPPUNIT_ASSERT_EQUAL(std::string("tenants[1].keys[1]: is a key of tenants[0], too"), shared);
-    CPPUNIT_ASSERT_EQUAL(std::string("tenants[1].name: a stands twice"),
+    CPPUNIT_ASSERT_EQUAL(std::string("tenants[1].keys[1]: is already a key of tenants[0]"), shared);
+    CPPUNIT_ASSERT_EQUAL(std::string("tenants[1].name: a appears more than once"),
                          fault(R"([{"Name":"a","ApiKeys":[]},{"Name":"a","ApiKeys":[]}])"));
     CPPUNIT_ASSERT_EQUAL(std::string("tenants[0].keys[0]: must not be empty"),
                          fault(R"([{"Name":"a","ApiKeys":[""]}])"));
@@ -197,10 +197,10 @@
   void faults_name_their_field() {
     CPPUNIT_ASSERT_EQUAL(std::string("routes[0].timeout: must not be 0"),
                          fault_of(replaced(kDocument, "\"TimeoutMs\":800", "\"TimeoutMs\":0")));
-    CPPUNIT_ASSERT_EQUAL(std::string("routes[0].group: other is unknown"),
+    CPPUNIT_ASSERT_EQUAL(std::string("routes[0].group: other is not defined in the document"),
                          fault_of(replaced(kDocument, "\"Service\":\"huvo11a\"", "\"Service\":\"other\"")));
     CPPUNIT_ASSERT_EQUAL(
-        std::string("routes[1].database: lepu270 with prefix / stands in routes[0] already"),
+        std::string("routes[1].database: lepu270 with prefix / is already served by routes[0]"),
         fault_of(replaced(kDocument, "\"Hostname\":\"xapu221ny95\"", "\"Hostname\":\"lepu270\"")));
     CPPUNIT_ASSERT_EQUAL(std::string("Routes[0].RouteKind: is unknown"),
                          fault_of(replaced(kDocument, "\"primary\"", "\"sharded\"")));
--- a/tests/registered/control/control_stand.cpp
+++ b/tests/registered/control/control_stand.cpp
@@ -27,7 +27,7 @@
     if (!member.answers) {
       co_await stand_.runtime().sleep_for(deadline - stand_.now());
       close();
-      reason = Reason{ReasonCode::kDeadlineExceeded, "ask_status", member_, "silent"};
+      reason = Reason{ReasonCode::kDeadlineExceeded, "ask_status", member_, "no answer before the deadline"};
       co_return std::nullopt;
     }
     co_await stand_.runtime().sleep_for(milliseconds(1));
@@ -213,7 +213,8 @@
   const auto other = answering_at.find(address.endpoint);
   if (other != answering_at.end() && other->second != address.backend.value) {
     refusal = Refusal::kWrongBackend;
-    reason = Reason{ReasonCode::kConflict, "open_session", other->second, "another backend"};
+    reason = Reason{ReasonCode::kConflict, "open_session", other->second,
+                    "another backend answers at this address"};
     co_return nullptr;
   }
   co_return std::make_shared<MemberLink>(*this, address.backend.value);
@@ -223,7 +224,7 @@
                                       Reason& reason) {
   events.push_back({"promote " + order.backend.value, now()});
   if (refuses_promotions) {
-    reason = Reason{ReasonCode::kOverloaded, "promote", order.backend.value, "too many orders"};
+    reason = Reason{ReasonCode::kOverloaded, "promote", order.backend.value, "promotion rate limit reached"};
     co_return false;
   }
   Member& member = members[order.backend.value];
--- a/tests/registered/control/leases/lease_bounds_test.cpp
+++ b/tests/registered/control/leases/lease_bounds_test.cpp
@@ -54,13 +54,13 @@
   void a_silent_proxy_asks_a_member_that_it_knows() {
     CPPUNIT_ASSERT(asked_by_all_from(at(0), 7, 7) == at(0));
     CPPUNIT_ASSERT(asked_by_all_from(at(0), 7, 8) == at(0));
-    CPPUNIT_ASSERT_MESSAGE("it may not know it", asked_by_all_from(at(0), 7, 6) == at(10'500));
+    CPPUNIT_ASSERT_MESSAGE("the proxy may not know the member", asked_by_all_from(at(0), 7, 6) == at(10'500));
   }
 
   void a_members_leases_end_after_its_pause() {
     CPPUNIT_ASSERT(member_lease_end(at(1000), at(0)) == at(1600));
     CPPUNIT_ASSERT(member_lease_end(at(1000), at(1601)) == at(1601));
-    CPPUNIT_ASSERT_MESSAGE("longer than a lease that was given right before the pause",
+    CPPUNIT_ASSERT_MESSAGE("outlasts a lease granted right before the pause",
                            member_lease_end(at(0), at(0)) > at(0) + registry::kMemberLease);
   }
 
@@ -90,9 +90,10 @@
     leases.begin_lead(at(0));
     CPPUNIT_ASSERT(leases.end_of(kProxy, 1) == at(1500));
     CPPUNIT_ASSERT(leases.end_of(NodeName("other"), 1) == at(1500));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("said to another leader", std::uint64_t{0}, leases.revision_of(kProxy, 1));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("was reported to another leader", std::uint64_t{0},
+                                 leases.revision_of(kProxy, 1));
     leases.grant(kProxy, 1, 7, at(-1000));
-    CPPUNIT_ASSERT_MESSAGE("the later of the two", leases.end_of(kProxy, 1) == at(1500));
+    CPPUNIT_ASSERT_MESSAGE("the later of the two bounds", leases.end_of(kProxy, 1) == at(1500));
   }
 
   void a_lease_is_of_one_incarnation() {
@@ -101,9 +102,10 @@
     leases.grant(kProxy, 1, 7, at(5000));
     CPPUNIT_ASSERT(leases.end_of(kProxy, 2) == at(1500));
     leases.begin_incarnation(kProxy, 1);
-    CPPUNIT_ASSERT_MESSAGE("the same one goes on", leases.end_of(kProxy, 1) == at(6500));
+    CPPUNIT_ASSERT_MESSAGE("the same incarnation keeps its lease", leases.end_of(kProxy, 1) == at(6500));
     leases.begin_incarnation(kProxy, 2);
-    CPPUNIT_ASSERT_MESSAGE("the one before is over", leases.end_of(kProxy, 1) == at(1500));
+    CPPUNIT_ASSERT_MESSAGE("the previous incarnation has lost its lease",
+                           leases.end_of(kProxy, 1) == at(1500));
     leases.grant(kProxy, 2, 3, at(6000));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, leases.revision_of(kProxy, 2));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, leases.revision_of(kProxy, 1));
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).waiting_for);
     stand_->run_for(reported + ControlStand::kLease + milliseconds(1) - stand_->now());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
-    CPPUNIT_ASSERT_MESSAGE("it may have acknowledged something", !progress(5).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("the proxy may have acknowledged commits", !progress(5).all_answered);
   }
 
   void a_lease_of_the_leader_before_is_waited_out() {
@@ -115,7 +115,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
     stand_->consensus().led_term += 2;
     stand_->run_for(kLapsedTick);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nobody knows what it was given", std::size_t{1}, progress(5).waiting_for);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the previous leader may have granted a lease", std::size_t{1},
+                                 progress(5).waiting_for);
     stand_->run_for(ControlStand::kLease - kLapsedTick - milliseconds(10));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).waiting_for);
     stand_->run_for(kLapsedTick);
@@ -127,10 +128,10 @@
     report(*proxy, 2);
     CPPUNIT_ASSERT(progress(2).all_answered);
     CPPUNIT_ASSERT(progress(2).highest_acknowledged == (Position{1, 7}));
-    CPPUNIT_ASSERT_MESSAGE("of an earlier close", !progress(3).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("the answer was to an earlier close", !progress(3).all_answered);
     stand_->consensus().commit(
         registry::AdmitProxy{{NodeName("proxy"), 2, ZoneName("a"), {"10.0.0.9", 7440}, false}});
-    CPPUNIT_ASSERT_MESSAGE("of an incarnation that is over", !progress(2).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("the answer was from an earlier incarnation", !progress(2).all_answered);
   }
 
  private:
--- a/tests/registered/control/leases/member_lease_model_test.cpp
+++ b/tests/registered/control/leases/member_lease_model_test.cpp
@@ -298,7 +298,7 @@
     Model model{Guards{}};
     const bool violated = model.finds_violation();
     CPPUNIT_ASSERT_MESSAGE(model.trace(), !violated);
-    CPPUNIT_ASSERT_MESSAGE("the search went somewhere", model.states() > 10'000);
+    CPPUNIT_ASSERT_MESSAGE("the search explored too few states", model.states() > 10'000);
   }
 
   void each_guard_is_needed() {
--- a/tests/registered/control/registration_refusal_test.cpp
+++ b/tests/registered/control/registration_refusal_test.cpp
@@ -26,7 +26,7 @@
   }
   Awaitable<std::optional<std::uint64_t>> read_barrier(TimePoint, Reason& reason) override {
     if (!has_quorum) {
-      reason = Reason{ReasonCode::kNoQuorum, "read_barrier", "", "nobody answers"};
+      reason = Reason{ReasonCode::kNoQuorum, "read_barrier", "", "no majority answered"};
       co_return std::nullopt;
     }
     if (behind) fleet_.apply(++index_, *std::exchange(behind, std::nullopt));
@@ -129,11 +129,11 @@
   void a_group_that_the_document_does_not_name_is_refused() {
     send(7, "records");
     CPPUNIT_ASSERT(take(entry("b-1", "nonsense", 1, 1)) == ReasonCode::kNotFound);
-    CPPUNIT_ASSERT_EQUAL(std::string("group: nonsense is not named by the document of version 7"),
+    CPPUNIT_ASSERT_EQUAL(std::string("group: nonsense is not in the configuration document of version 7"),
                          reason_.detail);
     CPPUNIT_ASSERT(held("b-1") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, refused(registry::RegistrationFault::kUnknownGroup));
-    CPPUNIT_ASSERT_MESSAGE("once the document names it", send(8, "nonsense"));
+    CPPUNIT_ASSERT_MESSAGE("a newer document contains the group", send(8, "nonsense"));
     CPPUNIT_ASSERT(take(entry("b-1", "nonsense", 1, 2)) == ReasonCode::kNone);
     CPPUNIT_ASSERT(held("b-1") != nullptr);
   }
--- a/tests/registered/control/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().replaced);
     registry::BackendEntry late = incarnation("b1", 71, 1000);
     late.leaving = true;
-    CPPUNIT_ASSERT_MESSAGE("acknowledged, since it binds whoever serves", say(late));
+    CPPUNIT_ASSERT_MESSAGE("acknowledged, because the log already holds newer state", say(late));
     CPPUNIT_ASSERT(!held("b1")->leaving);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().outdated);
   }
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(held("b1") == nullptr);
     CPPUNIT_ASSERT(say(incarnation("b1", 1, 2000)));
     CPPUNIT_ASSERT(held("b1") != nullptr);
-    CPPUNIT_ASSERT_MESSAGE("and may be removed again", remove("b1"));
+    CPPUNIT_ASSERT_MESSAGE("deregistered a second time", remove("b1"));
     CPPUNIT_ASSERT(held("b1") == nullptr);
   }
 
--- a/tests/registered/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -91,12 +91,12 @@
     CPPUNIT_ASSERT(!machine_->is_evacuated(ZoneName("huron")));
     const std::uint64_t begun = machine_->revision();
     apply(BeginEvacuation{erie});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the same again changes nothing", begun, machine_->revision());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a repeated begin has no effect", begun, machine_->revision());
     apply(EndEvacuation{erie});
     CPPUNIT_ASSERT(!machine_->is_evacuated(erie));
-    CPPUNIT_ASSERT_MESSAGE("its name stays known", machine_->was_evacuated(erie));
+    CPPUNIT_ASSERT_MESSAGE("the zone remains known", machine_->was_evacuated(erie));
     apply(EndEvacuation{erie});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nor does its end", begun + 1, machine_->revision());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("a repeated end has no effect", begun + 1, machine_->revision());
     apply(BeginEvacuation{erie});
     CPPUNIT_ASSERT(machine_->is_evacuated(erie));
   }
@@ -114,7 +114,8 @@
     const FleetDelta whole = machine_->delta_since(0);
     CPPUNIT_ASSERT(whole.is_whole && whole.evacuations == delta.evacuations);
     const auto sent = wire::decode<FleetDelta>(wire::encode_from(whole, wire::kWrittenFormat), reason);
-    CPPUNIT_ASSERT_MESSAGE("also on the wire", sent && sent->evacuations == delta.evacuations);
+    CPPUNIT_ASSERT_MESSAGE("round trip through the wire format",
+                           sent && sent->evacuations == delta.evacuations);
   }
 
   void turning_cold_or_warm_is_news() {
@@ -125,7 +126,7 @@
     entry.sequence = 2;
     entry.cold_ms = 4600;
     apply(RegisterBackend{entry});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("what is left is no news", before, machine_->revision());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the remaining cold time is not a change", before, machine_->revision());
     entry.sequence = 3;
     entry.cold_ms = 0;
     apply(RegisterBackend{entry});
@@ -138,7 +139,7 @@
     entry.sequence = 9;
     entry.cold_ms = 3000;
     apply(RegisterBackend{entry});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("without a restart", std::uint64_t{3000},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("cold again without a restart", std::uint64_t{3000},
                                  machine_->find_backend(entry.name)->cold_ms);
   }
 
@@ -179,7 +180,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, delta.backends.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, delta.removed_backends.size());
     apply(batch);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nothing new", before + 1, machine_->revision());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no change", before + 1, machine_->revision());
   }
 
   void members_follow_every_way_a_backend_comes_and_goes() {
@@ -191,7 +192,7 @@
     apply(RegisterBackend{moved});
     apply(RegisterBackend{backend("b4", 1, 1)});
     const std::set<BackendName> expected{BackendName("b1"), BackendName("b3"), BackendName("b4")};
-    CPPUNIT_ASSERT_MESSAGE("one address left for another", machine_->members_of(records) == expected);
+    CPPUNIT_ASSERT_MESSAGE("a moved backend releases its address", machine_->members_of(records) == expected);
     moved.group = GroupName("other");
     moved.sequence = 3;
     apply(RegisterBackend{moved});
@@ -212,7 +213,7 @@
     const std::uint64_t revision = machine_->revision();
     leaving.sequence = 6;
     apply(RegisterBackend{leaving});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nothing new", revision, machine_->revision());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("no change", revision, machine_->revision());
   }
 
   void an_address_belongs_to_who_registered_last() {
@@ -235,8 +236,8 @@
     apply(RegisterBackend{incarnation("b1", 1, 70, 1000)});
     const std::uint64_t revision = machine_->revision();
     apply(RegisterBackend{incarnation("b1", 1, 1, 2000)});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("its count starts anew", std::uint64_t{2000}, born(b1));
-    CPPUNIT_ASSERT_MESSAGE("followers hear of it", machine_->backend_revision(b1) > revision);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("its sequence starts anew", std::uint64_t{2000}, born(b1));
+    CPPUNIT_ASSERT_MESSAGE("followers receive the change", machine_->backend_revision(b1) > revision);
     BackendEntry late = incarnation("b1", 1, 99, 1000);
     late.leaving = true;
     apply(RegisterBackend{late});
@@ -247,14 +248,16 @@
     late = incarnation("b1", 1, 2, 2000);
     late.leaving = true;
     apply(RegisterBackend{late});
-    CPPUNIT_ASSERT_MESSAGE("of the same incarnation: by its count", machine_->find_backend(b1)->leaving);
+    CPPUNIT_ASSERT_MESSAGE("the sequence decides within one incarnation",
+                           machine_->find_backend(b1)->leaving);
   }
 
   void a_removal_ends_one_incarnation() {
     const BackendName b1("b1");
     apply(RegisterBackend{incarnation("b1", 1, 5, 2000)});
     apply(DeregisterBackend{b1, 1000});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("a former incarnation ended", std::uint64_t{2000}, born(b1));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the command referred to an earlier incarnation", std::uint64_t{2000},
+                                 born(b1));
     apply(DeregisterBackend{b1});
     CPPUNIT_ASSERT(machine_->is_deregistered(b1, 2000));
     CPPUNIT_ASSERT(!machine_->is_deregistered(b1, 2001));
@@ -265,11 +268,11 @@
     FleetStateMachine other(world_->runtime("node"));
     Reason reason;
     CPPUNIT_ASSERT(other.restore_snapshot(machine_->take_snapshot(), reason));
-    CPPUNIT_ASSERT_MESSAGE("in the snapshot", other.is_deregistered(b1, 2000));
+    CPPUNIT_ASSERT_MESSAGE("restored from the snapshot", other.is_deregistered(b1, 2000));
     apply(RegisterBackend{incarnation("b1", 1, 1, 3000)});
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(b1));
     CPPUNIT_ASSERT(!machine_->is_deregistered(b1, 3000));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("the entry orders from here on", std::uint64_t{0},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("superseded by the registered entry", std::uint64_t{0},
                                  machine_->ended_birth(b1));
   }
 
@@ -277,13 +280,14 @@
     const BackendName b1("b1");
     apply(RegisterBackend{incarnation("b1", 1, 5, 0)});
     apply(RegisterBackend{incarnation("b1", 1, 2, 1000)});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it begins to tell", std::uint64_t{1000}, born(b1));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("it now reports its start time", std::uint64_t{1000}, born(b1));
     BackendEntry untold = incarnation("b1", 1, 9, 0);
     untold.leaving = true;
     apply(RegisterBackend{untold});
     CPPUNIT_ASSERT(!machine_->find_backend(b1)->leaving);
     apply(RegisterBackend{incarnation("b2", 1, 1, 0)});
-    CPPUNIT_ASSERT_MESSAGE("nor from its address", machine_->find_backend(BackendName("b2")) == nullptr);
+    CPPUNIT_ASSERT_MESSAGE("does not take over the address either",
+                           machine_->find_backend(BackendName("b2")) == nullptr);
   }
 
   void an_address_belongs_to_who_started_there_last() {
@@ -293,7 +297,7 @@
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("former")) == nullptr);
     apply(RegisterBackend{incarnation("next", 1, 1, 3000)});
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("b1")) == nullptr);
-    CPPUNIT_ASSERT_MESSAGE("displaced for good", machine_->is_deregistered(BackendName("b1"), 2000));
+    CPPUNIT_ASSERT_MESSAGE("displaced permanently", machine_->is_deregistered(BackendName("b1"), 2000));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(BackendName("next")));
   }
 
@@ -313,7 +317,7 @@
     apply(OpenGroup{group, 0, 3, BackendName("b1")});
     CPPUNIT_ASSERT(machine_->find_term(group)->open);
     apply(OpenGroup{group, 1, 4, BackendName("b2")});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("open already", std::uint64_t{3}, machine_->find_term(group)->term);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("already open", std::uint64_t{3}, machine_->find_term(group)->term);
     apply(CloseGroup{group, 7});
     CPPUNIT_ASSERT_MESSAGE("another epoch", machine_->find_term(group)->open);
     apply(CloseGroup{group, 1});
--- a/tests/registered/registry/validation_test.cpp
+++ b/tests/registered/registry/validation_test.cpp
@@ -60,10 +60,10 @@
   void a_region_twice() {
     ConfigurationDocument whole = document();
     whole.routes[0].allowed_regions = {RegionName("north"), RegionName("south"), RegionName("north")};
-    check({"routes[0].allowed_regions[2]: north stands twice"}, whole);
+    check({"routes[0].allowed_regions[2]: north appears more than once"}, whole);
     whole = document();
     whole.tenants[0].allowed_regions = {RegionName("north"), RegionName("north")};
-    check({"tenants[0].allowed_regions[1]: north stands twice"}, whole);
+    check({"tenants[0].allowed_regions[1]: north appears more than once"}, whole);
   }
 };
 
