--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -60,7 +60,7 @@
 /// Closes the group: the primary of this epoch must no longer be used.
 struct CloseGroup {
   GroupName group;
-  std::uint64_t epoch = 0;  ///< that the sender saw; another one: no effect
+  std::uint64_t epoch = 0;  ///< epoch seen by the sender; without effect if the current epoch differs
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, epoch);
@@ -70,7 +70,7 @@
 /// Opens the group with `primary` leading `term`. Follows a close, or is the first command of a group.
 struct OpenGroup {
   GroupName group;
-  std::uint64_t epoch = 0;  ///< that the sender saw; another one: no effect
+  std::uint64_t epoch = 0;  ///< epoch seen by the sender; without effect if the current epoch differs
   std::uint64_t term = 0;
   BackendName primary;
   std::uint64_t primary_born_ms = 0;  ///< start time of the primary's incarnation; 0: unknown
@@ -99,7 +99,7 @@
   }
 };
 
-/// The alternatives' places are part of the log's format: new ones go last.
+/// The index of each alternative is part of the log format; append new alternatives at the end.
 using SingleCommand = std::variant<ReplaceDocument, RegisterBackend, DeregisterBackend, AdmitProxy,
                                    ForgetProxy, CloseGroup, OpenGroup, BeginEvacuation, EndEvacuation>;
 
@@ -112,7 +112,7 @@
   }
 };
 
-/// The alternatives' places are part of the log's format: new ones go last.
+/// The index of each alternative is part of the log format; append new alternatives at the end.
 using Command = std::variant<ReplaceDocument, RegisterBackend, DeregisterBackend, AdmitProxy, ForgetProxy,
                              CloseGroup, OpenGroup, CommandBatch, BeginEvacuation, EndEvacuation>;
 
