--- a/fuzz/heartbeat_fuzzer.cpp
+++ b/fuzz/heartbeat_fuzzer.cpp
@@ -34,7 +34,7 @@
                                                    {"ColdRemainingMs", entry.cold_ms},
                                                    {"DbRole", heartbeat.says_primary ? "primary" : "replica"},
                                                    {"Seq", entry.sequence},
-                                                   {"born", entry.born_ms}});
+                                                   {"born", entry.start_time_ms}});
 }
 
 void check_refused(RegistrationFault fault, const Reason& reason) {
@@ -55,9 +55,9 @@
   RegistrationFault fault{};
   const auto again = platform::read_heartbeat(heartbeat.entry.name.value, print(heartbeat), fault, reason);
   expect(again.has_value(), "what was accepted is accepted again");
-  expect(again->entry.name == heartbeat.entry.name && again->entry.same_facts(heartbeat.entry) &&
+  expect(again->entry.name == heartbeat.entry.name && again->entry.has_same_state(heartbeat.entry) &&
              again->entry.sequence == heartbeat.entry.sequence &&
-             again->entry.born_ms == heartbeat.entry.born_ms &&
+             again->entry.start_time_ms == heartbeat.entry.start_time_ms &&
              again->entry.cold_ms == heartbeat.entry.cold_ms && again->says_primary == heartbeat.says_primary,
          "what was accepted reads the same again");
 }
@@ -66,7 +66,7 @@
   Reason reason;
   RegistrationFault fault{};
   const auto heartbeat = platform::read_heartbeat(id, body, fault, reason);
-  expect(registered::registry::printable_name(id).size() <= registered::registry::kMostLoggedName,
+  expect(registered::registry::printable_name(id).size() <= registered::registry::kMaxLoggedNameBytes,
          "names are cut short");
   if (!heartbeat) return check_refused(fault, reason);
   check_complete(heartbeat->entry);
--- a/simulation/registered_fleet_backends.cpp
+++ b/simulation/registered_fleet_backends.cpp
@@ -24,7 +24,7 @@
   const std::string name = leader();
   if (name.empty()) return 0;
   const auto* entry = registered::control::fleet_of(world_.role(name)).find_backend(backend);
-  return entry == nullptr ? 0 : entry->born_ms;
+  return entry == nullptr ? 0 : entry->start_time_ms;
 }
 
 bool RegisteredFleet::is_leaving(const BackendName& backend) {
--- a/src/cli/settings_registered.cpp
+++ b/src/cli/settings_registered.cpp
@@ -24,7 +24,7 @@
 /// all proxies of a fleet must agree on it.
 void check_registration_port(SettingsReader& reader,
                              const registered::proxy::SessionProxySettings& settings) {
-  const Endpoint taken = registered::registry::registrations_at(settings.peer_endpoint);
+  const Endpoint taken = registered::registry::registration_relay_endpoint(settings.peer_endpoint);
   const std::string reason = "is taken: the port after peer_endpoint's is for registrations";
   if (settings.session_endpoint == taken) reader.report("session_endpoint", reason);
   if (settings.readiness_endpoint == taken) reader.report("readiness_endpoint", reason);
--- a/src/registered/control/control_node_directory.h
+++ b/src/registered/control/control_node_directory.h
@@ -14,7 +14,7 @@
 inline constexpr Duration kPresenceInterval = std::chrono::milliseconds(400);
 /// A control node is considered offline when no presence report arrived for this long: slightly more than
 /// three intervals.
-inline constexpr Duration kPresenceLapse = std::chrono::milliseconds(1300);
+inline constexpr Duration kPresenceTimeout = std::chrono::milliseconds(1300);
 
 /// A node's name in the consensus group is its address, because seeds are configured by address only.
 inline NodeName consensus_name(const Endpoint& endpoint) { return NodeName(endpoint.address); }
@@ -29,15 +29,15 @@
   }
   /// Replaces the endpoints advertised by the leader. An empty list is ignored.
   void record_endpoints(const std::vector<Endpoint>& endpoints) {
-    if (!endpoints.empty()) told_ = endpoints;
+    if (!endpoints.empty()) advertised_ = endpoints;
   }
-  /// Returns std::nullopt if the node sent no presence report within kPresenceLapse.
+  /// Returns std::nullopt if the node sent no presence report within kPresenceTimeout.
   [[nodiscard]] std::optional<consensus::Member> alive(const NodeName& node, TimePoint now) const {
     const auto found = presences_.find(node);
-    if (found == presences_.end() || now - found->second.heard_at > kPresenceLapse) return std::nullopt;
+    if (found == presences_.end() || now - found->second.received_at > kPresenceTimeout) return std::nullopt;
     return found->second.member;
   }
-  [[nodiscard]] std::vector<consensus::Member> all_alive(TimePoint now) const;
+  [[nodiscard]] std::vector<consensus::Member> alive_members(TimePoint now) const;
   /// All candidate endpoints without duplicates: consensus members first, then advertised endpoints, then
   /// seeds.
   [[nodiscard]] std::vector<Endpoint> endpoints() const;
@@ -47,10 +47,10 @@
  private:
   struct Presence {
     consensus::Member member;
-    TimePoint heard_at{};
+    TimePoint received_at{};
   };
   std::vector<Endpoint> seeds_;
-  std::vector<Endpoint> told_;
+  std::vector<Endpoint> advertised_;
   const consensus::Consensus& consensus_;
   std::map<NodeName, Presence> presences_;
 };
--- a/src/registered/control/evacuation_orders.cpp
+++ b/src/registered/control/evacuation_orders.cpp
@@ -9,14 +9,14 @@
 /// An evacuation order that finds no leader is retried at this interval, up to this timeout, which covers the
 /// detection of a lost leader and an election.
 constexpr Duration kOrderRetryPause = std::chrono::milliseconds(30);
-constexpr Duration kOrderPatience = std::chrono::milliseconds(1800);
+constexpr Duration kEvacuationOrderTimeout = std::chrono::milliseconds(1800);
 constexpr std::array<const char*, kOrderOutcomes> kOutcomeNames{"taken", "repeated", "refused", "unsettled"};
 
 }  // namespace
 
 const char* outcome_name(OrderOutcome outcome) { return kOutcomeNames[static_cast<std::size_t>(outcome)]; }
 
-bool EvacuationOrders::knows_zone(const ZoneName& zone) const {
+bool EvacuationOrders::is_known_zone(const ZoneName& zone) const {
   if (fleet_.is_evacuated(zone) || fleet_.was_evacuated(zone)) return true;
   if (std::find(zones_.begin(), zones_.end(), zone) != zones_.end()) return true;
   const auto in_zone = [&zone](const auto& registered) { return registered.zone == zone; };
@@ -27,7 +27,7 @@
   return zones_.empty() && backends.empty() && proxies.empty();
 }
 
-Awaitable<bool> EvacuationOrders::may_try_again(TimePoint limit) {
+Awaitable<bool> EvacuationOrders::sleep_before_retry(TimePoint limit) {
   if (runtime_.now() + kOrderRetryPause >= limit) co_return false;
   co_await runtime_.sleep_for(kOrderRetryPause);
   co_return true;
@@ -37,7 +37,7 @@
   while (true) {
     const auto index = co_await consensus_.read_barrier(runtime_.now() + kCommitTimeout, reason);
     if (index) co_return true;
-    const bool again = co_await may_try_again(limit);
+    const bool again = co_await sleep_before_retry(limit);
     if (!again) co_return false;
   }
 }
@@ -48,19 +48,19 @@
     if (!evacuated) command = registry::EndEvacuation{zone};
     const bool done = co_await calls_.submit(std::move(command), reason);
     if (done) co_return true;
-    const bool again = co_await may_try_again(limit);
+    const bool again = co_await sleep_before_retry(limit);
     if (!again) co_return false;
   }
 }
 
-Awaitable<OrderOutcome> EvacuationOrders::settle(ZoneName zone, bool evacuated, Reason& reason) {
-  const TimePoint limit = runtime_.now() + kOrderPatience;
+Awaitable<OrderOutcome> EvacuationOrders::determine_outcome(ZoneName zone, bool evacuated, Reason& reason) {
+  const TimePoint limit = runtime_.now() + kEvacuationOrderTimeout;
   // Local state may be stale, so kRepeated and kRefused both require a quorum round.
-  if (!knows_zone(zone) || fleet_.is_evacuated(zone) == evacuated) {
+  if (!is_known_zone(zone) || fleet_.is_evacuated(zone) == evacuated) {
     const bool confirmed = co_await confirm(limit, reason);
     if (!confirmed) co_return OrderOutcome::kUnsettled;
     reason = Reason();
-    if (!knows_zone(zone)) {
+    if (!is_known_zone(zone)) {
       reason = Reason{ReasonCode::kNotFound, "evacuate_zone", zone.value, "unknown zone; order refused"};
       co_return OrderOutcome::kRefused;
     }
@@ -70,9 +70,9 @@
   co_return done ? OrderOutcome::kTaken : OrderOutcome::kUnsettled;
 }
 
-Awaitable<bool> EvacuationOrders::take(ZoneName zone, bool evacuated, Reason& reason) {
+Awaitable<bool> EvacuationOrders::execute(ZoneName zone, bool evacuated, Reason& reason) {
   const TimePoint asked_at = runtime_.now();
-  const OrderOutcome outcome = co_await settle(zone, evacuated, reason);
+  const OrderOutcome outcome = co_await determine_outcome(zone, evacuated, reason);
   ++counts_[static_cast<std::size_t>(outcome)];
   const bool done = outcome == OrderOutcome::kTaken || outcome == OrderOutcome::kRepeated;
   if (done) reason = Reason();
--- a/src/registered/control/evacuation_orders.h
+++ b/src/registered/control/evacuation_orders.h
@@ -35,19 +35,19 @@
 
   /// Returns true once the requested state of the zone is durable. Fails with kNotFound if the zone is
   /// unknown; with any other code the outcome is unknown.
-  Awaitable<bool> take(ZoneName zone, bool evacuated, Reason& reason);
+  Awaitable<bool> execute(ZoneName zone, bool evacuated, Reason& reason);
   [[nodiscard]] std::uint64_t count(OrderOutcome outcome) const {
     return counts_[static_cast<std::size_t>(outcome)];
   }
 
  private:
-  Awaitable<OrderOutcome> settle(ZoneName zone, bool evacuated, Reason& reason);
+  Awaitable<OrderOutcome> determine_outcome(ZoneName zone, bool evacuated, Reason& reason);
   Awaitable<bool> submit(ZoneName zone, bool evacuated, TimePoint limit, Reason& reason);
   /// Runs a quorum round; like submit(), it retries until `limit` so that an order survives a change of
   /// leader. Both are idempotent.
   Awaitable<bool> confirm(TimePoint limit, Reason& reason);
-  Awaitable<bool> may_try_again(TimePoint limit);
-  [[nodiscard]] bool knows_zone(const ZoneName& zone) const;
+  Awaitable<bool> sleep_before_retry(TimePoint limit);
+  [[nodiscard]] bool is_known_zone(const ZoneName& zone) const;
   void log(const ZoneName& zone, bool evacuated, OrderOutcome outcome, Duration took, const Reason& reason);
 
   runtime::Runtime& runtime_;
--- a/src/registered/control/failover/fence_wait.cpp
+++ b/src/registered/control/failover/fence_wait.cpp
@@ -21,7 +21,7 @@
       pausing = true;
       runtime_.spawn("pause_members", pauses_.pause(closed));
     }
-    co_await leases_.answered().wait_until(runtime_.now() + kFenceCheckInterval);
+    co_await leases_.fence_answered().wait_until(runtime_.now() + kFenceCheckInterval);
     progress = leases_.fence_progress(closed.group, closed.epoch);
   }
   co_return terms_.leads();
@@ -35,7 +35,7 @@
   const TimePoint quiet = pauses_.quiet_at(closed, progress.silent_revision);
   if (quiet == TimePoint::max()) co_return;
   while (terms_.leads() && !progress.all_answered && runtime_.now() < quiet) {
-    co_await leases_.answered().wait_until(std::min(quiet, runtime_.now() + kFenceCheckInterval));
+    co_await leases_.fence_answered().wait_until(std::min(quiet, runtime_.now() + kFenceCheckInterval));
     progress = leases_.fence_progress(closed.group, closed.epoch);
   }
 }
--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -109,7 +109,7 @@
   const registry::BackendEntry* next = term ? fleet_.find_backend(term->primary) : nullptr;
   if (next == nullptr || !terms_.leads()) co_return;
   std::string why = fmt::format("the primary born at {} is over, one born at {} has its name",
-                                term->primary_born_ms, next->born_ms);
+                                term->primary_start_time_ms, next->start_time_ms);
   const bool closed = co_await terms_.close(*term, std::move(why));
   if (!closed) co_await runtime_.sleep_for(kFailoverRetry);
 }
--- a/src/registered/control/failover/group_terms.cpp
+++ b/src/registered/control/failover/group_terms.cpp
@@ -25,7 +25,7 @@
   log("group_closing", term, why);
   Reason reason;
   registry::SingleCommand command = registry::CloseGroup{term.group, term.epoch};
-  const bool closed = co_await calls_.submit_gathered(std::move(command), reason);
+  const bool closed = co_await calls_.submit_batched(std::move(command), reason);
   if (!closed)
     runtime_.logger().log(runtime::LogLevel::kWarning, "group_not_closed", reason,
                           {{"group", term.group.value}});
@@ -36,8 +36,8 @@
                                  std::string why) {
   Reason reason;
   registry::SingleCommand command =
-      registry::OpenGroup{closed.group, closed.epoch, term, primary.name, primary.born_ms};
-  const bool done = co_await calls_.submit_gathered(std::move(command), reason);
+      registry::OpenGroup{closed.group, closed.epoch, term, primary.name, primary.start_time_ms};
+  const bool done = co_await calls_.submit_batched(std::move(command), reason);
   GroupTerm opened = closed;
   opened.term = term;
   opened.primary = primary.name;
--- a/src/registered/control/failover/log_comparison.cpp
+++ b/src/registered/control/failover/log_comparison.cpp
@@ -27,7 +27,7 @@
   std::vector<MemberFinding> members;
   for (registry::BackendEntry& entry : fleet_.backends_of(closed.group)) {
     // What was gathered into one command has one revision.
-    const bool joined = entry.tells_birth() && fleet_.backend_revision(entry.name) >= closed.opened_at;
+    const bool joined = entry.has_start_time() && fleet_.backend_revision(entry.name) >= closed.opened_at;
     members.push_back({std::move(entry), std::nullopt, joined});
   }
   return members;
--- a/src/registered/control/failover/membership_watch.cpp
+++ b/src/registered/control/failover/membership_watch.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 bool any_tells_birth(const std::set<registry::BackendIncarnation>& members) {
-  return std::any_of(members.begin(), members.end(), [](const auto& member) { return member.born_ms != 0; });
+  return std::any_of(members.begin(), members.end(),
+                     [](const auto& member) { return member.start_time_ms != 0; });
 }
 
 }  // namespace
@@ -29,7 +30,7 @@
     const auto next = now_members.lower_bound({former.name, 0});
     const bool replaced = next != now_members.end() && next->name == former.name;
     // Its next incarnation may register only after it was found gone.
-    was_replaced = was_replaced || replaced || former.born_ms != 0;
+    was_replaced = was_replaced || replaced || former.start_time_ms != 0;
   }
   members = std::move(now_members);
 }
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -25,7 +25,7 @@
 /// answer in its next incarnation before that one has registered.
 bool shows_old_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || !is_old_primary(member, facts)) return false;
-  if (!member.entry.tells_birth()) return true;
+  if (!member.entry.has_start_time()) return true;
   return leads_closed_term(member, facts) && !is_blank(member, facts);
 }
 
@@ -92,7 +92,7 @@
 
 /// Whether an empty log says nothing, as an incarnation that tells its start may have lost what it held.
 bool is_empty_of_unknown(const MemberFinding& candidate, const PromotionFacts& facts) {
-  return candidate.entry.tells_birth() && candidate.status->received.index == 0 && !is_unwritten(facts);
+  return candidate.entry.has_start_time() && candidate.status->received.index == 0 && !is_unwritten(facts);
 }
 
 bool reaches_old_primary(const MemberFinding& candidate, const PromotionFacts& facts) {
@@ -222,7 +222,7 @@
 }
 
 bool is_blank(const MemberFinding& member, const PromotionFacts& facts) {
-  if (!member.entry.tells_birth() || !member.status || member.status->received.index > 0) return false;
+  if (!member.entry.has_start_time() || !member.status || member.status->received.index > 0) return false;
   if (facts.highest_acknowledged.index > 0) return true;
   return std::any_of(facts.members.begin(), facts.members.end(), [](const MemberFinding& other) {
     return other.status && other.status->received.index > 0;
--- a/src/registered/control/failover/promotion_steps.cpp
+++ b/src/registered/control/failover/promotion_steps.cpp
@@ -36,7 +36,7 @@
     const registry::BackendEntry asked = *entry;
     const auto status = co_await prober_.ask(asked, runtime_.now() + kStatusTimeout, reason);
     if (status && status->is_primary && status->term > closed.term) {
-      const bool has_log = !asked.tells_birth() || status->received >= chosen.status->received;
+      const bool has_log = !asked.has_start_time() || status->received >= chosen.status->received;
       if (has_log) co_return status->term;
       closed.primary = chosen.entry.name;
       terms_.log("promoted_without_its_log", closed, "it started again before it led");
--- a/src/registered/control/failover/replication_pauses.cpp
+++ b/src/registered/control/failover/replication_pauses.cpp
@@ -76,7 +76,7 @@
                                       std::uint64_t silent_revision) const {
   const auto found = known_.find(member);
   const Known known = found == known_.end() ? Known{runtime_.now(), fleet_.revision()} : found->second;
-  return member_lease_end(paused_at, asked_by_all_from(known.since, known.revision, silent_revision));
+  return member_lease_end(paused_at, queried_by_all_from(known.since, known.revision, silent_revision));
 }
 
 TimePoint ReplicationPauses::quiet_at(const GroupTerm& closed, std::uint64_t silent_revision) const {
--- a/src/registered/control/leader_calls.cpp
+++ b/src/registered/control/leader_calls.cpp
@@ -10,8 +10,8 @@
 
 /// Batches are submitted at most once per interval, with at most this many commands each, so that mass
 /// registrations do not overload the log.
-constexpr Duration kGathering = std::chrono::milliseconds(20);
-constexpr std::size_t kMostGathered = 512;
+constexpr Duration kBatchInterval = std::chrono::milliseconds(20);
+constexpr std::size_t kMaxBatchCommands = 512;
 /// Timeout for the leader's response to a presence report.
 constexpr Duration kLeaderCallTimeout = std::chrono::milliseconds(700);
 
@@ -43,23 +43,23 @@
   co_return co_await submit_to_leader(std::move(command), reason);
 }
 
-Awaitable<bool> LeaderCalls::submit_gathered(registry::SingleCommand command, Reason& reason) {
-  const bool is_first = !gathering_;
-  if (is_first) gathering_ = std::make_shared<Batch>(runtime_);
-  const auto batch = gathering_;
+Awaitable<bool> LeaderCalls::submit_batched(registry::SingleCommand command, Reason& reason) {
+  const bool is_first = !open_batch_;
+  if (is_first) open_batch_ = std::make_shared<Batch>(runtime_);
+  const auto batch = open_batch_;
   batch->commands.push_back(std::move(command));
-  if (batch->commands.size() >= kMostGathered) gathering_.reset();
+  if (batch->commands.size() >= kMaxBatchCommands) open_batch_.reset();
   if (is_first) runtime_.spawn("submit_batch", submit_batch(batch));
-  while (!batch->is_over) co_await batch->ended.wait();
+  while (!batch->is_complete) co_await batch->completion.wait();
   reason = batch->reason;
   co_return batch->done;
 }
 
 Awaitable<void> LeaderCalls::submit_batch(std::shared_ptr<Batch> batch) {
-  const TimePoint next = last_gathered_ + kGathering;
+  const TimePoint next = last_batch_at_ + kBatchInterval;
   if (next > runtime_.now()) co_await runtime_.sleep_for(next - runtime_.now());
-  last_gathered_ = runtime_.now();
-  if (gathering_ == batch) gathering_.reset();
+  last_batch_at_ = runtime_.now();
+  if (open_batch_ == batch) open_batch_.reset();
   registry::Command command;
   if (batch->commands.size() == 1) {
     command = std::visit([](auto& single) { return registry::Command(std::move(single)); },
@@ -68,8 +68,8 @@
     command = registry::CommandBatch{std::move(batch->commands)};
   }
   batch->done = co_await submit(std::move(command), batch->reason);
-  batch->is_over = true;
-  batch->ended.notify_all();
+  batch->is_complete = true;
+  batch->completion.notify_all();
 }
 
 Awaitable<bool> LeaderCalls::propose(registry::Command command, Reason& reason) {
@@ -119,11 +119,11 @@
                                                                     registry::ControlCall call,
                                                                     TimePoint deadline, Reason& reason) {
   std::shared_ptr<runtime::FrameConnection> connection;
-  const auto idle =
-      std::find_if(idle_.begin(), idle_.end(), [&](const Link& link) { return link.endpoint == endpoint; });
-  if (idle != idle_.end()) {
+  const auto idle = std::find_if(idle_links_.begin(), idle_links_.end(),
+                                 [&](const Link& link) { return link.endpoint == endpoint; });
+  if (idle != idle_links_.end()) {
     connection = idle->connection;
-    idle_.erase(idle);
+    idle_links_.erase(idle);
   } else {
     connection = co_await connect(endpoint, deadline, reason);
   }
@@ -137,7 +137,7 @@
   std::optional<registry::ControlAnswer> answer;
   if (frame) answer = wire::decode<registry::ControlAnswer>(*frame, reason);
   if (answer) {
-    idle_.push_back(Link{endpoint, connection});
+    idle_links_.push_back(Link{endpoint, connection});
   } else {
     connection->close();
   }
--- a/src/registered/control/leader_calls.h
+++ b/src/registered/control/leader_calls.h
@@ -31,7 +31,7 @@
   Awaitable<bool> submit(registry::Command command, Reason& reason);
   /// Like submit(), but batches commands that arrive within 20 ms of each other into one log entry. For
   /// commands that many backends and proxies may send at the same time.
-  Awaitable<bool> submit_gathered(registry::SingleCommand command, Reason& reason);
+  Awaitable<bool> submit_batched(registry::SingleCommand command, Reason& reason);
   /// Starts periodic presence reports to the current leader. `self` carries this node's identity.
   void announce(consensus::Member self);
   void stop() { stopping_ = true; }
@@ -49,12 +49,12 @@
 
   /// Commands submitted as one log entry, and their shared outcome.
   struct Batch {
-    explicit Batch(runtime::Runtime& runtime) : ended(runtime) {}
+    explicit Batch(runtime::Runtime& runtime) : completion(runtime) {}
     std::vector<registry::SingleCommand> commands;
-    bool is_over = false;
+    bool is_complete = false;
     bool done = false;
     Reason reason;
-    runtime::Signal ended;
+    runtime::Signal completion;
   };
 
   Awaitable<void> submit_batch(std::shared_ptr<Batch> batch);
@@ -77,9 +77,9 @@
   ControlNodeDirectory& directory_;
   NodeName node_;
   Endpoint own_endpoint_;
-  std::shared_ptr<Batch> gathering_;  ///< batch that accepts further commands; null if none
-  TimePoint last_gathered_{};
-  std::deque<Link> idle_;
+  std::shared_ptr<Batch> open_batch_;  ///< batch that accepts further commands; null if none
+  TimePoint last_batch_at_{};
+  std::deque<Link> idle_links_;
   std::optional<Endpoint> hinted_leader_;
   std::size_t next_endpoint_ = 0;
   bool stopping_ = false;
--- a/src/registered/control/leases/lease_bounds.h
+++ b/src/registered/control/leases/lease_bounds.h
@@ -58,16 +58,16 @@
 /// the lowest fleet revision that any proxy without an answer is known to hold. A proxy whose last lease
 /// predates the member may serve without querying it until `known_since` + kServeWithoutControl +
 /// kMemberLease.
-inline TimePoint asked_by_all_from(TimePoint known_since, std::uint64_t known_revision,
-                                   std::uint64_t silent_revision) {
+inline TimePoint queried_by_all_from(TimePoint known_since, std::uint64_t known_revision,
+                                     std::uint64_t silent_revision) {
   if (silent_revision >= known_revision) return known_since;
   return known_since + registry::kServeWithoutControl + registry::kMemberLease;
 }
 
 /// The time by which all leases that depend on a member's answers before its pause have expired, including
 /// those of proxies that may not have queried the member.
-inline TimePoint member_lease_end(TimePoint paused_at, TimePoint asked_by_all) {
-  return std::max(paused_at + registry::kMemberLeaseWait, asked_by_all);
+inline TimePoint member_lease_end(TimePoint paused_at, TimePoint queried_by_all_since) {
+  return std::max(paused_at + registry::kMemberLeaseWait, queried_by_all_since);
 }
 
 /// Target interval between lease requests of all proxies together, as far as the lease duration allows.
--- a/src/registered/control/leases/lease_keeper.cpp
+++ b/src/registered/control/leases/lease_keeper.cpp
@@ -23,14 +23,14 @@
       fleet_(fleet),
       calls_(calls),
       serving_lease_(serving_lease),
-      answered_(runtime),
+      fence_answered_(runtime),
       leader_wait_(runtime, consensus, calls),
       updates_(runtime, fleet, directory, serving_lease, [this] { return stable_revision(); }),
       leases_(serving_lease) {}
 
 void LeaseKeeper::start() {
   updates_.start();
-  runtime_.spawn("lease_lapsed", watch_lapsed());
+  runtime_.spawn("lease_lapsed", run_lapse_check());
 }
 
 void LeaseKeeper::stop() {
@@ -39,10 +39,10 @@
   updates_.stop();
 }
 
-void LeaseKeeper::watch_leadership() {
+void LeaseKeeper::detect_new_term() {
   if (!leads() || consensus_.term() == led_term_) return;
   led_term_ = consensus_.term();
-  leases_.begin_lead(runtime_.now());
+  leases_.begin_leadership(runtime_.now());
   acknowledgements_.clear();
 }
 
@@ -51,7 +51,7 @@
   follower->connection = connection;
   follower->node = hello.node;
   follower->zone = hello.zone;
-  follower->takes_compressed = hello.conversation == wire::Conversation::kServingCompressed;
+  follower->accepts_compressed = hello.conversation == wire::Conversation::kServingCompressed;
   const std::uint64_t id = updates_.add(follower);
   while (!stopping_) {
     Reason reason;
@@ -59,21 +59,21 @@
     if (!frame) break;
     auto report = wire::decode<registry::ProxyReport>(*frame, reason);
     if (!report) break;
-    runtime_.spawn("lease_report", take_report(follower, std::move(*report)));
+    runtime_.spawn("lease_report", handle_report(follower, std::move(*report)));
   }
   updates_.remove(id);
   connection->close();
 }
 
-Awaitable<void> LeaseKeeper::take_report(std::shared_ptr<Follower> follower, registry::ProxyReport report) {
+Awaitable<void> LeaseKeeper::handle_report(std::shared_ptr<Follower> follower, registry::ProxyReport report) {
   const TimePoint received = runtime_.now();
   if (!leader_wait_.knows_leader()) co_await leader_wait_.wait();
-  watch_leadership();
+  detect_new_term();
   follower->incarnation = report.incarnation;
   follower->peer_endpoint = report.peer_endpoint;
   follower->draining = report.draining;
   if (!follower->admitted) follower->revision_sent = report.revision;
-  record_closed(*follower, report.closed);
+  record_acknowledgements(*follower, report.closed);
   for (const auto& suspicion : report.suspicions) {
     if (on_suspicion_) on_suspicion_(follower->node, suspicion);
   }
@@ -110,30 +110,31 @@
   const registry::AdmittedProxy* held = fleet_.find_proxy(follower->node);
   if (held != nullptr && *held == proxy) co_return true;
   registry::SingleCommand command = registry::AdmitProxy{proxy};
-  co_return co_await calls_.submit_gathered(std::move(command), reason);
+  co_return co_await calls_.submit_batched(std::move(command), reason);
 }
 
-void LeaseKeeper::record_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed) {
+void LeaseKeeper::record_acknowledgements(const Follower& follower,
+                                          const std::vector<registry::ClosedGroup>& closed) {
   if (closed.empty()) return;
   leases_.begin_incarnation(follower.node, follower.incarnation);
-  refresh_acknowledging();
-  bool any_is_over = false;
+  refresh_fence_proxies();
+  bool any_completed = false;
   for (const auto& group : closed) {
-    const bool is_last = acknowledgements_.record(follower.node, follower.incarnation, group);
-    any_is_over = any_is_over || is_last;
+    const bool is_complete = acknowledgements_.record(follower.node, follower.incarnation, group);
+    any_completed = any_completed || is_complete;
   }
   // Notify once for all groups, because each notification wakes the failovers of all closed groups.
-  if (any_is_over) answered_.notify_all();
+  if (any_completed) fence_answered_.notify_all();
 }
 
-void LeaseKeeper::refresh_acknowledging() {
-  if (acknowledging_revision_ == fleet_.proxies_revision()) return;
-  acknowledging_revision_ = fleet_.proxies_revision();
+void LeaseKeeper::refresh_fence_proxies() {
+  if (fence_proxies_revision_ == fleet_.proxies_revision()) return;
+  fence_proxies_revision_ = fleet_.proxies_revision();
   acknowledgements_.set_proxies(fleet_.proxies());
 }
 
 FenceProgress LeaseKeeper::fence_progress(const GroupName& group, std::uint64_t epoch) {
-  refresh_acknowledging();
+  refresh_fence_proxies();
   const TimePoint now = runtime_.now();
   const auto describe_silent = [this, now](const NodeName& node, std::uint64_t incarnation) {
     return FenceAcknowledgements::Silent{now <= leases_.end_of(node, incarnation),
@@ -142,34 +143,36 @@
   return acknowledgements_.progress(group, epoch, describe_silent);
 }
 
-Awaitable<void> LeaseKeeper::watch_lapsed() {
+Awaitable<void> LeaseKeeper::run_lapse_check() {
   while (!stopping_) {
-    co_await runtime_.sleep_for(kLapsedTick);
-    watch_leadership();
-    if (leads()) take_out_lapsed();
+    co_await runtime_.sleep_for(kLapseCheckInterval);
+    detect_new_term();
+    if (leads()) remove_lapsed_proxies();
   }
 }
 
-void LeaseKeeper::take_out_lapsed() {
+void LeaseKeeper::remove_lapsed_proxies() {
   const TimePoint now = runtime_.now();
   for (const registry::AdmittedProxy& proxy : fleet_.proxies()) {
     const ProxyPresence presence = presence_after(leases_.end_of(proxy.node, proxy.incarnation), now);
     if (presence == ProxyPresence::kForgotten) {
-      runtime_.spawn("proxy_lapsed", take_out(registry::ForgetProxy{proxy.node, proxy.incarnation},
-                                              proxy.node, "proxy_forgotten"));
+      runtime_.spawn("proxy_lapsed", submit_removal(registry::ForgetProxy{proxy.node, proxy.incarnation},
+                                                    proxy.node, "proxy_forgotten"));
     } else if (presence == ProxyPresence::kAbsent && !proxy.leaving) {
       // The proxy may return in the same incarnation, so the commits it acknowledged still count, but it no
       // longer takes part in the division of groups.
       registry::AdmittedProxy absent = proxy;
       absent.leaving = true;
-      runtime_.spawn("proxy_lapsed", take_out(registry::AdmitProxy{absent}, proxy.node, "proxy_absent"));
+      runtime_.spawn("proxy_lapsed",
+                     submit_removal(registry::AdmitProxy{absent}, proxy.node, "proxy_absent"));
     }
   }
 }
 
-Awaitable<void> LeaseKeeper::take_out(registry::SingleCommand command, NodeName node, std::string event) {
+Awaitable<void> LeaseKeeper::submit_removal(registry::SingleCommand command, NodeName node,
+                                            std::string event) {
   Reason reason;
-  const bool done = co_await calls_.submit_gathered(std::move(command), reason);
+  const bool done = co_await calls_.submit_batched(std::move(command), reason);
   if (done) runtime_.logger().log(runtime::LogLevel::kInfo, event, {{"proxy", node.value}});
 }
 
@@ -177,7 +180,7 @@
   const TimePoint now = runtime_.now();
   if (now - stable_revision_at_ < kStableRevisionInterval) return stable_revision_;
   stable_revision_at_ = now;
-  std::vector<registry::ProxyKnowledge> known;
+  std::vector<registry::ProxyRevision> known;
   for (const registry::AdmittedProxy& proxy : fleet_.proxies()) {
     const TimePoint lease_end = leases_.end_of(proxy.node, proxy.incarnation);
     known.push_back({leases_.revision_of(proxy.node, proxy.incarnation),
--- a/src/registered/control/leases/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -28,7 +28,7 @@
 namespace cairnhollow::registered::control {
 
 /// Interval of the check for expired proxy leases.
-inline constexpr Duration kLapsedTick = std::chrono::milliseconds(400);
+inline constexpr Duration kLapseCheckInterval = std::chrono::milliseconds(400);
 
 /// The referenced objects are not owned and must outlive this object, which must live until the process ends
 /// because its coroutines refer to it.
@@ -50,25 +50,25 @@
   [[nodiscard]] FenceProgress fence_progress(const GroupName& group, std::uint64_t epoch);
   /// Notified when the last proxy has acknowledged the close of a group. Not notified when a lease expires
   /// instead.
-  runtime::Signal& answered() { return answered_; }
+  runtime::Signal& fence_answered() { return fence_answered_; }
   [[nodiscard]] std::size_t followers() const { return updates_.size(); }
 
  private:
-  Awaitable<void> take_report(std::shared_ptr<Follower> follower, registry::ProxyReport report);
+  Awaitable<void> handle_report(std::shared_ptr<Follower> follower, registry::ProxyReport report);
   /// Returns true if the proxy may be granted a lease. Runs the quorum round that backs it.
   Awaitable<bool> grant(std::shared_ptr<Follower> follower, Reason& reason);
   Awaitable<bool> admit(std::shared_ptr<Follower> follower, Reason& reason);
-  void record_closed(const Follower& follower, const std::vector<registry::ClosedGroup>& closed);
+  void record_acknowledgements(const Follower& follower, const std::vector<registry::ClosedGroup>& closed);
   /// Updates the set of proxies whose acknowledgements are required from the admitted proxies.
-  void refresh_acknowledging();
+  void refresh_fence_proxies();
   /// Periodically excludes proxies with expired leases from the division of groups, and removes those that do
   /// not return.
-  Awaitable<void> watch_lapsed();
-  void take_out_lapsed();
-  Awaitable<void> take_out(registry::SingleCommand command, NodeName node, std::string event);
+  Awaitable<void> run_lapse_check();
+  void remove_lapsed_proxies();
+  Awaitable<void> submit_removal(registry::SingleCommand command, NodeName node, std::string event);
   std::uint64_t stable_revision();
   [[nodiscard]] bool leads() const { return consensus_.leads(); }
-  void watch_leadership();
+  void detect_new_term();
 
   runtime::Runtime& runtime_;
   consensus::Consensus& consensus_;
@@ -76,13 +76,13 @@
   LeaderCalls& calls_;
   Duration serving_lease_;
   OnSuspicion on_suspicion_;
-  runtime::Signal answered_;
+  runtime::Signal fence_answered_;
   LeaderWait leader_wait_;
   ProxyUpdates updates_;
   ServingLeases leases_;
   FenceAcknowledgements acknowledgements_;
   /// fleet revision of the proxies in `acknowledgements_`
-  std::optional<std::uint64_t> acknowledging_revision_;
+  std::optional<std::uint64_t> fence_proxies_revision_;
   std::uint64_t stable_revision_ = 0;
   TimePoint stable_revision_at_{};  ///< time of the last computation
   std::uint64_t led_term_ = 0;
--- a/src/registered/control/leases/proxy_updates.cpp
+++ b/src/registered/control/leases/proxy_updates.cpp
@@ -14,16 +14,16 @@
 /// Delay per follower during which changes are collected before a push, and its upper limit, so that frequent
 /// changes do not cost one message each per follower. The urgent values apply when a group was closed or
 /// opened.
-constexpr Duration kPushGathering = std::chrono::milliseconds(1);
-constexpr Duration kPushGatheringLimit = std::chrono::milliseconds(300);
-constexpr Duration kUrgentGathering = std::chrono::microseconds(200);
-constexpr Duration kUrgentGatheringLimit = std::chrono::milliseconds(100);
+constexpr Duration kPushDelayPerFollower = std::chrono::milliseconds(1);
+constexpr Duration kMaxPushDelay = std::chrono::milliseconds(300);
+constexpr Duration kUrgentPushDelayPerFollower = std::chrono::microseconds(200);
+constexpr Duration kMaxUrgentPushDelay = std::chrono::milliseconds(100);
 /// Limits the bytes of deltas in flight, so that a simultaneous restart of all proxies does not exhaust the
-/// leader's memory. Deltas of at most kSmallDelta bytes are exempt. A follower that waits for capacity checks
-/// again at least every kRoomTick.
-constexpr std::size_t kMostBytesOnTheirWay = std::size_t{12} << 20;
-constexpr std::size_t kSmallDelta = std::size_t{8} << 10;
-constexpr Duration kRoomTick = std::chrono::milliseconds(200);
+/// leader's memory. Deltas of at most kSmallDeltaBytes are exempt. A follower that waits for capacity
+/// checks again at least every kInFlightRetryInterval.
+constexpr std::size_t kMaxBytesInFlight = std::size_t{12} << 20;
+constexpr std::size_t kSmallDeltaBytes = std::size_t{8} << 10;
+constexpr Duration kInFlightRetryInterval = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -44,20 +44,20 @@
 Awaitable<void> ProxyUpdates::push_changes() {
   while (!stopping_) {
     co_await fleet_.changed().wait();
-    co_await gather_changes();
+    co_await delay_push();
     for (const auto& [id, follower] : followers_) {
       if (follower->admitted) flush(follower);
     }
   }
 }
 
-Awaitable<void> ProxyUpdates::gather_changes() {
+Awaitable<void> ProxyUpdates::delay_push() {
   // The delay grows with the number of followers.
   const auto followers = static_cast<Duration::rep>(followers_.size());
   const TimePoint first = runtime_.now();
-  const TimePoint due = first + std::min<Duration>(kPushGathering * followers, kPushGatheringLimit);
+  const TimePoint due = first + std::min<Duration>(kPushDelayPerFollower * followers, kMaxPushDelay);
   const TimePoint urgent_due =
-      first + std::min<Duration>(kUrgentGathering * followers, kUrgentGatheringLimit);
+      first + std::min<Duration>(kUrgentPushDelayPerFollower * followers, kMaxUrgentPushDelay);
   TimePoint until = due;
   while (!stopping_ && runtime_.now() < until) {
     if (fleet_.terms_revision() > pushed_revision_) until = urgent_due;
@@ -66,7 +66,7 @@
   pushed_revision_ = fleet_.revision();
 }
 
-bool ProxyUpdates::has_something_for(const Follower& follower) const {
+bool ProxyUpdates::has_pending_update(const Follower& follower) const {
   return follower.answer_nonce > 0 || (follower.admitted && follower.revision_sent < fleet_.revision());
 }
 
@@ -92,22 +92,21 @@
   return update;
 }
 
-bool ProxyUpdates::has_room_for(const Follower& follower) {
+bool ProxyUpdates::fits_in_flight(const Follower& follower) {
   if (!follower.admitted || follower.revision_sent == fleet_.revision()) return true;
   const std::size_t size = delta_for(follower).size();
-  return size <= kSmallDelta || bytes_on_their_way_ == 0 ||
-         bytes_on_their_way_ + size <= kMostBytesOnTheirWay;
+  return size <= kSmallDeltaBytes || bytes_in_flight_ == 0 || bytes_in_flight_ + size <= kMaxBytesInFlight;
 }
 
 const std::string& ProxyUpdates::delta_for(const Follower& follower) {
-  if (deltas_to_ != fleet_.revision()) deltas_.clear();
-  deltas_to_ = fleet_.revision();
+  if (deltas_revision_ != fleet_.revision()) deltas_.clear();
+  deltas_revision_ = fleet_.revision();
   const std::uint64_t since = follower.revision_sent;
   EncodedDelta& delta = deltas_[since];
   if (delta.plain.empty())
     delta.plain =
         wire::encode_from(fleet_.delta_since(since), wire::format_with_tenants(fleet_.requires_keys()));
-  if (!follower.takes_compressed) return delta.plain;
+  if (!follower.accepts_compressed) return delta.plain;
   if (delta.compressed.empty()) delta.compressed = wire::compress(delta.plain);
   return delta.compressed;
 }
@@ -122,27 +121,27 @@
 }
 
 void ProxyUpdates::flush(const std::shared_ptr<Follower>& follower) {
-  if (follower->sending || !has_something_for(*follower)) return;
+  if (follower->sending || !has_pending_update(*follower)) return;
   follower->sending = true;
   runtime_.spawn("lease_send", send(follower));
 }
 
 Awaitable<void> ProxyUpdates::send(std::shared_ptr<Follower> follower) {
   bool sent = true;
-  while (sent && !stopping_ && has_something_for(*follower)) {
-    const bool has_room = has_room_for(*follower);
-    if (!has_room && follower->answer_nonce == 0) {
-      co_await room_.wait_until(runtime_.now() + kRoomTick);
+  while (sent && !stopping_ && has_pending_update(*follower)) {
+    const bool has_capacity = fits_in_flight(*follower);
+    if (!has_capacity && follower->answer_nonce == 0) {
+      co_await capacity_freed_.wait_until(runtime_.now() + kInFlightRetryInterval);
       continue;
     }
-    const registry::ProxyUpdate update = make_update(*follower, has_room);
+    const registry::ProxyUpdate update = make_update(*follower, has_capacity);
     const std::size_t size = update.delta.size();
-    bytes_on_their_way_ += size;
+    bytes_in_flight_ += size;
     Reason reason;
     const wire::Format format = wire::format_with_tenants(update.stable_revision > 0);
     sent = co_await follower->connection->send(wire::encode(update, format), reason);
-    bytes_on_their_way_ -= size;
-    if (size > kSmallDelta) room_.notify_one();
+    bytes_in_flight_ -= size;
+    if (size > kSmallDeltaBytes) capacity_freed_.notify_one();
   }
   follower->sending = false;
   if (!sent) follower->connection->close();
--- a/src/registered/control/leases/proxy_updates.h
+++ b/src/registered/control/leases/proxy_updates.h
@@ -26,7 +26,7 @@
   std::shared_ptr<runtime::FrameConnection> connection;
   NodeName node;
   ZoneName zone;
-  bool takes_compressed = false;
+  bool accepts_compressed = false;
   std::uint64_t incarnation = 0;
   Endpoint peer_endpoint;
   bool draining = false;
@@ -53,7 +53,7 @@
         directory_(directory),
         serving_lease_(serving_lease),
         stable_revision_(std::move(stable_revision)),
-        room_(runtime) {}
+        capacity_freed_(runtime) {}
 
   void start();
   /// Closes all connections.
@@ -74,12 +74,12 @@
 
   Awaitable<void> push_changes();
   /// Delays a push so that changes that arrive close together are sent as one delta.
-  Awaitable<void> gather_changes();
+  Awaitable<void> delay_push();
   Awaitable<void> send(std::shared_ptr<Follower> follower);
-  [[nodiscard]] bool has_something_for(const Follower& follower) const;
+  [[nodiscard]] bool has_pending_update(const Follower& follower) const;
   registry::ProxyUpdate make_update(Follower& follower, bool with_delta);
   /// Returns true if the follower's delta is small or fits within the limit on bytes in flight.
-  [[nodiscard]] bool has_room_for(const Follower& follower);
+  [[nodiscard]] bool fits_in_flight(const Follower& follower);
   const std::string& delta_for(const Follower& follower);
   const std::vector<Endpoint>& endpoints();
 
@@ -88,12 +88,12 @@
   ControlNodeDirectory& directory_;
   Duration serving_lease_;
   StableRevision stable_revision_;
-  runtime::Signal room_;                ///< notified when a large delta has been sent
-  std::size_t bytes_on_their_way_ = 0;  ///< deltas being sent now
+  runtime::Signal capacity_freed_;   ///< notified when a large delta has been sent
+  std::size_t bytes_in_flight_ = 0;  ///< deltas being sent now
   std::map<std::uint64_t, std::shared_ptr<Follower>> followers_;
   std::uint64_t next_follower_ = 1;
   std::map<std::uint64_t, EncodedDelta> deltas_;  ///< by base revision
-  std::uint64_t deltas_to_ = 0;                   ///< target revision of all entries in `deltas_`
+  std::uint64_t deltas_revision_ = 0;             ///< target revision of all entries in `deltas_`
   std::vector<Endpoint> endpoints_;
   TimePoint endpoints_at_{};
   std::uint64_t pushed_revision_ = 0;
--- a/src/registered/control/leases/serving_leases.cpp
+++ b/src/registered/control/leases/serving_leases.cpp
@@ -4,8 +4,8 @@
 
 namespace cairnhollow::registered::control {
 
-void ServingLeases::begin_lead(TimePoint now) {
-  leads_since_ = now;
+void ServingLeases::begin_leadership(TimePoint now) {
+  elected_at_ = now;
   leases_.clear();
 }
 
@@ -15,11 +15,11 @@
 }
 
 void ServingLeases::grant(const NodeName& proxy, std::uint64_t incarnation, std::uint64_t revision,
-                          TimePoint asked) {
+                          TimePoint received_at) {
   begin_incarnation(proxy, incarnation);
   Lease& lease = leases_[proxy];
   lease.revision = std::max(lease.revision, revision);
-  lease.until = std::max(lease.until, asked + serving_lease_);
+  lease.until = std::max(lease.until, received_at + serving_lease_);
 }
 
 const ServingLeases::Lease* ServingLeases::find(const NodeName& proxy, std::uint64_t incarnation) const {
@@ -28,9 +28,9 @@
 }
 
 TimePoint ServingLeases::end_of(const NodeName& proxy, std::uint64_t incarnation) const {
-  const TimePoint of_earlier_leader = leads_since_ + serving_lease_;
+  const TimePoint earlier_leader_end = elected_at_ + serving_lease_;
   const Lease* lease = find(proxy, incarnation);
-  return lease == nullptr ? of_earlier_leader : std::max(of_earlier_leader, lease->until);
+  return lease == nullptr ? earlier_leader_end : std::max(earlier_leader_end, lease->until);
 }
 
 std::uint64_t ServingLeases::revision_of(const NodeName& proxy, std::uint64_t incarnation) const {
--- a/src/registered/control/leases/serving_leases.h
+++ b/src/registered/control/leases/serving_leases.h
@@ -16,12 +16,12 @@
 
   /// Called when this node becomes leader. Discards leases from an earlier leadership of this node; those
   /// granted by other leaders since then expire at the latest one serving lease from `now`.
-  void begin_lead(TimePoint now);
+  void begin_leadership(TimePoint now);
   /// Records the proxy's current incarnation. Leases of any other incarnation are discarded.
   void begin_incarnation(const NodeName& proxy, std::uint64_t incarnation);
-  /// Records a lease granted to the proxy's incarnation for a report that was received at `asked` and stated
-  /// that the proxy holds fleet revision `revision`.
-  void grant(const NodeName& proxy, std::uint64_t incarnation, std::uint64_t revision, TimePoint asked);
+  /// Records a lease granted to the proxy's incarnation for a report that was received at `received_at` and
+  /// stated that the proxy holds fleet revision `revision`.
+  void grant(const NodeName& proxy, std::uint64_t incarnation, std::uint64_t revision, TimePoint received_at);
   /// The latest time at which the incarnation may hold a lease, from this leader or an earlier one.
   [[nodiscard]] TimePoint end_of(const NodeName& proxy, std::uint64_t incarnation) const;
   /// The highest fleet revision that the incarnation reported when it was granted a lease; 0 if this leader
@@ -37,7 +37,7 @@
   [[nodiscard]] const Lease* find(const NodeName& proxy, std::uint64_t incarnation) const;
 
   Duration serving_lease_;
-  TimePoint leads_since_{};
+  TimePoint elected_at_{};
   std::map<NodeName, Lease> leases_;
 };
 
--- a/src/registered/control/registered_control_node.cpp
+++ b/src/registered/control/registered_control_node.cpp
@@ -61,7 +61,7 @@
 class RegisteredControlNode : public runtime::Role {
  public:
   RegisteredControlNode(runtime::Runtime& runtime, RegisteredControlSettings settings,
-                        const ControlEdge& edge)
+                        const ControlNodeFactories& factories)
       : runtime_(runtime),
         settings_(std::move(settings)),
         fleet_(runtime),
@@ -69,14 +69,14 @@
         directory_(seed_peers(settings_), *raft_),
         calls_(runtime, *raft_, directory_, settings_.node, settings_.peer_endpoint),
         leases_(runtime, *raft_, fleet_, directory_, calls_, settings_.serving_lease),
-        dialer_(edge.make_dialer(runtime, settings_.node)),
+        dialer_(factories.make_dialer(runtime, settings_.node)),
         prober_(runtime, *dialer_),
-        promotions_(edge.make_promotions(runtime, settings_.promotion_endpoint)),
+        promotions_(factories.make_promotions(runtime, settings_.promotion_endpoint)),
         groups_(runtime, *raft_, fleet_, calls_, leases_, prober_, *promotions_,
                 {settings_.node, locality::RegionMap(settings_.zone_regions), settings_.promotion_rate}),
         voters_(runtime, *raft_, directory_, settings_.lost_disks_tolerated),
         registrations_(runtime, *raft_, fleet_, calls_, voters_, prober_, zones_of(settings_)),
-        operator_calls_(edge.make_operator_calls(registrations_)),
+        operator_calls_(factories.make_operator_calls(registrations_)),
         metrics_(*raft_, fleet_, leases_, groups_, registrations_),
         dispatcher_(runtime) {
     leases_.on_suspicion([this](const NodeName& proxy, const registry::PrimarySuspicion& said) {
@@ -177,8 +177,8 @@
 
 std::unique_ptr<runtime::Role> make_registered_control_node(runtime::Runtime& runtime,
                                                             RegisteredControlSettings settings,
-                                                            const ControlEdge& edge) {
-  return std::make_unique<RegisteredControlNode>(runtime, std::move(settings), edge);
+                                                            const ControlNodeFactories& factories) {
+  return std::make_unique<RegisteredControlNode>(runtime, std::move(settings), factories);
 }
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/registered_control_node.h
+++ b/src/registered/control/registered_control_node.h
@@ -17,7 +17,7 @@
 
 /// Factories for the control node's external interfaces. Each is called once, during construction of the
 /// node.
-struct ControlEdge {
+struct ControlNodeFactories {
   std::function<std::unique_ptr<runtime::HttpHandler>(registry::ControlService&)> make_operator_calls;
   std::function<std::unique_ptr<registry::PromotionCaller>(runtime::Runtime&, Endpoint)> make_promotions;
   std::function<std::unique_ptr<BackendDialer>(runtime::Runtime&, NodeName)> make_dialer;
@@ -26,7 +26,7 @@
 /// Creates a control node. `runtime` must outlive the returned object.
 std::unique_ptr<runtime::Role> make_registered_control_node(runtime::Runtime& runtime,
                                                             RegisteredControlSettings settings,
-                                                            const ControlEdge& edge);
+                                                            const ControlNodeFactories& factories);
 
 /// Returns the consensus term in which the node leads, or std::nullopt if it is not the leader.
 /// `control_node` must come from make_registered_control_node(). For status output and tests.
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -11,11 +11,11 @@
 
 /// Outdated incarnations remembered so that each is logged only once. When the limit is reached the set is
 /// cleared and they are logged again.
-constexpr std::size_t kMostToldOutdated = 1024;
+constexpr std::size_t kMaxLoggedOutdated = 1024;
 /// Minimum interval between rebuilds of the proxy endpoints that backends are referred to.
-constexpr Duration kTakersInterval = std::chrono::milliseconds(200);
+constexpr Duration kRelayRefreshInterval = std::chrono::milliseconds(200);
 /// Time after start during which requests are refused while the consensus group lacks voters.
-constexpr Duration kFormationPatience = std::chrono::seconds(6);
+constexpr Duration kFormationTimeout = std::chrono::seconds(6);
 
 }  // namespace
 
@@ -27,7 +27,7 @@
 }
 
 bool RegistrationService::may_acknowledge(const char* step, Reason& reason) const {
-  if (voters_.is_complete() || runtime_.now() > begun_ + kFormationPatience) return true;
+  if (voters_.has_required_voters() || runtime_.now() > started_at_ + kFormationTimeout) return true;
   reason = Reason{ReasonCode::kNoQuorum, step, "",
                   "the consensus group does not have all its voters yet; request refused"};
   return false;
@@ -35,12 +35,12 @@
 
 Awaitable<bool> RegistrationService::begin_evacuation(ZoneName zone, Reason& reason) {
   if (!may_acknowledge("evacuate_zone", reason)) co_return false;
-  co_return co_await evacuations_.take(std::move(zone), true, reason);
+  co_return co_await evacuations_.execute(std::move(zone), true, reason);
 }
 
 Awaitable<bool> RegistrationService::end_evacuation(ZoneName zone, Reason& reason) {
   if (!may_acknowledge("evacuate_zone", reason)) co_return false;
-  co_return co_await evacuations_.take(std::move(zone), false, reason);
+  co_return co_await evacuations_.execute(std::move(zone), false, reason);
 }
 
 Awaitable<bool> RegistrationService::replace_document(registry::ConfigurationDocument document,
@@ -76,22 +76,24 @@
   co_return std::nullopt;
 }
 
-void RegistrationService::refresh_takers() {
+void RegistrationService::refresh_relay_endpoints() {
   const TimePoint now = runtime_.now();
-  if (takers_revision_ == fleet_.revision() || now - takers_at_ < kTakersInterval) return;
-  takers_revision_ = fleet_.revision();
-  takers_at_ = now;
-  takers_.clear();
+  if (relay_endpoints_revision_ == fleet_.revision() || now - relay_endpoints_at_ < kRelayRefreshInterval)
+    return;
+  relay_endpoints_revision_ = fleet_.revision();
+  relay_endpoints_at_ = now;
+  relay_endpoints_.clear();
   for (const registry::AdmittedProxy& proxy : fleet_.proxies()) {
-    if (!proxy.leaving) takers_[proxy.zone].push_back(registry::registrations_at(proxy.peer_endpoint));
+    if (!proxy.leaving)
+      relay_endpoints_[proxy.zone].push_back(registry::registration_relay_endpoint(proxy.peer_endpoint));
   }
 }
 
-registry::Registration RegistrationService::place(const BackendName& name, const ZoneName& zone) {
-  refresh_takers();
-  const auto takers = takers_.find(zone);
-  if (takers == takers_.end()) return {};
-  return {takers->second[std::hash<BackendName>{}(name) % takers->second.size()]};
+registry::Registration RegistrationService::assign_relay(const BackendName& name, const ZoneName& zone) {
+  refresh_relay_endpoints();
+  const auto relays = relay_endpoints_.find(zone);
+  if (relays == relay_endpoints_.end()) return {};
+  return {relays->second[std::hash<BackendName>{}(name) % relays->second.size()]};
 }
 
 void RegistrationService::record_refused(const registry::RefusedRegistration& refused) {
@@ -99,17 +101,17 @@
   registry::log_refused_registration(runtime_.logger(), refused);
 }
 
-bool RegistrationService::belongs_here(const registry::BackendEntry& entry) const {
+bool RegistrationService::is_group_known(const registry::BackendEntry& entry) const {
   if (fleet_.find_group(entry.group) != nullptr) return true;
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
   return held != nullptr && held->group == entry.group;
 }
 
-Awaitable<bool> RegistrationService::is_named(registry::BackendEntry entry, Reason& reason) {
-  if (belongs_here(entry)) co_return true;
+Awaitable<bool> RegistrationService::ensure_group_exists(registry::BackendEntry entry, Reason& reason) {
+  if (is_group_known(entry)) co_return true;
   const bool confirmed = co_await confirm(reason);
   if (!confirmed) co_return false;
-  if (fleet_.document_version() == 0 || belongs_here(entry)) co_return true;
+  if (fleet_.document_version() == 0 || is_group_known(entry)) co_return true;
   reason = Reason{ReasonCode::kNotFound, "register_backend", "",
                   fmt::format("group: {} is not in the configuration document of version {}",
                               registry::printable_name(entry.group.value), fleet_.document_version())};
@@ -117,52 +119,53 @@
   co_return false;
 }
 
-Awaitable<bool> RegistrationService::is_outdated(registry::BackendEntry entry) {
-  const registry::BackendEntry* neighbour = fleet_.find_backend_at(entry.endpoint);
-  if (neighbour == nullptr || neighbour->name == entry.name) co_return false;
+Awaitable<bool> RegistrationService::another_backend_answers(registry::BackendEntry entry) {
+  const registry::BackendEntry* address_holder = fleet_.find_backend_at(entry.endpoint);
+  if (address_holder == nullptr || address_holder->name == entry.name) co_return false;
   co_return co_await prober_.is_another(std::move(entry), runtime_.now() + kStatusTimeout);
 }
 
-bool RegistrationService::is_of_former_incarnation(const registry::BackendEntry& entry) const {
-  if (fleet_.is_deregistered(entry.name, entry.born_ms)) return true;
+bool RegistrationService::is_from_earlier_incarnation(const registry::BackendEntry& entry) const {
+  if (fleet_.is_deregistered(entry.name, entry.start_time_ms)) return true;
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
-  if (held != nullptr && entry.is_of_earlier_incarnation_than(*held)) return true;
-  const registry::BackendEntry* neighbour = fleet_.find_backend_at(entry.endpoint);
-  return neighbour != nullptr && neighbour->name != entry.name &&
-         entry.is_of_earlier_incarnation_than(*neighbour);
+  if (held != nullptr && entry.is_older_incarnation_than(*held)) return true;
+  const registry::BackendEntry* address_holder = fleet_.find_backend_at(entry.endpoint);
+  return address_holder != nullptr && address_holder->name != entry.name &&
+         entry.is_older_incarnation_than(*address_holder);
 }
 
-void RegistrationService::mark_outdated(const registry::BackendEntry& entry) {
+void RegistrationService::record_outdated(const registry::BackendEntry& entry) {
   ++counts_.outdated;
-  if (told_outdated_.size() >= kMostToldOutdated) told_outdated_.clear();
-  if (!told_outdated_.insert(entry.incarnation()).second) return;
+  if (logged_outdated_.size() >= kMaxLoggedOutdated) logged_outdated_.clear();
+  if (!logged_outdated_.insert(entry.incarnation()).second) return;
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
   if (held == nullptr) held = fleet_.find_backend_at(entry.endpoint);
-  const std::uint64_t held_born = held != nullptr ? held->born_ms : fleet_.ended_birth(entry.name);
+  const std::uint64_t held_start_time_ms =
+      held != nullptr ? held->start_time_ms : fleet_.ended_start_time_ms(entry.name);
   runtime_.logger().log(LogLevel::kInfo, "registration_outdated",
                         {{"backend", entry.name.value},
                          {"group", entry.group.value},
-                         {"born", std::to_string(entry.born_ms)},
+                         {"born", std::to_string(entry.start_time_ms)},
                          {"held", held != nullptr ? held->name.value : "none"},
-                         {"held_born", std::to_string(held_born)}});
+                         {"held_born", std::to_string(held_start_time_ms)}});
 }
 
 Awaitable<std::optional<registry::Registration>> RegistrationService::register_backend(
     registry::BackendEntry entry, Reason& reason) {
-  const bool named = co_await is_named(entry, reason);
-  if (!named) co_return std::nullopt;
+  const bool group_exists = co_await ensure_group_exists(entry, reason);
+  if (!group_exists) co_return std::nullopt;
   const registry::BackendEntry* held = fleet_.find_backend(entry.name);
-  const registry::Registration registration = place(entry.name, entry.zone);
+  const registry::Registration registration = assign_relay(entry.name, entry.zone);
   // The log already contains newer state that every node honors, so the registration can be acknowledged.
-  if (is_of_former_incarnation(entry)) {
-    mark_outdated(entry);
+  if (is_from_earlier_incarnation(entry)) {
+    record_outdated(entry);
     co_return registration;
   }
   if (held != nullptr && !entry.supersedes(*held)) co_return registration;
-  const std::uint64_t former_born = held == nullptr ? 0 : held->born_ms;
-  const bool replaces = held != nullptr && held->born_ms != entry.born_ms;
-  const bool outdated = co_await is_outdated(entry);
-  if (outdated) {
+  const std::uint64_t former_start_time_ms = held == nullptr ? 0 : held->start_time_ms;
+  const bool replaces = held != nullptr && held->start_time_ms != entry.start_time_ms;
+  const bool conflicting = co_await another_backend_answers(entry);
+  if (conflicting) {
     reason = Reason{ReasonCode::kConflict, "register_backend", entry.endpoint.to_string(),
                     "another backend answers at this address; registration refused"};
     refused_.count(registry::RegistrationFault::kAddressInUse);
@@ -170,23 +173,23 @@
                           {{"backend", entry.name.value}, {"group", entry.group.value}});
     co_return std::nullopt;
   }
-  const registry::BackendEntry said = entry;
+  const registry::BackendEntry registered_entry = entry;
   registry::SingleCommand command = registry::RegisterBackend{std::move(entry)};
-  const bool done = co_await calls_.submit_gathered(std::move(command), reason);
+  const bool done = co_await calls_.submit_batched(std::move(command), reason);
   runtime_.logger().log(done ? LogLevel::kInfo : LogLevel::kWarning,
                         done ? "backend_registered" : "backend_not_registered", reason,
-                        {{"backend", said.name.value},
-                         {"group", said.group.value},
-                         {"born", std::to_string(said.born_ms)},
-                         {"leaving", said.leaving ? "true" : "false"}});
+                        {{"backend", registered_entry.name.value},
+                         {"group", registered_entry.group.value},
+                         {"born", std::to_string(registered_entry.start_time_ms)},
+                         {"leaving", registered_entry.leaving ? "true" : "false"}});
   if (!done) co_return std::nullopt;
   if (replaces) {
     ++counts_.replaced;
     runtime_.logger().log(LogLevel::kInfo, "incarnation_replaced",
-                          {{"backend", said.name.value},
-                           {"group", said.group.value},
-                           {"former_born", std::to_string(former_born)},
-                           {"born", std::to_string(said.born_ms)}});
+                          {{"backend", registered_entry.name.value},
+                           {"group", registered_entry.group.value},
+                           {"former_born", std::to_string(former_start_time_ms)},
+                           {"born", std::to_string(registered_entry.start_time_ms)}});
   }
   co_return registration;
 }
@@ -198,9 +201,9 @@
   if (!confirmed) co_return false;
   const std::string text = name.value;
   const registry::BackendEntry* held = fleet_.find_backend(name);
-  const std::uint64_t born = held == nullptr ? 0 : held->born_ms;
-  registry::SingleCommand command = registry::DeregisterBackend{std::move(name), born};
-  const bool done = co_await calls_.submit_gathered(std::move(command), reason);
+  const std::uint64_t registered_start_time_ms = held == nullptr ? 0 : held->start_time_ms;
+  registry::SingleCommand command = registry::DeregisterBackend{std::move(name), registered_start_time_ms};
+  const bool done = co_await calls_.submit_batched(std::move(command), reason);
   runtime_.logger().log(done ? LogLevel::kInfo : LogLevel::kWarning,
                         done ? "backend_deregistered" : "backend_not_deregistered", reason,
                         {{"backend", text}});
--- a/src/registered/control/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -33,7 +33,7 @@
         voters_(voters),
         prober_(prober),
         evacuations_(runtime, consensus, fleet, calls, std::move(zones)),
-        begun_(runtime.now()) {}
+        started_at_(runtime.now()) {}
 
   Awaitable<bool> replace_document(registry::ConfigurationDocument document, Reason& reason) override;
   Awaitable<std::optional<std::string>> read_document(Reason& reason) override;
@@ -51,28 +51,28 @@
  private:
   Awaitable<bool> confirm(Reason& reason);
   /// Returns false while the consensus group lacks voters, because an acknowledged write might not survive.
-  /// Stops waiting for the missing voters after kFormationPatience.
+  /// Stops waiting for the missing voters after kFormationTimeout.
   [[nodiscard]] bool may_acknowledge(const char* step, Reason& reason) const;
 
   /// Returns true if the local document contains the entry's group, or if no document exists yet. A
   /// registered backend remains valid in its group after the group was removed, so that it can deregister.
-  [[nodiscard]] bool belongs_here(const registry::BackendEntry& entry) const;
-  /// Like belongs_here(), but consults the newest document before rejecting, because local state may be stale
-  /// and a valid registration must not be lost. Fails with kNotFound if the group is not configured; with any
-  /// other code the answer is unknown.
-  Awaitable<bool> is_named(registry::BackendEntry entry, Reason& reason);
+  [[nodiscard]] bool is_group_known(const registry::BackendEntry& entry) const;
+  /// Like is_group_known(), but consults the newest document before rejecting, because local state may be
+  /// stale and a valid registration must not be lost. Fails with kNotFound if the group is not configured;
+  /// with any other code the answer is unknown.
+  Awaitable<bool> ensure_group_exists(registry::BackendEntry entry, Reason& reason);
   /// Returns true if the log contains a later incarnation of the entry's name or address, or the
   /// deregistration of this incarnation.
-  [[nodiscard]] bool is_of_former_incarnation(const registry::BackendEntry& entry) const;
+  [[nodiscard]] bool is_from_earlier_incarnation(const registry::BackendEntry& entry) const;
   /// Counts an outdated registration and logs the first one of each incarnation.
-  void mark_outdated(const registry::BackendEntry& entry);
+  void record_outdated(const registry::BackendEntry& entry);
   /// Returns true if a different backend that is registered at the same address answers there. The
   /// registration is then a late one of a terminated incarnation. Accepting it would displace the other
   /// backend permanently, because a displaced incarnation cannot register again.
-  Awaitable<bool> is_outdated(registry::BackendEntry entry);
+  Awaitable<bool> another_backend_answers(registry::BackendEntry entry);
   /// Assigns the backend a proxy of its zone, if there is one, for further heartbeats.
-  [[nodiscard]] registry::Registration place(const BackendName& name, const ZoneName& zone);
-  void refresh_takers();
+  [[nodiscard]] registry::Registration assign_relay(const BackendName& name, const ZoneName& zone);
+  void refresh_relay_endpoints();
 
   runtime::Runtime& runtime_;
   consensus::Consensus& consensus_;
@@ -81,14 +81,14 @@
   const VoterKeeper& voters_;
   GroupProber& prober_;
   EvacuationOrders evacuations_;
-  TimePoint begun_;
+  TimePoint started_at_;
   RegistrationCounts counts_;
-  std::set<registry::BackendIncarnation> told_outdated_;  ///< already logged
+  std::set<registry::BackendIncarnation> logged_outdated_;  ///< already logged
   /// registration endpoints of non-leaving proxies, by zone
-  std::map<ZoneName, std::vector<Endpoint>> takers_;
+  std::map<ZoneName, std::vector<Endpoint>> relay_endpoints_;
   registry::RegistrationFaultCounts refused_;
-  std::uint64_t takers_revision_ = 0;  ///< fleet revision from which `takers_` was built
-  TimePoint takers_at_{};
+  std::uint64_t relay_endpoints_revision_ = 0;  ///< fleet revision from which `relay_endpoints_` was built
+  TimePoint relay_endpoints_at_{};
 };
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/voter_keeper.cpp
+++ b/src/registered/control/voter_keeper.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// A voter that was not seen for this long is replaced if a standby node is available.
-constexpr Duration kVoterLostAfter = std::chrono::milliseconds(2500);
+constexpr Duration kVoterLostTimeout = std::chrono::milliseconds(2500);
 /// Interval of the voter check.
-constexpr Duration kVoterTick = std::chrono::milliseconds(250);
+constexpr Duration kVoterCheckInterval = std::chrono::milliseconds(250);
 /// Timeout of one membership change of the consensus group.
-constexpr Duration kVoterChangeLimit = std::chrono::seconds(10);
+constexpr Duration kVoterChangeTimeout = std::chrono::seconds(10);
 
 std::size_t count_voters(const consensus::ConsensusStatus& status) {
   return static_cast<std::size_t>(
@@ -35,17 +35,19 @@
     : runtime_(runtime),
       consensus_(consensus),
       directory_(directory),
-      wanted_voters_(2 * std::size_t{lost_disks_tolerated} + 1) {}
+      required_voters_(2 * std::size_t{lost_disks_tolerated} + 1) {}
 
 void VoterKeeper::start() { runtime_.spawn("voter_keeper", run()); }
 
-bool VoterKeeper::is_complete() const { return count_voters(consensus_.status()) >= wanted_voters_; }
+bool VoterKeeper::has_required_voters() const {
+  return count_voters(consensus_.status()) >= required_voters_;
+}
 
 Awaitable<void> VoterKeeper::run() {
   while (!stopping_) {
     auto change = find_change(runtime_.now());
-    if (change) co_await carry_out(std::move(*change));
-    co_await runtime_.sleep_for(kVoterTick);
+    if (change) co_await apply_change(std::move(*change));
+    co_await runtime_.sleep_for(kVoterCheckInterval);
   }
 }
 
@@ -53,30 +55,30 @@
   const consensus::ConsensusStatus status = consensus_.status();
   // After a pause of this process, or before it became leader, it cannot tell how long a voter has been
   // silent.
-  const bool looked_lately = now - pre_send_check_ < 4 * kVoterTick;
-  pre_send_check_ = now;
-  if (status.state != consensus::ServerState::kLeader || !looked_lately) heard_at_.clear();
+  const bool checked_recently = now - last_check_ < 4 * kVoterCheckInterval;
+  last_check_ = now;
+  if (status.state != consensus::ServerState::kLeader || !checked_recently) last_seen_.clear();
   if (status.state != consensus::ServerState::kLeader) return std::nullopt;
-  const auto lost = find_lost(status, now);
+  const auto lost = find_lost_voter(status, now);
   if (lost) {
     const auto standby = find_standby(status, &*lost, now);
     if (standby) return Change{lost, *standby};
   }
-  if (count_voters(status) >= wanted_voters_) return std::nullopt;
+  if (count_voters(status) >= required_voters_) return std::nullopt;
   const auto standby = find_standby(status, nullptr, now);
   if (!standby) return std::nullopt;
   return Change{std::nullopt, *standby};
 }
 
-std::optional<Member> VoterKeeper::find_lost(const consensus::ConsensusStatus& status, TimePoint now) {
+std::optional<Member> VoterKeeper::find_lost_voter(const consensus::ConsensusStatus& status, TimePoint now) {
   std::optional<Member> lost;
   for (const Member& member : status.members) {
     if (member.role != MemberRole::kVoter || member.node == status.leader) continue;
-    auto& heard_at = heard_at_.try_emplace(member.node, now).first->second;
+    auto& last_seen = last_seen_.try_emplace(member.node, now).first->second;
     const auto alive = directory_.alive(member.node, now);
-    if (alive && alive->identity == member.identity) heard_at = now;
-    const bool wiped = alive && alive->identity != member.identity;
-    if (!lost && (wiped || now - heard_at > kVoterLostAfter)) lost = member;
+    if (alive && alive->identity == member.identity) last_seen = now;
+    const bool lost_its_disk = alive && alive->identity != member.identity;
+    if (!lost && (lost_its_disk || now - last_seen > kVoterLostTimeout)) lost = member;
   }
   return lost;
 }
@@ -84,11 +86,11 @@
 std::optional<Member> VoterKeeper::find_standby(const consensus::ConsensusStatus& status, const Member* lost,
                                                 TimePoint now) const {
   if (lost != nullptr) {
-    auto same_node = directory_.alive(lost->node, now);
-    if (same_node && same_node->identity != lost->identity) return same_node;
+    auto returned = directory_.alive(lost->node, now);
+    if (returned && returned->identity != lost->identity) return returned;
   }
   std::optional<Member> chosen;
-  for (const Member& candidate : directory_.all_alive(now)) {
+  for (const Member& candidate : directory_.alive_members(now)) {
     const Member* member = find_member(status, candidate.node);
     if (member != nullptr && member->role == MemberRole::kVoter) continue;
     const bool same_zone = lost != nullptr && candidate.zone == lost->zone;
@@ -97,13 +99,13 @@
   return chosen;
 }
 
-Awaitable<void> VoterKeeper::carry_out(Change change) {
+Awaitable<void> VoterKeeper::apply_change(Change change) {
   Member standby = change.standby;
   standby.role = MemberRole::kVoter;
   const std::string lost_name = change.lost ? change.lost->node.value : "";
   runtime_.logger().log(runtime::LogLevel::kInfo, "voter_change_begun",
                         {{"lost", lost_name}, {"standby", standby.node.value}});
-  const TimePoint deadline = runtime_.now() + kVoterChangeLimit;
+  const TimePoint deadline = runtime_.now() + kVoterChangeTimeout;
   Reason reason;
   const consensus::ConsensusStatus status = consensus_.status();
   const Member* present = find_member(status, standby.node);
@@ -121,7 +123,7 @@
   runtime_.logger().log(done ? runtime::LogLevel::kInfo : runtime::LogLevel::kWarning,
                         done ? "voter_changed" : "voter_not_changed", reason,
                         {{"lost", lost_name}, {"standby", standby.node.value}});
-  heard_at_.clear();
+  last_seen_.clear();
 }
 
 }  // namespace cairnhollow::registered::control
--- a/src/registered/control/voter_keeper.h
+++ b/src/registered/control/voter_keeper.h
@@ -23,7 +23,7 @@
   void stop() { stopping_ = true; }
   /// Returns true if the group has the required number of voters. Before that, an acknowledged write might
   /// not survive the tolerated disk failures.
-  [[nodiscard]] bool is_complete() const;
+  [[nodiscard]] bool has_required_voters() const;
 
  private:
   struct Change {
@@ -33,18 +33,18 @@
 
   Awaitable<void> run();
   std::optional<Change> find_change(TimePoint now);
-  std::optional<consensus::Member> find_lost(const consensus::ConsensusStatus& status, TimePoint now);
+  std::optional<consensus::Member> find_lost_voter(const consensus::ConsensusStatus& status, TimePoint now);
   [[nodiscard]] std::optional<consensus::Member> find_standby(const consensus::ConsensusStatus& status,
                                                               const consensus::Member* lost,
                                                               TimePoint now) const;
-  Awaitable<void> carry_out(Change change);
+  Awaitable<void> apply_change(Change change);
 
   runtime::Runtime& runtime_;
   consensus::Consensus& consensus_;
   const ControlNodeDirectory& directory_;
-  std::size_t wanted_voters_;
-  std::map<NodeName, TimePoint> heard_at_;
-  TimePoint pre_send_check_{};
+  std::size_t required_voters_;
+  std::map<NodeName, TimePoint> last_seen_;
+  TimePoint last_check_{};
   bool stopping_ = false;
 };
 
--- a/src/registered/proxy/fleet/fleet_view.cpp
+++ b/src/registered/proxy/fleet/fleet_view.cpp
@@ -54,10 +54,10 @@
 }
 
 void FleetView::apply_routes(const registry::FleetDelta& delta) {
-  if (delta.is_whole) routes_.clear();
+  if (delta.is_full) routes_.clear();
   for (const RouteName& name : delta.removed_routes) routes_.erase(name);
   for (const registry::RouteRule& route : delta.routes) routes_[route.name] = route;
-  if (!delta.is_whole && delta.removed_routes.empty() && delta.routes.empty()) return;
+  if (!delta.is_full && delta.removed_routes.empty() && delta.routes.empty()) return;
   by_database_.clear();
   routes_name_regions_ = false;
   for (const auto& [name, route] : routes_) {
@@ -70,7 +70,7 @@
   std::set<BackendName> kept;
   for (const registry::BackendEntry& entry : delta.backends) kept.insert(entry.name);
   std::vector<BackendName> removed = delta.removed_backends;
-  if (delta.is_whole) {
+  if (delta.is_full) {
     for (const auto& [name, group] : group_of_) {
       if (kept.count(name) == 0) removed.push_back(name);
     }
@@ -91,7 +91,7 @@
   std::set<ZoneName> begun;
   for (const registry::Evacuation& evacuation : delta.evacuations) begun.insert(evacuation.zone);
   std::vector<ZoneName> ended = delta.ended_evacuations;
-  if (delta.is_whole) ended = evacuated_->others_than(begun);
+  if (delta.is_full) ended = evacuated_->others_than(begun);
   bool changed = false;
   for (const ZoneName& zone : ended) {
     if (!evacuated_->end(zone)) continue;
@@ -126,7 +126,7 @@
 
 void FleetView::apply_tenants(const registry::FleetDelta& delta) {
   keys_changed_ = std::exchange(requires_keys_, delta.requires_keys) != delta.requires_keys;
-  if (delta.is_whole) tenants_.clear();
+  if (delta.is_full) tenants_.clear();
   for (const TenantName& name : delta.removed_tenants) tenants_.remove(name);
   for (const registry::TenantRule& tenant : delta.tenants) {
     const auto former = tenant_limit(tenant.name);
@@ -137,7 +137,7 @@
 }
 
 void FleetView::apply_proxies(const registry::FleetDelta& delta) {
-  if (delta.is_whole) proxies_.clear();
+  if (delta.is_full) proxies_.clear();
   for (const NodeName& name : delta.removed_proxies) proxies_.erase(name);
   for (const registry::AdmittedProxy& proxy : delta.proxies) proxies_[proxy.node] = proxy;
 }
@@ -157,7 +157,7 @@
     const auto held = proxies_.find(node);
     if (held != proxies_.end()) changed.push_back(view_of(held->second));
   }
-  if (!delta.is_whole) return changed;
+  if (!delta.is_full) return changed;
   for (const auto& [node, proxy] : proxies_) changed.push_back(view_of(proxy));
   return changed;
 }
@@ -316,7 +316,7 @@
 
 bool FleetView::changes_division(const registry::FleetDelta& delta) const {
   // A group counts with its connections; terms and routes do not.
-  if (delta.is_whole || !delta.proxies.empty() || !delta.removed_proxies.empty()) return true;
+  if (delta.is_full || !delta.proxies.empty() || !delta.removed_proxies.empty()) return true;
   if (!delta.groups.empty() || !delta.removed_backends.empty()) return true;
   return std::any_of(delta.backends.begin(), delta.backends.end(), [this](const auto& entry) {
     const registry::BackendEntry* held = find_backend(entry.name);
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -20,8 +20,8 @@
   [[nodiscard]] bool knows(const registry::BackendEntry& entry) const override {
     const registry::BackendEntry* held = view_.find_backend(entry.name);
     if (held == nullptr) return false;
-    const bool is_late = entry.tells_birth() && entry.is_of_earlier_incarnation_than(*held);
-    return is_late || held->same_facts(entry);
+    const bool is_late = entry.has_start_time() && entry.is_older_incarnation_than(*held);
+    return is_late || held->has_same_state(entry);
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override {
     return link_.registration_endpoint();
--- a/src/registered/proxy/group/group_access.cpp
+++ b/src/registered/proxy/group/group_access.cpp
@@ -79,7 +79,7 @@
 
 std::optional<Position> GroupAccess::required_of(const BackendUse& backend, const ReadNeed& need) const {
   if (!need.primary_only) return need.required;
-  if (!backend.entry.tells_birth() || backend.entry.name != term().primary) return std::nullopt;
+  if (!backend.entry.has_start_time() || backend.entry.name != term().primary) return std::nullopt;
   return positions.shown();
 }
 
--- a/src/registered/proxy/group/leadership.cpp
+++ b/src/registered/proxy/group/leadership.cpp
@@ -6,7 +6,7 @@
   TermChange change;
   change.given_up = term_.open && (!term.open || term.epoch != term_.epoch);
   change.other_primary = term.term != term_.term || term.primary != term_.primary ||
-                         term.primary_born_ms != term_.primary_born_ms;
+                         term.primary_start_time_ms != term_.primary_start_time_ms;
   if (term_.open && !term.open) closed_at_ = runtime_.now();
   term_ = term;
   if (change.given_up) member_lease_until_ = TimePoint{};
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -91,7 +91,7 @@
                        status.is_primary ? "primary" : "replica", status.term, round.term.term);
   if (status.pause_term > 0) return fmt::format("{} is paused for term {}", name, status.pause_term);
   // Its pause, if there was one, ended with the incarnation that the round was to ask.
-  if (member.entry.tells_birth() && has_lost_log(round, member, status.received))
+  if (member.entry.has_start_time() && has_lost_log(round, member, status.received))
     return fmt::format("{} shows less than it should, so that it has started again", name);
   return {};
 }
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -144,7 +144,7 @@
   runtime_.spawn("session_accept", accept_callers());
   if (!forward_server_.start(settings_.peer_endpoint, reason)) co_return false;
   if (registrations_) {
-    const Endpoint endpoint = registry::registrations_at(settings_.peer_endpoint);
+    const Endpoint endpoint = registry::registration_relay_endpoint(settings_.peer_endpoint);
     registration_server_ = runtime_.http().serve(endpoint, *registrations_, reason);
     if (!registration_server_) co_return false;
   }
--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -30,11 +30,11 @@
 
 struct DeregisterBackend {
   BackendName name;
-  std::uint64_t born_ms = 0;  ///< start time of the incarnation that ends; 0: the registered one
+  std::uint64_t start_time_ms = 0;  ///< start time of the incarnation that ends; 0: the registered one
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name);
-    wire::since(archive, wire::kPlacesFormat, born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacesFormat, start_time_ms, std::uint64_t{0});
   }
 };
 
@@ -73,11 +73,11 @@
   std::uint64_t epoch = 0;  ///< epoch seen by the sender; without effect if the current epoch differs
   std::uint64_t term = 0;
   BackendName primary;
-  std::uint64_t primary_born_ms = 0;  ///< start time of the primary's incarnation; 0: unknown
+  std::uint64_t primary_start_time_ms = 0;  ///< start time of the primary's incarnation; 0: unknown
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, epoch, term, primary);
-    wire::since(archive, wire::kPlacesFormat, primary_born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacesFormat, primary_start_time_ms, std::uint64_t{0});
   }
 };
 
--- a/src/registered/registry/control_service.h
+++ b/src/registered/registry/control_service.h
@@ -15,7 +15,7 @@
 /// Result of an accepted registration.
 struct Registration {
   /// Endpoint for further heartbeats, until it fails; std::nullopt: any control node.
-  std::optional<Endpoint> again_at;
+  std::optional<Endpoint> heartbeat_endpoint;
 };
 
 class ControlService {
--- a/src/registered/registry/delta.h
+++ b/src/registered/registry/delta.h
@@ -8,10 +8,10 @@
 
 namespace cairnhollow::registered::registry {
 
-/// If `is_whole` is set, replaces the receiver's entire state; otherwise changes only the rows that it
+/// If `is_full` is set, replaces the receiver's entire state; otherwise changes only the rows that it
 /// contains.
 struct FleetDelta {
-  bool is_whole = false;
+  bool is_full = false;
   std::uint64_t revision = 0;  ///< revision of the receiver after applying it; 0: nothing is known yet
   std::uint64_t document_version = 0;
   std::uint64_t transaction_idle_ms = 0;
@@ -32,7 +32,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(is_whole, revision, document_version, transaction_idle_ms, routes, removed_routes, groups,
+    archive(is_full, revision, document_version, transaction_idle_ms, routes, removed_routes, groups,
             removed_groups, backends, removed_backends, terms, proxies, removed_proxies);
     wire::since(archive, wire::kTenantsFormat, requires_keys, false);
     wire::since(archive, wire::kTenantsFormat, tenants, std::vector<TenantRule>());
--- a/src/registered/registry/model.h
+++ b/src/registered/registry/model.h
@@ -103,12 +103,12 @@
 /// One run of a backend process. A backend that restarts under its name retains no data of the previous run.
 struct BackendIncarnation {
   BackendName name;
-  std::uint64_t born_ms = 0;  ///< Unix time of the process start on its own clock; 0: not reported
+  std::uint64_t start_time_ms = 0;  ///< Unix time of the process start on its own clock; 0: not reported
   auto operator<=>(const BackendIncarnation&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(name, born_ms);
+    archive(name, start_time_ms);
   }
 };
 
@@ -122,34 +122,34 @@
   bool leaving = false;
   /// Sequence number of the registration within this incarnation; a lower one that arrives later is stale.
   std::uint64_t sequence = 0;
-  std::uint64_t born_ms = 0;  ///< Unix time of the process start on its own clock; 0: not reported
-  std::uint64_t cold_ms = 0;  ///< remaining cold time at registration; 0: warm
-  [[nodiscard]] BackendIncarnation incarnation() const { return {name, born_ms}; }
+  std::uint64_t start_time_ms = 0;  ///< Unix time of the process start on its own clock; 0: not reported
+  std::uint64_t cold_ms = 0;        ///< remaining cold time at registration; 0: warm
+  [[nodiscard]] BackendIncarnation incarnation() const { return {name, start_time_ms}; }
   /// Returns true if the backend reported its start time.
-  [[nodiscard]] bool tells_birth() const { return born_ms != 0; }
+  [[nodiscard]] bool has_start_time() const { return start_time_ms != 0; }
   /// Returns true if the two registrations carry the same state. A change between cold and warm counts as a
   /// change; a change of the remaining cold time does not.
-  [[nodiscard]] bool same_facts(const BackendEntry& other) const {
-    return born_ms == other.born_ms && group == other.group && endpoint == other.endpoint &&
+  [[nodiscard]] bool has_same_state(const BackendEntry& other) const {
+    return start_time_ms == other.start_time_ms && group == other.group && endpoint == other.endpoint &&
            zone == other.zone && slots == other.slots && leaving == other.leaving &&
            (cold_ms > 0) == (other.cold_ms > 0);
   }
   /// Returns true if this entry, which has the same name or address as `held`, belongs to an earlier
   /// incarnation, or reports no start time while `held` does.
-  [[nodiscard]] bool is_of_earlier_incarnation_than(const BackendEntry& held) const {
-    return born_ms < held.born_ms;
+  [[nodiscard]] bool is_older_incarnation_than(const BackendEntry& held) const {
+    return start_time_ms < held.start_time_ms;
   }
   /// Returns true if this entry replaces `held`, which has the same name: it belongs to a later incarnation,
   /// or to the same one with a higher sequence number and changed state.
   [[nodiscard]] bool supersedes(const BackendEntry& held) const {
-    if (born_ms != held.born_ms) return born_ms > held.born_ms;
-    return sequence > held.sequence && !same_facts(held);
+    if (start_time_ms != held.start_time_ms) return start_time_ms > held.start_time_ms;
+    return sequence > held.sequence && !has_same_state(held);
   }
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name, group, endpoint, zone, slots, leaving, sequence);
-    wire::since(archive, wire::kPlacesFormat, born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacesFormat, start_time_ms, std::uint64_t{0});
     wire::since(archive, wire::kPlacesFormat, cold_ms, std::uint64_t{0});
   }
 };
@@ -161,14 +161,14 @@
   std::uint64_t term = 0;
   BackendName primary;
   bool open = false;
-  std::uint64_t epoch = 0;            ///< incremented on each change of this entry
-  std::uint64_t opened_at = 0;        ///< revision at which the primary was last confirmed
-  std::uint64_t primary_born_ms = 0;  ///< start time of the incarnation of `primary` that leads; 0: unknown
+  std::uint64_t epoch = 0;                  ///< incremented on each change of this entry
+  std::uint64_t opened_at = 0;              ///< revision at which the primary was last confirmed
+  std::uint64_t primary_start_time_ms = 0;  ///< start time of the leading incarnation; 0: unknown
   /// Returns true if the backend has the primary's name but is known to be another incarnation, which does
   /// not lead.
   [[nodiscard]] bool is_restarted_primary(const BackendEntry& entry) const {
-    return entry.name == primary && entry.born_ms != 0 && primary_born_ms != 0 &&
-           entry.born_ms != primary_born_ms;
+    return entry.name == primary && entry.start_time_ms != 0 && primary_start_time_ms != 0 &&
+           entry.start_time_ms != primary_start_time_ms;
   }
   /// Returns true if the backend is the primary, as far as is known.
   [[nodiscard]] bool is_led_by(const BackendEntry& entry) const {
@@ -178,7 +178,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, term, primary, open, epoch, opened_at);
-    wire::since(archive, wire::kPlacesFormat, primary_born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacesFormat, primary_start_time_ms, std::uint64_t{0});
   }
 };
 
@@ -209,7 +209,7 @@
 };
 
 /// Endpoint at which a proxy answers repeated registrations: the port after its peer port.
-inline Endpoint registrations_at(const Endpoint& peer_endpoint) {
+inline Endpoint registration_relay_endpoint(const Endpoint& peer_endpoint) {
   return {peer_endpoint.address, static_cast<std::uint16_t>(peer_endpoint.port + 1)};
 }
 
--- a/src/registered/registry/registration_fault.cpp
+++ b/src/registered/registry/registration_fault.cpp
@@ -17,7 +17,7 @@
 }
 
 std::string printable_name(std::string_view name) {
-  std::string printable(name.substr(0, kMostLoggedName));
+  std::string printable(name.substr(0, kMaxLoggedNameBytes));
   for (char& character : printable) {
     if (!is_printable(character)) character = '?';
   }
--- a/src/registered/registry/registration_fault.h
+++ b/src/registered/registry/registration_fault.h
@@ -48,9 +48,9 @@
 };
 
 /// Maximum length of a name in log lines and responses, in bytes, because senders are not authenticated.
-inline constexpr std::size_t kMostLoggedName = 64;
+inline constexpr std::size_t kMaxLoggedNameBytes = 64;
 
-/// Truncates `name` to kMostLoggedName bytes and replaces non-printable bytes by '?'.
+/// Truncates `name` to kMaxLoggedNameBytes and replaces non-printable bytes by '?'.
 std::string printable_name(std::string_view name);
 
 /// Logs one `registration_refused` line of bounded length.
--- a/src/registered/registry/stable_revision.h
+++ b/src/registered/registry/stable_revision.h
@@ -10,20 +10,20 @@
 namespace cairnhollow::registered::registry {
 
 /// The leader's knowledge of one incarnation of a proxy that may count operations for tenants.
-struct ProxyKnowledge {
+struct ProxyRevision {
   std::uint64_t revision = 0;   ///< last reported to this leader; 0: none reported yet
-  TimePoint may_count_until{};  ///< latest end of its authority (registry/budget_authority.h)
+  TimePoint authority_until{};  ///< latest end of its authority (registry/budget_authority.h)
 };
 
 /// The lowest revision held by a proxy that may still count operations, or `newest` if there is no such proxy
 /// at an older one.
-inline std::uint64_t stable_revision(const std::vector<ProxyKnowledge>& proxies, std::uint64_t newest,
+inline std::uint64_t stable_revision(const std::vector<ProxyRevision>& proxies, std::uint64_t newest,
                                      TimePoint now) {
-  std::uint64_t settled = newest;
-  for (const ProxyKnowledge& proxy : proxies) {
-    if (now <= proxy.may_count_until) settled = std::min(settled, proxy.revision);
+  std::uint64_t stable = newest;
+  for (const ProxyRevision& proxy : proxies) {
+    if (now <= proxy.authority_until) stable = std::min(stable, proxy.revision);
   }
-  return settled;
+  return stable;
 }
 
 }  // namespace cairnhollow::registered::registry
--- a/src/registered/registry/state_machine.cpp
+++ b/src/registered/registry/state_machine.cpp
@@ -19,10 +19,11 @@
   Reason reason;
   auto logged = wire::decode<LoggedCommand>(command, reason);
   if (!logged) return;  // written by a newer build; skipped by every node of this build
-  const bool effective = std::visit([this](auto& alternative) { return take(alternative); }, logged->command);
+  const bool effective =
+      std::visit([this](auto& alternative) { return execute(alternative); }, logged->command);
   if (!effective) return;
   state_.revision = next_revision();
-  bound_removed();
+  trim_removed_rows();
   changed_.notify_all();
 }
 
@@ -39,7 +40,7 @@
   }
 }
 
-bool FleetStateMachine::take(ReplaceDocument& command) {
+bool FleetStateMachine::execute(ReplaceDocument& command) {
   ConfigurationDocument& document = command.document;
   if (document.version <= state_.document_version) return false;
   state_.document_version = document.version;
@@ -47,60 +48,61 @@
   state_.transaction_idle_ms = document.transaction_idle_ms;
   replace_rows(state_.routes, document.routes);
   replace_rows(state_.groups, document.groups);
-  record_groups();
+  update_cold_limits();
   state_.requires_keys = document.requires_keys;
   replace_rows(state_.tenants, document.tenants);
   return true;
 }
 
-bool FleetStateMachine::take(RegisterBackend& command) {
+bool FleetStateMachine::execute(RegisterBackend& command) {
   BackendEntry& entry = command.entry;
-  if (is_deregistered(entry.name, entry.born_ms)) return false;
+  if (is_deregistered(entry.name, entry.start_time_ms)) return false;
   const BackendEntry* held = state_.backends.find(entry.name);
   if (held != nullptr && !entry.supersedes(*held)) return false;
-  if (!take_address(entry)) return false;
+  if (!claim_address(entry)) return false;
   put_backend(std::move(entry));
   return true;
 }
 
-bool FleetStateMachine::take_address(const BackendEntry& entry) {
-  const auto found = at_endpoint_.find(entry.endpoint);
-  if (found == at_endpoint_.end() || found->second == entry.name) return true;
+bool FleetStateMachine::claim_address(const BackendEntry& entry) {
+  const auto found = backend_at_endpoint_.find(entry.endpoint);
+  if (found == backend_at_endpoint_.end() || found->second == entry.name) return true;
   const BackendEntry* other = state_.backends.find(found->second);
   // An address belongs to the backend that started there last or, if neither reports a start time, registered
   // there last.
-  if (entry.is_of_earlier_incarnation_than(*other)) return false;
+  if (entry.is_older_incarnation_than(*other)) return false;
   remove_backend(BackendName(found->second));
   return true;
 }
 
-bool FleetStateMachine::take(DeregisterBackend& command) {
+bool FleetStateMachine::execute(DeregisterBackend& command) {
   const BackendEntry* held = state_.backends.find(command.name);
   // The command refers to an earlier incarnation; the registered one remains.
-  if (held != nullptr && command.born_ms != 0 && command.born_ms < held->born_ms) return false;
+  if (held != nullptr && command.start_time_ms != 0 && command.start_time_ms < held->start_time_ms)
+    return false;
   return remove_backend(command.name);
 }
 
-bool FleetStateMachine::take(BeginEvacuation& command) {
+bool FleetStateMachine::execute(BeginEvacuation& command) {
   if (is_evacuated(command.zone)) return false;
   state_.evacuations.put(command.zone, Evacuation{command.zone}, next_revision());
   return true;
 }
 
-bool FleetStateMachine::take(EndEvacuation& command) {
+bool FleetStateMachine::execute(EndEvacuation& command) {
   return state_.evacuations.remove(command.zone, next_revision());
 }
 
-bool FleetStateMachine::take(CommandBatch& command) {
+bool FleetStateMachine::execute(CommandBatch& command) {
   bool effective = false;
   for (SingleCommand& single : command.commands) {
-    const bool changed = std::visit([this](auto& alternative) { return take(alternative); }, single);
+    const bool changed = std::visit([this](auto& alternative) { return execute(alternative); }, single);
     effective = effective || changed;
   }
   return effective;
 }
 
-void FleetStateMachine::record_groups() {
+void FleetStateMachine::update_cold_limits() {
   const std::vector<GroupRule> groups = state_.groups.all();
   limits_cold_backends_ = std::any_of(groups.begin(), groups.end(),
                                       [](const GroupRule& group) { return group.cold_rate_per_s > 0; });
@@ -115,11 +117,11 @@
   const BackendEntry* held = state_.backends.find(entry.name);
   if (held != nullptr) {
     members_[held->group].erase(entry.name);
-    at_endpoint_.erase(held->endpoint);
+    backend_at_endpoint_.erase(held->endpoint);
   }
-  record_backend(entry);
+  index_backend(entry);
   const BackendName name = entry.name;
-  state_.ended_births.erase(name);
+  state_.ended_start_times.erase(name);
   state_.backends.put(name, std::move(entry), next_revision());
 }
 
@@ -127,17 +129,17 @@
   const BackendEntry* held = state_.backends.find(name);
   if (held == nullptr) return false;
   members_[held->group].erase(name);
-  at_endpoint_.erase(held->endpoint);
-  if (held->tells_birth()) state_.ended_births[name] = held->born_ms;
+  backend_at_endpoint_.erase(held->endpoint);
+  if (held->has_start_time()) state_.ended_start_times[name] = held->start_time_ms;
   return state_.backends.remove(name, next_revision());
 }
 
-void FleetStateMachine::record_backend(const BackendEntry& entry) {
+void FleetStateMachine::index_backend(const BackendEntry& entry) {
   members_[entry.group].insert(entry.name);
-  at_endpoint_[entry.endpoint] = entry.name;
+  backend_at_endpoint_[entry.endpoint] = entry.name;
 }
 
-bool FleetStateMachine::take(AdmitProxy& command) {
+bool FleetStateMachine::execute(AdmitProxy& command) {
   AdmittedProxy& proxy = command.proxy;
   const AdmittedProxy* held = state_.proxies.find(proxy.node);
   if (held != nullptr && *held == proxy) return false;
@@ -148,7 +150,7 @@
   return true;
 }
 
-bool FleetStateMachine::take(ForgetProxy& command) {
+bool FleetStateMachine::execute(ForgetProxy& command) {
   const AdmittedProxy* held = state_.proxies.find(command.node);
   if (held == nullptr || held->incarnation != command.incarnation) return false;
   state_.proxies.remove(command.node, next_revision());
@@ -157,7 +159,7 @@
   return true;
 }
 
-bool FleetStateMachine::take(CloseGroup& command) {
+bool FleetStateMachine::execute(CloseGroup& command) {
   const GroupTerm* held = state_.terms.find(command.group);
   if (held == nullptr || !held->open || held->epoch != command.epoch) return false;
   GroupTerm closed = *held;
@@ -167,17 +169,17 @@
   return true;
 }
 
-bool FleetStateMachine::take(OpenGroup& command) {
+bool FleetStateMachine::execute(OpenGroup& command) {
   const GroupTerm* held = state_.terms.find(command.group);
   const std::uint64_t epoch = held == nullptr ? 0 : held->epoch;
   if (epoch != command.epoch || (held != nullptr && held->open)) return false;
   if (held != nullptr && command.term < held->term) return false;
   put_term(GroupTerm{command.group, command.term, command.primary, true, epoch + 1, next_revision(),
-                     command.primary_born_ms});
+                     command.primary_start_time_ms});
   return true;
 }
 
-void FleetStateMachine::bound_removed() {
+void FleetStateMachine::trim_removed_rows() {
   if (state_.routes.removed_count() <= kMaxRemovedRows &&
       state_.backends.removed_count() <= kMaxRemovedRows &&
       state_.tenants.removed_count() <= kMaxRemovedRows &&
@@ -189,12 +191,12 @@
   state_.proxies.forget_removed(state_.revision);
   state_.tenants.forget_removed(state_.revision);
   state_.evacuations.forget_removed(state_.revision);
-  bound_ended_births();
+  trim_ended_start_times();
   state_.complete_from = state_.revision;
 }
 
-void FleetStateMachine::bound_ended_births() {
-  std::erase_if(state_.ended_births,
+void FleetStateMachine::trim_ended_start_times() {
+  std::erase_if(state_.ended_start_times,
                 [this](const auto& ended) { return !state_.backends.was_removed(ended.first); });
 }
 
@@ -208,9 +210,9 @@
   state_ = std::move(*state);
   proxies_revision_ = state_.revision;
   members_.clear();
-  at_endpoint_.clear();
-  for (const BackendEntry& entry : state_.backends.all()) record_backend(entry);
-  record_groups();
+  backend_at_endpoint_.clear();
+  for (const BackendEntry& entry : state_.backends.all()) index_backend(entry);
+  update_cold_limits();
   changed_.notify_all();
   return true;
 }
@@ -222,14 +224,14 @@
 }
 
 const BackendEntry* FleetStateMachine::find_backend_at(const Endpoint& endpoint) const {
-  const auto found = at_endpoint_.find(endpoint);
-  return found == at_endpoint_.end() ? nullptr : find_backend(found->second);
+  const auto found = backend_at_endpoint_.find(endpoint);
+  return found == backend_at_endpoint_.end() ? nullptr : find_backend(found->second);
 }
 
 const std::set<BackendName>& FleetStateMachine::members_of(const GroupName& group) const {
-  static const std::set<BackendName> nobody;
+  static const std::set<BackendName> none;
   const auto found = members_.find(group);
-  return found == members_.end() ? nobody : found->second;
+  return found == members_.end() ? none : found->second;
 }
 
 std::set<BackendIncarnation> FleetStateMachine::incarnations_of(const GroupName& group) const {
@@ -240,8 +242,8 @@
 
 FleetDelta FleetStateMachine::delta_since(std::uint64_t revision) const {
   FleetDelta delta;
-  delta.is_whole = revision == 0 || revision < state_.complete_from;
-  const std::uint64_t since = delta.is_whole ? 0 : revision;
+  delta.is_full = revision == 0 || revision < state_.complete_from;
+  const std::uint64_t since = delta.is_full ? 0 : revision;
   delta.revision = state_.revision;
   delta.document_version = state_.document_version;
   delta.transaction_idle_ms = state_.transaction_idle_ms;
@@ -253,7 +255,7 @@
   delta.requires_keys = state_.requires_keys;
   delta.tenants = state_.tenants.changed_since(since);
   delta.evacuations = state_.evacuations.changed_since(since);
-  if (delta.is_whole) return delta;
+  if (delta.is_full) return delta;
   delta.removed_routes = state_.routes.removed_since(since);
   delta.removed_groups = state_.groups.removed_since(since);
   delta.removed_backends = state_.backends.removed_since(since);
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -51,13 +51,13 @@
   [[nodiscard]] const BackendEntry* find_backend_at(const Endpoint& endpoint) const;
   /// Returns true if the incarnation with that start time was deregistered, or precedes one that was. A late
   /// heartbeat does not register it again.
-  [[nodiscard]] bool is_deregistered(const BackendName& name, std::uint64_t born_ms = 0) const {
-    return state_.backends.was_removed(name) && born_ms <= ended_birth(name);
+  [[nodiscard]] bool is_deregistered(const BackendName& name, std::uint64_t start_time_ms = 0) const {
+    return state_.backends.was_removed(name) && start_time_ms <= ended_start_time_ms(name);
   }
   /// Start time of the last incarnation of a removed backend; 0 if it reported none or is unknown.
-  [[nodiscard]] std::uint64_t ended_birth(const BackendName& name) const {
-    const auto found = state_.ended_births.find(name);
-    return found == state_.ended_births.end() ? 0 : found->second;
+  [[nodiscard]] std::uint64_t ended_start_time_ms(const BackendName& name) const {
+    const auto found = state_.ended_start_times.find(name);
+    return found == state_.ended_start_times.end() ? 0 : found->second;
   }
   /// The fleet revision at which the backend's entry last changed; a holder of this or a later revision has
   /// the current entry.
@@ -115,7 +115,7 @@
     std::uint64_t proxy_lost_at = 0;  ///< revision at which a proxy incarnation was last replaced or removed
     /// Start time of the last incarnation of each removed backend; registrations of earlier incarnations are
     /// stale.
-    std::map<BackendName, std::uint64_t> ended_births;
+    std::map<BackendName, std::uint64_t> ended_start_times;
     RevisedTable<ZoneName, Evacuation> evacuations;
 
     template <class Archive>
@@ -124,41 +124,41 @@
               backends, terms, proxies, proxy_lost_at);
       wire::since(archive, wire::kTenantsFormat, requires_keys, false);
       wire::since(archive, wire::kTenantsFormat, tenants, RevisedTable<TenantName, TenantRule>());
-      wire::since(archive, wire::kPlacesFormat, ended_births, std::map<BackendName, std::uint64_t>());
+      wire::since(archive, wire::kPlacesFormat, ended_start_times, std::map<BackendName, std::uint64_t>());
       wire::since(archive, wire::kPlacesFormat, evacuations, RevisedTable<ZoneName, Evacuation>());
     }
   };
 
-  bool take(ReplaceDocument& command);
-  bool take(RegisterBackend& command);
-  bool take(DeregisterBackend& command);
-  bool take(AdmitProxy& command);
-  bool take(ForgetProxy& command);
-  bool take(CloseGroup& command);
-  bool take(OpenGroup& command);
-  bool take(BeginEvacuation& command);
-  bool take(EndEvacuation& command);
-  bool take(CommandBatch& command);
+  bool execute(ReplaceDocument& command);
+  bool execute(RegisterBackend& command);
+  bool execute(DeregisterBackend& command);
+  bool execute(AdmitProxy& command);
+  bool execute(ForgetProxy& command);
+  bool execute(CloseGroup& command);
+  bool execute(OpenGroup& command);
+  bool execute(BeginEvacuation& command);
+  bool execute(EndEvacuation& command);
+  bool execute(CommandBatch& command);
   void put_term(const GroupTerm& term);
   void put_backend(BackendEntry entry);
   bool remove_backend(const BackendName& name);
   /// Removes the backend previously registered at the entry's address. Returns false if the entry is stale
   /// because another backend started there after it.
-  bool take_address(const BackendEntry& entry);
+  bool claim_address(const BackendEntry& entry);
   /// Discards start times of removed backends whose removal is no longer recorded.
-  void bound_ended_births();
-  void record_backend(const BackendEntry& entry);
+  void trim_ended_start_times();
+  void index_backend(const BackendEntry& entry);
   /// Replaces the table's rows, keyed by name. Unchanged rows keep their revision.
   template <class Key, class Row>
   void replace_rows(RevisedTable<Key, Row>& table, const std::vector<Row>& rows);
-  void record_groups();
-  void bound_removed();
+  void update_cold_limits();
+  void trim_removed_rows();
   [[nodiscard]] std::uint64_t next_revision() const { return state_.revision + 1; }
 
   State state_;
   // Indexes derived from `state_.backends`, so that neither commands nor group lookups scan all backends.
   std::map<GroupName, std::set<BackendName>> members_;
-  std::map<Endpoint, BackendName> at_endpoint_;
+  std::map<Endpoint, BackendName> backend_at_endpoint_;
   bool limits_cold_backends_ = false;  ///< true if any group limits cold backends
   std::uint64_t terms_revision_ = 0;
   std::uint64_t proxies_revision_ = 0;
--- a/tests/platform/document_json_test.cpp
+++ b/tests/platform/document_json_test.cpp
@@ -132,12 +132,12 @@
   void a_backends_start_and_cold_time_are_read() {
     Reason reason;
     const auto without = read_heartbeat("i", kHeartbeat, reason);
-    CPPUNIT_ASSERT(without && without->entry.born_ms == 0 && without->entry.cold_ms == 0);
+    CPPUNIT_ASSERT(without && without->entry.start_time_ms == 0 && without->entry.cold_ms == 0);
     const std::string cold = replaced(kHeartbeat, R"("ColdRemainingMs":0)", R"("ColdRemainingMs":1500)");
     const auto born =
         read_heartbeat("i", replaced(cold, R"("Seq":4)", R"("Seq":4,"born":1790000000123)"), reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, born);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, born->entry.born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, born->entry.start_time_ms);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1500}, born->entry.cold_ms);
   }
 
--- a/tests/platform/heartbeat_json_test.cpp
+++ b/tests/platform/heartbeat_json_test.cpp
@@ -169,7 +169,7 @@
     RegistrationFault fault{};
     const auto heartbeat = read_heartbeat("i", replaced("{", R"({"Weather":{"wind":[3]},)"), fault, reason);
     CPPUNIT_ASSERT_MESSAGE(reason.detail, heartbeat);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, heartbeat->entry.born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1790000000123}, heartbeat->entry.start_time_ms);
   }
 
   void every_cut_of_a_heartbeat_is_refused() {
--- a/tests/registered/control/failover/group_keeper_incarnations_test.cpp
+++ b/tests/registered/control/failover/group_keeper_incarnations_test.cpp
@@ -156,7 +156,7 @@
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT(term().open);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), term().primary.value);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, term().primary_born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1000}, term().primary_start_time_ms);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, leader_->keeper.unproved_promotions());
   }
 
@@ -220,7 +220,7 @@
     put("p", 1, 2000, BackendStatus{true, kTerm, {kTerm, 9}});
     world_->run_for(seconds(2));
     CPPUNIT_ASSERT(term().open && term().primary.value == "p");
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, term().primary_born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, term().primary_start_time_ms);
     CPPUNIT_ASSERT_EQUAL(0, leader_->promotions.orders);
   }
 
@@ -319,20 +319,20 @@
     registry::LoggedCommand logged{std::move(command)};
     leader_->fleet.apply(++index_, wire::encode_from(logged, wire::kWrittenFormat));
   }
-  static registry::BackendEntry entry(const std::string& name, std::uint16_t port, std::uint64_t born_ms,
-                                      const GroupName& group = kGroup) {
+  static registry::BackendEntry entry(const std::string& name, std::uint16_t port,
+                                      std::uint64_t start_time_ms, const GroupName& group = kGroup) {
     registry::BackendEntry entry;
     entry.name = BackendName(name);
     entry.group = group;
     entry.endpoint = {"10.0.0.9", port};
-    entry.born_ms = born_ms;
+    entry.start_time_ms = start_time_ms;
     entry.sequence = 1;
     return entry;
   }
-  void put(const std::string& name, std::uint16_t port, std::uint64_t born_ms, BackendStatus status,
+  void put(const std::string& name, std::uint16_t port, std::uint64_t start_time_ms, BackendStatus status,
            const GroupName& group = kGroup) {
     leader_->statuses[BackendName(name)] = status;
-    apply(registry::RegisterBackend{entry(name, port, born_ms, group)});
+    apply(registry::RegisterBackend{entry(name, port, start_time_ms, group)});
   }
 
   std::unique_ptr<simulation::World> world_;
--- a/tests/registered/control/failover/group_keeper_test.cpp
+++ b/tests/registered/control/failover/group_keeper_test.cpp
@@ -159,7 +159,7 @@
     std::uint16_t port = 9001;
     for (const char* name : {"primary", "replica-1", "replica-2"}) {
       registry::BackendEntry incarnation = ControlStand::entry(name, port++);
-      incarnation.born_ms = 1000;
+      incarnation.start_time_ms = 1000;
       stand_->consensus().commit(registry::RegisterBackend{incarnation});
     }
     stand_->run_for(seconds(5));
--- a/tests/registered/control/failover/membership_watch_test.cpp
+++ b/tests/registered/control/failover/membership_watch_test.cpp
@@ -12,8 +12,8 @@
 
 using Members = std::set<registry::BackendIncarnation>;
 
-registry::BackendIncarnation member(const std::string& name, std::uint64_t born_ms) {
-  return {BackendName(name), born_ms};
+registry::BackendIncarnation member(const std::string& name, std::uint64_t start_time_ms) {
+  return {BackendName(name), start_time_ms};
 }
 
 TimePoint at(int milliseconds_since) {
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -212,7 +212,7 @@
     // It started again and has not registered yet: its former incarnation's position is not known.
     auto known = facts({incarnation("old", 1000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = leading(0);
     CPPUNIT_ASSERT_MESSAGE("nor used again",
@@ -226,7 +226,7 @@
   void a_restarted_primary_is_not_the_old_one() {
     auto known = facts({incarnation("old", 2000, leading(3)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 7};
@@ -243,7 +243,7 @@
                         incarnation("b", 1000, replica(0))});
     known.members_are_stable = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
-    for (MemberFinding& member : known.members) member.entry.born_ms = 0;
+    for (MemberFinding& member : known.members) member.entry.start_time_ms = 0;
     CPPUNIT_ASSERT_MESSAGE("who tells no start loses no log",
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
@@ -263,7 +263,7 @@
     // Both that held the newest commits started again.
     auto known = facts({incarnation("old", 2000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(0))});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
     const auto choice = choose_promotion(known, true);
@@ -273,7 +273,7 @@
     CPPUNIT_ASSERT_MESSAGE("one that does not answer may hold them",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.back().status = replica(0);
-    known.members.front().entry.born_ms = 1000;
+    known.members.front().entry.start_time_ms = 1000;
     CPPUNIT_ASSERT_MESSAGE("so may the old primary's incarnation",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
@@ -281,7 +281,7 @@
   void the_primarys_next_incarnation_may_have_its_log() {
     auto known = facts({incarnation("old", 2000, std::nullopt), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(5))});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
     CPPUNIT_ASSERT_MESSAGE("it has not said what it holds",
@@ -326,7 +326,7 @@
     // Both answer in a next incarnation that has not registered; the other replica does not answer.
     auto known = facts({incarnation("old", 1000, leading(0)), incarnation("a", 1000, replica(0)),
                         incarnation("b", 1000, std::nullopt)});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.highest_acknowledged = {3, 4};
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
@@ -383,10 +383,10 @@
   }
 
  private:
-  static MemberFinding incarnation(const std::string& name, std::uint64_t born_ms,
+  static MemberFinding incarnation(const std::string& name, std::uint64_t start_time_ms,
                                    std::optional<BackendStatus> status) {
     MemberFinding member = finding(name, status);
-    member.entry.born_ms = born_ms;
+    member.entry.start_time_ms = start_time_ms;
     return member;
   }
 };
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -211,7 +211,7 @@
     facts.closed.term = kClosedTerm;
     facts.closed.epoch = state.earlier == 0 ? 2 : 4;
     facts.closed.primary = BackendName(kNames[kPrimary]);
-    facts.closed.primary_born_ms =
+    facts.closed.primary_start_time_ms =
         guards_.term_tells_primarys_incarnation && guards_.backends_tell_incarnations ? 1 : 0;
     facts.synchronous_replicas = 1;
     facts.all_acknowledgers_answered = !state.proxy_started_again;
@@ -224,7 +224,7 @@
       MemberFinding finding;
       finding.entry.name = BackendName(kNames[place]);
       if (guards_.backends_tell_incarnations)
-        finding.entry.born_ms = static_cast<std::uint64_t>(member.registered);
+        finding.entry.start_time_ms = static_cast<std::uint64_t>(member.registered);
       finding.joined_in_term = member.joined && guards_.joined_incarnation_needs_entries;
       const bool is_primary = place == kPrimary && leads(state);
       if (member.answers)
--- a/tests/registered/control/failover/replication_pauses_test.cpp
+++ b/tests/registered/control/failover/replication_pauses_test.cpp
@@ -71,7 +71,7 @@
     closed_.group = GroupName("records");
     closed_.term = kTerm;
     closed_.primary = BackendName("old");
-    closed_.primary_born_ms = 1000;
+    closed_.primary_start_time_ms = 1000;
     closed_.epoch = 2;
   }
   void tearDown() override {
@@ -125,12 +125,12 @@
     registry::LoggedCommand logged{std::move(command)};
     fleet_->apply(++index_, wire::encode_from(logged, wire::kWrittenFormat));
   }
-  void put(const std::string& name, std::uint16_t port, std::uint64_t born_ms) {
+  void put(const std::string& name, std::uint16_t port, std::uint64_t start_time_ms) {
     registry::BackendEntry entry;
     entry.name = BackendName(name);
     entry.group = GroupName("records");
     entry.endpoint = {"10.0.0.9", port};
-    entry.born_ms = born_ms;
+    entry.start_time_ms = start_time_ms;
     entry.sequence = 1;
     apply(registry::RegisterBackend{entry});
     pauses_->record_members();
--- a/tests/registered/control/leases/lease_bounds_test.cpp
+++ b/tests/registered/control/leases/lease_bounds_test.cpp
@@ -23,19 +23,19 @@
 
 class LeaseBoundsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaseBoundsTest);
-  CPPUNIT_TEST(a_lapsed_proxy_is_absent_and_later_forgotten);
-  CPPUNIT_TEST(operations_are_counted_for_a_fiftieth_longer_than_promised);
-  CPPUNIT_TEST(a_silent_proxy_asks_a_member_that_it_knows);
-  CPPUNIT_TEST(a_members_leases_end_after_its_pause);
-  CPPUNIT_TEST(reports_are_spaced_within_the_lease);
-  CPPUNIT_TEST(a_lease_ends_one_length_after_its_question);
-  CPPUNIT_TEST(a_lease_of_an_earlier_leader_ends_one_length_after_the_election);
-  CPPUNIT_TEST(a_lease_is_of_one_incarnation);
-  CPPUNIT_TEST(questions_that_are_answered_out_of_order_shorten_nothing);
+  CPPUNIT_TEST(lapsed_proxy_becomes_absent_then_forgotten);
+  CPPUNIT_TEST(budget_authority_ends_a_fiftieth_late);
+  CPPUNIT_TEST(silent_proxy_queries_members_it_knows);
+  CPPUNIT_TEST(member_leases_end_after_pause);
+  CPPUNIT_TEST(spaces_reports_within_lease);
+  CPPUNIT_TEST(lease_ends_one_duration_after_its_report);
+  CPPUNIT_TEST(earlier_leaders_lease_ends_one_duration_after_election);
+  CPPUNIT_TEST(lease_belongs_to_one_incarnation);
+  CPPUNIT_TEST(reports_out_of_order_do_not_shorten_lease);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_lapsed_proxy_is_absent_and_later_forgotten() {
+  void lapsed_proxy_becomes_absent_then_forgotten() {
     struct Case {
       int after_end;
       ProxyPresence presence;
@@ -47,24 +47,25 @@
                              presence_after(at(0), at(one.after_end)) == one.presence);
   }
 
-  void operations_are_counted_for_a_fiftieth_longer_than_promised() {
+  void budget_authority_ends_a_fiftieth_late() {
     CPPUNIT_ASSERT(budget_authority_end(at(0) + kLease, kLease) == at(3060));
   }
 
-  void a_silent_proxy_asks_a_member_that_it_knows() {
-    CPPUNIT_ASSERT(asked_by_all_from(at(0), 7, 7) == at(0));
-    CPPUNIT_ASSERT(asked_by_all_from(at(0), 7, 8) == at(0));
-    CPPUNIT_ASSERT_MESSAGE("the proxy may not know the member", asked_by_all_from(at(0), 7, 6) == at(10'500));
+  void silent_proxy_queries_members_it_knows() {
+    CPPUNIT_ASSERT(queried_by_all_from(at(0), 7, 7) == at(0));
+    CPPUNIT_ASSERT(queried_by_all_from(at(0), 7, 8) == at(0));
+    CPPUNIT_ASSERT_MESSAGE("the proxy may not know the member",
+                           queried_by_all_from(at(0), 7, 6) == at(10'500));
   }
 
-  void a_members_leases_end_after_its_pause() {
+  void member_leases_end_after_pause() {
     CPPUNIT_ASSERT(member_lease_end(at(1000), at(0)) == at(1600));
     CPPUNIT_ASSERT(member_lease_end(at(1000), at(1601)) == at(1601));
     CPPUNIT_ASSERT_MESSAGE("outlasts a lease granted right before the pause",
                            member_lease_end(at(0), at(0)) > at(0) + registry::kMemberLease);
   }
 
-  void reports_are_spaced_within_the_lease() {
+  void spaces_reports_within_lease() {
     struct Case {
       std::size_t proxies;
       Duration interval;
@@ -76,18 +77,18 @@
                              report_interval(one.proxies, kLease) == one.interval);
   }
 
-  void a_lease_ends_one_length_after_its_question() {
+  void lease_ends_one_duration_after_its_report() {
     ServingLeases leases(kLease);
-    leases.begin_lead(at(0));
+    leases.begin_leadership(at(0));
     leases.grant(kProxy, 1, 7, at(1000));
     CPPUNIT_ASSERT(leases.end_of(kProxy, 1) == at(2500));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, leases.revision_of(kProxy, 1));
   }
 
-  void a_lease_of_an_earlier_leader_ends_one_length_after_the_election() {
+  void earlier_leaders_lease_ends_one_duration_after_election() {
     ServingLeases leases(kLease);
     leases.grant(kProxy, 1, 7, at(5000));
-    leases.begin_lead(at(0));
+    leases.begin_leadership(at(0));
     CPPUNIT_ASSERT(leases.end_of(kProxy, 1) == at(1500));
     CPPUNIT_ASSERT(leases.end_of(NodeName("other"), 1) == at(1500));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("was reported to another leader", std::uint64_t{0},
@@ -96,9 +97,9 @@
     CPPUNIT_ASSERT_MESSAGE("the later of the two bounds", leases.end_of(kProxy, 1) == at(1500));
   }
 
-  void a_lease_is_of_one_incarnation() {
+  void lease_belongs_to_one_incarnation() {
     ServingLeases leases(kLease);
-    leases.begin_lead(at(0));
+    leases.begin_leadership(at(0));
     leases.grant(kProxy, 1, 7, at(5000));
     CPPUNIT_ASSERT(leases.end_of(kProxy, 2) == at(1500));
     leases.begin_incarnation(kProxy, 1);
@@ -111,7 +112,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, leases.revision_of(kProxy, 1));
   }
 
-  void questions_that_are_answered_out_of_order_shorten_nothing() {
+  void reports_out_of_order_do_not_shorten_lease() {
     ServingLeases leases(kLease);
     leases.grant(kProxy, 1, 9, at(2000));
     leases.grant(kProxy, 1, 8, at(1000));
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -18,13 +18,13 @@
 
 class LeaseKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaseKeeperTest);
-  CPPUNIT_TEST(a_report_is_answered_with_a_lease);
-  CPPUNIT_TEST(no_lease_without_a_quorum);
-  CPPUNIT_TEST(no_lease_over_a_change_of_leader);
-  CPPUNIT_TEST(no_lease_without_what_is_in_force);
-  CPPUNIT_TEST(a_lease_of_this_leader_is_waited_out);
-  CPPUNIT_TEST(a_lease_of_the_leader_before_is_waited_out);
-  CPPUNIT_TEST(an_answer_to_this_close_of_this_incarnation_counts);
+  CPPUNIT_TEST(answers_report_with_lease);
+  CPPUNIT_TEST(grants_no_lease_without_quorum);
+  CPPUNIT_TEST(grants_no_lease_across_leader_change);
+  CPPUNIT_TEST(grants_no_lease_without_current_state);
+  CPPUNIT_TEST(waits_out_lease_of_this_leader);
+  CPPUNIT_TEST(waits_out_lease_of_previous_leader);
+  CPPUNIT_TEST(counts_answers_only_of_current_close_and_incarnation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -35,14 +35,14 @@
   }
   void tearDown() override { stand_.reset(); }
 
-  void a_report_is_answered_with_a_lease() {
+  void answers_report_with_lease() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy);
     CPPUNIT_ASSERT(proxy->lease() == ControlStand::kLease);
     CPPUNIT_ASSERT(!proxy->was_refused());
   }
 
-  void no_lease_without_a_quorum() {
+  void grants_no_lease_without_quorum() {
     stand_->admit("proxy");
     const auto proxy = stand_->connect("proxy");
     stand_->consensus().has_quorum = false;
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT(proxy->was_refused());
   }
 
-  void no_lease_over_a_change_of_leader() {
+  void grants_no_lease_across_leader_change() {
     stand_->admit("proxy");
     const auto proxy = stand_->connect("proxy");
     // Another node led in the meantime and may have replaced the primary.
@@ -66,7 +66,7 @@
     CPPUNIT_ASSERT(proxy->lease() == Duration(0));
   }
 
-  void no_lease_without_what_is_in_force() {
+  void grants_no_lease_without_current_state() {
     const auto first = stand_->connect("first");
     const auto second = stand_->connect("second");
     report(*first);
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(second->lease() == ControlStand::kLease);
   }
 
-  void a_lease_of_this_leader_is_waited_out() {
+  void waits_out_lease_of_this_leader() {
     stand_->run_for(ControlStand::kLease * 2);
     const auto proxy = stand_->connect("proxy");
     report(*proxy);
@@ -109,21 +109,21 @@
     CPPUNIT_ASSERT_MESSAGE("the proxy may have acknowledged commits", !progress(5).all_answered);
   }
 
-  void a_lease_of_the_leader_before_is_waited_out() {
+  void waits_out_lease_of_previous_leader() {
     stand_->admit("proxy");
     stand_->run_for(ControlStand::kLease * 2);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
     stand_->consensus().led_term += 2;
-    stand_->run_for(kLapsedTick);
+    stand_->run_for(kLapseCheckInterval);
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the previous leader may have granted a lease", std::size_t{1},
                                  progress(5).waiting_for);
-    stand_->run_for(ControlStand::kLease - kLapsedTick - milliseconds(10));
+    stand_->run_for(ControlStand::kLease - kLapseCheckInterval - milliseconds(10));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).waiting_for);
-    stand_->run_for(kLapsedTick);
+    stand_->run_for(kLapseCheckInterval);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).waiting_for);
   }
 
-  void an_answer_to_this_close_of_this_incarnation_counts() {
+  void counts_answers_only_of_current_close_and_incarnation() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy, 2);
     CPPUNIT_ASSERT(progress(2).all_answered);
--- a/tests/registered/control/registration_guards_test.cpp
+++ b/tests/registered/control/registration_guards_test.cpp
@@ -13,10 +13,10 @@
 
 class RegistrationGuardsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistrationGuardsTest);
-  CPPUNIT_TEST(the_document_is_read_with_a_quorum_only);
-  CPPUNIT_TEST(an_old_document_is_acknowledged_with_a_quorum_only);
-  CPPUNIT_TEST(nothing_is_acknowledged_before_the_group_is_complete);
-  CPPUNIT_TEST(who_is_not_who_answers_at_its_address_is_refused);
+  CPPUNIT_TEST(reads_document_only_with_quorum);
+  CPPUNIT_TEST(acknowledges_old_document_only_with_quorum);
+  CPPUNIT_TEST(acknowledges_nothing_before_all_voters_joined);
+  CPPUNIT_TEST(refuses_backend_when_another_answers_at_its_address);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -28,27 +28,27 @@
   }
   void tearDown() override { stand_.reset(); }
 
-  void the_document_is_read_with_a_quorum_only() {
+  void reads_document_only_with_quorum() {
     CPPUNIT_ASSERT(read() == "first");
     stand_->consensus().has_quorum = false;
     CPPUNIT_ASSERT(!read());
   }
 
-  void an_old_document_is_acknowledged_with_a_quorum_only() {
+  void acknowledges_old_document_only_with_quorum() {
     stand_->run_for(seconds(10));
     CPPUNIT_ASSERT(replace(1));
     stand_->consensus().has_quorum = false;
     CPPUNIT_ASSERT(!replace(1));
   }
 
-  void nothing_is_acknowledged_before_the_group_is_complete() {
+  void acknowledges_nothing_before_all_voters_joined() {
     CPPUNIT_ASSERT(!replace(1));
     CPPUNIT_ASSERT(!replace(2));
     stand_->run_for(seconds(10));
     CPPUNIT_ASSERT(replace(2));
   }
 
-  void who_is_not_who_answers_at_its_address_is_refused() {
+  void refuses_backend_when_another_answers_at_its_address() {
     const registry::BackendEntry former = ControlStand::entry("former", 9001);
     stand_->answering_at[former.endpoint] = "primary";
     CPPUNIT_ASSERT(!register_backend(former));
--- a/tests/registered/control/registration_refusal_test.cpp
+++ b/tests/registered/control/registration_refusal_test.cpp
@@ -16,9 +16,9 @@
 
 /// Single-voter consensus: proposals are applied immediately; commands committed by other nodes are applied
 /// in the next quorum round.
-class OneVoter : public consensus::Consensus {
+class SingleVoterConsensus : public consensus::Consensus {
  public:
-  explicit OneVoter(registry::FleetStateMachine& fleet) : fleet_(fleet) {}
+  explicit SingleVoterConsensus(registry::FleetStateMachine& fleet) : fleet_(fleet) {}
 
   Awaitable<std::optional<std::uint64_t>> propose(std::string command, TimePoint, Reason&) override {
     fleet_.apply(++index_, command);
@@ -29,7 +29,7 @@
       reason = Reason{ReasonCode::kNoQuorum, "read_barrier", "", "no majority answered"};
       co_return std::nullopt;
     }
-    if (behind) fleet_.apply(++index_, *std::exchange(behind, std::nullopt));
+    if (unapplied_command) fleet_.apply(++index_, *std::exchange(unapplied_command, std::nullopt));
     co_return index_;
   }
   Awaitable<bool> add_member(consensus::Member, TimePoint, Reason&) override { co_return false; }
@@ -44,7 +44,7 @@
   }
 
   bool has_quorum = true;
-  std::optional<std::string> behind;  ///< committed command that is not applied locally yet
+  std::optional<std::string> unapplied_command;  ///< committed command that is not applied locally yet
 
  private:
   registry::FleetStateMachine& fleet_;
@@ -52,7 +52,7 @@
 };
 
 /// Dialer whose target either reports itself as another backend or does not answer.
-class StrangerOrSilence : public BackendDialer {
+class WrongBackendDialer : public BackendDialer {
  public:
   Awaitable<std::shared_ptr<BackendLink>> open(BackendAddress, TimePoint, std::optional<Refusal>& refusal,
                                                Reason&) override {
@@ -70,7 +70,7 @@
   return registry::ReplaceDocument{std::move(document)};
 }
 
-std::string logged(registry::Command command) {
+std::string encode_command(registry::Command command) {
   return wire::encode_from(registry::LoggedCommand{std::move(command)}, wire::kWrittenFormat);
 }
 
@@ -98,15 +98,15 @@
 
 class RegistrationRefusalTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistrationRefusalTest);
-  CPPUNIT_TEST(before_the_first_document_every_group_may_be_one);
-  CPPUNIT_TEST(a_group_that_the_document_does_not_name_is_refused);
-  CPPUNIT_TEST(a_stranger_takes_neither_a_name_nor_an_address);
-  CPPUNIT_TEST(a_document_that_is_not_known_here_yet_is_asked_for);
-  CPPUNIT_TEST(without_a_quorum_nothing_is_said_to_be_unknown);
-  CPPUNIT_TEST(a_backend_of_a_group_that_went_takes_its_leave);
-  CPPUNIT_TEST(an_address_at_which_another_answers_is_counted);
-  CPPUNIT_TEST(refusals_are_shown_by_cause);
-  CPPUNIT_TEST(the_names_that_are_logged_are_bounded);
+  CPPUNIT_TEST(accepts_any_group_before_first_document);
+  CPPUNIT_TEST(refuses_group_missing_from_document);
+  CPPUNIT_TEST(refused_registration_takes_neither_name_nor_address);
+  CPPUNIT_TEST(consults_newest_document_before_refusing);
+  CPPUNIT_TEST(reports_no_quorum_instead_of_unknown_group);
+  CPPUNIT_TEST(accepts_leaving_backend_of_removed_group);
+  CPPUNIT_TEST(counts_address_conflicts);
+  CPPUNIT_TEST(exports_refusals_by_cause);
+  CPPUNIT_TEST(truncates_logged_names);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -119,30 +119,30 @@
     parts_.reset();
   }
 
-  void before_the_first_document_every_group_may_be_one() {
-    CPPUNIT_ASSERT(take(entry("b-1", "records", 1, 1)) == ReasonCode::kNone);
+  void accepts_any_group_before_first_document() {
+    CPPUNIT_ASSERT(submit_registration(entry("b-1", "records", 1, 1)) == ReasonCode::kNone);
     CPPUNIT_ASSERT(held("b-1") != nullptr);
-    send(1, "records");
+    apply_document(1, "records");
     CPPUNIT_ASSERT(held("b-1") != nullptr);
   }
 
-  void a_group_that_the_document_does_not_name_is_refused() {
-    send(7, "records");
-    CPPUNIT_ASSERT(take(entry("b-1", "nonsense", 1, 1)) == ReasonCode::kNotFound);
+  void refuses_group_missing_from_document() {
+    apply_document(7, "records");
+    CPPUNIT_ASSERT(submit_registration(entry("b-1", "nonsense", 1, 1)) == ReasonCode::kNotFound);
     CPPUNIT_ASSERT_EQUAL(std::string("group: nonsense is not in the configuration document of version 7"),
                          reason_.detail);
     CPPUNIT_ASSERT(held("b-1") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, refused(registry::RegistrationFault::kUnknownGroup));
-    CPPUNIT_ASSERT_MESSAGE("a newer document contains the group", send(8, "nonsense"));
-    CPPUNIT_ASSERT(take(entry("b-1", "nonsense", 1, 2)) == ReasonCode::kNone);
+    CPPUNIT_ASSERT_MESSAGE("a newer document contains the group", apply_document(8, "nonsense"));
+    CPPUNIT_ASSERT(submit_registration(entry("b-1", "nonsense", 1, 2)) == ReasonCode::kNone);
     CPPUNIT_ASSERT(held("b-1") != nullptr);
   }
 
-  void a_stranger_takes_neither_a_name_nor_an_address() {
-    send(1, "records");
-    take(entry("b-1", "records", 1, 1));
-    take(entry("b-1", "nonsense", 2, 9));
-    take(entry("b-2", "nonsense", 1, 9));
+  void refused_registration_takes_neither_name_nor_address() {
+    apply_document(1, "records");
+    submit_registration(entry("b-1", "records", 1, 1));
+    submit_registration(entry("b-1", "nonsense", 2, 9));
+    submit_registration(entry("b-2", "nonsense", 1, 9));
     const registry::BackendEntry* backend = held("b-1");
     CPPUNIT_ASSERT(backend != nullptr);
     CPPUNIT_ASSERT(backend->group == GroupName("records") && backend->endpoint.port == 1);
@@ -150,40 +150,40 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, refused(registry::RegistrationFault::kUnknownGroup));
   }
 
-  void a_document_that_is_not_known_here_yet_is_asked_for() {
-    send(1, "records");
-    parts_->consensus.behind = logged(document(2, "archive"));
-    CPPUNIT_ASSERT(take(entry("b-1", "archive", 1, 1)) == ReasonCode::kNone);
+  void consults_newest_document_before_refusing() {
+    apply_document(1, "records");
+    parts_->consensus.unapplied_command = encode_command(document(2, "archive"));
+    CPPUNIT_ASSERT(submit_registration(entry("b-1", "archive", 1, 1)) == ReasonCode::kNone);
     CPPUNIT_ASSERT(held("b-1") != nullptr);
   }
 
-  void without_a_quorum_nothing_is_said_to_be_unknown() {
-    send(1, "records");
+  void reports_no_quorum_instead_of_unknown_group() {
+    apply_document(1, "records");
     parts_->consensus.has_quorum = false;
-    CPPUNIT_ASSERT(take(entry("b-1", "archive", 1, 1)) == ReasonCode::kNoQuorum);
+    CPPUNIT_ASSERT(submit_registration(entry("b-1", "archive", 1, 1)) == ReasonCode::kNoQuorum);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, refused(registry::RegistrationFault::kUnknownGroup));
   }
 
-  void a_backend_of_a_group_that_went_takes_its_leave() {
-    send(1, "records");
-    take(entry("b-1", "records", 1, 1));
-    send(2, "archive");
+  void accepts_leaving_backend_of_removed_group() {
+    apply_document(1, "records");
+    submit_registration(entry("b-1", "records", 1, 1));
+    apply_document(2, "archive");
     registry::BackendEntry leaving = entry("b-1", "records", 1, 2);
     leaving.leaving = true;
-    CPPUNIT_ASSERT(take(leaving) == ReasonCode::kNone);
+    CPPUNIT_ASSERT(submit_registration(leaving) == ReasonCode::kNone);
     CPPUNIT_ASSERT(held("b-1")->leaving);
   }
 
-  void an_address_at_which_another_answers_is_counted() {
-    send(1, "records");
-    take(entry("b-1", "records", 1, 1));
+  void counts_address_conflicts() {
+    apply_document(1, "records");
+    submit_registration(entry("b-1", "records", 1, 1));
     parts_->dialer.another_answers = true;
-    CPPUNIT_ASSERT(take(entry("b-2", "records", 1, 1)) == ReasonCode::kConflict);
+    CPPUNIT_ASSERT(submit_registration(entry("b-2", "records", 1, 1)) == ReasonCode::kConflict);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, refused(registry::RegistrationFault::kAddressInUse));
     CPPUNIT_ASSERT(held("b-1") != nullptr && held("b-2") == nullptr);
   }
 
-  void refusals_are_shown_by_cause() {
+  void exports_refusals_by_cause() {
     const Reason reason{ReasonCode::kInvalidArgument, "read_body", "", "Slots: is missing"};
     parts_->service.record_refused({registry::RegistrationFault::kMissingField, "b-1", reason});
     std::string text;
@@ -200,9 +200,9 @@
     CPPUNIT_ASSERT(text.find(name + "{cause=\"unknown_group\"} 0") != std::string::npos);
   }
 
-  void the_names_that_are_logged_are_bounded() {
+  void truncates_logged_names() {
     CPPUNIT_ASSERT_EQUAL(std::string("a?b?"), registry::printable_name("a\nb\xff"));
-    CPPUNIT_ASSERT_EQUAL(registry::kMostLoggedName,
+    CPPUNIT_ASSERT_EQUAL(registry::kMaxLoggedNameBytes,
                          registry::printable_name(std::string(100'000, 'x')).size());
   }
 
@@ -224,11 +224,11 @@
 
     runtime::Runtime& runtime;
     registry::FleetStateMachine fleet;
-    OneVoter consensus;
+    SingleVoterConsensus consensus;
     ControlNodeDirectory directory;
     LeaderCalls calls;
     VoterKeeper voters;
-    StrangerOrSilence dialer;
+    WrongBackendDialer dialer;
     GroupProber prober;
     RegistrationService service;
     LeaseKeeper leases;
@@ -238,19 +238,19 @@
   };
 
   /// Returns kNone if the registration was accepted, otherwise the code of the failure.
-  ReasonCode take(registry::BackendEntry entry) {
-    std::optional<registry::Registration> taken;
+  ReasonCode submit_registration(registry::BackendEntry entry) {
+    std::optional<registry::Registration> accepted;
     const auto run = [&]() -> Awaitable<void> {
-      taken = co_await parts_->service.register_backend(std::move(entry), reason_);
+      accepted = co_await parts_->service.register_backend(std::move(entry), reason_);
     };
     reason_ = Reason{};
     parts_->runtime.spawn("register", run());
     world_->run_for(milliseconds(100));
-    return taken ? ReasonCode::kNone : reason_.code;
+    return accepted ? ReasonCode::kNone : reason_.code;
   }
 
-  bool send(std::uint64_t version, const std::string& group) {
-    parts_->fleet.apply(0, logged(document(version, group)));
+  bool apply_document(std::uint64_t version, const std::string& group) {
+    parts_->fleet.apply(0, encode_command(document(version, group)));
     return parts_->fleet.document_version() == version;
   }
 
--- a/tests/registered/control/registration_service_test.cpp
+++ b/tests/registered/control/registration_service_test.cpp
@@ -24,13 +24,14 @@
   }
 };
 
-registry::BackendEntry incarnation(const std::string& name, std::uint64_t sequence, std::uint64_t born_ms) {
+registry::BackendEntry incarnation(const std::string& name, std::uint64_t sequence,
+                                   std::uint64_t start_time_ms) {
   registry::BackendEntry entry;
   entry.name = BackendName(name);
   entry.group = GroupName("records");
   entry.endpoint = {"10.0.0.9", 9000};
   entry.sequence = sequence;
-  entry.born_ms = born_ms;
+  entry.start_time_ms = start_time_ms;
   return entry;
 }
 
@@ -59,11 +60,11 @@
 
 class RegistrationServiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RegistrationServiceTest);
-  CPPUNIT_TEST(a_next_incarnation_is_taken_and_a_late_word_of_the_former_one_is_not);
-  CPPUNIT_TEST(a_removed_backend_comes_back_in_its_next_incarnation);
-  CPPUNIT_TEST(a_late_removal_does_not_end_the_next_incarnation);
-  CPPUNIT_TEST(a_removal_at_a_node_that_is_behind_ends_the_present_incarnation);
-  CPPUNIT_TEST(a_former_backend_of_the_address_displaces_nobody);
+  CPPUNIT_TEST(accepts_next_incarnation_and_ignores_former_one);
+  CPPUNIT_TEST(accepts_removed_backend_in_next_incarnation);
+  CPPUNIT_TEST(late_deregistration_keeps_next_incarnation);
+  CPPUNIT_TEST(deregistration_at_stale_node_ends_current_incarnation);
+  CPPUNIT_TEST(ignores_former_backend_of_address);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -77,55 +78,55 @@
     world_.reset();
   }
 
-  void a_next_incarnation_is_taken_and_a_late_word_of_the_former_one_is_not() {
-    CPPUNIT_ASSERT(say(incarnation("b1", 70, 1000)));
-    CPPUNIT_ASSERT(say(incarnation("b1", 1, 2000)));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
+  void accepts_next_incarnation_and_ignores_former_one() {
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 70, 1000)));
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 1, 2000)));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->start_time_ms);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().replaced);
     registry::BackendEntry late = incarnation("b1", 71, 1000);
     late.leaving = true;
-    CPPUNIT_ASSERT_MESSAGE("acknowledged, because the log already holds newer state", say(late));
+    CPPUNIT_ASSERT_MESSAGE("acknowledged, because the log already holds newer state", register_at_node(late));
     CPPUNIT_ASSERT(!held("b1")->leaving);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().outdated);
   }
 
-  void a_removed_backend_comes_back_in_its_next_incarnation() {
-    CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
+  void accepts_removed_backend_in_next_incarnation() {
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 5, 1000)));
     CPPUNIT_ASSERT(remove("b1"));
-    CPPUNIT_ASSERT(say(incarnation("b1", 6, 1000)));
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 6, 1000)));
     CPPUNIT_ASSERT(held("b1") == nullptr);
-    CPPUNIT_ASSERT(say(incarnation("b1", 1, 2000)));
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 1, 2000)));
     CPPUNIT_ASSERT(held("b1") != nullptr);
     CPPUNIT_ASSERT_MESSAGE("deregistered a second time", remove("b1"));
     CPPUNIT_ASSERT(held("b1") == nullptr);
   }
 
   /// The next incarnation registers before the deregistration of the previous one is committed.
-  void a_late_removal_does_not_end_the_next_incarnation() {
-    CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
+  void late_deregistration_keeps_next_incarnation() {
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 5, 1000)));
     const auto removal = [this]() -> Awaitable<void> {
       Reason reason;
       co_await node_->service.deregister_backend(BackendName("b1"), reason);
     };
     runtime_->spawn("removal", removal());
     world_->run_for(milliseconds(1));
-    put(incarnation("b1", 1, 2000));
+    apply_registration(incarnation("b1", 1, 2000));
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT(held("b1") != nullptr);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->born_ms);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, held("b1")->start_time_ms);
   }
 
   /// The node learns about the next incarnation only during the quorum round.
-  void a_removal_at_a_node_that_is_behind_ends_the_present_incarnation() {
-    CPPUNIT_ASSERT(say(incarnation("b1", 5, 1000)));
-    node_->log.during_barrier = [this] { put(incarnation("b1", 1, 2000)); };
+  void deregistration_at_stale_node_ends_current_incarnation() {
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 5, 1000)));
+    node_->log.during_barrier = [this] { apply_registration(incarnation("b1", 1, 2000)); };
     CPPUNIT_ASSERT(remove("b1"));
     CPPUNIT_ASSERT(held("b1") == nullptr);
   }
 
-  void a_former_backend_of_the_address_displaces_nobody() {
-    CPPUNIT_ASSERT(say(incarnation("b2", 1, 2000)));
-    CPPUNIT_ASSERT(say(incarnation("b1", 9, 1000)));
+  void ignores_former_backend_of_address() {
+    CPPUNIT_ASSERT(register_at_node(incarnation("b2", 1, 2000)));
+    CPPUNIT_ASSERT(register_at_node(incarnation("b1", 9, 1000)));
     CPPUNIT_ASSERT(held("b2") != nullptr);
     CPPUNIT_ASSERT(held("b1") == nullptr);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, node_->service.counts().outdated);
@@ -135,14 +136,14 @@
   const registry::BackendEntry* held(const std::string& name) {
     return node_->fleet.find_backend(BackendName(name));
   }
-  bool say(const registry::BackendEntry& entry) {
+  bool register_at_node(const registry::BackendEntry& entry) {
     return run([&](Reason& reason) -> Awaitable<bool> {
       const auto taken = co_await node_->service.register_backend(entry, reason);
       co_return taken.has_value();
     });
   }
   /// Applies a registration that another control node committed.
-  void put(const registry::BackendEntry& entry) {
+  void apply_registration(const registry::BackendEntry& entry) {
     registry::LoggedCommand logged{registry::RegisterBackend{entry}};
     node_->fleet.apply(1, wire::encode_from(logged, wire::kWrittenFormat));
   }
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -192,7 +192,7 @@
 
   std::uint64_t settled() const {
     if (!guards_.waits_until_settled) return revision_;
-    std::vector<registry::ProxyKnowledge> known;
+    std::vector<registry::ProxyRevision> known;
     for (const auto& [name, row] : rows_) {
       const auto life = lives_.find(name);
       const bool same = life != lives_.end() && life->second.incarnation == row.incarnation;
--- a/tests/registered/limits/quota_ledger_test.cpp
+++ b/tests/registered/limits/quota_ledger_test.cpp
@@ -118,8 +118,8 @@
 
   void a_incarnation_that_said_nothing_is_waited_for() {
     const TimePoint now{seconds(10)};
-    const registry::ProxyKnowledge knows{12, now + seconds(2)};
-    const registry::ProxyKnowledge silent{0, now + seconds(1)};
+    const registry::ProxyRevision knows{12, now + seconds(2)};
+    const registry::ProxyRevision silent{0, now + seconds(1)};
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, registry::stable_revision({knows}, 15, now));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, registry::stable_revision({knows, silent}, 15, now));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, registry::stable_revision({knows, silent}, 15, now + seconds(2)));
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -20,10 +20,10 @@
   }
 };
 
-registry::FleetDelta delta(bool is_whole, std::uint64_t revision, std::vector<registry::Evacuation> begun,
+registry::FleetDelta delta(bool is_full, std::uint64_t revision, std::vector<registry::Evacuation> begun,
                            std::vector<ZoneName> ended = {}) {
   registry::FleetDelta delta;
-  delta.is_whole = is_whole;
+  delta.is_full = is_full;
   delta.revision = revision;
   delta.evacuations = std::move(begun);
   delta.ended_evacuations = std::move(ended);
--- a/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_guards_test.cpp
@@ -43,7 +43,7 @@
     const GroupAccess& group = *stand_->group();
     registry::FleetDelta known = stand_->delta();
     known.terms = {group.term()};
-    known.terms[0].primary_born_ms = 1000;
+    known.terms[0].primary_start_time_ms = 1000;
     stand_->view().apply(known);
     put_primary(1000);
     stand_->confirm(std::chrono::seconds(1), std::chrono::seconds(1));
@@ -53,10 +53,10 @@
   }
 
  private:
-  void put_primary(std::uint64_t born_ms) {
+  void put_primary(std::uint64_t start_time_ms) {
     registry::FleetDelta delta = stand_->delta();
     delta.backends = {*stand_->view().find_backend(BackendName(SessionStand::kPrimary))};
-    delta.backends[0].born_ms = born_ms;
+    delta.backends[0].start_time_ms = start_time_ms;
     stand_->view().apply(delta);
   }
   void put_proxy(const std::string& name, bool leaving) {
--- a/tests/registered/proxy/fleet/fleet_view_test.cpp
+++ b/tests/registered/proxy/fleet/fleet_view_test.cpp
@@ -78,7 +78,7 @@
     auto& runtime = world_->start_bare({"p1", "10.0.1.1", ZoneName("s1")});
     view_ = std::make_unique<FleetView>(runtime, dialer_, settings());
     registry::FleetDelta delta;
-    delta.is_whole = true;
+    delta.is_full = true;
     delta.revision = 1;
     delta.routes = {route("free", {}), route("northern", {"north"})};
     delta.tenants = {tenant("kea", {}), tenant("tui", {"south"}), tenant("ako", {"north", "south"})};
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -60,7 +60,7 @@
     registry::BackendEntry held;
     held.name = BackendName("b-1");
     held.group = GroupName("records");
-    held.born_ms = 2000;
+    held.start_time_ms = 2000;
     held.sequence = 3;
     CPPUNIT_ASSERT_MESSAGE("nobody is known yet", !proxy.known.knows(held));
     registry::FleetDelta delta;
@@ -70,10 +70,10 @@
     proxy.view.apply(delta);
     CPPUNIT_ASSERT(proxy.known.knows(held));
     registry::BackendEntry next = held;
-    next.born_ms = 3000;
+    next.start_time_ms = 3000;
     CPPUNIT_ASSERT(!proxy.known.knows(next));
     registry::BackendEntry former = held;
-    former.born_ms = 1000;
+    former.start_time_ms = 1000;
     former.leaving = true;
     CPPUNIT_ASSERT(proxy.known.knows(former));
     held.leaving = true;
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -215,7 +215,7 @@
     const auto reader = choose_reader(*group_, need_, {BackendName("replica-1"), BackendName("replica-2")});
     CPPUNIT_ASSERT_MESSAGE("nor for reads", !reader);
     term.epoch = 5;
-    term.primary_born_ms = 2000;
+    term.primary_start_time_ms = 2000;
     group_->set_term(term);
     CPPUNIT_ASSERT_MESSAGE("once it leads itself", group_->standing.primary());
   }
@@ -369,9 +369,10 @@
     co_await backend->pool.acquire(std::move(wish), deadlines, refusal, reason);
   }
 
-  static registry::BackendEntry life(const std::string& name, std::uint16_t port, std::uint64_t born_ms) {
+  static registry::BackendEntry life(const std::string& name, std::uint16_t port,
+                                     std::uint64_t start_time_ms) {
     registry::BackendEntry entry = backend(name, port);
-    entry.born_ms = born_ms;
+    entry.start_time_ms = start_time_ms;
     return entry;
   }
   std::shared_ptr<StatefulLink> acquire(StatefulPool& pool, Reason& reason) {
--- a/tests/registered/proxy/group/member_lease_keeper_test.cpp
+++ b/tests/registered/proxy/group/member_lease_keeper_test.cpp
@@ -62,9 +62,9 @@
          [](SessionStand& stand) {
            registry::FleetDelta restarted = stand.delta();
            restarted.terms = {stand.group()->term()};
-           restarted.terms[0].primary_born_ms = 1000;
+           restarted.terms[0].primary_start_time_ms = 1000;
            restarted.backends = {*stand.view().find_backend(BackendName(SessionStand::kPrimary))};
-           restarted.backends[0].born_ms = 2000;
+           restarted.backends[0].start_time_ms = 2000;
            stand.view().apply(restarted);
          }},
         {"nobody else is there",
--- a/tests/registered/proxy/group/position_keeper_test.cpp
+++ b/tests/registered/proxy/group/position_keeper_test.cpp
@@ -65,7 +65,7 @@
   primary.zone = ZoneName("b");
   primary.slots = 3;
   registry::FleetDelta delta;
-  delta.is_whole = true;
+  delta.is_full = true;
   delta.revision = 1;
   delta.document_version = 1;
   delta.groups = {{GroupName("group"), 56, 1}};
--- a/tests/registered/proxy/limits/limit_client_test.cpp
+++ b/tests/registered/proxy/limits/limit_client_test.cpp
@@ -106,7 +106,7 @@
     tenant.rate_per_s = 60;
     tenant.burst = 10;
     registry::FleetDelta delta;
-    delta.is_whole = true;
+    delta.is_full = true;
     delta.revision = 1;
     delta.document_version = 1;
     delta.proxies = {proxy};
--- a/tests/registered/proxy/links/cold_backend_test.cpp
+++ b/tests/registered/proxy/links/cold_backend_test.cpp
@@ -41,7 +41,7 @@
 
 registry::FleetDelta fleet(double cold_rate) {
   registry::FleetDelta delta;
-  delta.is_whole = true;
+  delta.is_full = true;
   delta.revision = 1;
   registry::GroupRule rule;
   rule.name = kGroup;
--- a/tests/registered/proxy/session_stand.cpp
+++ b/tests/registered/proxy/session_stand.cpp
@@ -177,7 +177,7 @@
   forwarder_ = std::make_unique<Forwarder>(*runtime_, settings.node, settings.zone);
   limits_ = std::make_unique<LimitClient>(*runtime_, *view_, *forwarder_, metrics_);
   registry::FleetDelta first = delta();
-  first.is_whole = true;
+  first.is_full = true;
   first.routes = {route_of()};
   registry::GroupRule rule;
   rule.name = kGroup;
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -96,7 +96,7 @@
 /// This proxy is the only one, and counts for all.
 registry::FleetDelta fleet(double cold_rate, std::uint64_t cold_ms) {
   registry::FleetDelta delta;
-  delta.is_whole = true;
+  delta.is_full = true;
   delta.revision = 1;
   delta.document_version = 1;
   registry::RouteRule route;
--- a/tests/registered/proxy/statement/runner_stand.h
+++ b/tests/registered/proxy/statement/runner_stand.h
@@ -135,7 +135,7 @@
 
 inline registry::FleetDelta fleet() {
   registry::FleetDelta delta;
-  delta.is_whole = true;
+  delta.is_full = true;
   delta.revision = 1;
   delta.document_version = 1;
   registry::RouteRule route;
--- a/tests/registered/proxy/statement/statement_regions_test.cpp
+++ b/tests/registered/proxy/statement/statement_regions_test.cpp
@@ -89,7 +89,7 @@
 /// The primary is in the north, a replica in the south.
 registry::FleetDelta fleet() {
   registry::FleetDelta delta;
-  delta.is_whole = true;
+  delta.is_full = true;
   delta.revision = 1;
   delta.document_version = 1;
   registry::RouteRule route;
--- a/tests/registered/registry/state_machine_test.cpp
+++ b/tests/registered/registry/state_machine_test.cpp
@@ -41,26 +41,26 @@
 
 class FleetStateMachineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetStateMachineTest);
-  CPPUNIT_TEST(the_highest_version_holds);
-  CPPUNIT_TEST(late_registrations_are_old);
-  CPPUNIT_TEST(turning_cold_or_warm_is_news);
-  CPPUNIT_TEST(proxies_count_together_for_tenants_and_cold_backends);
-  CPPUNIT_TEST(an_address_belongs_to_who_registered_last);
-  CPPUNIT_TEST(a_deregistered_backend_stays_away);
-  CPPUNIT_TEST(a_group_opens_and_closes_by_epoch);
-  CPPUNIT_TEST(an_opening_for_a_former_close_has_no_effect);
-  CPPUNIT_TEST(a_replaced_proxy_may_have_acknowledged_unknown_commits);
-  CPPUNIT_TEST(a_follower_is_told_what_it_lacks);
-  CPPUNIT_TEST(a_snapshot_restores_everything);
-  CPPUNIT_TEST(a_batch_is_one_change);
-  CPPUNIT_TEST(members_follow_every_way_a_backend_comes_and_goes);
-  CPPUNIT_TEST(the_later_incarnation_holds_in_whichever_order_both_arrive);
-  CPPUNIT_TEST(a_removal_ends_one_incarnation);
-  CPPUNIT_TEST(what_tells_no_start_displaces_nothing_that_does);
-  CPPUNIT_TEST(an_address_belongs_to_who_started_there_last);
-  CPPUNIT_TEST(ended_incarnations_are_forgotten_with_their_names);
-  CPPUNIT_TEST(the_last_order_for_a_zone_holds);
-  CPPUNIT_TEST(evacuations_reach_followers_and_survive_a_snapshot);
+  CPPUNIT_TEST(keeps_highest_document_version);
+  CPPUNIT_TEST(ignores_late_registrations);
+  CPPUNIT_TEST(applies_changes_between_cold_and_warm);
+  CPPUNIT_TEST(detects_limits_shared_by_proxies);
+  CPPUNIT_TEST(last_registered_backend_owns_address);
+  CPPUNIT_TEST(deregistered_backend_stays_removed);
+  CPPUNIT_TEST(opens_and_closes_group_by_epoch);
+  CPPUNIT_TEST(ignores_opening_for_former_close);
+  CPPUNIT_TEST(replaced_proxy_may_have_acknowledged_unknown_commits);
+  CPPUNIT_TEST(delta_contains_missing_changes);
+  CPPUNIT_TEST(snapshot_restores_state);
+  CPPUNIT_TEST(applies_batch_as_one_revision);
+  CPPUNIT_TEST(group_members_track_registrations_and_removals);
+  CPPUNIT_TEST(later_incarnation_wins_in_any_order);
+  CPPUNIT_TEST(removal_ends_one_incarnation);
+  CPPUNIT_TEST(entry_without_start_time_displaces_none_with_one);
+  CPPUNIT_TEST(last_started_backend_owns_address);
+  CPPUNIT_TEST(discards_ended_incarnations_with_removed_rows);
+  CPPUNIT_TEST(last_evacuation_order_wins);
+  CPPUNIT_TEST(evacuations_are_in_deltas_and_snapshots);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -73,7 +73,7 @@
     world_.reset();
   }
 
-  void the_highest_version_holds() {
+  void keeps_highest_document_version() {
     apply(ReplaceDocument{document(5, {route("decks")})});
     const std::uint64_t revision = machine_->revision();
     apply(ReplaceDocument{document(4, {route("other")})});
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, machine_->document_version());
   }
 
-  void the_last_order_for_a_zone_holds() {
+  void last_evacuation_order_wins() {
     const ZoneName erie("erie");
     apply(BeginEvacuation{erie});
     CPPUNIT_ASSERT(machine_->is_evacuated(erie));
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(machine_->is_evacuated(erie));
   }
 
-  void evacuations_reach_followers_and_survive_a_snapshot() {
+  void evacuations_are_in_deltas_and_snapshots() {
     apply(BeginEvacuation{ZoneName("erie")});
     const std::uint64_t before = machine_->revision();
     apply(EndEvacuation{ZoneName("erie")});
@@ -112,13 +112,13 @@
     CPPUNIT_ASSERT(delta.evacuations == std::vector<Evacuation>{{ZoneName("huron")}});
     CPPUNIT_ASSERT(delta.ended_evacuations == std::vector<ZoneName>{ZoneName("erie")});
     const FleetDelta whole = machine_->delta_since(0);
-    CPPUNIT_ASSERT(whole.is_whole && whole.evacuations == delta.evacuations);
+    CPPUNIT_ASSERT(whole.is_full && whole.evacuations == delta.evacuations);
     const auto sent = wire::decode<FleetDelta>(wire::encode_from(whole, wire::kWrittenFormat), reason);
     CPPUNIT_ASSERT_MESSAGE("round trip through the wire format",
                            sent && sent->evacuations == delta.evacuations);
   }
 
-  void turning_cold_or_warm_is_news() {
+  void applies_changes_between_cold_and_warm() {
     BackendEntry entry = backend("b1", 1, 1);
     entry.cold_ms = 5000;
     apply(RegisterBackend{entry});
@@ -143,7 +143,7 @@
                                  machine_->find_backend(entry.name)->cold_ms);
   }
 
-  void proxies_count_together_for_tenants_and_cold_backends() {
+  void detects_limits_shared_by_proxies() {
     ConfigurationDocument sent = document(1, {route("decks")});
     apply(ReplaceDocument{sent});
     CPPUNIT_ASSERT(!machine_->has_shared_limits());
@@ -165,7 +165,7 @@
     CPPUNIT_ASSERT(machine_->has_shared_limits());
   }
 
-  void a_batch_is_one_change() {
+  void applies_batch_as_one_revision() {
     apply(RegisterBackend{backend("b0", 9, 1)});
     const std::uint64_t before = machine_->revision();
     CommandBatch batch;
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("no change", before + 1, machine_->revision());
   }
 
-  void members_follow_every_way_a_backend_comes_and_goes() {
+  void group_members_track_registrations_and_removals() {
     const GroupName records("records");
     apply(RegisterBackend{backend("b1", 1, 1)});
     apply(RegisterBackend{backend("b2", 2, 1)});
@@ -204,7 +204,7 @@
     CPPUNIT_ASSERT(machine_->members_of(GroupName("nobody")).empty());
   }
 
-  void late_registrations_are_old() {
+  void ignores_late_registrations() {
     BackendEntry leaving = backend("b1", 1, 5);
     leaving.leaving = true;
     apply(RegisterBackend{leaving});
@@ -216,14 +216,14 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE("no change", revision, machine_->revision());
   }
 
-  void an_address_belongs_to_who_registered_last() {
+  void last_registered_backend_owns_address() {
     apply(RegisterBackend{backend("b1", 1, 5)});
     apply(RegisterBackend{backend("b2", 1, 1)});
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("b1")) == nullptr);
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("b2")) != nullptr);
   }
 
-  void a_deregistered_backend_stays_away() {
+  void deregistered_backend_stays_removed() {
     apply(RegisterBackend{backend("b1", 1, 5)});
     apply(DeregisterBackend{BackendName("b1")});
     apply(RegisterBackend{backend("b1", 1, 6)});
@@ -231,17 +231,17 @@
     CPPUNIT_ASSERT(machine_->is_deregistered(BackendName("b1")));
   }
 
-  void the_later_incarnation_holds_in_whichever_order_both_arrive() {
+  void later_incarnation_wins_in_any_order() {
     const BackendName b1("b1");
     apply(RegisterBackend{incarnation("b1", 1, 70, 1000)});
     const std::uint64_t revision = machine_->revision();
     apply(RegisterBackend{incarnation("b1", 1, 1, 2000)});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("its sequence starts anew", std::uint64_t{2000}, born(b1));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("its sequence starts anew", std::uint64_t{2000}, start_time(b1));
     CPPUNIT_ASSERT_MESSAGE("followers receive the change", machine_->backend_revision(b1) > revision);
     BackendEntry late = incarnation("b1", 1, 99, 1000);
     late.leaving = true;
     apply(RegisterBackend{late});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, born(b1));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, start_time(b1));
     CPPUNIT_ASSERT(!machine_->find_backend(b1)->leaving);
     const std::set<BackendIncarnation> expected{{b1, 2000}};
     CPPUNIT_ASSERT(machine_->incarnations_of(GroupName("records")) == expected);
@@ -252,12 +252,12 @@
                            machine_->find_backend(b1)->leaving);
   }
 
-  void a_removal_ends_one_incarnation() {
+  void removal_ends_one_incarnation() {
     const BackendName b1("b1");
     apply(RegisterBackend{incarnation("b1", 1, 5, 2000)});
     apply(DeregisterBackend{b1, 1000});
     CPPUNIT_ASSERT_EQUAL_MESSAGE("the command referred to an earlier incarnation", std::uint64_t{2000},
-                                 born(b1));
+                                 start_time(b1));
     apply(DeregisterBackend{b1});
     CPPUNIT_ASSERT(machine_->is_deregistered(b1, 2000));
     CPPUNIT_ASSERT(!machine_->is_deregistered(b1, 2001));
@@ -270,49 +270,49 @@
     CPPUNIT_ASSERT(other.restore_snapshot(machine_->take_snapshot(), reason));
     CPPUNIT_ASSERT_MESSAGE("restored from the snapshot", other.is_deregistered(b1, 2000));
     apply(RegisterBackend{incarnation("b1", 1, 1, 3000)});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(b1));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, start_time(b1));
     CPPUNIT_ASSERT(!machine_->is_deregistered(b1, 3000));
     CPPUNIT_ASSERT_EQUAL_MESSAGE("superseded by the registered entry", std::uint64_t{0},
-                                 machine_->ended_birth(b1));
+                                 machine_->ended_start_time_ms(b1));
   }
 
-  void what_tells_no_start_displaces_nothing_that_does() {
+  void entry_without_start_time_displaces_none_with_one() {
     const BackendName b1("b1");
     apply(RegisterBackend{incarnation("b1", 1, 5, 0)});
     apply(RegisterBackend{incarnation("b1", 1, 2, 1000)});
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("it now reports its start time", std::uint64_t{1000}, born(b1));
-    BackendEntry untold = incarnation("b1", 1, 9, 0);
-    untold.leaving = true;
-    apply(RegisterBackend{untold});
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("it now reports its start time", std::uint64_t{1000}, start_time(b1));
+    BackendEntry without_start_time = incarnation("b1", 1, 9, 0);
+    without_start_time.leaving = true;
+    apply(RegisterBackend{without_start_time});
     CPPUNIT_ASSERT(!machine_->find_backend(b1)->leaving);
     apply(RegisterBackend{incarnation("b2", 1, 1, 0)});
     CPPUNIT_ASSERT_MESSAGE("does not take over the address either",
                            machine_->find_backend(BackendName("b2")) == nullptr);
   }
 
-  void an_address_belongs_to_who_started_there_last() {
+  void last_started_backend_owns_address() {
     apply(RegisterBackend{incarnation("b1", 1, 1, 2000)});
     apply(RegisterBackend{incarnation("former", 1, 50, 1000)});
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, born(BackendName("b1")));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2000}, start_time(BackendName("b1")));
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("former")) == nullptr);
     apply(RegisterBackend{incarnation("next", 1, 1, 3000)});
     CPPUNIT_ASSERT(machine_->find_backend(BackendName("b1")) == nullptr);
     CPPUNIT_ASSERT_MESSAGE("displaced permanently", machine_->is_deregistered(BackendName("b1"), 2000));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, born(BackendName("next")));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, start_time(BackendName("next")));
   }
 
-  void ended_incarnations_are_forgotten_with_their_names() {
+  void discards_ended_incarnations_with_removed_rows() {
     constexpr std::uint64_t kMany = 4098;
     for (std::uint64_t number = 1; number <= kMany; ++number) {
       const std::string name = "b" + std::to_string(number);
       apply(RegisterBackend{incarnation(name, 1, 1, number)});
       apply(DeregisterBackend{BackendName(name)});
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, machine_->ended_birth(BackendName("b1")));
-    CPPUNIT_ASSERT_EQUAL(kMany, machine_->ended_birth(BackendName("b" + std::to_string(kMany))));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, machine_->ended_start_time_ms(BackendName("b1")));
+    CPPUNIT_ASSERT_EQUAL(kMany, machine_->ended_start_time_ms(BackendName("b" + std::to_string(kMany))));
   }
 
-  void a_group_opens_and_closes_by_epoch() {
+  void opens_and_closes_group_by_epoch() {
     const GroupName group("records");
     apply(OpenGroup{group, 0, 3, BackendName("b1")});
     CPPUNIT_ASSERT(machine_->find_term(group)->open);
@@ -328,7 +328,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b2"), machine_->find_term(group)->primary.value);
   }
 
-  void an_opening_for_a_former_close_has_no_effect() {
+  void ignores_opening_for_former_close() {
     const GroupName group("records");
     apply(OpenGroup{group, 0, 3, BackendName("b1")});
     apply(CloseGroup{group, 1});
@@ -339,7 +339,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, machine_->find_term(group)->epoch);
   }
 
-  void a_replaced_proxy_may_have_acknowledged_unknown_commits() {
+  void replaced_proxy_may_have_acknowledged_unknown_commits() {
     apply(AdmitProxy{{NodeName("p1"), 1, ZoneName("a"), {}, false}});
     apply(OpenGroup{GroupName("records"), 0, 1, BackendName("b1")});
     CPPUNIT_ASSERT(machine_->knows_all_acknowledgers(*machine_->find_term(GroupName("records"))));
@@ -347,15 +347,15 @@
     CPPUNIT_ASSERT(!machine_->knows_all_acknowledgers(*machine_->find_term(GroupName("records"))));
   }
 
-  void a_follower_is_told_what_it_lacks() {
+  void delta_contains_missing_changes() {
     apply(ReplaceDocument{document(1, {route("decks"), route("answers")})});
     apply(RegisterBackend{backend("b1", 1, 1)});
     const FleetDelta whole = machine_->delta_since(0);
-    CPPUNIT_ASSERT(whole.is_whole);
+    CPPUNIT_ASSERT(whole.is_full);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, whole.routes.size());
     apply(ReplaceDocument{document(2, {route("decks"), route("new")})});
     const FleetDelta delta = machine_->delta_since(whole.revision);
-    CPPUNIT_ASSERT(!delta.is_whole);
+    CPPUNIT_ASSERT(!delta.is_full);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, delta.routes.size());
     CPPUNIT_ASSERT_EQUAL(std::string("new"), delta.routes[0].database.value);
     CPPUNIT_ASSERT_EQUAL(std::string("r-answers"), delta.removed_routes.at(0).value);
@@ -363,7 +363,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, delta.document_version);
   }
 
-  void a_snapshot_restores_everything() {
+  void snapshot_restores_state() {
     apply(ReplaceDocument{document(3, {route("decks")})});
     apply(RegisterBackend{backend("b1", 1, 1)});
     apply(OpenGroup{GroupName("records"), 0, 3, BackendName("b1")});
@@ -380,15 +380,15 @@
 
  private:
   static BackendEntry incarnation(const std::string& name, std::uint16_t port, std::uint64_t sequence,
-                                  std::uint64_t born_ms) {
+                                  std::uint64_t start_time_ms) {
     BackendEntry entry = backend(name, port, sequence);
-    entry.born_ms = born_ms;
+    entry.start_time_ms = start_time_ms;
     return entry;
   }
-  std::uint64_t born(const BackendName& name) {
+  std::uint64_t start_time(const BackendName& name) {
     const BackendEntry* held = machine_->find_backend(name);
     CPPUNIT_ASSERT_MESSAGE(name.value + " is not registered", held != nullptr);
-    return held->born_ms;
+    return held->start_time_ms;
   }
 
   void apply(Command command) {
--- a/tests/registered/registry/validation_test.cpp
+++ b/tests/registered/registry/validation_test.cpp
@@ -8,20 +8,20 @@
 namespace {
 
 ConfigurationDocument document() {
-  ConfigurationDocument whole;
-  whole.version = 1;
-  whole.groups = {GroupRule{GroupName("records"), 30, 1}};
+  ConfigurationDocument edited;
+  edited.version = 1;
+  edited.groups = {GroupRule{GroupName("records"), 30, 1}};
   RouteRule route;
   route.name = RouteName("r");
   route.database = DatabaseName("records");
   route.group = GroupName("records");
   route.timeout_ms = 800;
-  whole.routes = {route};
+  edited.routes = {route};
   TenantRule tenant;
   tenant.name = TenantName("kea");
   tenant.keys = {ApiKey("key-of-kea")};
-  whole.tenants = {tenant};
-  return whole;
+  edited.tenants = {tenant};
+  return edited;
 }
 
 void check(const std::vector<std::string>& expected, const ConfigurationDocument& document) {
@@ -34,36 +34,36 @@
 
 class ValidationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ValidationTest);
-  CPPUNIT_TEST(regions_that_may_come_later_are_taken);
-  CPPUNIT_TEST(a_region_without_a_name);
-  CPPUNIT_TEST(a_region_twice);
+  CPPUNIT_TEST(accepts_regions_without_machines);
+  CPPUNIT_TEST(rejects_empty_region_names);
+  CPPUNIT_TEST(rejects_duplicate_regions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void regions_that_may_come_later_are_taken() {
-    ConfigurationDocument whole = document();
-    check({}, whole);
-    whole.routes[0].allowed_regions = {RegionName("north"), RegionName("of-next-year")};
-    whole.tenants[0].allowed_regions = {RegionName("south")};
-    check({}, whole);
+  void accepts_regions_without_machines() {
+    ConfigurationDocument edited = document();
+    check({}, edited);
+    edited.routes[0].allowed_regions = {RegionName("north"), RegionName("of-next-year")};
+    edited.tenants[0].allowed_regions = {RegionName("south")};
+    check({}, edited);
   }
 
-  void a_region_without_a_name() {
-    ConfigurationDocument whole = document();
-    whole.routes[0].allowed_regions = {RegionName("north"), RegionName()};
-    check({"routes[0].allowed_regions[1]: must not be empty"}, whole);
-    whole = document();
-    whole.tenants[0].allowed_regions = {RegionName()};
-    check({"tenants[0].allowed_regions[0]: must not be empty"}, whole);
+  void rejects_empty_region_names() {
+    ConfigurationDocument edited = document();
+    edited.routes[0].allowed_regions = {RegionName("north"), RegionName()};
+    check({"routes[0].allowed_regions[1]: must not be empty"}, edited);
+    edited = document();
+    edited.tenants[0].allowed_regions = {RegionName()};
+    check({"tenants[0].allowed_regions[0]: must not be empty"}, edited);
   }
 
-  void a_region_twice() {
-    ConfigurationDocument whole = document();
-    whole.routes[0].allowed_regions = {RegionName("north"), RegionName("south"), RegionName("north")};
-    check({"routes[0].allowed_regions[2]: north appears more than once"}, whole);
-    whole = document();
-    whole.tenants[0].allowed_regions = {RegionName("north"), RegionName("north")};
-    check({"tenants[0].allowed_regions[1]: north appears more than once"}, whole);
+  void rejects_duplicate_regions() {
+    ConfigurationDocument edited = document();
+    edited.routes[0].allowed_regions = {RegionName("north"), RegionName("south"), RegionName("north")};
+    check({"routes[0].allowed_regions[2]: north appears more than once"}, edited);
+    edited = document();
+    edited.tenants[0].allowed_regions = {RegionName("north"), RegionName("north")};
+    check({"tenants[0].allowed_regions[1]: north appears more than once"}, edited);
   }
 };
 
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -172,7 +172,7 @@
 
 BackendEntry any_incarnation() {
   BackendEntry entry = any_backend();
-  entry.born_ms = 1'795'000'000'123;
+  entry.start_time_ms = 1'795'000'000'123;
   entry.cold_ms = 400;
   return entry;
 }
@@ -183,9 +183,9 @@
   BackendEntry removed = any_incarnation();
   removed.name = BackendName("b-0");
   removed.endpoint.port = 9001;
-  const OpenGroup open{GroupName("group-1"), 0, 4, BackendName("b-1"), any_incarnation().born_ms};
+  const OpenGroup open{GroupName("group-1"), 0, 4, BackendName("b-1"), any_incarnation().start_time_ms};
   const std::vector<Command> commands{RegisterBackend{any_incarnation()}, RegisterBackend{removed},
-                                      DeregisterBackend{removed.name, removed.born_ms}, open};
+                                      DeregisterBackend{removed.name, removed.start_time_ms}, open};
   std::uint64_t index = 0;
   for (const Command& command : commands)
     machine.apply(++index, wire::encode(LoggedCommand{command}, wire::kPlacesFormat));
@@ -195,14 +195,15 @@
 void add_incarnations(Samples& samples) {
   add_with_incarnations(samples, "registry_register_backend_with_life",
                         LoggedCommand{RegisterBackend{any_incarnation()}});
-  add_with_incarnations(samples, "registry_deregister_backend_with_life",
-                        LoggedCommand{DeregisterBackend{BackendName("b-1"), any_incarnation().born_ms}});
   add_with_incarnations(
-      samples, "registry_open_group_with_life",
-      LoggedCommand{OpenGroup{GroupName("group-1"), 0, 4, BackendName("b-1"), any_incarnation().born_ms}});
+      samples, "registry_deregister_backend_with_life",
+      LoggedCommand{DeregisterBackend{BackendName("b-1"), any_incarnation().start_time_ms}});
+  add_with_incarnations(samples, "registry_open_group_with_life",
+                        LoggedCommand{OpenGroup{GroupName("group-1"), 0, 4, BackendName("b-1"),
+                                                any_incarnation().start_time_ms}});
   FleetDelta delta = any_delta();
   delta.backends = {any_incarnation()};
-  delta.terms.front().primary_born_ms = any_incarnation().born_ms;
+  delta.terms.front().primary_start_time_ms = any_incarnation().start_time_ms;
   add_with_incarnations(samples, "fleet_delta_with_lives", delta);
   const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     simulation::World world({});
