--- a/src/registered/control/failover/group_keeper.cpp
+++ b/src/registered/control/failover/group_keeper.cpp
@@ -110,7 +110,7 @@
   if (next == nullptr || !terms_.leads()) co_return;
   std::string why =
       fmt::format("the primary incarnation started at {} (Unix ms) was replaced by the one started at {}",
-                  term->primary_born_ms, next->born_ms);
+                  term->primary_start_time_ms, next->start_time_ms);
   const bool closed = co_await terms_.close(*term, std::move(why));
   if (!closed) co_await runtime_.sleep_for(kFailoverRetryDelay);
 }
--- a/src/registered/control/failover/log_comparison.cpp
+++ b/src/registered/control/failover/log_comparison.cpp
@@ -28,7 +28,7 @@
   for (registry::BackendEntry& entry : fleet_.backends_of(closed.group)) {
     // Commands committed in one batch share a revision, hence >=.
     const bool joined_in_term =
-        entry.tells_birth() && fleet_.backend_revision(entry.name) >= closed.opened_at;
+        entry.has_start_time() && fleet_.backend_revision(entry.name) >= closed.opened_at;
     members.push_back({std::move(entry), std::nullopt, joined_in_term});
   }
   return members;
--- a/src/registered/control/failover/promotion_choice.cpp
+++ b/src/registered/control/failover/promotion_choice.cpp
@@ -25,7 +25,7 @@
 /// time, the answer may come from its next incarnation before that one has registered.
 bool reports_old_log(const MemberFinding& member, const PromotionFacts& facts) {
   if (!member.status || !is_old_primary(member, facts)) return false;
-  if (!member.entry.tells_birth()) return true;
+  if (!member.entry.has_start_time()) return true;
   return leads_closed_term(member, facts) && !has_lost_log(member, facts);
 }
 
@@ -94,7 +94,8 @@
 /// Whether the log is empty and this proves nothing, because a backend that reports its start time may have
 /// lost its log.
 bool may_have_lost_log(const MemberFinding& candidate, const PromotionFacts& facts) {
-  return candidate.entry.tells_birth() && candidate.status->received.index == 0 && !never_had_commits(facts);
+  return candidate.entry.has_start_time() && candidate.status->received.index == 0 &&
+         !never_had_commits(facts);
 }
 
 bool reaches_old_primary(const MemberFinding& candidate, const PromotionFacts& facts) {
@@ -229,7 +230,7 @@
 }
 
 bool has_lost_log(const MemberFinding& member, const PromotionFacts& facts) {
-  if (!member.entry.tells_birth() || !member.status || member.status->received.index > 0) return false;
+  if (!member.entry.has_start_time() || !member.status || member.status->received.index > 0) return false;
   if (facts.highest_acknowledged.index > 0) return true;
   return std::any_of(facts.members.begin(), facts.members.end(), [](const MemberFinding& other) {
     return other.status && other.status->received.index > 0;
--- a/src/registered/control/failover/replication_pauses.cpp
+++ b/src/registered/control/failover/replication_pauses.cpp
@@ -78,7 +78,7 @@
   const FirstSeen known =
       found == first_seen_.end() ? FirstSeen{runtime_.now(), fleet_.revision()} : found->second;
   return member_lease_end(paused_at,
-                          asked_by_all_from(known.since, known.revision, min_unresponsive_revision));
+                          queried_by_all_from(known.since, known.revision, min_unresponsive_revision));
 }
 
 TimePoint ReplicationPauses::earliest_promotion(const GroupTerm& closed,
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -20,8 +20,8 @@
   [[nodiscard]] bool knows(const registry::BackendEntry& entry) const override {
     const registry::BackendEntry* known = view_.find_backend(entry.name);
     if (known == nullptr) return false;
-    const bool is_stale = entry.tells_birth() && entry.is_of_earlier_incarnation_than(*known);
-    return is_stale || known->same_facts(entry);
+    const bool is_stale = entry.has_start_time() && entry.is_older_incarnation_than(*known);
+    return is_stale || known->has_same_state(entry);
   }
   [[nodiscard]] std::optional<Endpoint> control_endpoint() const override {
     return link_.registration_endpoint();
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -93,7 +93,7 @@
   if (status.pause_term > 0) return fmt::format("{} is paused for term {}", name, status.pause_term);
   // A pause does not survive a restart, so that a restarted member may lack one that it had when it was to be
   // asked.
-  if (member.entry.tells_birth() && has_lost_log(round, member, status.received))
+  if (member.entry.has_start_time() && has_lost_log(round, member, status.received))
     return fmt::format("{} has restarted: its log is empty or shorter than before", name);
   return {};
 }
--- a/tests/registered/control/failover/promotion_choice_test.cpp
+++ b/tests/registered/control/failover/promotion_choice_test.cpp
@@ -213,7 +213,7 @@
     // It restarted and has not registered yet, so its former incarnation's position is unknown.
     auto known = facts({incarnation("old", 1000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.front().status = leading(0);
     CPPUNIT_ASSERT_MESSAGE("not reopened either",
@@ -227,7 +227,7 @@
   void does_not_take_a_restarted_primary_for_the_old_one() {
     auto known = facts({incarnation("old", 2000, leading(3)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 1000, std::nullopt)});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.all_acknowledgers_answered = true;
     known.highest_acknowledged = {3, 7};
@@ -244,7 +244,7 @@
                         incarnation("b", 1000, replica(0))});
     known.members_are_stable = true;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
-    for (MemberFinding& member : known.members) member.entry.born_ms = 0;
+    for (MemberFinding& member : known.members) member.entry.start_time_ms = 0;
     CPPUNIT_ASSERT_MESSAGE("a backend without a start time keeps its log",
                            choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
   }
@@ -264,7 +264,7 @@
     // Both backends that held the newest commits have restarted.
     auto known = facts({incarnation("old", 2000, replica(0)), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(0))});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
     const auto choice = choose_promotion(known, true);
@@ -274,7 +274,7 @@
     CPPUNIT_ASSERT_MESSAGE("a member that does not answer may hold newer commits",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
     known.members.back().status = replica(0);
-    known.members.front().entry.born_ms = 1000;
+    known.members.front().entry.start_time_ms = 1000;
     CPPUNIT_ASSERT_MESSAGE("the old primary's incarnation may hold newer commits",
                            choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
   }
@@ -282,7 +282,7 @@
   void waits_for_the_log_of_a_restarted_primary() {
     auto known = facts({incarnation("old", 2000, std::nullopt), incarnation("a", 1000, replica(7)),
                         incarnation("b", 2000, replica(5))});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     known.replaced_incarnation_is_unsettled = true;
     known.highest_acknowledged = {3, 9};
     CPPUNIT_ASSERT_MESSAGE("its log position is unknown",
@@ -327,7 +327,7 @@
     // Both answer as a next incarnation that has not registered; the other replica does not answer.
     auto known = facts({incarnation("old", 1000, leading(0)), incarnation("a", 1000, replica(0)),
                         incarnation("b", 1000, std::nullopt)});
-    known.closed.primary_born_ms = 1000;
+    known.closed.primary_start_time_ms = 1000;
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kPromote);
     known.highest_acknowledged = {3, 4};
     CPPUNIT_ASSERT(choose_promotion(known, true).verdict == PromotionVerdict::kNotYet);
@@ -385,10 +385,10 @@
   }
 
  private:
-  static MemberFinding incarnation(const std::string& name, std::uint64_t born_ms,
+  static MemberFinding incarnation(const std::string& name, std::uint64_t start_time_ms,
                                    std::optional<BackendStatus> status) {
     MemberFinding member = finding(name, status);
-    member.entry.born_ms = born_ms;
+    member.entry.start_time_ms = start_time_ms;
     return member;
   }
 };
--- a/tests/registered/control/failover/promotion_model_test.cpp
+++ b/tests/registered/control/failover/promotion_model_test.cpp
@@ -212,7 +212,7 @@
     facts.closed.term = kClosedTerm;
     facts.closed.epoch = state.previous_term_commits == 0 ? 2 : 4;
     facts.closed.primary = BackendName(kNames[kPrimary]);
-    facts.closed.primary_born_ms =
+    facts.closed.primary_start_time_ms =
         guards_.term_records_primary_incarnation && guards_.backends_report_incarnations ? 1 : 0;
     facts.synchronous_replicas = 1;
     facts.all_acknowledgers_answered = !state.proxy_restarted;
@@ -226,7 +226,7 @@
       MemberFinding finding;
       finding.entry.name = BackendName(kNames[index]);
       if (guards_.backends_report_incarnations)
-        finding.entry.born_ms = static_cast<std::uint64_t>(member.registered);
+        finding.entry.start_time_ms = static_cast<std::uint64_t>(member.registered);
       finding.joined_in_term = member.joined && guards_.joined_incarnation_needs_entries;
       const bool is_primary = index == kPrimary && leads(state);
       if (member.answers)
--- a/tests/registered/control/leases/lease_keeper_test.cpp
+++ b/tests/registered/control/leases/lease_keeper_test.cpp
@@ -1,4 +1,4 @@
-// Who is given a lease, and who may still hold one when a group is closed.
+// Verifies when a lease is granted, and which proxies may still hold one when a group is closed.
 #include "registered/control/leases/lease_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,13 +18,13 @@
 
 class LeaseKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaseKeeperTest);
-  CPPUNIT_TEST(a_report_is_answered_with_a_lease);
-  CPPUNIT_TEST(no_lease_without_a_quorum);
-  CPPUNIT_TEST(no_lease_over_a_change_of_leader);
-  CPPUNIT_TEST(no_lease_without_what_is_in_force);
-  CPPUNIT_TEST(a_lease_of_this_leader_is_waited_out);
-  CPPUNIT_TEST(a_lease_of_the_leader_before_is_waited_out);
-  CPPUNIT_TEST(an_answer_to_this_close_of_this_incarnation_counts);
+  CPPUNIT_TEST(answers_report_with_lease);
+  CPPUNIT_TEST(grants_no_lease_without_quorum);
+  CPPUNIT_TEST(grants_no_lease_across_leader_change);
+  CPPUNIT_TEST(grants_no_lease_without_current_state);
+  CPPUNIT_TEST(waits_out_lease_of_this_leader);
+  CPPUNIT_TEST(waits_out_lease_of_previous_leader);
+  CPPUNIT_TEST(counts_answers_only_of_current_close_and_incarnation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -35,14 +35,14 @@
   }
   void tearDown() override { stand_.reset(); }
 
-  void a_report_is_answered_with_a_lease() {
+  void answers_report_with_lease() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy);
     CPPUNIT_ASSERT(proxy->lease() == ControlStand::kLease);
     CPPUNIT_ASSERT(!proxy->was_refused());
   }
 
-  void no_lease_without_a_quorum() {
+  void grants_no_lease_without_quorum() {
     stand_->admit("proxy");
     const auto proxy = stand_->connect("proxy");
     stand_->consensus().has_quorum = false;
@@ -52,10 +52,10 @@
     CPPUNIT_ASSERT(proxy->was_refused());
   }
 
-  void no_lease_over_a_change_of_leader() {
+  void grants_no_lease_across_leader_change() {
     stand_->admit("proxy");
     const auto proxy = stand_->connect("proxy");
-    // Another led meanwhile, and may have replaced the primary.
+    // Another node led in the meantime and may have replaced the primary.
     stand_->consensus().during_barrier = [this] {
       stand_->consensus().led_term += 2;
       const auto other = stand_->connect("other");
@@ -66,14 +66,14 @@
     CPPUNIT_ASSERT(proxy->lease() == Duration(0));
   }
 
-  void no_lease_without_what_is_in_force() {
+  void grants_no_lease_without_current_state() {
     const auto first = stand_->connect("first");
     const auto second = stand_->connect("second");
     report(*first);
     report(*second);
     CPPUNIT_ASSERT(second->lease() == ControlStand::kLease);
     second->updates.clear();
-    // So much that it is sent to one after the other.
+    // The delta is large enough that it cannot be in flight to both proxies at once.
     first->stall_sends(true);
     registry::ConfigurationDocument document;
     document.version = 2;
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(second->lease() == ControlStand::kLease);
   }
 
-  void a_lease_of_this_leader_is_waited_out() {
+  void waits_out_lease_of_this_leader() {
     stand_->run_for(ControlStand::kLease * 2);
     const auto proxy = stand_->connect("proxy");
     report(*proxy);
@@ -106,36 +106,37 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).possible_leaseholders);
     stand_->run_for(reported + ControlStand::kLease + milliseconds(1) - stand_->now());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).possible_leaseholders);
-    CPPUNIT_ASSERT_MESSAGE("it may have acknowledged something", !progress(5).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("the proxy may have acknowledged commits", !progress(5).all_answered);
   }
 
-  void a_lease_of_the_leader_before_is_waited_out() {
+  void waits_out_lease_of_previous_leader() {
     stand_->admit("proxy");
     stand_->run_for(ControlStand::kLease * 2);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).possible_leaseholders);
     stand_->consensus().led_term += 2;
-    stand_->run_for(kLapsedTick);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("nobody knows what it was given", std::size_t{1},
+    stand_->run_for(kLapseCheckInterval);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("the previous leader may have granted a lease", std::size_t{1},
                                  progress(5).possible_leaseholders);
-    stand_->run_for(ControlStand::kLease - kLapsedTick - milliseconds(10));
+    stand_->run_for(ControlStand::kLease - kLapseCheckInterval - milliseconds(10));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, progress(5).possible_leaseholders);
-    stand_->run_for(kLapsedTick);
+    stand_->run_for(kLapseCheckInterval);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, progress(5).possible_leaseholders);
   }
 
-  void an_answer_to_this_close_of_this_incarnation_counts() {
+  void counts_answers_only_of_current_close_and_incarnation() {
     const auto proxy = stand_->connect("proxy");
     report(*proxy, 2);
     CPPUNIT_ASSERT(progress(2).all_answered);
     CPPUNIT_ASSERT(progress(2).highest_acknowledged == (Position{1, 7}));
-    CPPUNIT_ASSERT_MESSAGE("of an earlier close", !progress(3).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("the answer was to an earlier close", !progress(3).all_answered);
     stand_->consensus().commit(
         registry::AdmitProxy{{NodeName("proxy"), 2, ZoneName("a"), {"10.0.0.9", 7440}, false}});
-    CPPUNIT_ASSERT_MESSAGE("of an incarnation that is over", !progress(2).all_answered);
+    CPPUNIT_ASSERT_MESSAGE("the answer was from an earlier incarnation", !progress(2).all_answered);
   }
 
  private:
-  /// In the proxy's first incarnation; `closed_epoch` 0: it tells of no closed group.
+  /// Sends a report of the proxy's first incarnation. `closed_epoch` 0: without an acknowledgement of a
+  /// close.
   void report(ProxyFrames& proxy, std::uint64_t closed_epoch = 0) {
     registry::ProxyReport report;
     report.nonce = ++nonce_;
--- a/tests/registered/limits/limit_play.h
+++ b/tests/registered/limits/limit_play.h
@@ -197,7 +197,7 @@
 
   std::uint64_t stable_revision() const {
     if (!guards_.waits_for_stable_revision) return revision_;
-    std::vector<registry::ProxyKnowledge> known;
+    std::vector<registry::ProxyRevision> known;
     for (const auto& [name, member] : members_) {
       const auto last_report = last_reports_.find(name);
       const bool same =
--- a/tests/registered/proxy/fleet/evacuation_view_test.cpp
+++ b/tests/registered/proxy/fleet/evacuation_view_test.cpp
@@ -20,10 +20,10 @@
   }
 };
 
-registry::FleetDelta delta(bool is_whole, std::uint64_t revision, std::vector<registry::Evacuation> started,
+registry::FleetDelta delta(bool is_full, std::uint64_t revision, std::vector<registry::Evacuation> started,
                            std::vector<ZoneName> ended = {}) {
   registry::FleetDelta delta;
-  delta.is_whole = is_whole;
+  delta.is_full = is_full;
   delta.revision = revision;
   delta.evacuations = std::move(started);
   delta.ended_evacuations = std::move(ended);
--- a/tests/registered/proxy/fleet/known_registrations_test.cpp
+++ b/tests/registered/proxy/fleet/known_registrations_test.cpp
@@ -60,7 +60,7 @@
     registry::BackendEntry known;
     known.name = BackendName("b-1");
     known.group = GroupName("records");
-    known.born_ms = 2000;
+    known.start_time_ms = 2000;
     known.sequence = 3;
     CPPUNIT_ASSERT_MESSAGE("no backend is known yet", !proxy.registrations.knows(known));
     registry::FleetDelta delta;
@@ -70,10 +70,10 @@
     proxy.view.apply(delta);
     CPPUNIT_ASSERT(proxy.registrations.knows(known));
     registry::BackendEntry next = known;
-    next.born_ms = 3000;
+    next.start_time_ms = 3000;
     CPPUNIT_ASSERT(!proxy.registrations.knows(next));
     registry::BackendEntry earlier = known;
-    earlier.born_ms = 1000;
+    earlier.start_time_ms = 1000;
     earlier.leaving = true;
     CPPUNIT_ASSERT(proxy.registrations.knows(earlier));
     known.leaving = true;
--- a/tests/registered/proxy/group/group_access_test.cpp
+++ b/tests/registered/proxy/group/group_access_test.cpp
@@ -216,7 +216,7 @@
     const auto reader = choose_reader(*group_, need_, {BackendName("replica-1"), BackendName("replica-2")});
     CPPUNIT_ASSERT_MESSAGE("it serves no reads either", !reader);
     term.epoch = 5;
-    term.primary_born_ms = 2000;
+    term.primary_start_time_ms = 2000;
     group_->set_term(term);
     CPPUNIT_ASSERT_MESSAGE("the term names the new incarnation", group_->evaluator.primary());
   }
@@ -377,9 +377,9 @@
   }
 
   static registry::BackendEntry incarnation(const std::string& name, std::uint16_t port,
-                                            std::uint64_t born_ms) {
+                                            std::uint64_t start_time_ms) {
     registry::BackendEntry entry = backend(name, port);
-    entry.born_ms = born_ms;
+    entry.start_time_ms = start_time_ms;
     return entry;
   }
   std::shared_ptr<StatefulLink> acquire(StatefulPool& pool, Reason& reason) {
--- a/tests/registered/proxy/statement/cold_sending_test.cpp
+++ b/tests/registered/proxy/statement/cold_sending_test.cpp
@@ -97,7 +97,7 @@
 /// This proxy is the only one and owns all quotas.
 registry::FleetDelta fleet(double cold_rate, std::uint64_t cold_ms) {
   registry::FleetDelta delta;
-  delta.is_whole = true;
+  delta.is_full = true;
   delta.revision = 1;
   delta.document_version = 1;
   registry::RouteRule route;
