--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -1,5 +1,5 @@
-// The statements that wait for one backend, most urgent first: by priority class, then by deadline, then by
-// arrival. A plain data structure; waking the statements is the caller's part.
+// Queue of the statements that wait for one backend, ordered by priority class, then deadline, then arrival.
+// A plain data structure: the caller resumes the waiting statements.
 #pragma once
 
 #include <compare>
@@ -11,10 +11,10 @@
 
 namespace cairnhollow::admission {
 
-/// The class that goes first, and may borrow slots (urgent_allowance.h).
+/// The highest priority class; its statements may borrow slots (urgent_allowance.h).
 inline constexpr std::uint8_t kUrgentClass = 0;
 
-/// A statement's place in the queue; lower comes first.
+/// Sort key of a queued statement; lower keys are admitted first.
 struct AdmissionKey {
   std::uint8_t priority_class = kUrgentClass;
   TimePoint deadline;
@@ -29,7 +29,7 @@
   using WaiterPointer = std::shared_ptr<Waiter>;
   using Entries = std::map<AdmissionKey, WaiterPointer>;
 
-  /// The key of a statement that arrives now.
+  /// Returns the key of a statement that arrives now.
   AdmissionKey make_key(std::uint8_t priority_class, TimePoint deadline) {
     return {priority_class, deadline, next_arrival_++};
   }
@@ -41,15 +41,15 @@
     const bool was_there = entries_.erase(key) != 0;
     if (was_there && key.is_urgent()) --urgent_;
   }
-  /// Waiters that go before `key`.
+  /// Number of waiters admitted before `key`.
   [[nodiscard]] std::size_t ahead_of(const AdmissionKey& key) const {
     return static_cast<std::size_t>(std::distance(entries_.begin(), entries_.lower_bound(key)));
   }
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
-  /// The waiters of the most urgent class, which go first.
+  /// Number of waiters of the urgent class.
   [[nodiscard]] std::size_t urgent() const { return urgent_; }
   [[nodiscard]] bool empty() const { return entries_.empty(); }
-  /// In order of urgency.
+  /// In order of admission.
   [[nodiscard]] const Entries& entries() const { return entries_; }
 
  private:
--- a/src/admission/concurrency_limit.cpp
+++ b/src/admission/concurrency_limit.cpp
@@ -7,33 +7,36 @@
 
 namespace {
 
-/// Weight of the newest latency in the smoothed one, at most; of answers that come faster, the time since the
-/// one before as a part of kLatencySmoothing.
+/// Maximum weight of the newest latency in the smoothed latency. Answers closer together weigh less: the time
+/// since the previous answer divided by kLatencySmoothing.
 constexpr double kLatencyWeight = 0.1;
 constexpr Duration kLatencySmoothing = std::chrono::milliseconds(100);
-/// The same for the latency with at most the share under way, which tells what more than the share brings.
+/// Smoothing time of the reference latency, which is sampled only while at most the share is in flight.
 constexpr Duration kReferenceSmoothing = std::chrono::seconds(2);
-/// A smoothed latency above that x this, plus the slack, says that the backend queues,
+/// The backend is considered to queue when the smoothed latency exceeds this multiple of the reference
+/// latency plus kLatencySlack,
 constexpr double kLatencyTolerance = 2.0;
 constexpr Duration kLatencySlack = std::chrono::milliseconds(5);
-/// unless this much more is served than with the share under way.
+/// unless throughput is at least this multiple of the throughput at the share.
 constexpr double kServedMore = 1.2;
-constexpr double kLatencyDecrease = 0.9;  ///< factor, for a latency that says so
-constexpr double kBusyDecrease = 0.75;    ///< factor, for a backend that said it is busy
-/// The same for a limit within this proxy's share of the slots: others have borrowed what is missing.
+constexpr double kLatencyDecrease = 0.9;  ///< factor, when latency indicates queueing
+constexpr double kBusyDecrease = 0.75;    ///< factor, when the backend reports that it is busy
+/// Replaces kBusyDecrease at or below this proxy's share, where other proxies have borrowed the missing
+/// slots.
 constexpr double kBusyDecreaseInShare = 0.9;
-/// One decrease within this time, since answers of one burst tell the same.
+/// Minimum time between decreases: the answers of one burst report the same congestion.
 constexpr Duration kDecreaseInterval = std::chrono::milliseconds(50);
-/// The limit grows by one part in so many, and by one at least, after this time at the limit.
+/// The limit grows by one part in kGrowthPart, and by at least one, once it has been unchanged for
+/// kGrowthInterval and the statements in flight reach it.
 constexpr double kGrowthPart = 8;
 constexpr Duration kGrowthInterval = std::chrono::milliseconds(200);
-/// and not before this long after a backend said that it is busy: within the share, and beyond it.
+/// Minimum time from a busy report to the next growth: below the share, and at or above it.
 constexpr Duration kGrowthPauseInShare = std::chrono::milliseconds(200);
 constexpr Duration kGrowthPauseAfterBusy = std::chrono::seconds(2);
-/// It grows by one for this long after that.
+/// Growth is by one for this long after a busy report.
 constexpr Duration kCautionAfterBusy = std::chrono::seconds(10);
 
-/// By time, not by answers: a stall that held up many of them counts once.
+/// Weighted by time rather than by answer, so that a stall that delays many answers counts once.
 Duration average(Duration before, Duration latency, Duration since, Duration smoothing) {
   const double part = static_cast<double>(since.count()) / static_cast<double>(smoothing.count());
   const double weight = std::min(kLatencyWeight, part);
@@ -70,7 +73,7 @@
   const auto reference = static_cast<double>(reference_.count());
   const auto latency = static_cast<double>(smoothed_.count());
   const bool slow = latency - static_cast<double>(kLatencySlack.count()) > kLatencyTolerance * reference;
-  // Little's law: what is served with the limit under way, as a multiple of what is served with the share.
+  // Little's law: throughput at the current limit, as a multiple of the throughput at the share.
   const bool serves_more = limit_ * reference > kServedMore * share_ * latency;
   return slow && !serves_more;
 }
--- a/tests/admission/concurrency_limit_test.cpp
+++ b/tests/admission/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// The adaptive limit: what makes it grow and shrink, and its bounds.
+// Tests growth, decrease and bounds of the adaptive concurrency limit.
 #include "admission/concurrency_limit.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT(limit_.limit() > 7);
   }
 
-  /// A disk's sync or a proxy that got no processor holds up whatever is under way, however much that is.
+  /// A disk sync or a descheduled proxy delays every statement in flight, regardless of their number.
   void test_stalls_that_hold_up_all_answers_do_not_shrink_it() {
     answer_for(seconds(5), milliseconds(1), 10);
     CPPUNIT_ASSERT_EQUAL(10U, limit_.limit());
@@ -125,8 +125,8 @@
                            limited.served_a_second >= 0.95 * straight.served_a_second);
   }
 
-  /// Syncs take 2 to 6 ms, one in eight ten times as long: the mean of some hundred milliseconds varies by
-  /// more than the tolerance, and none of it comes from what is under way.
+  /// Syncs take 2 to 6 ms, one in eight ten times as long: the mean over a few hundred milliseconds varies by
+  /// more than the tolerance, independently of the number of statements in flight.
   void test_noisy_disk_does_not_take_it_below_the_share() {
     const auto straight = SyntheticLoop(kCallers, true, noisy_disk()).run(nullptr, seconds(1), seconds(60));
     limit_ = ConcurrencyLimit();
@@ -137,7 +137,7 @@
     CPPUNIT_ASSERT(limit_.limit() >= kShare);
   }
 
-  /// It serves one after the other: more at once only wait longer there.
+  /// The backend runs statements one at a time, so higher concurrency only adds queueing delay.
   void test_backend_with_no_more_to_give_is_not_piled_upon() {
     limit_ = ConcurrencyLimit();
     limit_.set_bounds(kShare, kMaximum);
@@ -177,14 +177,14 @@
            " a second, mean limit " + std::to_string(limited.mean_limit);
   }
 
-  /// An answer every 10 ms, each after `latency`.
+  /// Feeds one answer with `latency` every 10 ms.
   void answer_for(Duration time, Duration latency, std::uint32_t in_flight) {
     for (const auto end = now_ + time; now_ < end; now_ += milliseconds(10)) {
       limit_.answered(latency, in_flight, now_);
     }
   }
 
-  /// 5,000 answers a second, as many as the limit lets run.
+  /// Feeds 5,000 answers per second with as many statements in flight as the limit allows.
   void answer_quickly_for(Duration time, Duration latency) {
     for (const auto end = now_ + time; now_ < end; now_ += std::chrono::microseconds(200)) {
       limit_.answered(latency, limit_.limit(), now_);
--- a/tests/admission/synthetic_backend.h
+++ b/tests/admission/synthetic_backend.h
@@ -1,5 +1,5 @@
-// A closed loop of callers before one backend, under a ConcurrencyLimit and without any I/O: what
-// a limit makes of a disk with group commit, of a noisy one, and of a backend that has no more to give.
+// Closed-loop simulation, without I/O, of callers of one backend behind a ConcurrencyLimit. Models a disk
+// with group commit, a disk with noisy latency, and a saturated backend.
 #pragma once
 
 #include <algorithm>
@@ -20,14 +20,14 @@
 
 class SyntheticLoop {
  public:
-  /// How long the statements that are taken together take, by how many are under way; a group commit takes
-  /// all that came since the last one (`takes_all`), others one each.
+  /// Service time of one batch as a function of the number of statements in flight. With `takes_all` (group
+  /// commit) a batch is all waiting statements, otherwise it is one statement.
   using ServiceTime = std::function<Duration(std::uint32_t under_way)>;
 
   SyntheticLoop(std::uint32_t callers, bool takes_all, ServiceTime service_time)
       : callers_(callers), takes_all_(takes_all), service_time_(std::move(service_time)) {}
 
-  /// Runs for `warm_up`, then measures for `time`. Null: as many as there are callers run at once.
+  /// Runs for `warm_up`, then measures for `time`. With a null `limit` all callers run concurrently.
   LoopFigures run(ConcurrencyLimit* limit, Duration warm_up, Duration time) {
     const TimePoint measured_from = now_ + warm_up;
     const TimePoint end = measured_from + time;
