--- a/src/declared/routing/backend_load.cpp
+++ b/src/declared/routing/backend_load.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Failures in a row after which the hold-off has long reached its limit.
+/// Number of consecutive failures after which the hold-off has reached kHoldOffLimit; bounds the shift.
 constexpr std::uint32_t kMaximumDoublings = 16;
 
 }  // namespace
--- a/src/declared/routing/backend_load.h
+++ b/src/declared/routing/backend_load.h
@@ -1,4 +1,4 @@
-// What this proxy is doing with each backend, as far as the choice of one needs it.
+// Tracks the load, failures and probes of each backend as seen by this proxy, for backend selection.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace cairnhollow::declared::routing {
 
-/// A backend that could not be reached is not chosen for reads for this long, doubled with each failure
-/// in a row up to the limit, and not before it has answered a probe: no caller's read tries it out.
+/// After a connection failure reads skip the backend for this long, doubled with each consecutive failure up
+/// to kHoldOffLimit, and until it has answered a probe, so that no caller's read is used as the probe.
 inline constexpr Duration kHoldOffBase = std::chrono::milliseconds(100);
 inline constexpr Duration kHoldOffLimit = std::chrono::seconds(2);
 
@@ -24,18 +24,18 @@
   void reached(std::uint32_t ordinal);
   void failed(std::uint32_t ordinal, TimePoint now);
   void probe_began(std::uint32_t ordinal, TimePoint now);
-  /// The backend answered a status probe.
+  /// Records that the backend answered a status probe.
   void probe_answered(std::uint32_t ordinal);
-  /// When the oldest probe began since which none was answered; empty when the last one was, or none was
-  /// made.
+  /// Start of the oldest probe since the last answered one. Returns std::nullopt if the last probe was
+  /// answered or none was sent.
   [[nodiscard]] std::optional<TimePoint> unanswered_since(std::uint32_t ordinal) const {
     return ordinal < entries_.size() ? entries_[ordinal].unanswered_since : std::nullopt;
   }
-  /// Answers of the backend so far, to statements and probes.
+  /// Number of statements and probes that the backend has answered so far.
   [[nodiscard]] std::uint64_t answers(std::uint32_t ordinal) const {
     return ordinal < entries_.size() ? entries_[ordinal].answers : 0;
   }
-  /// Whether reads pass over the backend: it failed a moment ago, or has not answered a probe since.
+  /// Whether reads skip the backend: it failed recently, or has not answered a probe since the failure.
   [[nodiscard]] bool held_off(std::uint32_t ordinal, TimePoint now) const;
 
  private:
--- a/src/declared/routing/base64url.h
+++ b/src/declared/routing/base64url.h
@@ -1,4 +1,4 @@
-// Base64 with the URL-safe alphabet and without padding (RFC 4648, section 5).
+// Base64 encoding with the URL-safe alphabet and without padding (RFC 4648, section 5).
 #pragma once
 
 #include <optional>
@@ -8,7 +8,8 @@
 namespace cairnhollow::declared::routing {
 
 std::string encode_base64url(std::string_view bytes);
-/// Empty when the text holds other characters, has an impossible length or unused bits that are not zero.
+/// Returns std::nullopt if the text contains other characters, has an impossible length or has non-zero
+/// unused bits.
 std::optional<std::string> decode_base64url(std::string_view text);
 
 }  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/choice.cpp
+++ b/src/declared/routing/choice.cpp
@@ -17,13 +17,13 @@
   return Reason{code, std::string(kStep), peer, std::move(detail)};
 }
 
-/// Order of preference; lower is better.
+/// Order of preference; lower values are preferred.
 enum class ReplicaRank : std::uint8_t { kSureInZone, kSureElsewhere, kLikely, kLater };
 
 struct RankedReplica {
   const BackendView* backend = nullptr;
   ReplicaRank rank = ReplicaRank::kLikely;
-  Duration hold{0};  ///< until the replica had better be asked
+  Duration hold{0};  ///< delay before the read is sent to the replica
   std::uint32_t in_flight = 0;
   std::uint64_t weight = 0;
 };
@@ -39,7 +39,7 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-/// One choice: collects candidates and the reasons of those passed over.
+/// Evaluates one statement: collects the candidates and the reasons why other backends were skipped.
 class Choice {
  public:
   Choice(const Request& request, const GroupView& group, const config::RouteSpec& route,
@@ -114,7 +114,7 @@
     }
   }
 
-  /// What holds whatever the session has seen.
+  /// Checks the conditions that do not depend on the session's position.
   bool is_eligible(const BackendView& member, Reason& reason) {
     if (member.leaving) {
       reason = make_reason(ReasonCode::kDraining, member.name.value, "the backend is leaving");
@@ -132,7 +132,7 @@
     return true;
   }
 
-  /// False when the replica's data is too old for the route or for the session.
+  /// Ranks the replica. Returns false with the reason if its data is too old for the route or the session.
   bool rank(RankedReplica& replica, Reason& reason) {
     const auto& member = *replica.backend;
     const Position applied = estimates_.freshness.applied(member.ordinal);
@@ -164,14 +164,16 @@
     return false;
   }
 
-  /// Whether the replica likely gets the position soon enough to wait for it, here or there.
+  /// Whether the replica is expected to reach the position soon enough, counting both the hold at this proxy
+  /// and the wait at the replica.
   bool may_await(RankedReplica& replica, Position required) const {
     const auto lag = estimates_.freshness.typical_lag(replica.backend->ordinal);
     if (!lag) return false;
     const TimePoint first_chosen = request_.first_chosen.value_or(now_);
     const auto first_seen = estimates_.freshness.first_seen(group_.name, required).value_or(first_chosen);
     const Duration remaining = first_seen + *lag - now_;
-    // The replica is asked in the middle of the time that it may wait, since the estimate errs both ways.
+    // Sends the read so that the expected time falls in the middle of the replica's wait: the lag estimate
+    // may be too high or too low.
     const Duration wanted = std::max(Duration(0), remaining - settings_.replica_wait / 2);
     const Duration limit =
         std::min<Duration>(request_.hold_limit, std::chrono::milliseconds(route_.replica_wait_milliseconds));
--- a/src/declared/routing/choice.h
+++ b/src/declared/routing/choice.h
@@ -1,5 +1,5 @@
-// Chooses the backends that may serve one statement, best first. Pure: the same arguments give the same
-// decision, and nothing is touched.
+// Selects the backends that may serve one statement, best first. A pure function: equal arguments give equal
+// decisions, and nothing is modified.
 #pragma once
 
 #include "declared/routing/backend_load.h"
@@ -8,35 +8,35 @@
 
 namespace cairnhollow::declared::routing {
 
-/// What the proxy has learned of the backends by itself.
+/// What this proxy has observed of the backends.
 struct BackendEstimates {
   FreshnessTable freshness;
   BackendLoadTable load;
 };
 
 struct ChoiceSettings {
-  ZoneName zone;             ///< of this proxy; its replicas are preferred
-  Duration replica_wait{0};  ///< how long a replica may be let wait for a position, once it is asked
+  ZoneName zone;             ///< of this proxy; replicas in it are preferred
+  Duration replica_wait{0};  ///< how long a replica may wait for a position before it answers
 };
 
-/// The route with the highest precedence whose selector matches the statement's labels; null when none.
+/// Returns the route with the highest precedence whose selector matches the statement's labels, or null.
 const RouteView* find_route(const RoutingView& view, const Request& request);
-/// The group that the route selects and that holds the key's hash slot; null when none.
+/// Returns the group selected by the route that holds the key's hash slot, or null.
 GroupPointer find_group(const RoutingView& view, const RouteView& route, const std::string& partition_key);
-/// The group that serves the statement: by its route and its key's hash slot; null when none.
+/// Returns the group that serves the statement, by its route and its key's hash slot, or null.
 GroupPointer find_group(const RoutingView& view, const Request& request);
-/// Null when the view has no such group.
+/// Returns null if the view has no such group.
 GroupPointer find_group(const RoutingView& view, const GroupName& name);
-/// Null when the group has no such member.
+/// Returns null if the group has no such member.
 const BackendView* find_backend(const GroupView& group, const BackendName& name);
 
-/// Writes and transactions: only the primary. Reads: replicas of the own zone that surely have the
-/// session's position, then those of other zones, then replicas that likely have it within replica_wait,
-/// then those that likely have it so soon that the read may be held for it (the route's replicaWait, within
-/// the request's hold_limit), the soonest first; then the primary. Among equals the one with the least in
-/// flight, then by rendezvous hashing of the key.
-/// A read without a usable session token: only the primary. A leaving backend is never a candidate.
-/// With no candidate `refusal` says why: kNoRoute, kNoPrimary or kNoBackend.
+/// Writes and transactions: only the primary. Reads, in order of preference: replicas in this proxy's zone
+/// known to have the session's position; such replicas in other zones; replicas likely to reach it within
+/// replica_wait; replicas likely to reach it soon enough to hold the read for them (limited by the route's
+/// replicaWait and the request's hold_limit), shortest hold first; then the primary. Ties are broken by the
+/// fewest statements in flight, then by rendezvous hashing of the key.
+/// Reads without a usable session token: only the primary. A leaving backend is never a candidate.
+/// If there is no candidate, `refusal` has the reason: kNoRoute, kNoPrimary or kNoBackend.
 Decision choose(const Request& request, const RoutingView& view, const BackendEstimates& estimates,
                 const ChoiceSettings& settings, TimePoint now);
 
--- a/src/declared/routing/decision.h
+++ b/src/declared/routing/decision.h
@@ -1,4 +1,5 @@
-// The choice of a backend for one statement: pure values, no I/O. `cairnhollow explain` prints them.
+// Value types for routing a statement: the routing view, a request and the decision made for it. No I/O.
+// `cairnhollow explain` prints decisions.
 #pragma once
 
 #include <memory>
@@ -17,27 +18,27 @@
 
 namespace cairnhollow::declared::routing {
 
-/// What the proxy knows of one backend when it chooses.
+/// A backend as the routing view describes it.
 struct BackendView {
   BackendName name;
   Endpoint endpoint;
   ZoneName zone;
   LabelSet labels;
   bool leaving = false;
-  std::uint32_t ordinal = 0;  ///< place in the proxy's estimate tables
+  std::uint32_t ordinal = 0;  ///< index into the proxy's tables of backend estimates
 };
 
 struct GroupView {
   GroupName name;
-  GroupName session_name;  ///< as session tokens name it: "domain/name", or the name where no domain is named
+  GroupName session_name;  ///< name in session tokens: "domain/name", or "name" in an unnamed domain
   LabelSet labels;
   config::DatabaseGroupSpec spec;
   std::vector<BackendView> members;
   std::uint64_t term = 0;
-  BackendName primary;                                ///< empty: not known
-  std::vector<subset::ProxyPointer> serving_proxies;  ///< the group's subset
-  std::uint32_t proxies_serving = 1;  ///< for this proxy's share of a backend's connections and slots
-  bool served_here = true;            ///< by this proxy; else it forwards to one of serving_proxies
+  BackendName primary;                                ///< empty if unknown
+  std::vector<subset::ProxyPointer> serving_proxies;  ///< the group's subset of proxies
+  std::uint32_t proxies_serving = 1;  ///< proxies sharing a backend's connection and slot limits
+  bool served_here = true;            ///< by this proxy; if false, it forwards to one of serving_proxies
 };
 
 using GroupPointer = std::shared_ptr<const GroupView>;
@@ -48,7 +49,7 @@
 };
 using GroupList = SharedList<GroupPointer, GroupOrder>;
 
-/// A range of hash slots, and the group that holds it.
+/// A range of hash slots and the group that holds it.
 struct SlotEntry {
   config::HashSlotRange slots;
   GroupName group;
@@ -57,12 +58,12 @@
 struct RouteView {
   RouteName name;
   config::RouteSpec spec;
-  std::vector<SlotEntry> slots;  ///< of the groups that the route selects, ascending; they do not overlap
+  std::vector<SlotEntry> slots;  ///< of the groups that the route selects, ascending and without overlap
 };
 
 using RoutePointer = std::shared_ptr<const RouteView>;
 
-/// Highest precedence first; equal ones in order of name.
+/// Sorts routes by descending precedence, then by name.
 struct RouteRank {
   std::uint32_t precedence = 0;
   const RouteName* name = nullptr;
@@ -77,7 +78,7 @@
 };
 using RouteList = SharedList<RoutePointer, RouteOrder>;
 
-/// The routes whose statement selector names the database.
+/// The routes whose statement selector names one database.
 struct DatabaseRoutes {
   std::string database;
   RouteList routes;
@@ -87,24 +88,24 @@
   static const Key& key_of(const std::shared_ptr<const DatabaseRoutes>& entry) { return entry->database; }
 };
 
-/// The routes by database, so that finding one does not take longer the more there are.
+/// Routes indexed by database, so that lookup time does not grow with the total number of routes.
 struct RouteTable {
   SharedList<std::shared_ptr<const DatabaseRoutes>, DatabaseOrder> by_database;
-  RouteList any_database;  ///< routes whose statement selector is not limited to databases that it names
+  RouteList any_database;  ///< routes whose statement selector is not restricted to named databases
 };
 
-/// An immutable snapshot, swapped whole when control sends a revision or a group's state. A request keeps
-/// the one it started with and checks the lease again right before it sends. Successive views share what did
-/// not change.
+/// An immutable snapshot, replaced as a whole when control sends a new revision or group state. A request
+/// keeps the snapshot that it started with and checks the lease again immediately before it sends. Successive
+/// snapshots share unchanged parts.
 struct RoutingView {
-  DomainName domain;           ///< whose configuration this is; empty: the only one
-  std::uint64_t revision = 0;  ///< of the domain's log
+  DomainName domain;           ///< domain of the configuration; empty if there is only one domain
+  std::uint64_t revision = 0;  ///< of the domain's configuration log
   std::shared_ptr<const RouteTable> routes = std::make_shared<RouteTable>();
-  GroupList groups;                   ///< by name
-  bool this_proxy_known = false;      ///< an object of this proxy exists
-  bool this_proxy_serves = false;     ///< it exists and does not drain
-  bool this_proxy_leaves = false;     ///< the platform lists it as leaving: it serves those who still come
-  std::uint32_t proxies_serving = 1;  ///< proxies that take work, of whatever groups
+  GroupList groups;                ///< ordered by name
+  bool this_proxy_known = false;   ///< whether the configuration has a Proxy object for this proxy
+  bool this_proxy_serves = false;  ///< whether that object exists and is not draining
+  bool this_proxy_leaves = false;  ///< listed as leaving by the platform; still serves callers that reach it
+  std::uint32_t proxies_serving = 1;  ///< number of proxies accepting work, over all groups
 };
 
 struct Request {
@@ -112,37 +113,38 @@
   DatabaseName database;
   std::string partition_key;
   LabelSet labels;
-  std::optional<Position> session_position;  ///< of the statement's group; unset: no usable token
+  std::optional<Position> session_position;  ///< in the statement's group; unset without a usable token
   bool in_transaction = false;
-  /// When the read's first choice was made; unset: this is it.
+  /// When the backends for this read were first selected; unset on the first selection.
   std::optional<TimePoint> first_chosen;
-  /// Bound by the read's deadline on how long it may be held after that for a replica to get the position.
+  /// Maximum time after first_chosen for which the read may be held until a replica reaches the position.
+  /// Derived from the read's deadline.
   Duration hold_limit{0};
 };
 
-/// A backend that may serve the statement, best first.
+/// A backend that may serve the statement.
 struct Candidate {
   BackendName backend;
   Endpoint endpoint;
   bool is_primary = false;
 };
 
-/// Why a read is served by the primary. Of several replicas the one nearest to serving tells: later
-/// enumerators are nearer.
+/// Why a read is served by the primary. If replicas were skipped for different causes, the highest enumerator
+/// applies: it belongs to the replica that was closest to serving the read.
 enum class PrimaryReadCause : std::uint8_t {
   kNone,           ///< a replica is the first candidate
   kRoute,          ///< the route sends reads to the primary
-  kNoToken,        ///< without a session token the primary serves
-  kNoReplica,      ///< the group has none that the route selects and that stays
-  kUnreachable,    ///< every replica failed a moment ago
-  kTooOld,         ///< older than the route's maxStaleness, or of unknown age
-  kPosition,       ///< would not have the session's position in time
-  kReplicaStale,   ///< a replica was asked and lacked the position
-  kReplicaBusy,    ///< a replica's queue was too long, or it said that it is busy
+  kNoToken,        ///< the read has no session token
+  kNoReplica,      ///< the group has no replica that the route selects and that is not leaving
+  kUnreachable,    ///< every replica failed recently
+  kTooOld,         ///< replica data is older than the route's maxStaleness, or of unknown age
+  kPosition,       ///< no replica is expected to reach the session's position in time
+  kReplicaStale,   ///< a replica was asked but had not reached the position
+  kReplicaBusy,    ///< a replica's queue was too long, or it reported that it is busy
   kReplicaFailed,  ///< a replica was asked and did not answer
 };
 inline constexpr std::size_t kPrimaryReadCauses = 10;
-/// As the label value of metrics and in `explain`; lower case with underscores.
+/// Lower case with underscores, as in metric labels and `explain`.
 std::string_view primary_read_cause_name(PrimaryReadCause cause);
 
 struct PassedOver {
@@ -150,7 +152,7 @@
   Reason reason;
 };
 
-/// The proxy that a statement goes to from one that does not serve its group.
+/// The proxy to which a statement is forwarded if this proxy does not serve its group.
 struct ForwardTarget {
   NodeName proxy;
   Endpoint endpoint;
@@ -163,12 +165,13 @@
   std::uint64_t term = 0;
   std::vector<Candidate> candidates;
   std::vector<PassedOver> passed_over;
-  /// The first candidate is a replica that likely gets the position a little later: hold the read for this
-  /// long (without slot or connection), or until news of the group, and choose again. Zero: send at once.
+  /// Non-zero if the first candidate is a replica expected to reach the position later: hold the read,
+  /// without a slot or connection, for this long or until the group's positions change, then select again.
+  /// Zero: send immediately.
   Duration hold{0};
-  PrimaryReadCause primary_read = PrimaryReadCause::kNone;  ///< of reads: why no replica comes first
-  Reason refusal;                                           ///< set when there is no candidate
-  std::optional<ForwardTarget> forwarded_to;                ///< set when this proxy does not serve the group
+  PrimaryReadCause primary_read = PrimaryReadCause::kNone;  ///< for reads: why no replica comes first
+  Reason refusal;                                           ///< set if there is no candidate
+  std::optional<ForwardTarget> forwarded_to;                ///< set if this proxy does not serve the group
 };
 
 }  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/freshness.cpp
+++ b/src/declared/routing/freshness.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-/// Weight of an observation that lowers the estimated lag, as one part of this many.
+/// An observation that lowers the lag estimate has a weight of one part in kLagSmoothing.
 constexpr int kLagSmoothing = 4;
 
-/// What one observation tells of a backend's lag: it lacks something that the primary has had for `at_least`,
-/// and it has come to something that was committed at most `at_most` ago. When the primary was first seen at
-/// a position is no bound from above: other proxies write too, and their writes are seen late.
+/// Bounds on a backend's replication lag from one observation. `at_least`: how long the primary has had a
+/// position that the backend lacks. `at_most`: the maximum time since the commit of a position that the
+/// backend has applied. The time at which the primary was first seen at a position is not an upper bound,
+/// because writes sent by other proxies are seen late.
 struct LagBounds {
   Duration at_least{0};
   std::optional<Duration> at_most;
 };
 
-/// A backend that has all there is, because its primary has been idle, tells nothing against its lag: the
-/// estimate moves only when a bound contradicts it. Up at once: a read sent too early waits in vain, and the
-/// bounds that tell so are few, since most are looser than the lag.
+/// Moves the estimate only if a bound contradicts it: a backend that is up to date because its primary is
+/// idle gives no evidence of a low lag. Raises the estimate at once, because a read sent too early waits in
+/// vain and few observations give a lower bound that tight.
 Duration moved_into(Duration lag, const LagBounds& bounds) {
   if (lag < bounds.at_least) return bounds.at_least;
   if (bounds.at_most && *bounds.at_most < lag) return lag + (*bounds.at_most - lag) / kLagSmoothing;
@@ -69,7 +70,7 @@
                                      TimePoint now) {
   if (ordinal >= backends_.size()) backends_.resize(ordinal + 1);
   auto& known = backends_[ordinal];
-  if (position < known.applied) return;  // an answer that came late
+  if (position < known.applied) return;  // ignores answers that arrive out of order
   LagBounds bounds{trailing_since(group, position, now), std::nullopt};
   if (const auto committed = committed_after(group, known.applied, position)) {
     bounds.at_most = std::max(Duration(0), now - *committed);
@@ -86,8 +87,8 @@
     return;
   }
   auto& newest = samples.back();
-  if (position < newest.position) return;  // an answer that came late
-  // Positions that follow each other closely share a sample: data between them then looks older than it is.
+  if (position < newest.position) return;  // ignores answers that arrive out of order
+  // Positions in quick succession share a sample, which can only overstate the age of data between them.
   if (position == newest.position || seen_at < newest.first_seen + kPrimarySampleInterval) {
     newest.position = position;
     newest.last_seen = std::max(newest.last_seen, seen_at);
@@ -99,7 +100,8 @@
 
 void FreshnessTable::observe_write(const GroupName& group, Position position, TimePoint asked_at) {
   auto& writes = writes_[group];
-  if (!writes.empty() && position <= writes.back().position) return;  // an answer that came late
+  if (!writes.empty() && position <= writes.back().position)
+    return;  // ignores answers that arrive out of order
   writes.push_back(WriteSample{position, asked_at});
   if (writes.size() > kMaximumWriteSamples) writes.pop_front();
 }
--- a/src/declared/routing/freshness.h
+++ b/src/declared/routing/freshness.h
@@ -1,5 +1,5 @@
-// Estimates of what each backend has applied, learned from answers and from a slow probe. They only steer
-// the choice: a backend itself refuses a read that requires a position it has not applied.
+// Estimates the position that each backend has applied, from answers and periodic probes. The estimates only
+// guide routing: a backend itself refuses a read that requires a position it has not applied.
 #pragma once
 
 #include <cstdint>
@@ -12,42 +12,43 @@
 
 namespace cairnhollow::declared::routing {
 
-/// One sample of a primary's position stands for at least this much time...
+/// Minimum time covered by one sample of a primary's position.
 inline constexpr Duration kPrimarySampleInterval = std::chrono::milliseconds(25);
-/// ...and at most this many are kept: a busy group's ages can be told up to about 25 s.
+/// Maximum samples per group. With kPrimarySampleInterval this covers the last 25 s or so of a busy group.
 inline constexpr std::size_t kMaximumPrimarySamples = 1024;
 
-/// Of a group's own writes the newest ones are remembered: they tell best how far a replica lags.
+/// Maximum number of this proxy's own writes remembered per group; they give the tightest bounds on replica
+/// lag.
 inline constexpr std::size_t kMaximumWriteSamples = 128;
 
-/// Indexed by BackendView::ordinal. Positions only grow.
+/// Indexed by BackendView::ordinal. Positions never decrease.
 class FreshnessTable {
  public:
-  /// An answer of the backend showed that it has applied `position` of its group's log.
+  /// Records that the backend has applied `position` of its group's log.
   void observe_backend(const GroupName& group, std::uint32_t ordinal, Position position, TimePoint now);
-  /// The group's primary had committed `position` at `seen_at` or later. Pass the time at which the
-  /// question was sent: everything committed before it is at or below `position`.
+  /// Records that the group's primary had committed `position` at `seen_at` or later. Callers pass the time
+  /// at which the request was sent: everything committed before it is at or below `position`.
   void observe_primary(const GroupName& group, Position position, TimePoint seen_at);
 
-  /// A write that this proxy sent at `asked_at` got `position`: the primary had not committed it before. Adds
-  /// to what observe_primary learned from the same answer.
+  /// Records that a write sent by this proxy at `asked_at` got `position`, so the primary committed it after
+  /// `asked_at`. Call in addition to observe_primary() for the same answer.
   void observe_write(const GroupName& group, Position position, TimePoint asked_at);
 
-  /// Highest position known to be applied there; zero when nothing is known.
+  /// Highest position known to be applied by the backend; zero if unknown.
   [[nodiscard]] Position applied(std::uint32_t ordinal) const;
-  /// When an answer last told the backend's position; empty when none did.
+  /// Time of the last answer that reported the backend's position; std::nullopt if there was none.
   [[nodiscard]] std::optional<TimePoint> learned_at(std::uint32_t ordinal) const;
-  /// The oldest that data at `position` can be at `now`: the time since the primary was last seen at or
-  /// below it. Empty when it cannot be told.
+  /// Upper bound at `now` on the age of data at `position`: the time since the primary was last seen at or
+  /// below it. Returns std::nullopt if unknown.
   [[nodiscard]] std::optional<Duration> age_of(const GroupName& group, Position position,
                                                TimePoint now) const;
-  /// When the primary was first seen at or above `position`, or when the write that got it was sent if this
-  /// proxy sent it; empty when the primary was not seen there yet.
+  /// When the primary was first seen at or above `position`, or, if this proxy sent the write that got it,
+  /// when that write was sent. Returns std::nullopt if the primary has not been seen there.
   [[nodiscard]] std::optional<TimePoint> first_seen(const GroupName& group, Position position) const;
-  /// Time that the backend takes to apply what its primary has: raised at once, lowered smoothly. Empty when
-  /// nothing is known.
+  /// Estimated replication lag of the backend: raised immediately, lowered smoothly. Returns std::nullopt if
+  /// unknown.
   [[nodiscard]] std::optional<Duration> typical_lag(std::uint32_t ordinal) const;
-  /// The highest position seen of the group's primary; zero when none was.
+  /// Highest position seen of the group's primary; zero if none.
   [[nodiscard]] Position primary_position(const GroupName& group) const;
 
  private:
@@ -66,14 +67,15 @@
     Position position;
     TimePoint asked_at;
   };
-  using WriteSamples = std::deque<WriteSample>;      ///< positions ascend
-  using PrimarySamples = std::deque<PrimarySample>;  ///< positions and times ascend
+  using WriteSamples = std::deque<WriteSample>;      ///< ascending positions
+  using PrimarySamples = std::deque<PrimarySample>;  ///< ascending positions and times
 
   [[nodiscard]] const PrimarySamples* samples_of(const GroupName& group) const;
-  /// The time since the primary was first seen beyond `position`; zero when it was not.
+  /// Time since the primary was first seen beyond `position`; zero if it was not.
   [[nodiscard]] Duration trailing_since(const GroupName& group, Position position, TimePoint now) const;
 
-  /// The latest time known after which a position in (before, applied] was committed; empty when none is.
+  /// Latest known time after which some position in (before, applied] was committed; std::nullopt if none is
+  /// known.
   [[nodiscard]] std::optional<TimePoint> committed_after(const GroupName& group, Position before,
                                                          Position applied) const;
 
--- a/src/declared/routing/hash.h
+++ b/src/declared/routing/hash.h
@@ -1,4 +1,5 @@
-// Hashes that place keys and spread load. The same on every machine and in every version.
+// Hash functions for key placement and load distribution. Results are the same on every machine and in every
+// version.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +7,12 @@
 
 namespace cairnhollow::declared::routing {
 
-/// The slot of a partition key, below config::kHashSlots: XXH64 of its bytes modulo the number of slots.
+/// Returns the slot of a partition key, below config::kHashSlots: XXH64 of its bytes modulo the number of
+/// slots.
 std::uint32_t hash_slot(std::string_view partition_key);
 
-/// Weight of a node for a key; the node with the highest weight wins (rendezvous hashing: Thaler and
-/// Ravishankar, IEEE/ACM Transactions on Networking 1998).
+/// Returns the weight of a node for a key; the node with the highest weight wins (rendezvous hashing: Thaler
+/// and Ravishankar, IEEE/ACM Transactions on Networking 1998).
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view node);
 
 }  // namespace cairnhollow::declared::routing
--- a/src/declared/routing/route_table.cpp
+++ b/src/declared/routing/route_table.cpp
@@ -8,7 +8,7 @@
 
 constexpr const char* kDatabaseLabel = "database";
 
-/// The databases that the selector is limited to; empty: it is not limited.
+/// Returns the databases to which the selector is restricted; empty if it is not restricted.
 std::set<std::string> databases_named(const config::Selector& selector) {
   const auto exact = selector.match_labels.find(kDatabaseLabel);
   if (exact) return {*exact};
--- a/src/declared/routing/session_token.cpp
+++ b/src/declared/routing/session_token.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kChecksumLength = 8;
 
 std::string checksum_of(std::string_view bytes) {
-  XXH64_canonical_t canonical;  // big endian: the same text on every machine
+  XXH64_canonical_t canonical;  // big endian, so that tokens are portable between machines
   XXH64_canonicalFromHash(&canonical, XXH64(bytes.data(), bytes.size(), 0));
   return {reinterpret_cast<const char*>(canonical.digest), kChecksumLength};
 }
@@ -25,14 +25,14 @@
   return std::nullopt;
 }
 
-/// Takes `count` bytes off the front; false when there are fewer.
+/// Removes `count` bytes from the front. Returns false if there are fewer.
 bool skip(std::string_view& bytes, std::uint64_t count) {
   if (count > bytes.size()) return false;
   bytes.remove_prefix(count);
   return true;
 }
 
-/// Takes a length, in cereal's portable form (eight bytes, little endian), off the front.
+/// Removes a length in cereal's portable form (eight bytes, little endian) from the front.
 bool skip_length(std::string_view& bytes, std::uint64_t& length) {
   const auto text = bytes.substr(0, sizeof(length));
   if (!skip(bytes, sizeof(length))) return false;
@@ -43,8 +43,8 @@
   return true;
 }
 
-/// Whether every length that the encoded token claims lies within it. Tokens come from outside, and cereal
-/// would allocate whatever length it is told.
+/// Whether every length in the encoded token lies within it. Tokens are untrusted input, and cereal would
+/// allocate whatever length they declare.
 bool lengths_fit(std::string_view encoded) {
   constexpr std::uint64_t kPositionLength = 2 * sizeof(std::uint64_t);
   constexpr char kLittleEndian = 1;
@@ -60,7 +60,7 @@
   return encoded.size() == kFlagLength;
 }
 
-/// "domain/name", or a name whose domain has none.
+/// A "domain/name" group name split at the slash; `domain` is empty if the name has none.
 struct QualifiedName {
   std::string_view domain;
   std::string_view name;
@@ -82,7 +82,7 @@
     return;
   }
   if (positions.size() >= kMaximumTokenGroups) {
-    // The group just seen is the one most likely read next: another one makes room.
+    // The group just observed is the most likely to be read next, so another group is evicted.
     positions.erase(positions.begin());
     complete = false;
   }
@@ -100,7 +100,8 @@
     auto& highest = may_be_same ? own : of_other_domains;
     highest = std::max(highest.value_or(Position{}), position);
   }
-  // The group of another domain, or this one under a name that its domain had: then it cannot be told.
+  // The higher position belongs to a group of another domain, or to this group under a former name of its
+  // domain. The two cases cannot be distinguished.
   if (of_other_domains && *of_other_domains > own.value_or(Position{})) return std::nullopt;
   if (own) return own;
   return complete ? std::optional<Position>(Position{}) : std::nullopt;
--- a/src/declared/routing/shared_list.h
+++ b/src/declared/routing/shared_list.h
@@ -1,5 +1,5 @@
-// A sorted list whose copies share what they have in common: a copy with one element changed costs about the
-// square root of the length in pointers, instead of the whole length.
+// A sorted list with structural sharing: copying it and changing one element copies about the square root of
+// the length in pointers, rather than the whole list.
 #pragma once
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 
 namespace cairnhollow::declared::routing {
 
-/// Elements in ascending order of `Order::key_of(element)`, one for each key, in chunks that are copied
-/// before they are changed while another list shares them: lists that share belong to one thread.
-/// `Order::Key` is compared by `<`; `key_of` may return a reference into the element.
+/// Elements in ascending order of `Order::key_of(element)`, one per key, in copy-on-write chunks. Not
+/// thread-safe: lists that share chunks must be used by one thread. `Order::Key` is compared by `<`; `key_of`
+/// may return a reference into the element.
 template <class Value, class Order>
 class SharedList {
   using Chunk = std::vector<Value>;
@@ -21,7 +21,7 @@
  public:
   using Key = typename Order::Key;
 
-  /// Valid until its list is changed.
+  /// Valid until its list is modified.
   class Iterator {
    public:
     using iterator_category = std::forward_iterator_tag;
@@ -58,7 +58,7 @@
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] bool empty() const { return size_ == 0; }
 
-  /// Null when there is no element with this key. Takes logarithmic time.
+  /// Returns null if there is no element with this key. Takes logarithmic time.
   [[nodiscard]] const Value* find(const Key& key) const {
     if (chunks_.empty()) return nullptr;
     const Chunk& chunk = *chunks_[chunk_for(key)];
@@ -66,7 +66,7 @@
     return place != chunk.end() && !(key < Order::key_of(*place)) ? &*place : nullptr;
   }
 
-  /// Takes the element in, in place of the one with its key if there is one.
+  /// Inserts the element, replacing the one with the same key if there is one.
   void put(Value value) {
     if (chunks_.empty()) chunks_.push_back(std::make_shared<Chunk>());
     const std::size_t at = chunk_for(Order::key_of(value));
@@ -81,7 +81,7 @@
     if (chunk.size() >= 2 * kChunkLength) cut(at);
   }
 
-  /// Does nothing when there is no element with this key.
+  /// Does nothing if there is no element with this key.
   void erase(const Key& key) {
     if (find(key) == nullptr) return;
     const std::size_t at = chunk_for(key);
@@ -92,12 +92,12 @@
   }
 
  private:
-  /// A chunk of twice this length is cut in two.
+  /// A chunk that reaches twice this number of elements is split.
   static constexpr std::size_t kChunkLength = 64;
 
   using ChunkPointer = std::shared_ptr<Chunk>;
 
-  /// The chunk that holds the key, or would.
+  /// Index of the chunk that holds the key, or into which it would be inserted.
   [[nodiscard]] std::size_t chunk_for(const Key& key) const {
     const auto behind = std::upper_bound(chunks_.begin(), chunks_.end(), key,
                                          [](const Key& wanted, const ChunkPointer& chunk) {
@@ -110,7 +110,7 @@
       return Order::key_of(value) < wanted;
     });
   }
-  /// The chunk, copied first when another list shares it.
+  /// Returns the chunk for modification, after copying it if another list shares it.
   Chunk& own(std::size_t at) {
     auto& chunk = chunks_[at];
     if (chunk.use_count() > 1) chunk = std::make_shared<Chunk>(*chunk);
@@ -125,7 +125,7 @@
     chunks_.insert(chunks_.begin() + static_cast<std::ptrdiff_t>(at) + 1, std::move(behind));
   }
 
-  std::vector<ChunkPointer> chunks_;  ///< none of them empty
+  std::vector<ChunkPointer> chunks_;  ///< none is empty
   std::size_t size_ = 0;
 };
 
--- a/src/declared/routing/view_builder.cpp
+++ b/src/declared/routing/view_builder.cpp
@@ -23,7 +23,7 @@
   group.primary = state->second.primary;
 }
 
-/// The same group with its present state.
+/// Replaces the group by a copy with its current term and primary, if they changed.
 void set_state(const GroupName& name, const ViewSources& sources, RoutingView& view) {
   const auto* known = view.groups.find(name);
   if (known == nullptr) return;
@@ -78,7 +78,7 @@
   return view_;
 }
 
-/// The machines that began or ceased to leave.
+/// Stores the leaving machines. Returns those that started or stopped leaving.
 std::set<std::string> ViewBuilder::take_leaving(const std::set<std::string>& leaving) {
   std::set<std::string> moved;
   std::set_symmetric_difference(leaving_.begin(), leaving_.end(), leaving.begin(), leaving.end(),
@@ -102,7 +102,7 @@
   }
   if (key.kind == ObjectKind::kBackend) record_selecting_groups(after, touched);
   if (key.kind == ObjectKind::kProxy) record_machine(key.name, touched);
-  // Whether this proxy serves here at all may have changed.
+  // A change of this proxy's own object may change whether it serves at all.
   if (key.kind == ObjectKind::kProxy && key.name == this_proxy_.value) touched.proxies = true;
 }
 
@@ -181,8 +181,8 @@
   const auto size = subset::subset_size(group.spec.connections_per_backend, subsets_.proxies());
   group.serving_proxies = subsets_.serving(group.name, size);
   group.proxies_serving = std::max(size, 1U);
-  // Before few proxies each serves each group, also one that leaves and is not among them any more; but not
-  // one of another domain.
+  // With no more proxies than the subset size, every proxy of the domain serves every group. That includes a
+  // leaving proxy, which is no longer in the subset, but not a proxy of another domain.
   const bool belongs_here = domain_.empty() || this_proxy_object() != nullptr;
   group.served_here =
       (belongs_here && size == subsets_.proxies()) ||
--- a/src/declared/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -1,5 +1,5 @@
-// Builds the immutable routing view from what the follow stream holds, and keeps it up to date at the cost of
-// what each change touches.
+// Builds the immutable routing view from the follow stream's state and updates it incrementally, at a cost
+// proportional to what each change affects.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace cairnhollow::declared::routing {
 
-/// Gives each backend name a place in the estimate tables, the same for the life of the process.
+/// Assigns each backend name an index into the estimate tables that is stable for the life of the process.
 class BackendOrdinals {
  public:
   std::uint32_t of(const BackendName& name);
@@ -25,7 +25,7 @@
   std::map<BackendName, std::uint32_t> ordinals_;
 };
 
-/// References to what the view is made of; only read while it is built.
+/// The inputs of a view. The references are used only during the call that builds it.
 struct ViewSources {
   std::uint64_t revision = 0;
   const std::map<config::ObjectKey, config::StoredObject>& objects;
@@ -33,38 +33,39 @@
   const std::set<std::string>& leaving;  ///< machines that the platform lists as leaving
 };
 
-/// What may differ from the sources of the last view; naming too much costs time only.
+/// What may differ from the sources of the last view. Listing too much only costs time.
 struct ViewChange {
   std::vector<config::ObjectKey> objects;  ///< written or deleted
-  std::vector<GroupName> groups;           ///< their term or primary
+  std::vector<GroupName> groups;           ///< with a changed term or primary
   bool leaving = false;
 };
 
 using ViewPointer = std::shared_ptr<const RoutingView>;
 
-/// Keeps a copy of the configuration, indexed by labels and selectors, and the last view. A group is made
-/// anew when it, one of its members or its state changed; a route when it or a group that it selects changed
-/// in labels or hash slots. All else is shared with the view before.
+/// Keeps the last view and a copy of the configuration, indexed by labels and selectors. A group is rebuilt
+/// if it, one of its members or its state changed; a route if it changed or a group that it selects changed
+/// in labels or hash slots. Everything else is shared with the previous view.
 class ViewBuilder {
  public:
-  /// `domain` is empty where there is only one. In a named domain a proxy without an object of its own serves
-  /// no group: it forwards to the proxies that the domain names.
+  /// `domain` is empty if there is only one domain. In a named domain a proxy without a Proxy object serves
+  /// no group and forwards to the proxies of the domain.
   explicit ViewBuilder(NodeName this_proxy, DomainName domain = {})
       : this_proxy_(std::move(this_proxy)), domain_(std::move(domain)) {}
 
-  /// Builds everything anew.
+  /// Builds the view from scratch.
   ViewPointer rebuild(const ViewSources& sources);
-  /// The view of `sources`, given what changed since the last call: the same as rebuild() gives.
+  /// Returns the view of `sources`, given what changed since the last call. The result equals that of
+  /// rebuild().
   ViewPointer update(const ViewSources& sources, const ViewChange& change);
 
   [[nodiscard]] BackendOrdinals& ordinals() { return ordinals_; }
 
  private:
-  /// What an update has to make anew.
+  /// What an update has to rebuild.
   struct Touched {
     std::set<std::string> groups;
     std::set<std::string> routes;
-    bool proxies = false;  ///< the membership, and so perhaps any group's subset
+    bool proxies = false;  ///< whether the set of proxies changed, and with it possibly any group's subset
   };
 
   std::set<std::string> take_leaving(const std::set<std::string>& leaving);
@@ -77,7 +78,7 @@
   void count_proxies(RoutingView& view) const;
   void take_membership();
   void set_proxies(GroupView& group) const;
-  /// Makes the groups anew whose subset has changed with the membership.
+  /// Rebuilds the groups whose proxy subset changed.
   void move_groups(RoutingView& view) const;
   [[nodiscard]] BackendView make_backend(const config::StoredObject& stored);
 
@@ -88,8 +89,8 @@
   BackendOrdinals ordinals_;
   config::ObjectStore objects_;
   std::set<std::string> leaving_;
-  std::map<std::string, subset::ProxyPointer> proxies_serving_;  ///< proxies that neither drain nor leave
-  subset::SubsetTable subsets_;                                  ///< of these
+  std::map<std::string, subset::ProxyPointer> proxies_serving_;  ///< neither draining nor leaving
+  subset::SubsetTable subsets_;                                  ///< computed from proxies_serving_
   std::map<std::string, RoutePointer> routes_;
   ViewPointer view_ = std::make_shared<RoutingView>();
 };
--- a/tests/declared/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -1,4 +1,4 @@
-// The choice of backends: who may serve, in which order, and the reason for each one passed over.
+// Tests backend selection: the candidates, their order, and the reason why each other backend is skipped.
 #include "declared/routing/choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -120,7 +120,7 @@
     auto request = read();
     request.session_position = Position{1, 200};
     estimates_.freshness.observe_primary(group().name, Position{1, 200}, kNow);
-    // Both replicas are known to trail by far more than a replica may be let wait.
+    // Both replicas lag by far more than replica_wait.
     for (std::uint32_t index = 1; index < 3; ++index) {
       for (int repeat = 0; repeat < 30; ++repeat) {
         estimates_.freshness.observe_backend(group().name, index, kSeen, kNow + seconds(1));
@@ -145,9 +145,10 @@
     // database-1 lags by 140 ms and database-2 by 120 ms; the write was sent 10 ms ago.
     const auto decision = decide(request);
     assert_candidates(decision, {"database-2", "database-1", "database-0"});
-    CPPUNIT_ASSERT(decision.hold == milliseconds(100));  // 10 ms before it is expected there
+    CPPUNIT_ASSERT(decision.hold ==
+                   milliseconds(100));  // 10 ms before the replica is expected to have the position
     CPPUNIT_ASSERT(decision.primary_read == PrimaryReadCause::kNone);
-    // One that surely has the position needs no wait.
+    // A replica known to have the position needs no hold.
     estimates_.freshness.observe_backend(group().name, 1, Position{1, 200}, kNow);
     const auto sure = decide(request);
     assert_candidates(sure, {"database-1", "database-2", "database-0"});
@@ -175,11 +176,11 @@
     const auto due = decide(request, kNow + milliseconds(100));
     assert_candidates(due, {"database-2", "database-1", "database-0"});
     CPPUNIT_ASSERT(due.hold == Duration(0));
-    // A position that this proxy has not seen of the primary is expected a lag after the read came.
+    // A position that this proxy has not seen at the primary is expected one lag after the read arrived.
     request.session_position = Position{1, 900};
     CPPUNIT_ASSERT(decide(request).hold == milliseconds(110));
     CPPUNIT_ASSERT(decide(request, kNow + milliseconds(110)).hold == Duration(0));
-    // A replica that fails meanwhile is not waited for.
+    // A replica that fails in the meantime is not waited for.
     estimates_.load.failed(1, kNow + milliseconds(50));
     estimates_.load.failed(2, kNow + milliseconds(50));
     const auto failed = decide(request, kNow + milliseconds(50));
@@ -257,7 +258,7 @@
     CPPUNIT_ASSERT(decide(without_token).primary_read == PrimaryReadCause::kNoToken);
     for (std::uint32_t index = 1; index < 3; ++index) group_.members[index].leaving = true;
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kNoReplica);
-    // Of several causes that of the replica nearest to serving is told.
+    // With different causes, that of the replica closest to serving the read is reported.
     group_.members[1].leaving = false;
     estimates_.load.failed(1, kNow);
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kUnreachable);
@@ -327,8 +328,8 @@
     request.session_position = kSeen;
     return request;
   }
-  /// A read of a session whose write got position 200 and was sent 10 ms ago. Both replicas lack it;
-  /// database-1 is known to lag by 140 ms and database-2 by 120 ms.
+  /// A read in a session whose write got position 200 and was sent 10 ms ago. Neither replica has it;
+  /// database-1 lags by 140 ms and database-2 by 120 ms.
   Request read_after_write(Duration hold_limit) {
     estimates_ = BackendEstimates{};
     auto& freshness = estimates_.freshness;
--- a/tests/declared/routing/freshness_test.cpp
+++ b/tests/declared/routing/freshness_test.cpp
@@ -1,4 +1,4 @@
-// Freshness estimates: positions only grow, ages are never told too young.
+// Tests freshness estimates: positions never decrease, and ages are never underestimated.
 #include "declared/routing/freshness.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -69,7 +69,7 @@
       table_.observe_primary(group_, position(step), at(now));
       if (step >= 4) table_.observe_backend(group_, 0, position(step - 4), at(now));
     }
-    // Four steps behind: it lacks what the primary was first seen at 150 ms ago.
+    // Four steps behind: the primary was first seen 150 ms ago at a position that the replica lacks.
     CPPUNIT_ASSERT(table_.typical_lag(0).has_value());
     CPPUNIT_ASSERT(*table_.typical_lag(0) >= milliseconds(140));
     CPPUNIT_ASSERT(*table_.typical_lag(0) <= milliseconds(160));
@@ -78,9 +78,9 @@
       table_.observe_primary(group_, position(step), at(now));
       table_.observe_backend(group_, 0, position(step), at(now));
     }
-    // The primary was seen every 50 ms, so that no shorter lag is proved...
+    // The primary was seen every 50 ms, so the observations prove no shorter lag...
     CPPUNIT_ASSERT(*table_.typical_lag(0) < milliseconds(51));
-    // ...but by writes of which this proxy knows when they were sent.
+    // ...except through this proxy's own writes, whose send times it knows.
     for (std::uint64_t step = 150; step < 200; ++step) {
       const int now = static_cast<int>(step) * 50;
       table_.observe_write(group_, position(step), at(now));
@@ -90,8 +90,8 @@
     CPPUNIT_ASSERT(*table_.typical_lag(0) < milliseconds(1));
   }
 
-  /// The proxy sees what other proxies wrote only with its next probe: that the replica has it by then says
-  /// nothing of a shorter lag.
+  /// Writes of other proxies are seen only with the next probe. That the replica has applied them by then is
+  /// no evidence of a shorter lag.
   void test_positions_seen_late_do_not_lower_the_lag() {
     constexpr int kLag = 200;
     constexpr int kBetweenProbes = 250;
@@ -102,13 +102,13 @@
         table_.observe_backend(group_, 0, position_at(later - kLag), at(later));
       }
     }
-    // What the probe showed at its own time is not there 180 ms later, and is at 210 ms.
+    // The position seen by the probe is missing at the replica 180 ms later and present after 210 ms.
     CPPUNIT_ASSERT(*table_.typical_lag(0) >= milliseconds(180));
     CPPUNIT_ASSERT(*table_.typical_lag(0) <= milliseconds(kLag + kBetweenProbes));
   }
 
-  /// Writes are rare: between them the replica has everything, which says nothing of the time that the next
-  /// one takes to reach it.
+  /// Between rare writes the replica is up to date, which is no evidence of how long the next write takes to
+  /// reach it.
   void test_typical_lag_of_a_replica_that_often_has_all() {
     constexpr int kLag = 200;
     constexpr int kBetweenWrites = 500;
--- a/tests/declared/routing/session_token_test.cpp
+++ b/tests/declared/routing/session_token_test.cpp
@@ -1,4 +1,4 @@
-// Session tokens: what is not a whole token of this version is refused, never misread.
+// Tests session tokens: anything but a complete token of this version is rejected rather than misread.
 #include "declared/routing/session_token.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,7 +10,7 @@
 namespace cairnhollow::declared::routing {
 namespace {
 
-/// Runs a property with a fixed seed; rapidcheck prints the counterexample.
+/// Checks a property with a fixed seed; rapidcheck prints the counterexample.
 template <class Property>
 void check_property(const std::string& name, Property property) {
   rc::detail::TestParams parameters;
@@ -32,14 +32,14 @@
 
 constexpr std::size_t kChecksumLength = 8;
 
-/// The token's bytes without their checksum.
+/// Returns the token's bytes without the checksum.
 std::string content_of(const SessionToken& token) {
   const auto bytes = decode_base64url(encode_session_token(token));
   CPPUNIT_ASSERT(bytes && bytes->size() > kChecksumLength);
   return bytes->substr(0, bytes->size() - kChecksumLength);
 }
 
-/// The text of a token with this content and the checksum that belongs to it.
+/// Returns the text of a token with this content and a matching checksum.
 std::string sealed(const std::string& content) {
   XXH64_canonical_t checksum;
   XXH64_canonicalFromHash(&checksum, XXH64(content.data(), content.size(), 0));
@@ -70,7 +70,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// While the proxies' settings are changed, some name the domain, some do not, and some name it otherwise.
+  /// During a change of settings some proxies name the domain, some do not, and some use another name for it.
   void a_group_keeps_its_position_when_its_domain_gets_a_name() {
     const GroupName bare("records");
     const GroupName north("north/records");
@@ -85,7 +85,8 @@
     SessionToken both = after;
     both.observe(bare, Position{1, 7});
     CPPUNIT_ASSERT(both.required(north) == (Position{1, 7}));
-    // Two groups of one name: the lower one's position may be that of the other under an earlier name.
+    // Two groups of the same name: the lower position may belong to the other group under a former domain
+    // name.
     both.observe(south, Position{1, 4});
     CPPUNIT_ASSERT(both.required(north) == (Position{1, 7}));
     CPPUNIT_ASSERT(after.required(GroupName("north/other")) == Position{});
@@ -157,15 +158,15 @@
     assert_refused(sealed(content));
   }
 
-  /// Whoever computes the checksum can claim any length: none may be believed beyond the token's own.
+  /// Anyone can compute the checksum, so declared lengths must not be trusted beyond the token's own length.
   void test_claimed_lengths_are_not_believed() {
     SessionToken token;
     token.observe(GroupName("g"), Position{1, 1});
     const auto content = content_of(token);
     const auto name = content.rfind('g');
     CPPUNIT_ASSERT(name != std::string::npos);
-    // Behind the version and the byte order: the number of groups; before the name: its length. Each is
-    // eight bytes, little endian.
+    // The number of groups follows the version and the byte order; the length of a name precedes the name.
+    // Both are eight bytes, little endian.
     for (const std::size_t length_place : {std::size_t{2}, name - 8}) {
       auto changed = content;
       changed[length_place + 3] = '\x40';
--- a/tests/declared/routing/view_builder_test.cpp
+++ b/tests/declared/routing/view_builder_test.cpp
@@ -1,5 +1,5 @@
-// The routing view: members by selector, routes by precedence and database, groups by hash slot, and what
-// two views share.
+// Tests the routing view: group members by selector, routes by precedence and database, groups by hash slot,
+// and sharing between successive views.
 #include "declared/routing/view_builder.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/routing/view_update_property_test.cpp
+++ b/tests/declared/routing/view_update_property_test.cpp
@@ -1,4 +1,4 @@
-// The view kept up to date change by change equals the one built anew, after any sequence of changes.
+// Property test: after any sequence of changes the incrementally updated view equals one built from scratch.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "declared/routing/view_builder.h"
@@ -9,10 +9,10 @@
 
 using config::ObjectKind;
 
-/// A small world, so that changes meet each other often: names and labels are drawn from few.
+/// Generates configurations from a small set of names and labels, so that changes often interact.
 class World {
  public:
-  /// Changes one to four things and says which.
+  /// Applies one to four random changes and returns them.
   ViewChange change() {
     ViewChange change;
     for (int count = draw(1, 4); count > 0; --count) change_one(change);
@@ -190,7 +190,7 @@
         100);
   }
 
-  /// Long enough for several chunks, which are cut and dropped again.
+  /// The list is long enough for several chunks, which are split and removed again.
   void test_shared_list_is_a_map() {
     config::assert_property(
         "shared list",
