--- a/src/declared/proxy/statement/attempt.h
+++ b/src/declared/proxy/statement/attempt.h
@@ -1,5 +1,5 @@
-// What the executors of reads, writes and transactions share: the proxy's state and the sending of one
-// statement to one backend.
+// State and functions shared by the executors of reads, writes and transactions: the proxy's state, and
+// sending one statement to one backend.
 #pragma once
 
 #include <memory>
@@ -34,8 +34,8 @@
   [[nodiscard]] const BackendName& backend_name() const { return backend->name; }
 };
 
-/// Counts a statement as load of a backend for as long as it lives: from before it waits for admission, so
-/// that others choose a backend with a shorter queue.
+/// Counts a statement towards a backend's load for the lifetime of this object. Created before the statement
+/// waits for admission, so that other statements prefer backends with shorter queues.
 class LoadCount {
  public:
   LoadCount(ProxyState& state, const AttemptTarget& target)
@@ -51,35 +51,36 @@
   std::uint32_t ordinal_;
 };
 
-/// Looks the candidate up in the view that the decision was made from.
+/// Looks up the candidate in the view that the decision was based on.
 AttemptTarget make_target(const routing::RoutingView& view, const routing::Decision& decision,
                           const routing::Candidate& candidate);
-/// The primary of the group now; empty with kNoPrimary when none is known.
+/// Returns the group's current primary, or std::nullopt with kNoPrimary if none is known.
 std::optional<AttemptTarget> primary_target(const routing::RoutingView& view, const GroupName& group,
                                             Reason& reason);
 
-/// Acquires a connection to the target. Records a backend that cannot be reached, and suspects it when it
-/// is the primary.
+/// Acquires a connection to the target, or returns null with the reason. Records an unreachable backend as
+/// failed and, if it is the primary, reports the primary as suspect.
 Awaitable<std::unique_ptr<ConnectionLease>> acquire(ProxyState& state, AttemptTarget target,
                                                     Priority priority, TimePoint deadline, Reason& reason);
 
-/// The same for work that only the primary of the target's term can do: the wait ends with kNotPrimary as
-/// soon as another primary is known.
+/// Like acquire(), for work that only the primary of the target's term can do: the wait ends with kNotPrimary
+/// as soon as another primary is known.
 Awaitable<std::unique_ptr<ConnectionLease>> acquire_at_primary(ProxyState& state, AttemptTarget target,
                                                                Priority priority, TimePoint deadline,
                                                                Reason& reason);
 
-/// The refusal of a statement that could not acquire a connection to the target. For overload it names when
-/// the target's queue is likely worked off.
+/// Builds the refusal of a statement that could not acquire a connection to the target. For overload it
+/// includes when the target's queue is expected to have drained.
 Refused refuse_unacquired(const ProxyState& state, const AttemptTarget& target, Reason reason);
 
-/// Sends one statement, unless the lease has lapsed meanwhile (then Failed, kNotSent, kLeaseExpired).
-/// Learns positions, primaries and failures from the answer.
+/// Sends one statement, unless the lease has expired in the meantime (then Failed, kNotSent, kLeaseExpired).
+/// Updates the estimates of positions, primaries and failures from the answer.
 Awaitable<backend::ExecuteAnswer> send(ProxyState& state, AttemptTarget target, ConnectionLease& lease,
                                        backend::Statement statement, backend::Requirements requirements,
                                        Reason& reason);
 
-/// Learns from an answer of the target. `asked_at` is when the question was sent, `reason` why it failed.
+/// Updates the estimates from an answer of the target. `asked_at` is when the request was sent, `reason` why
+/// it failed.
 void learn_from(ProxyState& state, const AttemptTarget& target, const backend::ExecuteAnswer& answer,
                 const Reason& reason, TimePoint asked_at);
 
--- a/src/declared/proxy/statement/backend_access.h
+++ b/src/declared/proxy/statement/backend_access.h
@@ -1,5 +1,5 @@
-// Admission to a backend together with a connection to it: one lease is one statement (or one transaction)
-// that the backend is busy with.
+// Interface for admission to a backend together with a connection to it. One lease covers one statement or
+// one transaction in progress at the backend.
 #pragma once
 
 #include <memory>
@@ -12,30 +12,32 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Holds one connection. On destruction the connection goes back to be used again, unless it is closed.
+/// Owns one connection while it lives. On destruction the connection is returned for reuse unless it is
+/// closed.
 class ConnectionLease {
  public:
   virtual ~ConnectionLease() = default;
   [[nodiscard]] virtual backend::BackendConnection& connection() = 0;
 };
 
-/// A member of a group, as in the view it was chosen from.
+/// A member of a group, as described by the view it was selected from.
 struct BackendTarget {
   routing::GroupPointer group;
   const routing::BackendView* backend = nullptr;  ///< one of the group's members
-  std::uint32_t proxies_serving = 1;              ///< that share the group's limits per backend
+  std::uint32_t proxies_serving = 1;              ///< proxies that share the group's limits per backend
 };
 
 class BackendAccess {
  public:
   virtual ~BackendAccess() = default;
-  /// Null on failure: kOverloaded (the queue is full, or the deadline cannot be made), kUnreachable,
-  /// kDeadlineExceeded, or kCancelled when `cancellation` (null: none; it outlives the call) ended the wait.
+  /// Returns null on failure: kOverloaded (the queue is full, or the deadline cannot be met), kUnreachable,
+  /// kDeadlineExceeded, or kCancelled if `cancellation` ended the wait. `cancellation` may be null and must
+  /// outlive the call.
   virtual Awaitable<std::unique_ptr<ConnectionLease>> acquire(BackendTarget target, Priority priority,
                                                               TimePoint deadline,
                                                               backend::WaitCancellation* cancellation,
                                                               Reason& reason) = 0;
-  /// When a statement that the backend's admission has just refused for overload had better come back.
+  /// How long to wait before retrying a statement that the backend's admission has just refused for overload.
   [[nodiscard]] virtual Duration suggested_retry_after(const BackendName& /*backend*/) const {
     return kRetryAfterOverload;
   }
--- a/src/declared/proxy/statement/outcome_resolver.cpp
+++ b/src/declared/proxy/statement/outcome_resolver.cpp
@@ -20,7 +20,7 @@
     auto outcome = co_await ask(request_id, group, give_up_at, reason);
     if (outcome) co_return std::move(*outcome);
     if (reason.failed()) last = std::move(reason);
-    // Wakes early when a new primary is known.
+    // Wakes up early when a new primary is known.
     co_await state_.serving.wait_for_change(std::min(give_up_at, state_.runtime.now() + kResolvePause));
   }
   Reason unknown{ReasonCode::kOutcomeUnknown, last.step, last.peer,
--- a/src/declared/proxy/statement/outcome_resolver.h
+++ b/src/declared/proxy/statement/outcome_resolver.h
@@ -1,25 +1,26 @@
-// Learns the outcome of a request that was sent and not answered: asks the group's current primary for the
-// entry in its request ledger, until there is a definite answer or the time is over.
+// Determines the outcome of a request that was sent but not answered: queries the request ledger of the
+// group's current primary until there is a definite answer or the time limit is reached.
 #pragma once
 
 #include "declared/proxy/statement/attempt.h"
 
 namespace cairnhollow::declared::proxy {
 
-/// The reason of a request id whose ledger entry says aborted.
+/// The reason for a request id that the ledger records as aborted.
 Reason aborted_reason(const AttemptTarget& target);
 
 class OutcomeResolver {
  public:
   explicit OutcomeResolver(ProxyState& state) : state_(state) {}
 
-  /// Done when it had committed; not_run with kAborted when the ledger says, now for good, that it never
-  /// will; otherwise unknown, given early enough before `deadline` for the caller to ask again elsewhere.
+  /// Returns done if the request committed; not_run with kAborted if the ledger records that it never will;
+  /// otherwise unknown, returned early enough before `deadline` for the caller to retry at another proxy.
   /// `cause` is why the answer is missing.
   Awaitable<Outcome> run(RequestId request_id, GroupName group, TimePoint deadline, Reason cause);
 
  private:
-  /// One question to the primary known now. Empty, with the reason, when it gave no definite answer.
+  /// Queries the currently known primary once. Returns std::nullopt with the reason if the answer was not
+  /// definite.
   Awaitable<std::optional<Outcome>> ask(RequestId request_id, GroupName group, TimePoint deadline,
                                         Reason& reason);
 
--- a/src/declared/proxy/statement/pooled_access.cpp
+++ b/src/declared/proxy/statement/pooled_access.cpp
@@ -68,7 +68,7 @@
     if (leaving.contains(name)) {
       admission->retire();
     } else if (!ready.contains(name)) {
-      admission->release();  // other proxies serve the group now, with these connections
+      admission->release();  // other proxies serve the group now and use these connections
     }
     admission->maintain();
   }
--- a/src/declared/proxy/statement/pooled_access.h
+++ b/src/declared/proxy/statement/pooled_access.h
@@ -1,4 +1,5 @@
-// BackendAccess by the pools of src/backend: one admission a backend, kept ready for every group in force.
+// Implements BackendAccess with the pools of src/backend: one admission per backend, prepared in advance for
+// every group of the current view.
 #pragma once
 
 #include <map>
@@ -10,7 +11,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// All arguments outlive it, it outlives its leases, and it lives until the process ends.
+/// All arguments must outlive this object, which must outlive its leases and lives until the process ends.
 class PooledBackendAccess : public BackendAccess {
  public:
   PooledBackendAccess(runtime::Runtime& runtime, backend::BackendConnector& connector)
@@ -22,15 +23,15 @@
                                                       Reason& reason) override;
   [[nodiscard]] Duration suggested_retry_after(const BackendName& backend) const override;
 
-  /// Makes the pools of all backends in the view ready, and lets those of others run empty.
+  /// Prepares the pools of all backends in the view, and lets the pools of other backends drain.
   void prepare(const routing::RoutingView& view);
-  /// The backend answers again after it did not: its idle connections are opened anew.
+  /// Reopens the idle connections of a backend that answers again after an outage.
   void backend_returned(const BackendName& backend);
-  /// Prepares for the view in force every now and then, until stop().
+  /// Periodically prepares for the current view, until stop().
   Awaitable<void> run(const ServingState& serving);
   void stop() { stopping_ = true; }
 
-  /// Of every backend that was used or made ready.
+  /// The admissions of all backends that were used or prepared.
   [[nodiscard]] const std::map<BackendName, std::unique_ptr<backend::BackendAdmission>>& admissions() const {
     return admissions_;
   }
--- a/src/declared/proxy/statement/primary_wait.cpp
+++ b/src/declared/proxy/statement/primary_wait.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// After which the pause has long reached its limit.
+/// Number of doublings after which the pause has reached kPrimaryRetryPauseLimit; bounds the shift.
 constexpr std::uint32_t kMaximumDoublings = 10;
 
 }  // namespace
@@ -29,8 +29,8 @@
     const bool changed = co_await state_.serving.wait_for_change(deadline);
     co_return changed;
   }
-  // A backend too busy for the statement did not run it. It waits for a slot in the admission's queue, by its
-  // priority, and admission paces what it sends to such a backend: that multiplies no load.
+  // A backend that was too busy did not run the statement. The statement waits for a slot in the admission
+  // queue by priority, and admission paces requests to such a backend, so this does not amplify load.
   if (failure.retry_after > Duration(0)) co_return state_.runtime.now() < deadline;
   TimePoint retry_at = state_.runtime.now() + next_pause();
   while (!has_new_primary(*failure.refused_by)) {
@@ -40,7 +40,7 @@
     Reason exhausted = failure.reason;
     if (budget_.try_spend(exhausted)) co_return true;
     failure.reason = std::move(exhausted);
-    retry_at = deadline;  // to wait for news multiplies no load
+    retry_at = deadline;  // waiting for a new primary does not amplify load
   }
   co_return state_.runtime.now() < deadline;
 }
--- a/src/declared/proxy/statement/primary_wait.h
+++ b/src/declared/proxy/statement/primary_wait.h
@@ -1,4 +1,4 @@
-// Parks work that only the primary can do while there is none, and paces retries at the same primary.
+// Holds work that only the primary can do while no primary is known, and paces retries at the same primary.
 #pragma once
 
 #include "declared/proxy/statement/attempt.h"
@@ -8,28 +8,30 @@
 
 /// Why an attempt at the primary did not run.
 struct PrimaryFailure {
-  std::optional<AttemptTarget> refused_by;  ///< empty: no primary was known
-  Duration retry_after{0};                  ///< named by a busy primary
+  std::optional<AttemptTarget> refused_by;  ///< std::nullopt if no primary was known
+  Duration retry_after{0};                  ///< given by a busy primary
   Reason reason;
 };
 
-/// Whether work that found no connection for this reason may be tried at another primary, or again.
+/// Whether work that failed to get a connection for this reason may be tried at another primary, or again.
 bool may_run_elsewhere(const Reason& reason);
 
-/// Of one statement.
+/// Waits of one statement.
 class PrimaryWait {
  public:
   PrimaryWait(ProxyState& state, RetryBudget& budget) : state_(state), budget_(budget) {}
 
-  /// Returns true when another attempt makes sense: a new primary is known, the same one may have recovered
-  /// and the retry budget allows to ask it, or it was only too busy, where admission paces the next attempt.
-  /// False when `deadline` comes first, the budget is spent and no new primary comes, or as many as
-  /// queue_limit_per_backend wait already; `failure.reason` then says why.
+  /// Returns true if another attempt is worthwhile: a new primary is known, the same one may have recovered
+  /// and the retry budget permits a retry, or it was merely too busy, in which case admission paces the next
+  /// attempt. Returns false if `deadline` passes first, if the budget is exhausted and no new primary
+  /// appears, or if queue_limit_per_backend statements are already waiting; `failure.reason` then has the
+  /// reason.
   Awaitable<bool> wait(PrimaryFailure& failure, TimePoint deadline);
 
  private:
   [[nodiscard]] bool has_new_primary(const AttemptTarget& failed) const;
-  /// Before the same primary is tried again; longer each time.
+  /// Returns the pause before the same primary is retried; grows with each call up to
+  /// kPrimaryRetryPauseLimit.
   Duration next_pause();
 
   ProxyState& state_;
@@ -37,7 +39,7 @@
   std::uint32_t retries_ = 0;
 };
 
-/// The refusal of work that no primary took.
+/// The refusal of work that no primary accepted.
 Refused refuse(const PrimaryFailure& failure);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/primary_watch.cpp
+++ b/src/declared/proxy/statement/primary_watch.cpp
@@ -14,7 +14,7 @@
 
 Awaitable<void> PrimaryAttempts::end_attempts(GroupName group, std::uint64_t term) {
   co_await runtime_.sleep_for(kReplacedPrimaryGrace);
-  const Attempts under_way = attempts_.at(group);  // closing a connection may end its attempt
+  const Attempts under_way = attempts_.at(group);  // a copy: closing a connection may end its attempt
   for (const auto& attempt : under_way) {
     if (attempt->term < term && attempt->end) std::exchange(attempt->end, nullptr)();
   }
--- a/src/declared/proxy/statement/primary_watch.h
+++ b/src/declared/proxy/statement/primary_watch.h
@@ -1,5 +1,5 @@
-// Ends attempts that wait for an answer of a primary once it is known to be replaced: a dead machine does not
-// answer, and what its successor knows of the request is what counts.
+// Cancels attempts that wait for a primary's answer once it is known to have been replaced. A failed machine
+// does not answer, and only its successor's record of the request is authoritative.
 #pragma once
 
 #include <functional>
@@ -12,34 +12,36 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// The attempts under way at the groups' primaries. `runtime` outlives it, and it lives as long as the proxy.
+/// The attempts in flight at the primaries of all groups. `runtime` must outlive this object, which lives as
+/// long as the proxy.
 class PrimaryAttempts {
  public:
   explicit PrimaryAttempts(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// The group has a primary of `term`. Attempts of lower terms are ended after kReplacedPrimaryGrace: until
-  /// then a living primary says itself that it did not run them.
+  /// Reports that the group has a primary of `term`. Attempts of lower terms are cancelled after
+  /// kReplacedPrimaryGrace, which lets a replaced primary that is still alive answer that it did not run
+  /// them.
   void replaced(const GroupName& group, std::uint64_t term);
 
  private:
   friend class PrimaryWatch;
   struct Attempt {
     std::uint64_t term = 0;
-    std::function<void()> end;  ///< empty once it has ended
+    std::function<void()> end;  ///< empty once it has been called or the attempt has finished
   };
   using Attempts = std::list<std::shared_ptr<Attempt>>;
 
   Awaitable<void> end_attempts(GroupName group, std::uint64_t term);
 
   runtime::Runtime& runtime_;
-  std::map<GroupName, Attempts> attempts_;  ///< as many groups as this proxy has written to
+  std::map<GroupName, Attempts> attempts_;  ///< one entry per group to which this proxy has sent work
 };
 
-/// One attempt at the primary of a term, for as long as it lives.
+/// Registers one attempt at the primary of a term for the lifetime of this object.
 class PrimaryWatch {
  public:
-  /// `end` is called, once at most, when a primary of a higher term becomes known from now on. It does not
-  /// resume the attempt at once, but has its wait end.
+  /// `end` is called at most once, if a primary of a higher term is reported during the lifetime of this
+  /// object. It must end the attempt's wait without resuming the attempt synchronously.
   PrimaryWatch(PrimaryAttempts& attempts, const GroupName& group, std::uint64_t term,
                std::function<void()> end);
   ~PrimaryWatch();
--- a/src/declared/proxy/statement/read_executor.cpp
+++ b/src/declared/proxy/statement/read_executor.cpp
@@ -10,7 +10,7 @@
 
 using routing::PrimaryReadCause;
 
-/// Why the read goes on from a replica to the next candidate.
+/// The cause to report when the read moves on from a replica to the next candidate.
 PrimaryReadCause cause_of(const Reason& failure) {
   if (failure.code == ReasonCode::kTooStale) return PrimaryReadCause::kReplicaStale;
   if (failure.code == ReasonCode::kOverloaded) return PrimaryReadCause::kReplicaBusy;
@@ -48,8 +48,8 @@
   Attempt last = std::move(before);
   auto primary_read = chosen.decision.primary_read;
   for (const auto& candidate : chosen.decision.candidates) {
-    // To go on from a replica that lacks the position, or to which nothing was sent because its queue is too
-    // long, multiplies no load.
+    // Moving on from a replica that lacks the position, or whose queue was too long to send anything, does
+    // not amplify load.
     const bool is_retry = last.was_sent && last.reason.code != ReasonCode::kTooStale;
     if (is_retry && !budget_.try_spend(last.reason)) break;
     const auto target = make_target(*chosen.view, chosen.decision, candidate);
@@ -66,9 +66,9 @@
                                                           const routing::Request& request, bool is_last) {
   while (true) {
     auto tried = co_await attempt(call, target, request.session_position, is_last);
-    // The backend said that it is too busy: the read did not run. At the last one it waits for a slot in
-    // the admission's queue, which paces what is sent to such a backend. What admission itself refused ends
-    // here.
+    // The backend reported that it is too busy and did not run the read. At the last candidate the read waits
+    // for a slot in the admission queue, which paces requests to such a backend. A read refused by the
+    // admission queue itself is not retried.
     const bool is_busy = tried.was_sent && tried.retry_after > Duration(0);
     if (!is_last || !is_busy || state_.runtime.now() >= call.deadline) co_return tried;
   }
@@ -80,7 +80,7 @@
   request.first_chosen = arrived;
   request.hold_limit = std::max(Duration(0), (call.deadline - arrived) / kHoldDeadlineShare);
   while (true) {
-    // The view may change while the read is held.
+    // Taken on each iteration, because the view may change while the read is held.
     Chosen chosen{state_.serving.view(), {}};
     const auto group = routing::find_group(*chosen.view, request);
     request.session_position.reset();
--- a/src/declared/proxy/statement/read_executor.h
+++ b/src/declared/proxy/statement/read_executor.h
@@ -1,4 +1,4 @@
-// Serves one read: tries the candidates of the decision in order within the deadline.
+// Executes one read: tries the candidates of the routing decision in order within the deadline.
 #pragma once
 
 #include "declared/proxy/calls/decision_log.h"
@@ -10,40 +10,40 @@
 
 class ReadExecutor {
  public:
-  /// All outlive the executor.
+  /// All arguments must outlive the executor.
   ReadExecutor(ProxyState& state, RetryBudget& budget, DecisionLog& decisions)
       : state_(state), budget_(budget), decisions_(decisions), watch_(state.runtime, state.estimates.load) {}
 
-  /// A read leaves no trace, so it may be tried at several backends; every refusal of it is not_run.
+  /// A read has no side effects, so it may be tried at several backends; every refusal of it is not_run.
   Awaitable<Outcome> run(StatementCall call);
 
  private:
   struct Attempt {
     std::optional<Done> done;
-    bool try_next = true;   ///< false: the refusal is final
-    bool was_sent = false;  ///< the backend had work with it
+    bool try_next = true;   ///< false if the refusal is final
+    bool was_sent = false;  ///< the statement was sent to the backend
     Reason reason;
-    Duration retry_after{0};  ///< named by a busy backend or its queue
+    Duration retry_after{0};  ///< given by a busy backend or its admission queue
   };
 
-  /// A decision with the view that it was made from.
+  /// A decision with the view that it was based on.
   struct Chosen {
     routing::ViewPointer view;
     routing::Decision decision;
   };
 
-  /// Chooses, and holds the read as long as the choice says so and not too many are held already.
-  /// `call` outlives it.
+  /// Selects the candidates. Holds the read for as long as the decision says, unless too many reads are
+  /// already held. `call` must outlive the coroutine.
   Awaitable<Chosen> choose(const StatementCall& call, routing::Request& request);
-  /// Tries the candidates one after the other. `before` is the last attempt of an earlier choice. The
-  /// arguments outlive it.
+  /// Tries the candidates in order. `before` is the last attempt of an earlier selection. The arguments must
+  /// outlive the coroutine.
   Awaitable<Attempt> try_candidates(const StatementCall& call, const Chosen& chosen,
                                     const routing::Request& request, Attempt before);
-  /// Tries one until it is done or fails for another reason than being busy, when there is no other.
+  /// Tries one candidate. The last candidate is retried while it reports that it is busy, until the deadline.
   Awaitable<Attempt> try_target(const StatementCall& call, const AttemptTarget& target,
                                 const routing::Request& request, bool is_last);
-  /// `call` outlives the attempt. A read that is not the last one's moves on when the backend is silent; one
-  /// that waits for a primary ends soon after that was replaced.
+  /// `call` must outlive the coroutine. Unless `is_last`, the read is ended if the backend stops answering. A
+  /// read at a primary ends soon after the primary is replaced.
   Awaitable<Attempt> attempt(const StatementCall& call, AttemptTarget target,
                              std::optional<Position> required, bool is_last);
   Awaitable<std::unique_ptr<ConnectionLease>> acquire_for(const StatementCall& call,
@@ -53,7 +53,7 @@
                                                  bool is_last, Reason& reason);
   [[nodiscard]] backend::Requirements requirements(const StatementCall& call, const AttemptTarget& target,
                                                    std::optional<Position> required) const;
-  /// What the answer means for the read.
+  /// Translates the backend's answer into the result of the attempt.
   static Attempt judge(const AttemptTarget& target, backend::ExecuteAnswer answer, Reason reason);
 
   ProxyState& state_;
--- a/src/declared/proxy/statement/read_watch.cpp
+++ b/src/declared/proxy/statement/read_watch.cpp
@@ -25,7 +25,7 @@
 
 void ReadWatch::close_silent() {
   const TimePoint now = runtime_.now();
-  // Closing resumes nobody at once: the reads end when their coroutines run next.
+  // Closing a connection resumes nothing synchronously: the reads end when their coroutines next run.
   for (auto& read : reads_) {
     const std::uint64_t answers = load_.answers(read.ordinal);
     if (answers != read.answers) read.heard_at = now;
--- a/src/declared/proxy/statement/read_watch.h
+++ b/src/declared/proxy/statement/read_watch.h
@@ -1,6 +1,7 @@
-// Ends reads at backends that have stopped answering (frozen, cut off) before the reads' own limit, so that
-// the next candidate is tried. Who answers anybody is not silent, nor is who was not asked: a read that takes
-// long there is waited for. Sends nothing itself, and costs nothing while no read is under way.
+// Ends reads at backends that have stopped answering (hung or partitioned) before the read's own timeout, so
+// that the next candidate is tried. A backend that answers any request, or that was not probed, is not
+// considered silent: a slow read there is waited for. Sends nothing itself and has no cost while no read is
+// in flight.
 #pragma once
 
 #include <list>
@@ -11,8 +12,8 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// A backend is silent when it has owed an answer to a freshness probe for kReadSilenceLimit and has answered
-/// no statement meanwhile. Both references outlive the watch, and it lives until the process ends.
+/// A backend is silent if a freshness probe has been unanswered for kReadSilenceLimit and the backend has
+/// answered no statement since. Both references must outlive the watch, which lives until the process ends.
 class ReadWatch {
  public:
   ReadWatch(runtime::Runtime& runtime, const routing::BackendLoadTable& load)
@@ -22,13 +23,13 @@
   struct Read {
     std::uint32_t ordinal = 0;
     backend::BackendConnection* connection = nullptr;
-    std::uint64_t answers = 0;  ///< of the backend, when it was last looked at
-    TimePoint heard_at;         ///< the backend had answered somebody since the look before; first: the begin
+    std::uint64_t answers = 0;  ///< number of the backend's answers at the last check
+    TimePoint heard_at;         ///< last check that found a new answer; initially the start of the read
   };
 
  public:
-  /// One read, watched from construction to destruction. The connection outlives it, and is closed when the
-  /// backend is found silent.
+  /// Watches one read for the lifetime of this object. The connection must outlive it, and is closed if the
+  /// backend becomes silent.
   class Watched {
    public:
     Watched(ReadWatch& watch, std::uint32_t ordinal, backend::BackendConnection& connection);
@@ -43,7 +44,7 @@
 
  private:
   Awaitable<void> run();
-  /// Looks at each read once.
+  /// Checks each read once.
   void close_silent();
   [[nodiscard]] bool is_silent(const Read& read, TimePoint now) const;
 
--- a/src/declared/proxy/statement/resolve_access.h
+++ b/src/declared/proxy/statement/resolve_access.h
@@ -1,5 +1,5 @@
-// Connections on which outcomes are asked for. They do not count against a backend's statement connections,
-// so that a primary whose statement connections are all in use still tells outcomes.
+// Connections for querying outcomes. They do not count against a backend's statement connections, so that a
+// primary whose statement connections are all in use can still report outcomes.
 #pragma once
 
 #include <map>
@@ -12,9 +12,9 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// A backend's connections are used again, and there are at most kResolveConnections of each. Waits are short
-/// (kConnectTimeout, kResolveAttemptLimit) and not cancelled. Both arguments
-/// outlive it, and it outlives its leases.
+/// Reuses connections, with at most kResolveConnections per backend. Waits are limited by kConnectTimeout and
+/// kResolveAttemptLimit and are not cancelled. Both arguments must outlive this object, which must outlive
+/// its leases.
 class ResolveAccess : public BackendAccess {
  public:
   ResolveAccess(runtime::Runtime& runtime, backend::BackendConnector& connector)
--- a/src/declared/proxy/statement/retry_budget.h
+++ b/src/declared/proxy/statement/retry_budget.h
@@ -1,5 +1,5 @@
-// Holds retries back so that they cannot multiply an outage: each success earns a part of a retry (as in
-// Finagle's and Envoy's retry budgets).
+// Retry budget: limits retries to a fraction of recent successes, so that they cannot amplify an outage (as
+// in Finagle's and Envoy's retry budgets).
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Counted in hundredths of a retry, so that no rounding depends on the machine.
+/// Counted in hundredths of a retry, so that results do not depend on floating-point rounding.
 class RetryBudget {
  public:
-  /// One answered statement earns a fifth of a retry, up to the cap.
+  /// Each answered statement earns a fifth of a retry, up to the cap.
   void record_success();
-  /// Takes one retry out; false with kRetryBudgetExhausted (keeping the earlier reason's text as detail)
-  /// when there is none left.
+  /// Spends one retry. Returns false with kRetryBudgetExhausted if none is left; the text of the previous
+  /// reason is kept as detail.
   bool try_spend(Reason& reason);
   [[nodiscard]] double retries_left() const;
 
--- a/src/declared/proxy/statement/statement.h
+++ b/src/declared/proxy/statement/statement.h
@@ -1,4 +1,4 @@
-// One caller's statement and what came of it.
+// A caller's statement and its outcome.
 #pragma once
 
 #include <optional>
@@ -14,32 +14,32 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Order of admission when a backend is busy.
+/// Admission priority when a backend is busy.
 enum class Priority : std::uint8_t { kHigh = 0, kNormal = 1, kLow = 2 };
 
-/// A statement as the executors take it: checked, with its deadline on the local clock.
+/// A validated statement as the executors take it, with its deadline on the local clock.
 struct StatementCall {
   backend::Statement statement;
-  LabelSet labels;  ///< "database" among them
+  LabelSet labels;  ///< always include "database"
   Priority priority = Priority::kNormal;
-  TimePoint deadline;                   ///< by which the answer leaves
+  TimePoint deadline;                   ///< time by which the answer must be sent
   std::optional<RequestId> request_id;  ///< always set for writes
   std::uint64_t answered_up_to = 0;
   bool resent = false;                         ///< an earlier copy may have been sent
-  std::optional<routing::SessionToken> token;  ///< unset: none, or it could not be read
+  std::optional<routing::SessionToken> token;  ///< unset if there was no token or it could not be decoded
 };
 
 /// The statement ran.
 struct Done {
   std::string result;
   Position position;
-  GroupName group;  ///< as session tokens name it
+  GroupName group;  ///< name used in session tokens
   BackendName backend;
   bool backend_is_primary = false;
-  routing::PrimaryReadCause primary_read = routing::PrimaryReadCause::kNone;  ///< of reads on the primary
+  routing::PrimaryReadCause primary_read = routing::PrimaryReadCause::kNone;  ///< for reads on the primary
 };
 
-/// The statement did not run, or nobody can tell.
+/// The statement did not run, or its outcome is unknown.
 struct Refused {
   Reason reason;
   http::RunState run_state = http::RunState::kNotRun;
@@ -48,20 +48,21 @@
 
 using Outcome = std::variant<Done, Refused>;
 
-/// What the choice of a backend needs to know of the statement.
+/// Builds the routing request for the statement.
 routing::Request routing_request(const StatementCall& call, bool in_transaction);
 
-/// Why the database refused the statement itself: its own reason where that says more than "bad statement".
+/// The reason for a statement that the database rejected, with the code of `reason` if that is more specific
+/// than kInvalidArgument.
 Reason statement_refused(const BackendName& backend, const std::string& detail, const Reason& reason);
 
-/// Refuses a request while another copy of the same id is being served.
+/// The refusal of a request while another copy with the same id is being served.
 Reason same_id_in_flight();
 
-/// A refusal says what came of this copy only. An earlier copy of a resent request may have run, unless the
-/// request ledger says that it never will.
+/// A refusal covers this copy of the request only. An earlier copy of a resent request may have run, unless
+/// the request ledger records that it never will; sets the run state to unknown accordingly.
 void doubt_earlier_copies(Refused& refused, bool resent);
 
-/// A refusal that says when to come back, by the reason's code.
+/// Builds a refusal, with a retry delay according to the reason's code.
 Refused refuse(Reason reason, http::RunState run_state = http::RunState::kNotRun);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/write_executor.cpp
+++ b/src/declared/proxy/statement/write_executor.cpp
@@ -105,7 +105,7 @@
       attempt.outcome = refuse(attempt.failure.reason);
     }
   } else if (!std::holds_alternative<backend::NotPrimary>(answer)) {
-    // No answer, or one that does not fit a write: neither proves that it did not run.
+    // A missing answer, or one that does not match a write, does not prove that the write did not run.
     attempt.unanswered = target;
   }
   return attempt;
--- a/src/declared/proxy/statement/write_executor.h
+++ b/src/declared/proxy/statement/write_executor.h
@@ -1,5 +1,5 @@
-// Serves one write: sends it at most once, and learns its outcome from the request ledger when no answer
-// came.
+// Executes one write: it takes effect at most once, and its outcome is determined from the request ledger if
+// no answer arrives.
 #pragma once
 
 #include "declared/proxy/calls/decision_log.h"
@@ -12,25 +12,26 @@
 
 class WriteExecutor {
  public:
-  /// All outlive the executor.
+  /// All arguments must outlive the executor.
   WriteExecutor(ProxyState& state, RetryBudget& budget, DecisionLog& decisions, OutcomeResolver& resolver)
       : state_(state), budget_(budget), decisions_(decisions), resolver_(resolver) {}
 
-  /// As long as nothing was sent (or the backend said that it did not run it) the write is tried again
-  /// within deadline and retry budget. Once sent and unanswered it is never sent again but resolved.
+  /// While nothing has been sent, or the backend reported that it did not run the write, the write is retried
+  /// within the deadline and the retry budget. Once sent and unanswered it is never sent again; its outcome
+  /// is resolved instead.
   Awaitable<Outcome> run(StatementCall call);
 
  private:
   struct Attempt {
-    std::optional<Outcome> outcome;           ///< final
-    std::optional<AttemptTarget> unanswered;  ///< sent there, no answer came
-    PrimaryFailure failure;                   ///< else: it did not run, and may be tried again
+    std::optional<Outcome> outcome;           ///< set if final
+    std::optional<AttemptTarget> unanswered;  ///< set if the write was sent there and not answered
+    PrimaryFailure failure;                   ///< otherwise: the write did not run and may be retried
   };
 
-  // `call` outlives both.
+  // `call` must outlive both coroutines.
   Awaitable<Attempt> attempt(const StatementCall& call);
   Awaitable<Attempt> send_to(AttemptTarget target, const StatementCall& call);
-  /// What the answer means for the write.
+  /// Translates the backend's answer into the result of the attempt.
   static Attempt judge(const AttemptTarget& target, backend::ExecuteAnswer answer, Reason reason);
 
   ProxyState& state_;
@@ -39,7 +40,7 @@
   OutcomeResolver& resolver_;
 };
 
-/// What an answer to a write or commit means: its outcome, or empty when it gave none.
+/// Returns the outcome that an answer to a write or commit implies, or std::nullopt if it implies none.
 std::optional<Outcome> outcome_of_write(const AttemptTarget& target, const backend::ExecuteAnswer& answer,
                                         const Reason& reason);
 
--- a/tests/declared/proxy/statement/read_watch_test.cpp
+++ b/tests/declared/proxy/statement/read_watch_test.cpp
@@ -1,4 +1,4 @@
-// Which reads are ended because their backend has fallen silent.
+// Tests which reads are ended because their backend has stopped answering.
 #include "declared/proxy/statement/read_watch.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -30,14 +30,14 @@
   }
   void tearDown() override {
     CPPUNIT_ASSERT(world_->faults().empty());
-    // The watch's coroutine ends before the watch does.
+    // Runs the watch's coroutine to completion before the watch is destroyed.
     world_->run_for(milliseconds(100));
     watch_.reset();
     connection_.reset();
     world_.reset();
   }
 
-  /// With many groups a member's turn to be probed may come later than a slow read's answer.
+  /// With many groups a backend may not be probed before a slow read is answered.
   void test_slow_read_at_a_backend_that_is_not_probed_is_waited_for() {
     const ReadWatch::Watched watched(*watch_, kBackend, *connection_);
     world_->run_for(milliseconds(900));
--- a/tests/declared/proxy/statement/retry_budget_test.cpp
+++ b/tests/declared/proxy/statement/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// The retry budget: retries are a bounded share of recent successes.
+// Tests that retries are limited to a fraction of recent successes.
 #include "declared/proxy/statement/retry_budget.h"
 
 #include <cppunit/extensions/HelperMacros.h>
