--- a/src/declared/proxy/transaction/transaction_service.cpp
+++ b/src/declared/proxy/transaction/transaction_service.cpp
@@ -15,7 +15,7 @@
   return Reason{ReasonCode::kTransactionLost, "find_transaction", std::move(peer), std::move(detail)};
 }
 
-/// The refusal of an operation whose transaction is gone: it can never commit.
+/// The refusal of an operation whose transaction was lost and can never commit.
 Outcome lost_on_backend(const AttemptTarget& target, const Reason& cause) {
   return refuse(Reason{ReasonCode::kTransactionLost, cause.step, target.backend_name().value,
                        "rolled back: " + cause.to_string()});
@@ -251,7 +251,7 @@
       co_await transaction->lease->connection().rollback(transaction->backend_transaction, deadline, reason);
   const auto target = transaction->target;
   finish(id, transaction, answered);
-  // Without an answer the connection is closed, and the transaction dies with it.
+  // Without an answer the connection is closed, which rolls the transaction back.
   Done done;
   done.group = target.session_group();
   done.backend = target.backend_name();
--- a/src/declared/proxy/transaction/transaction_service.h
+++ b/src/declared/proxy/transaction/transaction_service.h
@@ -1,5 +1,5 @@
-// Transactions of callers. Each pins one connection to the group's primary from begin until its commit or
-// rollback is answered, so that statements of different transactions never meet on a connection.
+// Runs callers' transactions. Each holds one connection to the group's primary from begin until its commit or
+// rollback is answered, so that transactions never share a connection.
 #pragma once
 
 #include <memory>
@@ -20,28 +20,28 @@
 
 class TransactionService {
  public:
-  /// All outlive the service, and the service lives until the process ends.
+  /// All arguments must outlive the service, which lives until the process ends.
   TransactionService(ProxyState& state, RetryBudget& budget, OutcomeResolver& resolver);
 
-  /// Ends transactions that idle too long. Runs until stop().
+  /// Rolls back transactions that exceed the idle limit. Runs until stop().
   Awaitable<void> run();
   void stop();
 
   Awaitable<BeginOutcome> begin(StatementCall call, runtime::HttpConnectionId caller);
   Awaitable<Outcome> execute(TransactionId id, TransactionStatementBody body);
-  /// A transaction that is not here is resolved by the commit's request id when the body names database
-  /// and partition key.
+  /// If the transaction is not open here, the outcome is resolved by the commit's request id, provided that
+  /// the body has a database and partition key.
   Awaitable<Outcome> commit(TransactionId id, CommitBody body);
   Awaitable<Outcome> rollback(TransactionId id, TimePoint deadline);
-  /// Rolls back what this connection began.
+  /// Rolls back all transactions begun on this caller connection.
   void caller_gone(runtime::HttpConnectionId caller);
-  /// Rolls back everything that is still open.
+  /// Rolls back all open transactions.
   void abandon_all();
 
   [[nodiscard]] std::size_t open() const { return transactions_.size(); }
-  /// Whether the transaction is open here, or being ended.
+  /// Whether the transaction is open here, or is being ended.
   [[nodiscard]] bool knows(const TransactionId& id) const { return transactions_.contains(id); }
-  /// Whether this connection began a transaction that is still open.
+  /// Whether this caller connection began a transaction that is still open.
   [[nodiscard]] bool has_open(runtime::HttpConnectionId caller) const {
     return transactions_.has_open(caller);
   }
@@ -55,30 +55,32 @@
   };
   using OpenTransactionPointer = TransactionTable<OpenTransaction>::Pointer;
 
-  // A failure with a reason may be tried again; nothing of it is left behind. All arguments outlive them.
+  // A failure with a reason may be retried; it leaves no transaction open. All arguments must outlive the
+  // coroutines.
   Awaitable<BeginOutcome> choose_and_begin(const StatementCall& call, PrimaryFailure& failure,
                                            runtime::HttpConnectionId caller);
   Awaitable<BeginOutcome> begin_at(AttemptTarget target, const StatementCall& call, PrimaryFailure& failure,
                                    runtime::HttpConnectionId caller);
-  /// A transaction begun in a lower term can't commit, and its primary may not answer: it ends at once.
+  /// Closes the connection if the primary was replaced: a transaction begun in an earlier term cannot commit,
+  /// and the old primary may not answer.
   void close_if_replaced(const OpenTransaction& transaction) const;
-  // One call of the transaction, which is given up on when its primary is replaced.
+  // Each performs one operation of the transaction, which is abandoned if its primary is replaced.
   Awaitable<backend::ExecuteAnswer> send_statement(OpenTransactionPointer transaction,
                                                    backend::Statement statement, backend::Requirements wanted,
                                                    Reason& reason);
   Awaitable<backend::ExecuteAnswer> send_commit(OpenTransactionPointer transaction,
                                                 backend::Requirements wanted, Reason& reason);
-  /// After an operation that leaves the transaction open.
+  /// Called after an operation that leaves the transaction open.
   void leave(const TransactionId& id, const OpenTransactionPointer& transaction);
-  /// After an operation that ended it. `reusable`: the connection is clean.
+  /// Called after an operation that ended the transaction. The connection is closed unless it is `reusable`.
   void finish(const TransactionId& id, const OpenTransactionPointer& transaction, bool reusable);
   /// Rolls back in the background, now or after the operation in flight.
   void abandon(const TransactionId& id, const OpenTransactionPointer& transaction);
   Awaitable<void> roll_back_abandoned(TransactionId id, OpenTransactionPointer transaction);
   Awaitable<Outcome> resolve_elsewhere(TransactionId id, CommitBody body);
-  /// Abandons what has idled too long; returns when to look again.
+  /// Abandons transactions that exceed the idle limit. Returns the time of the next check.
   TimePoint end_idle();
-  /// The time of one operation is limited: an unanswered one is not waited for up to the deadline.
+  /// Limits the time of one operation, so that an unanswered one is not waited for until the deadline.
   [[nodiscard]] backend::Requirements requirements(const OpenTransaction& transaction,
                                                    TimePoint deadline) const;
   TransactionId next_id();
@@ -88,7 +90,7 @@
   RetryBudget& budget_;
   TransactionTable<OpenTransaction> transactions_;
   runtime::Signal opened_;
-  std::uint64_t incarnation_;  ///< tells this process's ids from those before a restart
+  std::uint64_t incarnation_;  ///< distinguishes this process's transaction ids from those before a restart
   std::uint64_t next_number_ = 1;
   bool stopping_ = false;
 };
--- a/src/declared/proxy/transaction/transaction_table.h
+++ b/src/declared/proxy/transaction/transaction_table.h
@@ -1,5 +1,5 @@
-// Transactions that callers have open, be it at a backend or at another proxy. Both kinds have an owner (the
-// caller's connection), run one operation at a time and end when they idle.
+// Table of the callers' open transactions, at a backend or at another proxy. Each transaction is owned by a
+// caller connection, runs one operation at a time and ends when it is idle for too long.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// What the table knows of a transaction; the kinds add what they hold.
+/// State common to both kinds of transactions; each kind derives its own type.
 struct TransactionState {
   runtime::HttpConnectionId caller = 0;
   TimePoint idle_deadline;
-  bool busy = false;       ///< an operation of it is in flight
+  bool busy = false;       ///< an operation is in flight
   bool abandoned = false;  ///< to be ended as soon as it is not busy
 };
 
-/// `Transaction` derives from TransactionState.
+/// `Transaction` must derive from TransactionState.
 template <class Transaction>
 class TransactionTable {
  public:
@@ -39,8 +39,8 @@
   [[nodiscard]] bool contains(const TransactionId& id) const { return transactions_.contains(id); }
   [[nodiscard]] std::size_t size() const { return transactions_.size(); }
 
-  /// The transaction, marked busy. Null with kTransactionLost when it is not open here, with kConflict while
-  /// another operation of it is in flight.
+  /// Returns the transaction, marked busy. Returns null with kTransactionLost if it is not open here, or with
+  /// kConflict while another operation of it is in flight.
   Pointer enter(const TransactionId& id, Reason& reason) {
     const auto found = transactions_.find(id);
     if (found == transactions_.end() || found->second->abandoned) {
@@ -57,7 +57,7 @@
     return found->second;
   }
 
-  /// A copy, by id: the table may change while it is walked.
+  /// Returns a copy in order of id, so that the table may change during iteration.
   [[nodiscard]] std::vector<Entry> snapshot() const {
     std::vector<Entry> entries;
     entries.reserve(transactions_.size());
@@ -65,7 +65,7 @@
     return entries;
   }
 
-  /// As snapshot(), of the transactions that this connection began.
+  /// Like snapshot(), for the transactions that this caller connection began.
   [[nodiscard]] std::vector<Entry> begun_by(runtime::HttpConnectionId caller) const {
     auto entries = snapshot();
     std::erase_if(entries, [caller](const Entry& entry) { return entry.transaction->caller != caller; });
