--- a/src/declared/proxy/calls/caller_answer.cpp
+++ b/src/declared/proxy/calls/caller_answer.cpp
@@ -15,7 +15,8 @@
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-/// The proxy answers for its backends: what it could not reach is its own unavailability.
+/// The proxy answers on behalf of its backends, so an unreachable backend is reported as the proxy's own
+/// unavailability.
 unsigned caller_status(ReasonCode code) {
   switch (code) {
     case ReasonCode::kUnreachable:
--- a/src/declared/proxy/calls/caller_answer.h
+++ b/src/declared/proxy/calls/caller_answer.h
@@ -1,4 +1,4 @@
-// The answers of the caller API (docs/API.md).
+// Builds the HTTP responses of the caller API (docs/API.md).
 #pragma once
 
 #include <optional>
@@ -10,18 +10,18 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// What an answer carries besides the outcome.
+/// Parts of an answer other than the outcome.
 struct AnswerContext {
   std::optional<RequestId> request_id;
-  std::optional<routing::SessionToken> token;  ///< the session's token as the request brought it
+  std::optional<routing::SessionToken> token;  ///< the session token that came with the request
 };
 
-/// 200 with result and session token, or a problem document.
+/// Returns 200 with the result and session token, or a problem document.
 runtime::HttpResponse statement_answer(const Outcome& outcome, const AnswerContext& context);
-/// A statement or rollback inside a transaction: no token, no request id.
+/// For a statement or rollback inside a transaction: no session token, no request id.
 runtime::HttpResponse in_transaction_answer(const Outcome& outcome);
 runtime::HttpResponse begin_answer(const BeginOutcome& outcome);
-/// The outcome of the request that was asked about; every refusal to tell it is `unknown`.
+/// Returns the outcome of the request that was queried. A refusal to report it becomes `unknown`.
 runtime::HttpResponse resolve_answer(const Outcome& outcome, const AnswerContext& context);
 runtime::HttpResponse refusal_answer(const Refused& refused, const std::optional<RequestId>& request_id);
 
--- a/src/declared/proxy/calls/caller_api.cpp
+++ b/src/declared/proxy/calls/caller_api.cpp
@@ -26,7 +26,7 @@
 Awaitable<HttpResponse> CallerApi::handle(HttpRequest request, HttpConnectionId connection) {
   caller_connections_.insert(connection);
   auto response = co_await dispatch(std::move(request), connection);
-  // A connection that began a transaction is kept: the transaction would be rolled back with it.
+  // A connection with an open transaction is kept open: closing it would roll the transaction back.
   const bool keeps_transaction = domains_.has_open_transaction(connection);
   if (sends_callers_elsewhere() && !keeps_transaction) response.close_connection = true;
   co_return response;
@@ -286,7 +286,7 @@
     co_return refuse(std::move(reason), http::RunState::kUnknown);
   }
   const GroupName name = group->name;
-  // A local: g++ 12 destroys a braced temporary in a co_await expression twice.
+  // A local variable: g++ 12 destroys a braced temporary in a co_await expression twice.
   Reason no_cause;
   co_return co_await domain.resolver().run(*call.request_id, name, call.deadline, std::move(no_cause));
 }
--- a/src/declared/proxy/calls/caller_api.h
+++ b/src/declared/proxy/calls/caller_api.h
@@ -1,4 +1,4 @@
-// The HTTP surface of a proxy: the caller API (docs/API.md), diagnostics, health and metrics.
+// HTTP interface of a proxy: the caller API (docs/API.md), diagnostics, health and metrics.
 #pragma once
 
 #include <set>
@@ -12,7 +12,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// What serves the calls; all outlive the API.
+/// Dependencies of the API; all must outlive it.
 struct CallerServices {
   runtime::Runtime& runtime;
   const ProxySettings& settings;
@@ -32,10 +32,11 @@
                                           runtime::HttpConnectionId connection) override;
   void connection_closed(runtime::HttpConnectionId connection) override;
 
-  /// From now on new statements are refused with kDraining and answers tell callers to reconnect elsewhere.
+  /// From now on refuses new statements with kDraining, and answers tell callers to reconnect to another
+  /// proxy.
   void start_draining() { draining_ = true; }
   [[nodiscard]] std::size_t in_flight() const { return requests_.count(); }
-  /// Connections that have sent a request and are still open.
+  /// Number of open connections that have sent a request.
   [[nodiscard]] std::size_t caller_connections() const { return caller_connections_.size(); }
 
  private:
@@ -58,7 +59,8 @@
   Awaitable<Outcome> run_resolve(Domain& domain, StatementCall call, bool forwarded);
 
   // Calls for groups that other proxies serve (caller_api_forwarding.cpp).
-  /// The group of the call when this proxy does not serve it and the request has not been forwarded yet.
+  /// Returns the group of the call if this proxy does not serve it and the request has not been forwarded
+  /// yet.
   [[nodiscard]] static std::optional<GroupName> group_elsewhere(const Domain& domain,
                                                                 const runtime::HttpRequest& request,
                                                                 const StatementCall& call);
@@ -71,33 +73,34 @@
                                                           TransactionStep step);
   Awaitable<runtime::HttpResponse> forward_commit(Domain& domain, TransactionId id,
                                                   runtime::HttpRequest request, CommitBody body);
-  /// A commit of a transaction that is not known here, for a group that other proxies serve.
+  /// Forwards the commit of a transaction that is unknown here, for a group that other proxies serve.
   Awaitable<runtime::HttpResponse> forward_unknown_commit(Domain& domain, HopCall hop, CommitBody body);
-  /// The far proxy's answer, or this proxy's refusal, which is counted.
+  /// Returns the other proxy's answer, or this proxy's refusal, which is counted in the metrics.
   runtime::HttpResponse hop_answer(HopAnswer answer, const std::optional<RequestId>& request_id);
 
-  /// Where the transaction is open, else where the body says that it was begun. Null with kNoRoute.
+  /// Returns the domain in which the transaction is open, or else the one that the body names. Returns null
+  /// with kNoRoute if there is none.
   Domain* domain_of_commit(const TransactionId& id, const CommitBody& body, Reason& reason);
-  /// After a begin: rolls back what its connection began when that has closed meanwhile.
+  /// Called after a begin: rolls back the transaction if its caller connection has closed in the meantime.
   void end_begin(std::multiset<runtime::HttpConnectionId>::iterator begin);
 
   // Diagnostics (caller_api_diagnostics.cpp).
-  /// Ready when one domain's work at least is taken; tells of each.
+  /// Ready if work of at least one domain is accepted; the body reports each domain.
   runtime::HttpResponse get_readiness() const;
   runtime::HttpResponse get_metrics();
   runtime::HttpResponse get_explain(const http::RequestTarget& target);
 
-  /// Whether new work of the domain is taken now. A forwarded call must be served here, another one may be
-  /// forwarded to the proxies that the domain names.
+  /// Whether new work of the domain is accepted now. A forwarded call must be served here; any other call may
+  /// be forwarded to the domain's proxies.
   bool admit(const Domain& domain, bool forwarded, Reason& reason) const;
-  /// Whether callers should go to another proxy; who still comes may be served all the same.
+  /// Whether callers should use another proxy; calls that still arrive may be served.
   [[nodiscard]] bool sends_callers_elsewhere() const;
   [[nodiscard]] ParseContext parse_context(const runtime::HttpRequest& request) const;
   runtime::HttpResponse refuse_now(Reason reason);
-  /// When a proxy whose lease has lapsed may serve again: with the answer to its next question to control,
-  /// which it asks within a follow interval.
+  /// Sets the time after which a proxy with an expired lease may serve again: the lease is renewed with the
+  /// answer to its next request to control, which it sends within one follow interval.
   void name_renewal(Refused& refused) const;
-  /// Completes a refusal, counts the outcome, and logs one that is unknown.
+  /// Completes a refusal, counts the outcome, and logs it if it is unknown.
   void account(CallKind kind, TimePoint arrived, Outcome& outcome,
                const std::optional<RequestId>& request_id);
 
@@ -108,7 +111,7 @@
   ProxyMetrics metrics_;
   RequestTable requests_;
   std::multiset<runtime::HttpConnectionId> beginning_;  ///< connections with a begin in flight
-  std::set<runtime::HttpConnectionId> gone_;            ///< of these, the ones that have closed meanwhile
+  std::set<runtime::HttpConnectionId> gone_;            ///< those of them that have closed in the meantime
   std::set<runtime::HttpConnectionId> caller_connections_;
   bool draining_ = false;
 };
--- a/src/declared/proxy/calls/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -1,4 +1,4 @@
-// Readiness, metrics and explanations of the caller API, by domain.
+// Readiness, metrics and explain requests of the caller API, per domain.
 #include <boost/json.hpp>
 
 #include "declared/proxy/calls/caller_api.h"
@@ -75,7 +75,7 @@
 
 HttpResponse CallerApi::get_explain(const http::RequestTarget& target) {
   Reason reason;
-  // A recent request is found by its id, whatever its domain.
+  // A recent request is looked up by its id, in any domain.
   const DatabaseName database(target.parameter("database"));
   auto* domain = database.empty() ? domains_.all().front().get() : domains_.of_database(database, reason);
   if (domain == nullptr) return refusal_answer(refuse(std::move(reason)), std::nullopt);
--- a/src/declared/proxy/calls/caller_api_forwarding.cpp
+++ b/src/declared/proxy/calls/caller_api_forwarding.cpp
@@ -1,4 +1,4 @@
-// The calls of the caller API for groups that other proxies serve.
+// Calls of the caller API for groups that other proxies serve.
 #include "declared/proxy/calls/caller_api.h"
 
 namespace cairnhollow::declared::proxy {
--- a/src/declared/proxy/calls/caller_request.cpp
+++ b/src/declared/proxy/calls/caller_request.cpp
@@ -21,7 +21,7 @@
   return Reason{ReasonCode::kInvalidArgument, "parse_request", "", std::move(detail)};
 }
 
-/// The body as a JSON object; an empty body counts as an empty object.
+/// Parses the body as a JSON object; an empty body counts as an empty object.
 std::optional<boost::json::object> parse_object(const std::string& body, Reason& reason) {
   if (body.size() > kMaximumBodyLength) {
     reason = invalid(fmt::format("body: longer than {} bytes", kMaximumBodyLength));
@@ -54,7 +54,7 @@
          std::all_of(text.begin(), text.end(), is_session_character);
 }
 
-/// The time that a forwarding proxy waits; only shortens the deadline.
+/// Reads the time for which a forwarding proxy waits. It can only shorten the deadline.
 std::optional<Duration> read_time_left(FieldReader& fields, const ParseContext& context) {
   if (!context.time_left) return std::nullopt;
   const char* first = context.time_left->data();
@@ -70,7 +70,7 @@
   return Duration(std::chrono::milliseconds(milliseconds));
 }
 
-/// By when the answer must leave for the caller to have it at its own deadline.
+/// Returns the time by which the answer must be sent to reach the caller by its own deadline.
 TimePoint read_deadline(FieldReader& fields, const ParseContext& context) {
   const auto milliseconds = fields.optional_number("deadline_ms", 1, kMaximumDeadlineMilliseconds);
   Duration time_left =
@@ -96,7 +96,7 @@
   return backend::StatementKind::kRead;
 }
 
-/// A token that cannot be read counts as none: the primary then serves the read.
+/// A token that cannot be decoded is treated as absent, and the primary serves the read.
 std::optional<routing::SessionToken> read_token(FieldReader& fields) {
   const auto text = fields.optional_string("session_token", kMaximumBodyLength);
   if (!text || text->empty()) return std::nullopt;
@@ -104,7 +104,7 @@
   return routing::decode_session_token(*text, unreadable);
 }
 
-/// From the members or the Idempotency-Key header; both must agree.
+/// Reads the request id from the body or the Idempotency-Key header. If both are present they must agree.
 std::optional<RequestId> read_request_id(FieldReader& fields, const runtime::HttpRequest& request,
                                          bool required) {
   const auto session = fields.optional_string("session", kMaximumSessionLength);
@@ -155,7 +155,7 @@
   read_target(fields, call);
   call.statement.kind = read_kind(fields);
   call.statement.text = fields.required_string("text", kMaximumTextLength);
-  fields.flag("repeatable", false);  // advice to the caller's own retries; checked, not needed here
+  fields.flag("repeatable", false);  // a hint for the caller's own retries; validated but not used here
   call.resent = fields.flag("resent", false);
   call.priority = read_priority(fields);
   call.deadline = read_deadline(fields, context);
--- a/src/declared/proxy/calls/decision_log.h
+++ b/src/declared/proxy/calls/decision_log.h
@@ -1,4 +1,4 @@
-// The decisions made for recent requests, for `explain`.
+// Keeps the routing decisions of recent requests, for `explain`.
 #pragma once
 
 #include <deque>
@@ -9,10 +9,10 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Decisions kept at most.
+/// Maximum number of decisions kept.
 inline constexpr std::size_t kDecisionsKept = 1024;
 
-/// A bounded ring; a request decided on more than once keeps its last decision.
+/// A bounded queue. If a request was decided on more than once, its last decision is found.
 class DecisionLog {
  public:
   /// Does nothing for a statement without a request id.
--- a/src/declared/proxy/calls/explain.h
+++ b/src/declared/proxy/calls/explain.h
@@ -1,4 +1,4 @@
-// A decision as JSON, for GET /v1/explain: the same value that the executors go by.
+// Formats a routing decision as JSON for GET /v1/explain, using the decision type of the executors.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,14 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// What a hypothetical statement is decided on.
+/// Input for the decision on a hypothetical statement.
 struct ExplainContext {
   const routing::RoutingView& view;
   const routing::BackendEstimates& estimates;
   routing::ChoiceSettings settings;
   TimePoint now;
-  const ProxySettings& proxy;  ///< this one's
-  bool lease_valid = true;     ///< of the domain
+  const ProxySettings& proxy;  ///< settings of this proxy
+  bool lease_valid = true;     ///< whether the domain's lease is valid
 };
 
 /// {"domain" (where named), "group", "route", "term", "candidates": [{"backend", "endpoint", "is_primary"}],
@@ -27,8 +27,9 @@
 /// "forwarded_to": {"proxy", "endpoint", "detail"}}
 std::string decision_json(const routing::Decision& decision);
 
-/// The decision that `target` asks for: of a recent request (session, number) or of a hypothetical statement
-/// (database, partition_key, kind, session_token, label.KEY). Empty with kInvalidArgument or kNotFound.
+/// Returns the decision that `target` asks for: that of a recent request (session, number) or of a
+/// hypothetical statement (database, partition_key, kind, session_token, label.KEY). Returns std::nullopt
+/// with kInvalidArgument or kNotFound.
 std::optional<routing::Decision> explain(const http::RequestTarget& target, const DecisionLog& decisions,
                                          const ExplainContext& context, Reason& reason);
 
--- a/src/declared/proxy/calls/field_reader.cpp
+++ b/src/declared/proxy/calls/field_reader.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Names of unknown members are shown only this far: they are the caller's text.
+/// Maximum number of characters of an unknown member's name in error messages, since the name is untrusted
+/// input.
 constexpr std::size_t kShownNameLength = 40;
 constexpr std::size_t kMaximumUnknownShown = 8;
 
--- a/src/declared/proxy/calls/field_reader.h
+++ b/src/declared/proxy/calls/field_reader.h
@@ -1,4 +1,4 @@
-// Reads the members of a JSON object and collects every fault, so that one answer can name them all.
+// Reads the members of a JSON object and collects all errors, so that one answer can report them together.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -13,7 +13,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Each accessor returns a harmless value when it records a fault. `object` outlives the reader.
+/// Each accessor returns a default value when it records an error. `object` must outlive the reader.
 class FieldReader {
  public:
   explicit FieldReader(const boost::json::object& object) : object_(object) {}
@@ -23,12 +23,12 @@
   bool flag(std::string_view name, bool absent);
   std::optional<std::uint64_t> optional_number(std::string_view name, std::uint64_t minimum,
                                                std::uint64_t maximum);
-  /// An object whose members are all strings.
+  /// Reads an object whose members are all strings. Lengths are in bytes.
   LabelSet labels(std::string_view name, std::size_t maximum_count, std::size_t maximum_length);
 
-  /// For rules between members.
+  /// Records an error, for rules that span several members.
   void fault(std::string text) { faults_.push_back(std::move(text)); }
-  /// Records members that no accessor has asked for. Call last.
+  /// Records an error for each member that no accessor has read. Call last.
   void reject_unknown();
   [[nodiscard]] const std::vector<std::string>& faults() const { return faults_; }
 
--- a/src/declared/proxy/calls/request_table.h
+++ b/src/declared/proxy/calls/request_table.h
@@ -1,4 +1,4 @@
-// The requests that this proxy is serving now: at most one of each request id, and how many in all.
+// Tracks the requests that this proxy is serving: at most one per request id, and their total number.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 class RequestTable {
  public:
-  /// Counts one request from its construction to its end. `id` may be empty: it is then only counted.
+  /// Tracks one request for the lifetime of this object. With an empty `id` it is only counted.
   class Entry {
    public:
     Entry(RequestTable& table, std::optional<RequestId> id) : table_(table), id_(std::move(id)) {
@@ -23,7 +23,7 @@
     }
     Entry(const Entry&) = delete;
     Entry& operator=(const Entry&) = delete;
-    /// False when a request of the same id is being served: this one must be refused.
+    /// False if a request with the same id is being served, in which case this one must be refused.
     [[nodiscard]] bool entered() const { return entered_; }
 
    private:
--- a/tests/declared/proxy/calls/call_assertions.h
+++ b/tests/declared/proxy/calls/call_assertions.h
@@ -1,4 +1,4 @@
-// What tests of whole proxies say of a call's answer.
+// Assertions on call answers for tests of whole proxies.
 #pragma once
 
 #include <cppunit/TestAssert.h>
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// The entries of the record that was read; fails when the answer holds none.
+/// Returns the entries of the record that was read. Fails the test if the answer has none.
 inline std::vector<std::string> entries_of(const standins::callers::CallAnswer& answer) {
   Reason reason;
   const auto entries = standins::callers::parse_entries(answer.result, reason);
--- a/tests/declared/proxy/calls/caller_request_test.cpp
+++ b/tests/declared/proxy/calls/caller_request_test.cpp
@@ -1,4 +1,5 @@
-// Bodies and headers of the caller API: every fault is named, nothing half read is taken.
+// Tests the bodies and headers of the caller API: all errors are reported, and invalid requests are not
+// accepted in part.
 #include "declared/proxy/calls/caller_request.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -20,7 +21,7 @@
 
 ParseContext context() { return ParseContext{TimePoint(seconds(10)), seconds(5)}; }
 
-/// A whole statement, with `extra` members behind it.
+/// Returns a complete statement body followed by the members in `extra`.
 std::string statement(const std::string& extra) {
   return R"({"database":"decks","partition_key":"learner-1","text":"{}")" + extra + "}";
 }
--- a/tests/declared/proxy/calls/explain_test.cpp
+++ b/tests/declared/proxy/calls/explain_test.cpp
@@ -1,4 +1,4 @@
-// GET /v1/explain: the decision as the executors made it, or would make it now.
+// Tests GET /v1/explain: the executors' past decision, or the decision they would make now.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/json.hpp>
