--- a/src/declared/proxy/calls/caller_api.cpp
+++ b/src/declared/proxy/calls/caller_api.cpp
@@ -45,7 +45,7 @@
   if (request.method == HttpMethod::kPost) {
     co_return co_await post(std::move(request), std::move(*target), connection);
   }
-  co_return refuse_now(no_such_path("only GET and POST are served"));
+  co_return refuse_now(no_such_path("only GET and POST are supported"));
 }
 
 Awaitable<HttpResponse> CallerApi::post(HttpRequest request, http::RequestTarget target,
@@ -76,7 +76,7 @@
 bool CallerApi::admit(const Domain& domain, bool forwarded, Reason& reason) const {
   constexpr std::string_view kStep = "admit_statement";
   if (draining_) {
-    reason = Reason{ReasonCode::kDraining, std::string(kStep), "", "this proxy is stopping"};
+    reason = Reason{ReasonCode::kDraining, std::string(kStep), "", "this proxy is shutting down"};
     return false;
   }
   const auto& serving = domain.state().serving;
@@ -86,7 +86,7 @@
   const bool forwards_only = !domain.name().empty() && !view->this_proxy_known && !forwarded;
   if (forwards_only && domains_.takes_callers()) return true;
   reason =
-      Reason{ReasonCode::kDraining, std::string(kStep), "", "this proxy drains, or no Proxy object names it"};
+      Reason{ReasonCode::kDraining, std::string(kStep), "", "this proxy is draining or has no Proxy object"};
   return false;
 }
 
--- a/src/declared/proxy/calls/caller_request.cpp
+++ b/src/declared/proxy/calls/caller_request.cpp
@@ -128,7 +128,7 @@
   }
   const RequestId request_id{SessionName(*session), *number};
   if (from_header && *from_header != request_id)
-    fields.fault("Idempotency-Key: not the body's session:number");
+    fields.fault("Idempotency-Key: does not match session:number in the body");
   return request_id;
 }
 
--- a/src/declared/proxy/calls/explain.cpp
+++ b/src/declared/proxy/calls/explain.cpp
@@ -50,13 +50,13 @@
                                                 const DecisionLog& decisions, Reason& reason) {
   const auto id = parse_request_id(target.parameter("session") + ":" + target.parameter("number"));
   if (!id) {
-    reason = invalid("session, number: both are needed, as in the request");
+    reason = invalid("session, number: both are required, as in the request");
     return std::nullopt;
   }
   auto decision = decisions.find(*id);
   if (!decision) {
     reason = Reason{ReasonCode::kNotFound, std::string(kStep), "",
-                    "this proxy decided on no such request lately; ask the proxy that served it"};
+                    "this proxy has no recent decision for this request; query the proxy that served it"};
   }
   return decision;
 }
@@ -135,7 +135,7 @@
   if (!context.lease_valid && !decision.domain.empty()) {
     decision.refusal =
         Reason{ReasonCode::kLeaseExpired, std::string(kStep), decision.domain.value,
-               "the lease of domain " + decision.domain.value + " has lapsed; nothing is sent"};
+               "the lease of domain " + decision.domain.value + " has expired; no statements are sent"};
   }
   if (group != nullptr && !group->served_here) {
     auto targets = forward_targets(*group, context.proxy);
--- a/src/declared/proxy/calls/field_reader.cpp
+++ b/src/declared/proxy/calls/field_reader.cpp
@@ -25,7 +25,7 @@
   auto text = optional_string(name, maximum_length);
   if (text && !text->empty()) return std::move(*text);
   if (text || object_.if_contains(name) == nullptr) {
-    fault(fmt::format("{}: required, and not empty", name));
+    fault(fmt::format("{}: required and must not be empty", name));
   }
   return {};
 }
--- a/src/declared/proxy/statement/attempt.cpp
+++ b/src/declared/proxy/statement/attempt.cpp
@@ -80,7 +80,7 @@
   if (!lease && reason.code == ReasonCode::kUnreachable) learn_failure(state, target);
   if (!state.serving.is_replaced(target.group_name(), target.term)) co_return lease;
   reason = Reason{ReasonCode::kNotPrimary, "acquire_connection", target.backend_name().value,
-                  "it was replaced as primary while the work waited for a connection"};
+                  "the primary was replaced while the request waited for a connection"};
   co_return nullptr;
 }
 
--- a/src/declared/proxy/statement/outcome_resolver.cpp
+++ b/src/declared/proxy/statement/outcome_resolver.cpp
@@ -8,7 +8,7 @@
 
 Reason aborted_reason(const AttemptTarget& target) {
   return Reason{ReasonCode::kAborted, "request_ledger", target.backend_name().value,
-                "this request id is recorded as aborted and can never run"};
+                "the request ledger records this request id as aborted; it can never run"};
 }
 
 Awaitable<Outcome> OutcomeResolver::run(RequestId request_id, GroupName group, TimePoint deadline,
@@ -24,7 +24,8 @@
     co_await state_.serving.wait_for_change(std::min(give_up_at, state_.runtime.now() + kResolvePause));
   }
   Reason unknown{ReasonCode::kOutcomeUnknown, last.step, last.peer,
-                 "sent, and no outcome yet (" + last.to_string() + "); ask POST /v1/resolve at any proxy"};
+                 "the request was sent but its outcome is unknown (" + last.to_string() +
+                     "); query it with POST /v1/resolve at any proxy"};
   co_return refuse(std::move(unknown), http::RunState::kUnknown);
 }
 
--- a/src/declared/proxy/statement/read_executor.cpp
+++ b/src/declared/proxy/statement/read_executor.cpp
@@ -176,7 +176,7 @@
   attempt.reason = std::move(reason);
   if (!attempt.reason.failed()) {
     attempt.reason = Reason{ReasonCode::kInternal, "execute", target.backend_name().value,
-                            "the backend's answer does not fit a read"};
+                            "the backend sent an answer that is not valid for a read"};
   }
   return attempt;
 }
--- a/src/declared/proxy/statement/resolve_access.cpp
+++ b/src/declared/proxy/statement/resolve_access.cpp
@@ -33,7 +33,7 @@
     const bool released = co_await pool.released.wait_until(deadline);
     if (released) continue;
     reason = Reason{ReasonCode::kOverloaded, "acquire_connection", backend.name.value,
-                    "too many outcomes are being asked for"};
+                    "too many outcome queries are in flight to the backend"};
     co_return nullptr;
   }
   ++pool.in_use;
--- a/src/declared/proxy/statement/statement.cpp
+++ b/src/declared/proxy/statement/statement.cpp
@@ -56,7 +56,7 @@
 
 Reason same_id_in_flight() {
   return Reason{ReasonCode::kConflict, "admit_statement", "",
-                "a request of the same id is being served; its answer tells the outcome"};
+                "a request with the same id is in progress; its answer has the outcome"};
 }
 
 void doubt_earlier_copies(Refused& refused, bool resent) {
--- a/src/declared/proxy/transaction/transaction_service.cpp
+++ b/src/declared/proxy/transaction/transaction_service.cpp
@@ -224,8 +224,9 @@
 }
 
 Awaitable<Outcome> TransactionService::resolve_elsewhere(TransactionId id, CommitBody body) {
-  auto missing = lost(id.value.substr(0, id.value.find('~')),
-                      "the transaction is not open at this proxy; resolve the commit's request id");
+  auto missing =
+      lost(id.value.substr(0, id.value.find('~')),
+           "the transaction is not open at this proxy; query the commit's request id with POST /v1/resolve");
   if (body.database.empty()) co_return refuse(missing, http::RunState::kUnknown);
   const auto view = state_.serving.view();
   routing::Request request;
--- a/src/declared/routing/choice.cpp
+++ b/src/declared/routing/choice.cpp
@@ -62,7 +62,7 @@
     if (!decision.candidates.empty()) return;
     const bool no_primary = group_.primary.empty() || find_backend(group_, group_.primary) == nullptr;
     decision.refusal = make_reason(no_primary ? ReasonCode::kNoPrimary : ReasonCode::kNoBackend,
-                                   group_.name.value, "no backend of the group may serve the statement");
+                                   group_.name.value, "no backend of the group can serve the statement");
   }
 
  private:
@@ -125,7 +125,8 @@
       return false;
     }
     if (estimates_.load.held_off(member.ordinal, now_)) {
-      reason = make_reason(ReasonCode::kUnreachable, member.name.value, "it failed a moment ago");
+      reason = make_reason(ReasonCode::kUnreachable, member.name.value,
+                           "the backend failed recently and is held off from reads");
       record(PrimaryReadCause::kUnreachable);
       return false;
     }
@@ -149,8 +150,8 @@
     if (may_await(replica, required)) return true;
     record(PrimaryReadCause::kPosition);
     reason = make_reason(ReasonCode::kTooStale, member.name.value,
-                         fmt::format("applied {}.{}, the session has seen {}.{}", applied.term, applied.index,
-                                     required.term, required.index));
+                         fmt::format("replica has applied {}.{}, but the session has seen {}.{}",
+                                     applied.term, applied.index, required.term, required.index));
     return false;
   }
 
@@ -159,8 +160,9 @@
     const Duration limit = std::chrono::milliseconds(route_.max_staleness_milliseconds);
     if (age && *age <= limit) return true;
     const std::string told = age ? fmt::format("{:.0f} ms", in_milliseconds(*age)) : "unknown";
-    reason = make_reason(ReasonCode::kTooStale, member.name.value,
-                         fmt::format("age {}, the route allows {} ms", told, in_milliseconds(limit)));
+    reason =
+        make_reason(ReasonCode::kTooStale, member.name.value,
+                    fmt::format("data age {}, but the route allows {} ms", told, in_milliseconds(limit)));
     return false;
   }
 
--- a/src/declared/routing/session_token.cpp
+++ b/src/declared/routing/session_token.cpp
@@ -115,15 +115,16 @@
 }
 
 std::optional<SessionToken> decode_session_token(std::string_view text, Reason& reason) {
-  if (text.size() > kMaximumTokenLength) return refuse("longer than a token can be", reason);
+  if (text.size() > kMaximumTokenLength) return refuse("longer than the maximum token length", reason);
   const auto bytes = decode_base64url(text);
-  if (!bytes) return refuse("not base64url", reason);
-  if (bytes->size() <= 1 + kChecksumLength) return refuse("too short", reason);
+  if (!bytes) return refuse("not valid base64url", reason);
+  if (bytes->size() <= 1 + kChecksumLength)
+    return refuse("too short for a version, content and checksum", reason);
   const std::string_view content(bytes->data(), bytes->size() - kChecksumLength);
   const std::string_view checksum(bytes->data() + content.size(), kChecksumLength);
   if (checksum != checksum_of(content)) return refuse("checksum does not match", reason);
-  if (content.front() != kTokenVersion) return refuse("unknown version", reason);
-  if (!lengths_fit(content.substr(1))) return refuse("a length goes beyond the token", reason);
+  if (content.front() != kTokenVersion) return refuse("unsupported token version", reason);
+  if (!lengths_fit(content.substr(1))) return refuse("a declared length exceeds the token", reason);
   return wire::decode<SessionToken>(std::string(content.substr(1)), reason);
 }
 
--- a/tests/admission/concurrency_limit_test.cpp
+++ b/tests/admission/concurrency_limit_test.cpp
@@ -174,7 +174,7 @@
 
   static std::string text(const LoopFigures& limited, const LoopFigures& straight) {
     return std::to_string(limited.served_a_second) + " of " + std::to_string(straight.served_a_second) +
-           " a second, mean limit " + std::to_string(limited.mean_limit);
+           " statements/s, mean limit " + std::to_string(limited.mean_limit);
   }
 
   /// Feeds one answer with `latency` every 10 ms.
--- a/tests/declared/proxy/calls/caller_request_test.cpp
+++ b/tests/declared/proxy/calls/caller_request_test.cpp
@@ -124,7 +124,7 @@
     request.body = statement(R"(,"kind":"write","session":"s-1","number":8)");
     request.headers.fields["idempotency-key"] = "s-1:9";
     CPPUNIT_ASSERT(!parse_statement(request, context(), reason).has_value());
-    CPPUNIT_ASSERT(reason.detail.find("not the body's") != std::string::npos);
+    CPPUNIT_ASSERT(reason.detail.find("does not match session:number in the body") != std::string::npos);
   }
 
   void test_unreadable_token_counts_as_none() {
--- a/tests/declared/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -384,7 +384,7 @@
       CPPUNIT_ASSERT_MESSAGE(entry.reason.detail, entry.reason.detail.find(words) != std::string::npos);
       return;
     }
-    CPPUNIT_FAIL(backend + " was not passed over");
+    CPPUNIT_FAIL(backend + " was not skipped");
   }
 
   GroupView group_;
--- a/tests/declared/routing/session_token_test.cpp
+++ b/tests/declared/routing/session_token_test.cpp
@@ -117,7 +117,7 @@
   }
 
   void test_round_trip() {
-    check_property("a token is read back as it was written",
+    check_property("a token is decoded as it was encoded",
                    [](const std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>& positions) {
                      SessionToken token;
                      for (const auto& [group, position] : positions) {
@@ -172,12 +172,12 @@
       changed[length_place + 3] = '\x40';
       Reason reason;
       CPPUNIT_ASSERT(!decode_session_token(sealed(changed), reason).has_value());
-      CPPUNIT_ASSERT_EQUAL(std::string("a length goes beyond the token"), reason.detail);
+      CPPUNIT_ASSERT_EQUAL(std::string("a declared length exceeds the token"), reason.detail);
     }
   }
 
   void test_random_bytes_are_refused() {
-    check_property("random bytes are no token", [](const std::string& bytes) {
+    check_property("random bytes are rejected as a token", [](const std::string& bytes) {
       Reason reason;
       RC_ASSERT(!decode_session_token(encode_base64url(bytes), reason).has_value());
       RC_ASSERT(!decode_session_token(bytes, reason).has_value());
--- a/tests/declared/routing/view_update_property_test.cpp
+++ b/tests/declared/routing/view_update_property_test.cpp
@@ -165,7 +165,7 @@
 
  public:
   void test_updated_view_equals_the_one_built_anew() {
-    config::assert_property("updated view", [] {
+    config::assert_property("the updated view equals a rebuilt one", [] {
       World world;
       ViewBuilder builder(NodeName("machine-1"));
       for (int step = *rc::gen::inRange(1, 40); step > 0; --step) {
@@ -177,7 +177,7 @@
 
   void test_earlier_view_stays_as_it_was() {
     config::assert_property(
-        "earlier view",
+        "an update leaves the earlier view unchanged",
         [] {
           World world;
           ViewBuilder builder(NodeName("machine-1"));
@@ -193,7 +193,7 @@
   /// The list is long enough for several chunks, which are split and removed again.
   void test_shared_list_is_a_map() {
     config::assert_property(
-        "shared list",
+        "a shared list behaves like a map",
         [] {
           std::map<int, int> expected;
           NumberList list;
