--- a/tests/declared/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -145,8 +145,8 @@
     // database-1 lags by 140 ms and database-2 by 120 ms; the write was sent 10 ms ago.
     const auto decision = decide(request);
     assert_candidates(decision, {"database-2", "database-1", "database-0"});
-    CPPUNIT_ASSERT(decision.hold ==
-                   milliseconds(100));  // 10 ms before the replica is expected to have the position
+    // 10 ms before the replica is expected to have the position.
+    CPPUNIT_ASSERT(decision.hold == milliseconds(100));
     CPPUNIT_ASSERT(decision.primary_read == PrimaryReadCause::kNone);
     // A replica known to have the position needs no hold.
     estimates_.freshness.observe_backend(group().name, 1, Position{1, 200}, kNow);
