--- a/src/admission/admission_queue.h
+++ b/src/admission/admission_queue.h
@@ -38,8 +38,8 @@
     if (is_new && key.is_urgent()) ++urgent_;
   }
   void erase(const AdmissionKey& key) {
-    const bool was_there = entries_.erase(key) != 0;
-    if (was_there && key.is_urgent()) --urgent_;
+    const bool was_present = entries_.erase(key) != 0;
+    if (was_present && key.is_urgent()) --urgent_;
   }
   /// Number of waiters admitted before `key`.
   [[nodiscard]] std::size_t ahead_of(const AdmissionKey& key) const {
--- a/src/admission/concurrency_limit.h
+++ b/src/admission/concurrency_limit.h
@@ -32,7 +32,7 @@
   [[nodiscard]] Duration expected_latency() const { return smoothed_; }
 
  private:
-  void smooth(Duration latency, std::uint32_t in_flight, TimePoint now);
+  void update_latency(Duration latency, std::uint32_t in_flight, TimePoint now);
   void decrease(double factor, double floor, TimePoint now);
   void grow(TimePoint now);
   [[nodiscard]] bool backend_queues() const;
--- a/src/declared/proxy/calls/caller_api.cpp
+++ b/src/declared/proxy/calls/caller_api.cpp
@@ -16,9 +16,9 @@
   return Reason{ReasonCode::kNotFound, "route_request", "", detail};
 }
 
-void doubt_earlier_copies(Outcome& outcome, bool resent) {
+void mark_unknown_if_resent(Outcome& outcome, bool resent) {
   auto* refused = std::get_if<Refused>(&outcome);
-  if (refused != nullptr) doubt_earlier_copies(*refused, resent);
+  if (refused != nullptr) mark_unknown_if_resent(*refused, resent);
 }
 
 }  // namespace
@@ -99,19 +99,19 @@
 
 HttpResponse CallerApi::refuse_now(Reason reason) {
   auto refused = refuse(std::move(reason));
-  name_renewal(refused);
+  set_renewal_retry(refused);
   metrics_.refused(refused);
   return refusal_answer(refused, std::nullopt);
 }
 
-void CallerApi::name_renewal(Refused& refused) const {
-  const bool lapsed = refused.reason.code == ReasonCode::kLeaseExpired;
-  if (lapsed) refused.retry_after = settings_.follow_interval;
+void CallerApi::set_renewal_retry(Refused& refused) const {
+  const bool lease_expired = refused.reason.code == ReasonCode::kLeaseExpired;
+  if (lease_expired) refused.retry_after = settings_.follow_interval;
 }
 
-void CallerApi::account(CallKind kind, TimePoint arrived, Outcome& outcome,
-                        const std::optional<RequestId>& request_id) {
-  if (auto* lapsed = std::get_if<Refused>(&outcome)) name_renewal(*lapsed);
+void CallerApi::record_outcome(CallKind kind, TimePoint arrived, Outcome& outcome,
+                               const std::optional<RequestId>& request_id) {
+  if (auto* refusal = std::get_if<Refused>(&outcome)) set_renewal_retry(*refusal);
   metrics_.answered(kind, runtime_.now() - arrived, outcome);
   const auto* refused = std::get_if<Refused>(&outcome);
   if (refused == nullptr || refused->run_state == http::RunState::kNotRun) return;
@@ -131,9 +131,9 @@
     co_return co_await run_in_transaction(std::move(request), *body->transaction, std::move(inside));
   }
   auto* domain = domains_.of_database(call.statement.database, reason);
-  auto elsewhere = domain == nullptr ? std::nullopt : group_elsewhere(*domain, request, call);
-  if (elsewhere) {
-    HopCall hop{std::move(request), std::move(*elsewhere), call.deadline, {}, call.request_id, false};
+  auto forward_to = domain == nullptr ? std::nullopt : forwarding_group(*domain, request, call);
+  if (forward_to) {
+    HopCall hop{std::move(request), std::move(*forward_to), call.deadline, {}, call.request_id, false};
     co_return co_await forward_statement(*domain, std::move(hop), std::move(call));
   }
   const bool is_write = call.statement.kind == backend::StatementKind::kWrite;
@@ -141,8 +141,8 @@
   const bool resent = is_write && call.resent;
   Outcome outcome = refuse(std::move(reason));
   if (domain != nullptr) outcome = co_await run_statement(*domain, std::move(call), is_forwarded(request));
-  doubt_earlier_copies(outcome, resent);
-  account(is_write ? CallKind::kWrite : CallKind::kRead, arrived, outcome, context.request_id);
+  mark_unknown_if_resent(outcome, resent);
+  record_outcome(is_write ? CallKind::kWrite : CallKind::kRead, arrived, outcome, context.request_id);
   co_return statement_answer(outcome, context);
 }
 
@@ -154,7 +154,7 @@
     co_return co_await domain.reads().run(std::move(call));
   }
   const RequestTable::Entry entry(requests_, call.request_id);
-  if (!entry.entered()) co_return refuse(same_id_in_flight(), http::RunState::kUnknown);
+  if (!entry.is_unique()) co_return refuse(duplicate_in_flight_reason(), http::RunState::kUnknown);
   co_return co_await domain.writes().run(std::move(call));
 }
 
@@ -166,27 +166,27 @@
   if (domain == nullptr) co_return refuse_now(std::move(reason));
   if (!admit(*domain, is_forwarded(request), reason)) co_return refuse_now(std::move(reason));
   const RequestTable::Entry entry(requests_, std::nullopt);
-  auto elsewhere = group_elsewhere(*domain, request, body->call);
-  if (elsewhere) {
-    HopCall hop{std::move(request), std::move(*elsewhere), body->call.deadline, {}, {}, false};
+  auto forward_to = forwarding_group(*domain, request, body->call);
+  if (forward_to) {
+    HopCall hop{std::move(request), std::move(*forward_to), body->call.deadline, {}, {}, false};
     co_return co_await forward_begin(*domain, std::move(hop), std::move(body->call), connection);
   }
-  const auto in_flight = beginning_.insert(connection);
+  const auto in_flight = begins_in_flight_.insert(connection);
   auto outcome = co_await domain->transactions().begin(std::move(body->call), connection);
-  end_begin(in_flight);
+  finish_begin(in_flight);
   if (auto* refused = std::get_if<Refused>(&outcome)) {
-    name_renewal(*refused);
+    set_renewal_retry(*refused);
     metrics_.refused(*refused);
   }
   co_return begin_answer(outcome);
 }
 
-void CallerApi::end_begin(std::multiset<HttpConnectionId>::iterator begin) {
+void CallerApi::finish_begin(std::multiset<HttpConnectionId>::iterator begin) {
   const auto connection = *begin;
-  beginning_.erase(begin);
-  if (!gone_.contains(connection)) return;
+  begins_in_flight_.erase(begin);
+  if (!closed_during_begin_.contains(connection)) return;
   domains_.caller_gone(connection);
-  if (!beginning_.contains(connection)) gone_.erase(connection);
+  if (!begins_in_flight_.contains(connection)) closed_during_begin_.erase(connection);
 }
 
 Awaitable<HttpResponse> CallerApi::post_in_transaction(HttpRequest request, TransactionId id) {
@@ -206,7 +206,7 @@
   const TimePoint arrived = runtime_.now();
   const RequestTable::Entry entry(requests_, std::nullopt);
   auto outcome = co_await domain.transactions().execute(std::move(id), std::move(body));
-  account(CallKind::kTransaction, arrived, outcome, std::nullopt);
+  record_outcome(CallKind::kTransaction, arrived, outcome, std::nullopt);
   co_return in_transaction_answer(outcome);
 }
 
@@ -221,16 +221,16 @@
   if (domain->forwarded_transactions().knows(id)) {
     co_return co_await forward_commit(*domain, std::move(id), std::move(request), std::move(*body));
   }
-  auto elsewhere = group_elsewhere(*domain, request, commit_call(*body));
-  if (elsewhere && !domain->transactions().knows(id)) {
-    HopCall hop{std::move(request), std::move(*elsewhere), body->deadline, {}, body->request_id, true};
+  auto forward_to = forwarding_group(*domain, request, commit_call(*body));
+  if (forward_to && !domain->transactions().knows(id)) {
+    HopCall hop{std::move(request), std::move(*forward_to), body->deadline, {}, body->request_id, true};
     co_return co_await forward_unknown_commit(*domain, std::move(hop), std::move(*body));
   }
   const AnswerContext context{body->request_id, body->token};
   const RequestTable::Entry entry(requests_, body->request_id);
-  Outcome outcome = refuse(same_id_in_flight(), http::RunState::kUnknown);
-  if (entry.entered()) outcome = co_await domain->transactions().commit(std::move(id), std::move(*body));
-  account(CallKind::kCommit, arrived, outcome, context.request_id);
+  Outcome outcome = refuse(duplicate_in_flight_reason(), http::RunState::kUnknown);
+  if (entry.is_unique()) outcome = co_await domain->transactions().commit(std::move(id), std::move(*body));
+  record_outcome(CallKind::kCommit, arrived, outcome, context.request_id);
   co_return statement_answer(outcome, context);
 }
 
@@ -262,9 +262,9 @@
   if (!body) co_return refuse_now(std::move(reason));
   const AnswerContext context{body->call.request_id, body->call.token};
   auto* domain = domains_.of_database(body->call.statement.database, reason);
-  auto elsewhere = domain == nullptr ? std::nullopt : group_elsewhere(*domain, request, body->call);
-  if (elsewhere) {
-    HopCall hop{std::move(request), std::move(*elsewhere), body->call.deadline, {}, {}, false};
+  auto forward_to = domain == nullptr ? std::nullopt : forwarding_group(*domain, request, body->call);
+  if (forward_to) {
+    HopCall hop{std::move(request), std::move(*forward_to), body->call.deadline, {}, {}, false};
     co_return co_await forward_resolve(*domain, std::move(hop), std::move(body->call));
   }
   const RequestTable::Entry entry(requests_, std::nullopt);
@@ -272,7 +272,7 @@
   if (domain != nullptr) {
     outcome = co_await run_resolve(*domain, std::move(body->call), is_forwarded(request));
   }
-  account(CallKind::kResolve, arrived, outcome, context.request_id);
+  record_outcome(CallKind::kResolve, arrived, outcome, context.request_id);
   co_return resolve_answer(outcome, context);
 }
 
@@ -293,7 +293,7 @@
 
 void CallerApi::connection_closed(HttpConnectionId connection) {
   caller_connections_.erase(connection);
-  if (beginning_.contains(connection)) gone_.insert(connection);
+  if (begins_in_flight_.contains(connection)) closed_during_begin_.insert(connection);
   domains_.caller_gone(connection);
 }
 
--- a/src/declared/proxy/calls/caller_api.h
+++ b/src/declared/proxy/calls/caller_api.h
@@ -61,9 +61,9 @@
   // Calls for groups that other proxies serve (caller_api_forwarding.cpp).
   /// Returns the group of the call if this proxy does not serve it and the request has not been forwarded
   /// yet.
-  [[nodiscard]] static std::optional<GroupName> group_elsewhere(const Domain& domain,
-                                                                const runtime::HttpRequest& request,
-                                                                const StatementCall& call);
+  [[nodiscard]] static std::optional<GroupName> forwarding_group(const Domain& domain,
+                                                                 const runtime::HttpRequest& request,
+                                                                 const StatementCall& call);
   Awaitable<runtime::HttpResponse> forward_statement(Domain& domain, HopCall hop, StatementCall call);
   Awaitable<runtime::HttpResponse> forward_resolve(Domain& domain, HopCall hop, StatementCall call);
   Awaitable<runtime::HttpResponse> forward_begin(Domain& domain, HopCall hop, StatementCall call,
@@ -82,7 +82,7 @@
   /// with kNoRoute if there is none.
   Domain* domain_of_commit(const TransactionId& id, const CommitBody& body, Reason& reason);
   /// Called after a begin: rolls back the transaction if its caller connection has closed in the meantime.
-  void end_begin(std::multiset<runtime::HttpConnectionId>::iterator begin);
+  void finish_begin(std::multiset<runtime::HttpConnectionId>::iterator begin);
 
   // Diagnostics (caller_api_diagnostics.cpp).
   /// Ready if work of at least one domain is accepted; the body reports each domain.
@@ -99,10 +99,10 @@
   runtime::HttpResponse refuse_now(Reason reason);
   /// Sets the time after which a proxy with an expired lease may serve again: the lease is renewed with the
   /// answer to its next request to control, which it sends within one follow interval.
-  void name_renewal(Refused& refused) const;
+  void set_renewal_retry(Refused& refused) const;
   /// Completes a refusal, counts the outcome, and logs it if it is unknown.
-  void account(CallKind kind, TimePoint arrived, Outcome& outcome,
-               const std::optional<RequestId>& request_id);
+  void record_outcome(CallKind kind, TimePoint arrived, Outcome& outcome,
+                      const std::optional<RequestId>& request_id);
 
   runtime::Runtime& runtime_;
   const ProxySettings& settings_;
@@ -110,8 +110,8 @@
   DecisionLog& decisions_;
   ProxyMetrics metrics_;
   RequestTable requests_;
-  std::multiset<runtime::HttpConnectionId> beginning_;  ///< connections with a begin in flight
-  std::set<runtime::HttpConnectionId> gone_;            ///< those of them that have closed in the meantime
+  std::multiset<runtime::HttpConnectionId> begins_in_flight_;  ///< connections with a begin in flight
+  std::set<runtime::HttpConnectionId> closed_during_begin_;    ///< of begins_in_flight_, those now closed
   std::set<runtime::HttpConnectionId> caller_connections_;
   bool draining_ = false;
 };
--- a/src/declared/proxy/calls/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -43,12 +43,12 @@
     const bool admitted = admit(*domain, false, not_ready);
     if (!admitted) reason = not_ready;
     ready = ready || admitted;
-    json::object told{{"name", domain->name().value},
-                      {"ready", admitted},
-                      {"revision", domain->state().serving.view()->revision},
-                      {"lease_valid", domain->lease_valid()}};
-    if (!admitted) told["reason"] = not_ready.to_string();
-    domains.push_back(std::move(told));
+    json::object domain_status{{"name", domain->name().value},
+                               {"ready", admitted},
+                               {"revision", domain->state().serving.view()->revision},
+                               {"lease_valid", domain->lease_valid()}};
+    if (!admitted) domain_status["reason"] = not_ready.to_string();
+    domains.push_back(std::move(domain_status));
   }
   if (ready && !sends_callers_elsewhere()) {
     json::object body{{"ready", true}};
@@ -62,7 +62,7 @@
   }
   if (ready) reason = Reason{ReasonCode::kDraining, "readiness", "", "this proxy is leaving"};
   auto refused = refuse(std::move(reason));
-  name_renewal(refused);
+  set_renewal_retry(refused);
   return refusal_answer(refused, std::nullopt);
 }
 
--- a/src/declared/proxy/calls/caller_api_forwarding.cpp
+++ b/src/declared/proxy/calls/caller_api_forwarding.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-std::optional<GroupName> CallerApi::group_elsewhere(const Domain& domain, const HttpRequest& request,
-                                                    const StatementCall& call) {
+std::optional<GroupName> CallerApi::forwarding_group(const Domain& domain, const HttpRequest& request,
+                                                     const StatementCall& call) {
   if (is_forwarded(request) || call.statement.database.empty()) return std::nullopt;
   const auto group = routing::find_group(*domain.state().serving.view(), routing_request(call, false));
   if (group == nullptr || group->served_here) return std::nullopt;
@@ -38,14 +38,15 @@
   const RequestTable::Entry entry(requests_, is_write ? call.request_id : std::nullopt);
   if (!admit(domain, false, reason)) {
     answer = refuse(std::move(reason));
-  } else if (!entry.entered()) {
-    answer = refuse(same_id_in_flight(), http::RunState::kUnknown);
+  } else if (!entry.is_unique()) {
+    answer = refuse(duplicate_in_flight_reason(), http::RunState::kUnknown);
   } else {
     if (is_write) hop.question = question_of(call);
     hop.resent = is_write && call.resent;
     answer = co_await domain.forwarder().forward(std::move(hop));
   }
-  if (auto* refused = std::get_if<Refused>(&answer)) doubt_earlier_copies(*refused, is_write && call.resent);
+  if (auto* refused = std::get_if<Refused>(&answer))
+    mark_unknown_if_resent(*refused, is_write && call.resent);
   co_return hop_answer(std::move(answer), call.request_id);
 }
 
@@ -64,9 +65,9 @@
 
 Awaitable<HttpResponse> CallerApi::forward_begin(Domain& domain, HopCall hop, StatementCall call,
                                                  HttpConnectionId connection) {
-  const auto in_flight = beginning_.insert(connection);
+  const auto in_flight = begins_in_flight_.insert(connection);
   auto answer = co_await domain.forwarded_transactions().begin(std::move(hop), std::move(call), connection);
-  end_begin(in_flight);
+  finish_begin(in_flight);
   co_return hop_answer(std::move(answer), std::nullopt);
 }
 
@@ -83,8 +84,8 @@
                                                   CommitBody body) {
   const auto request_id = body.request_id;
   const RequestTable::Entry entry(requests_, request_id);
-  HopAnswer answer = refuse(same_id_in_flight(), http::RunState::kUnknown);
-  if (entry.entered()) {
+  HopAnswer answer = refuse(duplicate_in_flight_reason(), http::RunState::kUnknown);
+  if (entry.is_unique()) {
     answer =
         co_await domain.forwarded_transactions().commit(std::move(id), std::move(request), std::move(body));
   }
@@ -93,12 +94,12 @@
 
 Awaitable<HttpResponse> CallerApi::forward_unknown_commit(Domain& domain, HopCall hop, CommitBody body) {
   const RequestTable::Entry entry(requests_, body.request_id);
-  HopAnswer answer = refuse(same_id_in_flight(), http::RunState::kUnknown);
-  if (entry.entered()) {
+  HopAnswer answer = refuse(duplicate_in_flight_reason(), http::RunState::kUnknown);
+  if (entry.is_unique()) {
     hop.question = question_of(commit_call(body));
     answer = co_await domain.forwarder().forward(std::move(hop));
     // An earlier copy of the commit may have run at the proxy that began the transaction.
-    if (auto* refused = std::get_if<Refused>(&answer)) doubt_earlier_copies(*refused, true);
+    if (auto* refused = std::get_if<Refused>(&answer)) mark_unknown_if_resent(*refused, true);
   }
   co_return hop_answer(std::move(answer), body.request_id);
 }
--- a/src/declared/proxy/calls/caller_request.cpp
+++ b/src/declared/proxy/calls/caller_request.cpp
@@ -37,10 +37,10 @@
   return std::move(value.as_object());
 }
 
-bool accept_fields(FieldReader& fields, Reason& reason) {
+bool check_fields(FieldReader& fields, Reason& reason) {
   fields.reject_unknown();
-  if (fields.faults().empty()) return true;
-  reason = invalid(fmt::format("{}", fmt::join(fields.faults(), "; ")));
+  if (fields.errors().empty()) return true;
+  reason = invalid(fmt::format("{}", fmt::join(fields.errors(), "; ")));
   return false;
 }
 
@@ -63,7 +63,7 @@
   const auto [end, error] = std::from_chars(first, last, milliseconds);
   if (error != std::errc{} || end != last || milliseconds < 1 ||
       milliseconds > kMaximumDeadlineMilliseconds) {
-    fields.fault(
+    fields.add_error(
         fmt::format("{}: must be a number from 1 to {}", kTimeLeftHeader, kMaximumDeadlineMilliseconds));
     return std::nullopt;
   }
@@ -75,8 +75,8 @@
   const auto milliseconds = fields.optional_number("deadline_ms", 1, kMaximumDeadlineMilliseconds);
   Duration time_left =
       milliseconds ? Duration(std::chrono::milliseconds(*milliseconds)) : context.default_deadline;
-  const auto forwarder_waits = read_time_left(fields, context);
-  if (forwarder_waits) time_left = std::min(time_left, *forwarder_waits);
+  const auto forwarder_wait = read_time_left(fields, context);
+  if (forwarder_wait) time_left = std::min(time_left, *forwarder_wait);
   return context.now + time_left - std::min(kAnswerMargin, time_left / 4);
 }
 
@@ -85,14 +85,14 @@
   if (!text || *text == "normal") return Priority::kNormal;
   if (*text == "high") return Priority::kHigh;
   if (*text == "low") return Priority::kLow;
-  fields.fault(R"(priority: must be "high", "normal" or "low")");
+  fields.add_error(R"(priority: must be "high", "normal" or "low")");
   return Priority::kNormal;
 }
 
 backend::StatementKind read_kind(FieldReader& fields) {
   const auto text = fields.required_string("kind", kMaximumLabelLength);
   if (text == "write") return backend::StatementKind::kWrite;
-  if (text != "read" && !text.empty()) fields.fault(R"(kind: must be "read" or "write")");
+  if (text != "read" && !text.empty()) fields.add_error(R"(kind: must be "read" or "write")");
   return backend::StatementKind::kRead;
 }
 
@@ -100,8 +100,8 @@
 std::optional<routing::SessionToken> read_token(FieldReader& fields) {
   const auto text = fields.optional_string("session_token", kMaximumBodyLength);
   if (!text || text->empty()) return std::nullopt;
-  Reason unreadable;
-  return routing::decode_session_token(*text, unreadable);
+  Reason decode_error;
+  return routing::decode_session_token(*text, decode_error);
 }
 
 /// Reads the request id from the body or the Idempotency-Key header. If both are present they must agree.
@@ -113,22 +113,22 @@
   std::optional<RequestId> from_header;
   if (header) {
     from_header = parse_request_id(*header);
-    if (!from_header) fields.fault("Idempotency-Key: must be session:number");
+    if (!from_header) fields.add_error("Idempotency-Key: must be session:number");
   }
   if (session && !is_session_name(*session)) {
-    fields.fault("session: must be 1 to 128 characters of A-Z a-z 0-9 . _ -");
+    fields.add_error("session: must be 1 to 128 characters of A-Z a-z 0-9 . _ -");
   }
   if (session.has_value() != number.has_value()) {
-    fields.fault("session, number: both or neither");
+    fields.add_error("session, number: both or neither");
     return std::nullopt;
   }
   if (!session) {
-    if (required && !header) fields.fault("session, number: required");
+    if (required && !header) fields.add_error("session, number: required");
     return from_header;
   }
   const RequestId request_id{SessionName(*session), *number};
   if (from_header && *from_header != request_id)
-    fields.fault("Idempotency-Key: does not match session:number in the body");
+    fields.add_error("Idempotency-Key: does not match session:number in the body");
   return request_id;
 }
 
@@ -165,10 +165,10 @@
   call.request_id = read_request_id(fields, request, is_write && !transaction);
   call.answered_up_to = read_answered_up_to(fields);
   if (call.request_id && call.answered_up_to >= call.request_id->number) {
-    fields.fault("answered_up_to: must be below number");
+    fields.add_error("answered_up_to: must be below number");
   }
   call.token = read_token(fields);
-  if (!accept_fields(fields, reason)) return std::nullopt;
+  if (!check_fields(fields, reason)) return std::nullopt;
   return body;
 }
 
@@ -183,7 +183,7 @@
   body.call.priority = read_priority(fields);
   body.call.deadline = read_deadline(fields, context);
   body.call.token = read_token(fields);
-  if (!accept_fields(fields, reason)) return std::nullopt;
+  if (!check_fields(fields, reason)) return std::nullopt;
   return body;
 }
 
@@ -197,7 +197,7 @@
   body.kind = read_kind(fields);
   body.text = fields.required_string("text", kMaximumTextLength);
   body.deadline = read_deadline(fields, context);
-  if (!accept_fields(fields, reason)) return std::nullopt;
+  if (!check_fields(fields, reason)) return std::nullopt;
   return body;
 }
 
@@ -209,19 +209,19 @@
   CommitBody body;
   body.request_id = read_request_id(fields, request, true).value_or(RequestId{});
   body.answered_up_to = read_answered_up_to(fields);
-  if (body.answered_up_to >= body.request_id.number) fields.fault("answered_up_to: must be below number");
+  if (body.answered_up_to >= body.request_id.number) fields.add_error("answered_up_to: must be below number");
   body.deadline = read_deadline(fields, context);
   body.token = read_token(fields);
   body.labels = fields.labels("labels", kMaximumLabels, kMaximumLabelLength);
   const auto database = fields.optional_string("database", kMaximumDatabaseLength);
   const auto partition_key = fields.optional_string("partition_key", kMaximumPartitionKeyLength);
   if (database.has_value() != partition_key.has_value()) {
-    fields.fault("database, partition_key: both or neither");
+    fields.add_error("database, partition_key: both or neither");
   }
   body.database = DatabaseName(database.value_or(""));
   body.partition_key = partition_key.value_or("");
   body.labels.entries.insert_or_assign(std::string(kDatabaseLabel), body.database.value);
-  if (!accept_fields(fields, reason)) return std::nullopt;
+  if (!check_fields(fields, reason)) return std::nullopt;
   return body;
 }
 
@@ -231,7 +231,7 @@
   if (!object) return std::nullopt;
   FieldReader fields(*object);
   const TimePoint deadline = read_deadline(fields, context);
-  if (!accept_fields(fields, reason)) return std::nullopt;
+  if (!check_fields(fields, reason)) return std::nullopt;
   return deadline;
 }
 
@@ -246,7 +246,7 @@
   body.call.request_id = read_request_id(fields, request, true);
   body.call.deadline = read_deadline(fields, context);
   body.call.token = read_token(fields);
-  if (!accept_fields(fields, reason)) return std::nullopt;
+  if (!check_fields(fields, reason)) return std::nullopt;
   return body;
 }
 
@@ -269,8 +269,9 @@
   const char* first = text.data() + colon + 1;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, request_id.number);
-  const bool whole = error == std::errc{} && end == last;
-  if (!whole || request_id.number == 0 || request_id.number > kMaximumRequestNumber) return std::nullopt;
+  const bool is_complete = error == std::errc{} && end == last;
+  if (!is_complete || request_id.number == 0 || request_id.number > kMaximumRequestNumber)
+    return std::nullopt;
   if (!is_session_name(request_id.session.value)) return std::nullopt;
   return request_id;
 }
--- a/src/declared/proxy/calls/decision_log.cpp
+++ b/src/declared/proxy/calls/decision_log.cpp
@@ -6,7 +6,7 @@
 
 void DecisionLog::record(const std::optional<RequestId>& request_id, const routing::Decision& decision) {
   if (!request_id) return;
-  if (entries_.size() >= kDecisionsKept) entries_.pop_front();
+  if (entries_.size() >= kMaximumDecisions) entries_.pop_front();
   entries_.push_back(Entry{*request_id, decision});
 }
 
--- a/src/declared/proxy/calls/decision_log.h
+++ b/src/declared/proxy/calls/decision_log.h
@@ -10,7 +10,7 @@
 namespace cairnhollow::declared::proxy {
 
 /// Maximum number of decisions kept.
-inline constexpr std::size_t kDecisionsKept = 1024;
+inline constexpr std::size_t kMaximumDecisions = 1024;
 
 /// A bounded queue. If a request was decided on more than once, its last decision is found.
 class DecisionLog {
--- a/src/declared/proxy/calls/explain.cpp
+++ b/src/declared/proxy/calls/explain.cpp
@@ -76,12 +76,12 @@
   request.partition_key = target.parameter("partition_key");
   request.labels = statement_labels(target);
   const auto kind = target.parameter("kind");
-  std::string faults;
-  if (request.database.empty()) faults += "database: required; ";
-  if (request.partition_key.empty()) faults += "partition_key: required; ";
-  if (kind != "read" && kind != "write") faults += R"(kind: must be "read" or "write"; )";
-  if (!faults.empty()) {
-    reason = invalid(faults.substr(0, faults.size() - 2));
+  std::string errors;
+  if (request.database.empty()) errors += "database: required; ";
+  if (request.partition_key.empty()) errors += "partition_key: required; ";
+  if (kind != "read" && kind != "write") errors += R"(kind: must be "read" or "write"; )";
+  if (!errors.empty()) {
+    reason = invalid(errors.substr(0, errors.size() - 2));
     return std::nullopt;
   }
   request.kind = kind == "read" ? backend::StatementKind::kRead : backend::StatementKind::kWrite;
@@ -123,10 +123,10 @@
   const auto token_text = target.parameter("session_token");
   const auto group = routing::find_group(context.view, *request);
   if (!token_text.empty() && group != nullptr) {
-    Reason unreadable;
-    const auto token = routing::decode_session_token(token_text, unreadable);
+    Reason decode_error;
+    const auto token = routing::decode_session_token(token_text, decode_error);
     if (!token) {
-      reason = invalid("session_token: " + unreadable.detail);
+      reason = invalid("session_token: " + decode_error.detail);
       return std::nullopt;
     }
     request->session_position = token->required(group->session_name);
--- a/src/declared/proxy/calls/request_table.h
+++ b/src/declared/proxy/calls/request_table.h
@@ -14,22 +14,22 @@
   class Entry {
    public:
     Entry(RequestTable& table, std::optional<RequestId> id) : table_(table), id_(std::move(id)) {
-      entered_ = !id_ || table_.ids_.insert(*id_).second;
+      is_unique_ = !id_ || table_.ids_.insert(*id_).second;
       ++table_.count_;
     }
     ~Entry() {
       --table_.count_;
-      if (id_ && entered_) table_.ids_.erase(*id_);
+      if (id_ && is_unique_) table_.ids_.erase(*id_);
     }
     Entry(const Entry&) = delete;
     Entry& operator=(const Entry&) = delete;
     /// False if a request with the same id is being served, in which case this one must be refused.
-    [[nodiscard]] bool entered() const { return entered_; }
+    [[nodiscard]] bool is_unique() const { return is_unique_; }
 
    private:
     RequestTable& table_;
     std::optional<RequestId> id_;
-    bool entered_ = false;
+    bool is_unique_ = false;
   };
 
   [[nodiscard]] std::size_t count() const { return count_; }
--- a/src/declared/proxy/forwarding/forwarded_transactions.cpp
+++ b/src/declared/proxy/forwarding/forwarded_transactions.cpp
@@ -104,7 +104,7 @@
 Awaitable<HopAnswer> ForwardedTransactions::execute(TransactionId id, HttpRequest request, TimePoint deadline,
                                                     TransactionStep step) {
   Reason reason;
-  const auto pinned = transactions_.enter(id, reason);
+  const auto pinned = transactions_.begin_operation(id, reason);
   if (!pinned) co_return refuse(std::move(reason));
   auto exchanged = co_await exchange(pinned, std::move(request), deadline);
   if (!exchanged.response) {
@@ -117,7 +117,7 @@
 
 Awaitable<HopAnswer> ForwardedTransactions::commit(TransactionId id, HttpRequest request, CommitBody body) {
   Reason reason;
-  const auto pinned = transactions_.enter(id, reason);
+  const auto pinned = transactions_.begin_operation(id, reason);
   if (!pinned) co_return refuse(std::move(reason), http::RunState::kUnknown);
   const TimePoint answer_by = forwarder_.answer_by(body.deadline, false);
   auto exchanged = co_await exchange(pinned, std::move(request), answer_by);
--- a/src/declared/proxy/statement/attempt.h
+++ b/src/declared/proxy/statement/attempt.h
@@ -36,15 +36,15 @@
 
 /// Counts a statement towards a backend's load for the lifetime of this object. Created before the statement
 /// waits for admission, so that other statements prefer backends with shorter queues.
-class LoadCount {
+class ScopedLoad {
  public:
-  LoadCount(ProxyState& state, const AttemptTarget& target)
+  ScopedLoad(ProxyState& state, const AttemptTarget& target)
       : load_(state.estimates.load), ordinal_(target.backend->ordinal) {
     load_.statement_started(ordinal_);
   }
-  ~LoadCount() { load_.statement_ended(ordinal_); }
-  LoadCount(const LoadCount&) = delete;
-  LoadCount& operator=(const LoadCount&) = delete;
+  ~ScopedLoad() { load_.statement_ended(ordinal_); }
+  ScopedLoad(const ScopedLoad&) = delete;
+  ScopedLoad& operator=(const ScopedLoad&) = delete;
 
  private:
   routing::BackendLoadTable& load_;
@@ -71,7 +71,7 @@
 
 /// Builds the refusal of a statement that could not acquire a connection to the target. For overload it
 /// includes when the target's queue is expected to have drained.
-Refused refuse_unacquired(const ProxyState& state, const AttemptTarget& target, Reason reason);
+Refused acquire_refusal(const ProxyState& state, const AttemptTarget& target, Reason reason);
 
 /// Sends one statement, unless the lease has expired in the meantime (then Failed, kNotSent, kLeaseExpired).
 /// Updates the estimates of positions, primaries and failures from the answer.
@@ -81,7 +81,7 @@
 
 /// Updates the estimates from an answer of the target. `asked_at` is when the request was sent, `reason` why
 /// it failed.
-void learn_from(ProxyState& state, const AttemptTarget& target, const backend::ExecuteAnswer& answer,
-                const Reason& reason, TimePoint asked_at);
+void update_estimates(ProxyState& state, const AttemptTarget& target, const backend::ExecuteAnswer& answer,
+                      const Reason& reason, TimePoint asked_at);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/outcome_resolver.cpp
+++ b/src/declared/proxy/statement/outcome_resolver.cpp
@@ -14,14 +14,14 @@
 Awaitable<Outcome> OutcomeResolver::run(RequestId request_id, GroupName group, TimePoint deadline,
                                         Reason cause) {
   Reason last = std::move(cause);
-  const TimePoint give_up_at = std::min(deadline, state_.runtime.now() + kResolveLimit);
-  while (state_.runtime.now() < give_up_at) {
+  const TimePoint resolve_until = std::min(deadline, state_.runtime.now() + kResolveLimit);
+  while (state_.runtime.now() < resolve_until) {
     Reason reason;
-    auto outcome = co_await ask(request_id, group, give_up_at, reason);
+    auto outcome = co_await query(request_id, group, resolve_until, reason);
     if (outcome) co_return std::move(*outcome);
     if (reason.failed()) last = std::move(reason);
     // Wakes up early when a new primary is known.
-    co_await state_.serving.wait_for_change(std::min(give_up_at, state_.runtime.now() + kResolvePause));
+    co_await state_.serving.wait_for_change(std::min(resolve_until, state_.runtime.now() + kResolvePause));
   }
   Reason unknown{ReasonCode::kOutcomeUnknown, last.step, last.peer,
                  "the request was sent but its outcome is unknown (" + last.to_string() +
@@ -29,16 +29,16 @@
   co_return refuse(std::move(unknown), http::RunState::kUnknown);
 }
 
-Awaitable<std::optional<Outcome>> OutcomeResolver::ask(RequestId request_id, GroupName group,
-                                                       TimePoint deadline, Reason& reason) {
+Awaitable<std::optional<Outcome>> OutcomeResolver::query(RequestId request_id, GroupName group,
+                                                         TimePoint deadline, Reason& reason) {
   const auto target = primary_target(*state_.serving.view(), group, reason);
   if (!target) co_return std::nullopt;
-  const TimePoint ask_until = std::min(deadline, state_.runtime.now() + kResolveAttemptLimit);
-  auto lease = co_await acquire(state_, *target, Priority::kHigh, ask_until, reason);
+  const TimePoint query_deadline = std::min(deadline, state_.runtime.now() + kResolveAttemptLimit);
+  auto lease = co_await acquire(state_, *target, Priority::kHigh, query_deadline, reason);
   if (!lease) co_return std::nullopt;
   const PrimaryWatch watch(state_.serving.primary_attempts(), target->group_name(), target->term,
                            [&lease] { lease->connection().close(); });
-  const auto answer = co_await lease->connection().resolve(request_id, target->term, ask_until, reason);
+  const auto answer = co_await lease->connection().resolve(request_id, target->term, query_deadline, reason);
   if (!answer) {
     state_.serving.suspect_primary(target->group_name(), target->backend_name(), target->term);
     co_return std::nullopt;
--- a/src/declared/proxy/statement/outcome_resolver.h
+++ b/src/declared/proxy/statement/outcome_resolver.h
@@ -21,8 +21,8 @@
  private:
   /// Queries the currently known primary once. Returns std::nullopt with the reason if the answer was not
   /// definite.
-  Awaitable<std::optional<Outcome>> ask(RequestId request_id, GroupName group, TimePoint deadline,
-                                        Reason& reason);
+  Awaitable<std::optional<Outcome>> query(RequestId request_id, GroupName group, TimePoint deadline,
+                                          Reason& reason);
 
   ProxyState& state_;
 };
--- a/src/declared/proxy/statement/primary_wait.cpp
+++ b/src/declared/proxy/statement/primary_wait.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-bool may_run_elsewhere(const Reason& reason) {
+bool is_retryable_at_primary(const Reason& reason) {
   return reason.code == ReasonCode::kUnreachable || reason.code == ReasonCode::kNotPrimary;
 }
 
--- a/src/declared/proxy/statement/primary_wait.h
+++ b/src/declared/proxy/statement/primary_wait.h
@@ -14,7 +14,7 @@
 };
 
 /// Whether work that failed to get a connection for this reason may be tried at another primary, or again.
-bool may_run_elsewhere(const Reason& reason);
+bool is_retryable_at_primary(const Reason& reason);
 
 /// Waits of one statement.
 class PrimaryWait {
--- a/src/declared/proxy/statement/primary_watch.cpp
+++ b/src/declared/proxy/statement/primary_watch.cpp
@@ -14,23 +14,23 @@
 
 Awaitable<void> PrimaryAttempts::end_attempts(GroupName group, std::uint64_t term) {
   co_await runtime_.sleep_for(kReplacedPrimaryGrace);
-  const Attempts under_way = attempts_.at(group);  // a copy: closing a connection may end its attempt
-  for (const auto& attempt : under_way) {
+  const Attempts in_flight = attempts_.at(group);  // a copy: closing a connection may end its attempt
+  for (const auto& attempt : in_flight) {
     if (attempt->term < term && attempt->end) std::exchange(attempt->end, nullptr)();
   }
 }
 
 PrimaryWatch::PrimaryWatch(PrimaryAttempts& attempts, const GroupName& group, std::uint64_t term,
                            std::function<void()> end)
-    : of_group_(attempts.attempts_[group]), attempt_(std::make_shared<PrimaryAttempts::Attempt>()) {
+    : group_attempts_(attempts.attempts_[group]), attempt_(std::make_shared<PrimaryAttempts::Attempt>()) {
   attempt_->term = term;
   attempt_->end = std::move(end);
-  place_ = of_group_.insert(of_group_.end(), attempt_);
+  place_ = group_attempts_.insert(group_attempts_.end(), attempt_);
 }
 
 PrimaryWatch::~PrimaryWatch() {
   attempt_->end = nullptr;
-  of_group_.erase(place_);
+  group_attempts_.erase(place_);
 }
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/primary_watch.h
+++ b/src/declared/proxy/statement/primary_watch.h
@@ -49,7 +49,7 @@
   PrimaryWatch& operator=(const PrimaryWatch&) = delete;
 
  private:
-  PrimaryAttempts::Attempts& of_group_;
+  PrimaryAttempts::Attempts& group_attempts_;
   std::shared_ptr<PrimaryAttempts::Attempt> attempt_;
   PrimaryAttempts::Attempts::iterator place_;
 };
--- a/src/declared/proxy/statement/read_executor.cpp
+++ b/src/declared/proxy/statement/read_executor.cpp
@@ -11,7 +11,7 @@
 using routing::PrimaryReadCause;
 
 /// The cause to report when the read moves on from a replica to the next candidate.
-PrimaryReadCause cause_of(const Reason& failure) {
+PrimaryReadCause fallback_cause(const Reason& failure) {
   if (failure.code == ReasonCode::kTooStale) return PrimaryReadCause::kReplicaStale;
   if (failure.code == ReasonCode::kOverloaded) return PrimaryReadCause::kReplicaBusy;
   return PrimaryReadCause::kReplicaFailed;
@@ -42,10 +42,10 @@
   co_return refused;
 }
 
-Awaitable<ReadExecutor::Attempt> ReadExecutor::try_candidates(const StatementCall& call, const Chosen& chosen,
+Awaitable<ReadExecutor::Attempt> ReadExecutor::try_candidates(const StatementCall& call, const Choice& chosen,
                                                               const routing::Request& request,
-                                                              Attempt before) {
-  Attempt last = std::move(before);
+                                                              Attempt previous) {
+  Attempt last = std::move(previous);
   auto primary_read = chosen.decision.primary_read;
   for (const auto& candidate : chosen.decision.candidates) {
     // Moving on from a replica that lacks the position, or whose queue was too long to send anything, does
@@ -56,7 +56,7 @@
     last = co_await try_target(call, target, request, &candidate == &chosen.decision.candidates.back());
     if (last.done && target.is_primary) last.done->primary_read = primary_read;
     if (last.done || !last.try_next || state_.runtime.now() >= call.deadline) break;
-    primary_read = cause_of(last.reason);
+    primary_read = fallback_cause(last.reason);
   }
   co_return last;
 }
@@ -74,14 +74,14 @@
   }
 }
 
-Awaitable<ReadExecutor::Chosen> ReadExecutor::choose(const StatementCall& call, routing::Request& request) {
+Awaitable<ReadExecutor::Choice> ReadExecutor::choose(const StatementCall& call, routing::Request& request) {
   const routing::ChoiceSettings settings{state_.settings.zone, state_.settings.replica_wait};
   const TimePoint arrived = state_.runtime.now();
-  request.first_chosen = arrived;
+  request.first_choice_at = arrived;
   request.hold_limit = std::max(Duration(0), (call.deadline - arrived) / kHoldDeadlineShare);
   while (true) {
     // Taken on each iteration, because the view may change while the read is held.
-    Chosen chosen{state_.serving.view(), {}};
+    Choice chosen{state_.serving.view(), {}};
     const auto group = routing::find_group(*chosen.view, request);
     request.session_position.reset();
     if (group != nullptr && call.token) request.session_position = call.token->required(group->session_name);
@@ -114,17 +114,17 @@
 Awaitable<ReadExecutor::Attempt> ReadExecutor::attempt(const StatementCall& call, AttemptTarget target,
                                                        std::optional<Position> required, bool is_last) {
   Attempt failed;
-  const LoadCount load(state_, target);
+  const ScopedLoad load(state_, target);
   auto lease = co_await acquire_for(call, target, failed.reason);
   if (!lease) {
-    const auto refused = refuse_unacquired(state_, target, failed.reason);
+    const auto refused = acquire_refusal(state_, target, failed.reason);
     if (refused.reason.code == ReasonCode::kOverloaded) failed.retry_after = *refused.retry_after;
     co_return failed;
   }
   Reason reason;
   auto wanted = requirements(call, target, required);
   auto answer = co_await send_watched(call, target, *lease, std::move(wanted), is_last, reason);
-  auto judged = judge(target, std::move(answer), std::move(reason));
+  auto judged = interpret_answer(target, std::move(answer), std::move(reason));
   judged.was_sent = true;
   co_return judged;
 }
@@ -144,7 +144,7 @@
                                                              backend::Requirements wanted, bool is_last,
                                                              Reason& reason) {
   std::optional<PrimaryWatch> until_replaced;
-  std::optional<ReadWatch::Watched> until_silent;
+  std::optional<ReadWatch::WatchedRead> until_silent;
   if (target.is_primary) {
     until_replaced.emplace(state_.serving.primary_attempts(), target.group_name(), target.term,
                            [&lease] { lease.connection().close(); });
@@ -153,8 +153,8 @@
   co_return co_await send(state_, target, lease, call.statement, std::move(wanted), reason);
 }
 
-ReadExecutor::Attempt ReadExecutor::judge(const AttemptTarget& target, backend::ExecuteAnswer answer,
-                                          Reason reason) {
+ReadExecutor::Attempt ReadExecutor::interpret_answer(const AttemptTarget& target,
+                                                     backend::ExecuteAnswer answer, Reason reason) {
   Attempt attempt;
   if (auto* rows = std::get_if<backend::Rows>(&answer)) {
     Done done;
--- a/src/declared/proxy/statement/read_executor.h
+++ b/src/declared/proxy/statement/read_executor.h
@@ -27,18 +27,18 @@
   };
 
   /// A decision with the view that it was based on.
-  struct Chosen {
+  struct Choice {
     routing::ViewPointer view;
     routing::Decision decision;
   };
 
   /// Selects the candidates. Holds the read for as long as the decision says, unless too many reads are
   /// already held. `call` must outlive the coroutine.
-  Awaitable<Chosen> choose(const StatementCall& call, routing::Request& request);
-  /// Tries the candidates in order. `before` is the last attempt of an earlier selection. The arguments must
-  /// outlive the coroutine.
-  Awaitable<Attempt> try_candidates(const StatementCall& call, const Chosen& chosen,
-                                    const routing::Request& request, Attempt before);
+  Awaitable<Choice> choose(const StatementCall& call, routing::Request& request);
+  /// Tries the candidates in order. `previous` is the last attempt of an earlier selection. The arguments
+  /// must outlive the coroutine.
+  Awaitable<Attempt> try_candidates(const StatementCall& call, const Choice& chosen,
+                                    const routing::Request& request, Attempt previous);
   /// Tries one candidate. The last candidate is retried while it reports that it is busy, until the deadline.
   Awaitable<Attempt> try_target(const StatementCall& call, const AttemptTarget& target,
                                 const routing::Request& request, bool is_last);
@@ -54,7 +54,7 @@
   [[nodiscard]] backend::Requirements requirements(const StatementCall& call, const AttemptTarget& target,
                                                    std::optional<Position> required) const;
   /// Translates the backend's answer into the result of the attempt.
-  static Attempt judge(const AttemptTarget& target, backend::ExecuteAnswer answer, Reason reason);
+  static Attempt interpret_answer(const AttemptTarget& target, backend::ExecuteAnswer answer, Reason reason);
 
   ProxyState& state_;
   RetryBudget& budget_;
--- a/src/declared/proxy/statement/read_watch.cpp
+++ b/src/declared/proxy/statement/read_watch.cpp
@@ -6,7 +6,8 @@
 
 namespace cairnhollow::declared::proxy {
 
-ReadWatch::Watched::Watched(ReadWatch& watch, std::uint32_t ordinal, backend::BackendConnection& connection)
+ReadWatch::WatchedRead::WatchedRead(ReadWatch& watch, std::uint32_t ordinal,
+                                    backend::BackendConnection& connection)
     : watch_(watch) {
   const Read read{ordinal, &connection, watch_.load_.answers(ordinal), watch_.runtime_.now()};
   place_ = watch_.reads_.insert(watch_.reads_.end(), read);
@@ -18,25 +19,26 @@
 Awaitable<void> ReadWatch::run() {
   while (!reads_.empty()) {
     co_await runtime_.sleep_for(kReadWatchInterval);
-    close_silent();
+    close_silent_reads();
   }
   running_ = false;
 }
 
-void ReadWatch::close_silent() {
+void ReadWatch::close_silent_reads() {
   const TimePoint now = runtime_.now();
   // Closing a connection resumes nothing synchronously: the reads end when their coroutines next run.
   for (auto& read : reads_) {
     const std::uint64_t answers = load_.answers(read.ordinal);
-    if (answers != read.answers) read.heard_at = now;
+    if (answers != read.answers) read.last_answer_at = now;
     read.answers = answers;
     if (is_silent(read, now)) read.connection->close();
   }
 }
 
 bool ReadWatch::is_silent(const Read& read, TimePoint now) const {
-  const auto owes_since = load_.unanswered_since(read.ordinal);
-  return owes_since && now - std::max(*owes_since, read.heard_at) >= kReadSilenceLimit;
+  const auto probe_unanswered_since = load_.unanswered_since(read.ordinal);
+  return probe_unanswered_since &&
+         now - std::max(*probe_unanswered_since, read.last_answer_at) >= kReadSilenceLimit;
 }
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/read_watch.h
+++ b/src/declared/proxy/statement/read_watch.h
@@ -24,18 +24,18 @@
     std::uint32_t ordinal = 0;
     backend::BackendConnection* connection = nullptr;
     std::uint64_t answers = 0;  ///< number of the backend's answers at the last check
-    TimePoint heard_at;         ///< last check that found a new answer; initially the start of the read
+    TimePoint last_answer_at;   ///< last check that found a new answer; initially the start of the read
   };
 
  public:
   /// Watches one read for the lifetime of this object. The connection must outlive it, and is closed if the
   /// backend becomes silent.
-  class Watched {
+  class WatchedRead {
    public:
-    Watched(ReadWatch& watch, std::uint32_t ordinal, backend::BackendConnection& connection);
-    ~Watched() { watch_.reads_.erase(place_); }
-    Watched(const Watched&) = delete;
-    Watched& operator=(const Watched&) = delete;
+    WatchedRead(ReadWatch& watch, std::uint32_t ordinal, backend::BackendConnection& connection);
+    ~WatchedRead() { watch_.reads_.erase(place_); }
+    WatchedRead(const WatchedRead&) = delete;
+    WatchedRead& operator=(const WatchedRead&) = delete;
 
    private:
     ReadWatch& watch_;
@@ -45,7 +45,7 @@
  private:
   Awaitable<void> run();
   /// Checks each read once.
-  void close_silent();
+  void close_silent_reads();
   [[nodiscard]] bool is_silent(const Read& read, TimePoint now) const;
 
   runtime::Runtime& runtime_;
--- a/src/declared/proxy/statement/resolve_access.cpp
+++ b/src/declared/proxy/statement/resolve_access.cpp
@@ -42,8 +42,8 @@
     pool.idle.pop_back();
     if (connection->is_open()) co_return std::make_unique<Lease>(pool, std::move(connection));
   }
-  const TimePoint connect_by = std::min(deadline, runtime_.now() + kConnectTimeout);
-  auto connection = co_await connector_.open(backend.name, backend.endpoint, connect_by, reason);
+  const TimePoint connect_deadline = std::min(deadline, runtime_.now() + kConnectTimeout);
+  auto connection = co_await connector_.open(backend.name, backend.endpoint, connect_deadline, reason);
   if (connection) co_return std::make_unique<Lease>(pool, std::move(connection));
   --pool.in_use;
   pool.released.notify_one();
--- a/src/declared/proxy/statement/retry_budget.cpp
+++ b/src/declared/proxy/statement/retry_budget.cpp
@@ -4,11 +4,11 @@
 
 namespace cairnhollow::declared::proxy {
 
-void RetryBudget::record_success() { balance_ = std::min(balance_ + kEarnedPerSuccess, kCap); }
+void RetryBudget::record_success() { balance_ = std::min(balance_ + kUnitsPerSuccess, kMaximumBalance); }
 
 bool RetryBudget::try_spend(Reason& reason) {
-  if (balance_ >= kOneRetry) {
-    balance_ -= kOneRetry;
+  if (balance_ >= kUnitsPerRetry) {
+    balance_ -= kUnitsPerRetry;
     return true;
   }
   reason = Reason{ReasonCode::kRetryBudgetExhausted, reason.step, reason.peer, reason.to_string()};
@@ -16,7 +16,7 @@
 }
 
 double RetryBudget::retries_left() const {
-  return static_cast<double>(balance_) / static_cast<double>(kOneRetry);
+  return static_cast<double>(balance_) / static_cast<double>(kUnitsPerRetry);
 }
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/retry_budget.h
+++ b/src/declared/proxy/statement/retry_budget.h
@@ -19,11 +19,11 @@
   [[nodiscard]] double retries_left() const;
 
  private:
-  static constexpr std::int64_t kOneRetry = 100;
-  static constexpr std::int64_t kEarnedPerSuccess = 20;
-  static constexpr std::int64_t kCap = 100 * kOneRetry;
+  static constexpr std::int64_t kUnitsPerRetry = 100;
+  static constexpr std::int64_t kUnitsPerSuccess = 20;
+  static constexpr std::int64_t kMaximumBalance = 100 * kUnitsPerRetry;
 
-  std::int64_t balance_ = kCap / 2;
+  std::int64_t balance_ = kMaximumBalance / 2;
 };
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/statement/statement.cpp
+++ b/src/declared/proxy/statement/statement.cpp
@@ -48,18 +48,19 @@
 }
 
 Reason statement_refused(const BackendName& backend, const std::string& detail, const Reason& reason) {
-  const bool named = reason.code == ReasonCode::kConflict || reason.code == ReasonCode::kTransactionLost ||
-                     reason.code == ReasonCode::kDeadlineExceeded;
-  return Reason{named ? reason.code : ReasonCode::kInvalidArgument,
+  const bool is_specific = reason.code == ReasonCode::kConflict ||
+                           reason.code == ReasonCode::kTransactionLost ||
+                           reason.code == ReasonCode::kDeadlineExceeded;
+  return Reason{is_specific ? reason.code : ReasonCode::kInvalidArgument,
                 reason.step.empty() ? "execute" : reason.step, backend.value, detail};
 }
 
-Reason same_id_in_flight() {
+Reason duplicate_in_flight_reason() {
   return Reason{ReasonCode::kConflict, "admit_statement", "",
                 "a request with the same id is in progress; its answer has the outcome"};
 }
 
-void doubt_earlier_copies(Refused& refused, bool resent) {
+void mark_unknown_if_resent(Refused& refused, bool resent) {
   if (!resent || refused.reason.code == ReasonCode::kAborted) return;
   refused.run_state = http::RunState::kUnknown;
 }
--- a/src/declared/proxy/statement/statement.h
+++ b/src/declared/proxy/statement/statement.h
@@ -56,11 +56,11 @@
 Reason statement_refused(const BackendName& backend, const std::string& detail, const Reason& reason);
 
 /// The refusal of a request while another copy with the same id is being served.
-Reason same_id_in_flight();
+Reason duplicate_in_flight_reason();
 
 /// A refusal covers this copy of the request only. An earlier copy of a resent request may have run, unless
 /// the request ledger records that it never will; sets the run state to unknown accordingly.
-void doubt_earlier_copies(Refused& refused, bool resent);
+void mark_unknown_if_resent(Refused& refused, bool resent);
 
 /// Builds a refusal, with a retry delay according to the reason's code.
 Refused refuse(Reason reason, http::RunState run_state = http::RunState::kNotRun);
--- a/src/declared/proxy/statement/write_executor.cpp
+++ b/src/declared/proxy/statement/write_executor.cpp
@@ -72,10 +72,10 @@
   Attempt failed;
   failed.failure.refused_by = target;
   Reason& reason = failed.failure.reason;
-  const LoadCount load(state_, target);
+  const ScopedLoad load(state_, target);
   auto lease = co_await acquire_at_primary(state_, target, call.priority, call.deadline, reason);
   if (!lease) {
-    if (!may_run_elsewhere(reason)) failed.outcome = refuse_unacquired(state_, target, reason);
+    if (!is_retryable_at_primary(reason)) failed.outcome = acquire_refusal(state_, target, reason);
     co_return failed;
   }
   const PrimaryWatch watch(state_.serving.primary_attempts(), target.group_name(), target.term,
@@ -86,11 +86,11 @@
   requirements.request_id = call.request_id;
   requirements.answered_up_to = call.answered_up_to;
   auto answer = co_await send(state_, target, *lease, call.statement, requirements, reason);
-  co_return judge(target, std::move(answer), std::move(reason));
+  co_return interpret_answer(target, std::move(answer), std::move(reason));
 }
 
-WriteExecutor::Attempt WriteExecutor::judge(const AttemptTarget& target, backend::ExecuteAnswer answer,
-                                            Reason reason) {
+WriteExecutor::Attempt WriteExecutor::interpret_answer(const AttemptTarget& target,
+                                                       backend::ExecuteAnswer answer, Reason reason) {
   Attempt attempt;
   attempt.failure.refused_by = target;
   attempt.failure.reason = std::move(reason);
--- a/src/declared/proxy/statement/write_executor.h
+++ b/src/declared/proxy/statement/write_executor.h
@@ -32,7 +32,7 @@
   Awaitable<Attempt> attempt(const StatementCall& call);
   Awaitable<Attempt> send_to(AttemptTarget target, const StatementCall& call);
   /// Translates the backend's answer into the result of the attempt.
-  static Attempt judge(const AttemptTarget& target, backend::ExecuteAnswer answer, Reason reason);
+  static Attempt interpret_answer(const AttemptTarget& target, backend::ExecuteAnswer answer, Reason reason);
 
   ProxyState& state_;
   RetryBudget& budget_;
--- a/src/declared/proxy/transaction/transaction_service.cpp
+++ b/src/declared/proxy/transaction/transaction_service.cpp
@@ -76,8 +76,8 @@
   transaction->lease =
       co_await acquire_at_primary(state_, target, call.priority, call.deadline, failure.reason);
   if (!transaction->lease) {
-    if (may_run_elsewhere(failure.reason)) co_return refuse(failure);
-    co_return refuse_unacquired(state_, target, std::exchange(failure.reason, Reason{}));
+    if (is_retryable_at_primary(failure.reason)) co_return refuse(failure);
+    co_return acquire_refusal(state_, target, std::exchange(failure.reason, Reason{}));
   }
   if (!state_.serving.check_lease("send_begin", reason)) co_return refuse(reason);
   auto wanted = requirements(*transaction, call.deadline);
@@ -110,7 +110,7 @@
   return requirements;
 }
 
-void TransactionService::leave(const TransactionId& id, const OpenTransactionPointer& transaction) {
+void TransactionService::end_operation(const TransactionId& id, const OpenTransactionPointer& transaction) {
   transaction->busy = false;
   transaction->idle_deadline = state_.runtime.now() + state_.settings.transaction_idle_limit;
   if (transaction->abandoned) abandon(id, transaction);
@@ -156,7 +156,7 @@
 Awaitable<Outcome> TransactionService::execute(TransactionId id, TransactionStatementBody body) {
   Reason reason;
   if (!state_.serving.check_lease("admit_statement", reason)) co_return refuse(reason);
-  const auto transaction = transactions_.enter(id, reason);
+  const auto transaction = transactions_.begin_operation(id, reason);
   if (!transaction) co_return refuse(reason);
   backend::Statement statement = transaction->origin;
   statement.kind = body.kind;
@@ -165,20 +165,20 @@
   const auto wanted = requirements(*transaction, body.deadline);
   auto answer = co_await send_statement(transaction, statement, wanted, reason);
   const auto& target = transaction->target;
-  learn_from(state_, target, answer, reason, asked_at);
+  update_estimates(state_, target, answer, reason, asked_at);
   if (auto* rows = std::get_if<backend::Rows>(&answer)) {
-    leave(id, transaction);
+    end_operation(id, transaction);
     co_return Done{std::move(rows->body), rows->position, target.session_group(), target.backend_name(),
                    true};
   }
   const bool refused = std::holds_alternative<backend::StatementRefused>(answer) &&
                        reason.code != ReasonCode::kTransactionLost;
   if (refused || std::holds_alternative<backend::Written>(answer)) {
-    leave(id, transaction);
+    end_operation(id, transaction);
     co_return std::move(*outcome_of_write(target, answer, reason));
   }
   if (const auto* busy = std::get_if<backend::Busy>(&answer)) {
-    leave(id, transaction);
+    end_operation(id, transaction);
     auto refused = refuse(reason);
     refused.retry_after = busy->retry_after;
     co_return refused;
@@ -189,14 +189,14 @@
 
 Awaitable<Outcome> TransactionService::commit(TransactionId id, CommitBody body) {
   Reason reason;
-  const auto transaction = transactions_.enter(id, reason);
+  const auto transaction = transactions_.begin_operation(id, reason);
   if (!transaction) {
     if (reason.code != ReasonCode::kTransactionLost) co_return refuse(reason);
-    co_return co_await resolve_elsewhere(id, std::move(body));
+    co_return co_await resolve_unknown_commit(id, std::move(body));
   }
   // The transaction is still open here, so no copy of its commit has run.
   if (!state_.serving.check_lease("admit_commit", reason)) {
-    leave(id, transaction);
+    end_operation(id, transaction);
     co_return refuse(reason);
   }
   const TimePoint asked_at = state_.runtime.now();
@@ -205,9 +205,9 @@
   wanted.answered_up_to = body.answered_up_to;
   const auto answer = co_await send_commit(transaction, wanted, reason);
   const auto target = transaction->target;
-  learn_from(state_, target, answer, reason, asked_at);
+  update_estimates(state_, target, answer, reason, asked_at);
   if (const auto* busy = std::get_if<backend::Busy>(&answer)) {
-    leave(id, transaction);
+    end_operation(id, transaction);
     auto refused = refuse(reason);
     refused.retry_after = busy->retry_after;
     co_return refused;
@@ -223,30 +223,30 @@
   co_return co_await resolver_.run(body.request_id, target.group_name(), body.deadline, reason);
 }
 
-Awaitable<Outcome> TransactionService::resolve_elsewhere(TransactionId id, CommitBody body) {
-  auto missing =
+Awaitable<Outcome> TransactionService::resolve_unknown_commit(TransactionId id, CommitBody body) {
+  auto not_open =
       lost(id.value.substr(0, id.value.find('~')),
            "the transaction is not open at this proxy; query the commit's request id with POST /v1/resolve");
-  if (body.database.empty()) co_return refuse(missing, http::RunState::kUnknown);
+  if (body.database.empty()) co_return refuse(not_open, http::RunState::kUnknown);
   const auto view = state_.serving.view();
   routing::Request request;
   request.database = body.database;
   request.partition_key = body.partition_key;
   request.labels = body.labels;
   const auto group = routing::find_group(*view, request);
-  if (group == nullptr) co_return refuse(missing, http::RunState::kUnknown);
-  auto outcome = co_await resolver_.run(body.request_id, group->name, body.deadline, missing);
+  if (group == nullptr) co_return refuse(not_open, http::RunState::kUnknown);
+  auto outcome = co_await resolver_.run(body.request_id, group->name, body.deadline, not_open);
   auto* refused = std::get_if<Refused>(&outcome);
   if (refused != nullptr && refused->reason.code == ReasonCode::kAborted) {
-    missing.detail = "the transaction is not open at this proxy, and its commit is recorded as aborted";
-    co_return refuse(missing);
+    not_open.detail = "the transaction is not open at this proxy, and its commit is recorded as aborted";
+    co_return refuse(not_open);
   }
   co_return outcome;
 }
 
 Awaitable<Outcome> TransactionService::rollback(TransactionId id, TimePoint deadline) {
   Reason reason;
-  const auto transaction = transactions_.enter(id, reason);
+  const auto transaction = transactions_.begin_operation(id, reason);
   if (!transaction) co_return refuse(reason);
   const bool answered =
       co_await transaction->lease->connection().rollback(transaction->backend_transaction, deadline, reason);
@@ -284,22 +284,22 @@
   for (const auto& [id, transaction] : transactions_.snapshot()) abandon(id, transaction);
 }
 
-TimePoint TransactionService::end_idle() {
+TimePoint TransactionService::abandon_idle() {
   const TimePoint now = state_.runtime.now();
   TimePoint next = TimePoint::max();
   for (const auto& [id, transaction] : transactions_.snapshot()) {
     const bool idle = !transaction->busy && transaction->idle_deadline <= now;
     if (idle) abandon(id, transaction);
-    const TimePoint look_again =
+    const TimePoint next_check =
         transaction->busy ? now + state_.settings.transaction_idle_limit : transaction->idle_deadline;
-    next = std::min(next, look_again);
+    next = std::min(next, next_check);
   }
   return next;
 }
 
 Awaitable<void> TransactionService::run() {
   while (!stopping_) {
-    const TimePoint next = end_idle();
+    const TimePoint next = abandon_idle();
     co_await opened_.wait_until(next);
   }
 }
--- a/src/declared/proxy/transaction/transaction_service.h
+++ b/src/declared/proxy/transaction/transaction_service.h
@@ -71,15 +71,15 @@
   Awaitable<backend::ExecuteAnswer> send_commit(OpenTransactionPointer transaction,
                                                 backend::Requirements wanted, Reason& reason);
   /// Called after an operation that leaves the transaction open.
-  void leave(const TransactionId& id, const OpenTransactionPointer& transaction);
+  void end_operation(const TransactionId& id, const OpenTransactionPointer& transaction);
   /// Called after an operation that ended the transaction. The connection is closed unless it is `reusable`.
   void finish(const TransactionId& id, const OpenTransactionPointer& transaction, bool reusable);
   /// Rolls back in the background, now or after the operation in flight.
   void abandon(const TransactionId& id, const OpenTransactionPointer& transaction);
   Awaitable<void> roll_back_abandoned(TransactionId id, OpenTransactionPointer transaction);
-  Awaitable<Outcome> resolve_elsewhere(TransactionId id, CommitBody body);
+  Awaitable<Outcome> resolve_unknown_commit(TransactionId id, CommitBody body);
   /// Abandons transactions that exceed the idle limit. Returns the time of the next check.
-  TimePoint end_idle();
+  TimePoint abandon_idle();
   /// Limits the time of one operation, so that an unanswered one is not waited for until the deadline.
   [[nodiscard]] backend::Requirements requirements(const OpenTransaction& transaction,
                                                    TimePoint deadline) const;
--- a/src/declared/proxy/transaction/transaction_table.h
+++ b/src/declared/proxy/transaction/transaction_table.h
@@ -41,7 +41,7 @@
 
   /// Returns the transaction, marked busy. Returns null with kTransactionLost if it is not open here, or with
   /// kConflict while another operation of it is in flight.
-  Pointer enter(const TransactionId& id, Reason& reason) {
+  Pointer begin_operation(const TransactionId& id, Reason& reason) {
     const auto found = transactions_.find(id);
     if (found == transactions_.end() || found->second->abandoned) {
       reason = Reason{ReasonCode::kTransactionLost, "find_transaction", "",
--- a/src/declared/routing/backend_load.cpp
+++ b/src/declared/routing/backend_load.cpp
@@ -49,7 +49,7 @@
   ++known.answers;
 }
 
-bool BackendLoadTable::held_off(std::uint32_t ordinal, TimePoint now) const {
+bool BackendLoadTable::is_held_off(std::uint32_t ordinal, TimePoint now) const {
   if (ordinal >= entries_.size()) return false;
   const auto& known = entries_[ordinal];
   return known.awaits_probe || known.hold_off_until > now;
--- a/src/declared/routing/backend_load.h
+++ b/src/declared/routing/backend_load.h
@@ -36,7 +36,7 @@
     return ordinal < entries_.size() ? entries_[ordinal].answers : 0;
   }
   /// Whether reads skip the backend: it failed recently, or has not answered a probe since the failure.
-  [[nodiscard]] bool held_off(std::uint32_t ordinal, TimePoint now) const;
+  [[nodiscard]] bool is_held_off(std::uint32_t ordinal, TimePoint now) const;
 
  private:
   struct Entry {
--- a/src/declared/routing/base64url.cpp
+++ b/src/declared/routing/base64url.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned kBitsPerByte = 8;
 constexpr std::int8_t kNotInAlphabet = -1;
 
-constexpr std::array<std::int8_t, 256> make_values() {
+constexpr std::array<std::int8_t, 256> make_decoding_table() {
   std::array<std::int8_t, 256> values{};
   values.fill(kNotInAlphabet);
   for (std::size_t place = 0; place < kAlphabet.size(); ++place) {
@@ -21,7 +21,7 @@
   return values;
 }
 
-constexpr std::array<std::int8_t, 256> kValues = make_values();
+constexpr std::array<std::int8_t, 256> kDecodingTable = make_decoding_table();
 
 }  // namespace
 
@@ -49,7 +49,7 @@
   std::uint32_t buffer = 0;
   unsigned bits = 0;
   for (const char character : text) {
-    const auto value = kValues[static_cast<unsigned char>(character)];
+    const auto value = kDecodingTable[static_cast<unsigned char>(character)];
     if (value == kNotInAlphabet) return std::nullopt;
     buffer = (buffer << kBitsPerCharacter) | static_cast<std::uint32_t>(value);
     bits += kBitsPerCharacter;
--- a/src/declared/routing/choice.cpp
+++ b/src/declared/routing/choice.cpp
@@ -18,11 +18,16 @@
 }
 
 /// Order of preference; lower values are preferred.
-enum class ReplicaRank : std::uint8_t { kSureInZone, kSureElsewhere, kLikely, kLater };
+enum class ReplicaRank : std::uint8_t {
+  kUpToDateInZone,
+  kUpToDateInOtherZone,
+  kExpectedWithoutHold,
+  kExpectedAfterHold
+};
 
 struct RankedReplica {
   const BackendView* backend = nullptr;
-  ReplicaRank rank = ReplicaRank::kLikely;
+  ReplicaRank rank = ReplicaRank::kExpectedWithoutHold;
   Duration hold{0};  ///< delay before the read is sent to the replica
   std::uint32_t in_flight = 0;
   std::uint64_t weight = 0;
@@ -54,7 +59,7 @@
   void run(Decision& decision) {
     if (replicas_may_serve()) {
       rank_replicas(decision);
-      if (decision.candidates.empty()) decision.primary_read = nearest_cause_;
+      if (decision.candidates.empty()) decision.primary_read = closest_cause_;
     } else {
       pass_over_replicas(decision);
     }
@@ -71,25 +76,25 @@
            route_.replica_reads && request_.session_position.has_value();
   }
 
-  [[nodiscard]] std::string why_primary_only() const {
+  [[nodiscard]] std::string primary_only_detail() const {
     if (request_.in_transaction) return "transactions run on the primary";
     if (request_.kind == backend::StatementKind::kWrite) return "writes run on the primary";
     if (!route_.replica_reads) return "the route sends reads to the primary";
     return "without a session token reads are served by the primary";
   }
 
-  [[nodiscard]] PrimaryReadCause cause_of_primary_only() const {
+  [[nodiscard]] PrimaryReadCause primary_only_cause() const {
     const bool is_single_read = request_.kind == backend::StatementKind::kRead && !request_.in_transaction;
     if (!is_single_read) return PrimaryReadCause::kNone;
     return route_.replica_reads ? PrimaryReadCause::kNoToken : PrimaryReadCause::kRoute;
   }
 
   void pass_over_replicas(Decision& decision) const {
-    decision.primary_read = cause_of_primary_only();
+    decision.primary_read = primary_only_cause();
     for (const auto& member : group_.members) {
       if (member.name == group_.primary) continue;
       decision.passed_over.push_back(
-          {member.name, make_reason(ReasonCode::kNotPrimary, member.name.value, why_primary_only())});
+          {member.name, make_reason(ReasonCode::kNotPrimary, member.name.value, primary_only_detail())});
     }
   }
 
@@ -124,10 +129,10 @@
       reason = make_reason(ReasonCode::kNoRoute, member.name.value, "the route does not select this replica");
       return false;
     }
-    if (estimates_.load.held_off(member.ordinal, now_)) {
+    if (estimates_.load.is_held_off(member.ordinal, now_)) {
       reason = make_reason(ReasonCode::kUnreachable, member.name.value,
                            "the backend failed recently and is held off from reads");
-      record(PrimaryReadCause::kUnreachable);
+      record_cause(PrimaryReadCause::kUnreachable);
       return false;
     }
     return true;
@@ -137,52 +142,53 @@
   bool rank(RankedReplica& replica, Reason& reason) {
     const auto& member = *replica.backend;
     const Position applied = estimates_.freshness.applied(member.ordinal);
-    if (!is_young_enough(member, applied, reason)) {
-      record(PrimaryReadCause::kTooOld);
+    if (!is_fresh_enough(member, applied, reason)) {
+      record_cause(PrimaryReadCause::kTooOld);
       return false;
     }
     const Position required = *request_.session_position;
     if (applied >= required) {
       const bool in_zone = member.zone == settings_.zone;
-      replica.rank = in_zone ? ReplicaRank::kSureInZone : ReplicaRank::kSureElsewhere;
+      replica.rank = in_zone ? ReplicaRank::kUpToDateInZone : ReplicaRank::kUpToDateInOtherZone;
       return true;
     }
-    if (may_await(replica, required)) return true;
-    record(PrimaryReadCause::kPosition);
+    if (can_wait_for(replica, required)) return true;
+    record_cause(PrimaryReadCause::kPosition);
     reason = make_reason(ReasonCode::kTooStale, member.name.value,
                          fmt::format("replica has applied {}.{}, but the session has seen {}.{}",
                                      applied.term, applied.index, required.term, required.index));
     return false;
   }
 
-  bool is_young_enough(const BackendView& member, Position applied, Reason& reason) const {
+  bool is_fresh_enough(const BackendView& member, Position applied, Reason& reason) const {
     const auto age = estimates_.freshness.age_of(group_.name, applied, now_);
     const Duration limit = std::chrono::milliseconds(route_.max_staleness_milliseconds);
     if (age && *age <= limit) return true;
-    const std::string told = age ? fmt::format("{:.0f} ms", in_milliseconds(*age)) : "unknown";
+    const std::string age_text = age ? fmt::format("{:.0f} ms", in_milliseconds(*age)) : "unknown";
     reason =
         make_reason(ReasonCode::kTooStale, member.name.value,
-                    fmt::format("data age {}, but the route allows {} ms", told, in_milliseconds(limit)));
+                    fmt::format("data age {}, but the route allows {} ms", age_text, in_milliseconds(limit)));
     return false;
   }
 
   /// Whether the replica is expected to reach the position soon enough, counting both the hold at this proxy
   /// and the wait at the replica.
-  bool may_await(RankedReplica& replica, Position required) const {
-    const auto lag = estimates_.freshness.typical_lag(replica.backend->ordinal);
+  bool can_wait_for(RankedReplica& replica, Position required) const {
+    const auto lag = estimates_.freshness.estimated_lag(replica.backend->ordinal);
     if (!lag) return false;
-    const TimePoint first_chosen = request_.first_chosen.value_or(now_);
-    const auto first_seen = estimates_.freshness.first_seen(group_.name, required).value_or(first_chosen);
+    const TimePoint first_choice_at = request_.first_choice_at.value_or(now_);
+    const auto first_seen = estimates_.freshness.first_seen(group_.name, required).value_or(first_choice_at);
     const Duration remaining = first_seen + *lag - now_;
     // Sends the read so that the expected time falls in the middle of the replica's wait: the lag estimate
     // may be too high or too low.
     const Duration wanted = std::max(Duration(0), remaining - settings_.replica_wait / 2);
     const Duration limit =
         std::min<Duration>(request_.hold_limit, std::chrono::milliseconds(route_.replica_wait_milliseconds));
-    const Duration allowed = std::max(Duration(0), first_chosen + limit - now_);
+    const Duration allowed = std::max(Duration(0), first_choice_at + limit - now_);
     if (wanted > allowed && remaining > allowed + settings_.replica_wait) return false;
     replica.hold = std::min(wanted, allowed);
-    replica.rank = replica.hold > Duration(0) ? ReplicaRank::kLater : ReplicaRank::kLikely;
+    replica.rank =
+        replica.hold > Duration(0) ? ReplicaRank::kExpectedAfterHold : ReplicaRank::kExpectedWithoutHold;
     return true;
   }
 
@@ -197,7 +203,7 @@
     decision.candidates.push_back({primary->name, primary->endpoint, true});
   }
 
-  void record(PrimaryReadCause cause) { nearest_cause_ = std::max(nearest_cause_, cause); }
+  void record_cause(PrimaryReadCause cause) { closest_cause_ = std::max(closest_cause_, cause); }
 
   const Request& request_;
   const GroupView& group_;
@@ -205,7 +211,7 @@
   const BackendEstimates& estimates_;
   const ChoiceSettings& settings_;
   TimePoint now_;
-  PrimaryReadCause nearest_cause_ = PrimaryReadCause::kNoReplica;
+  PrimaryReadCause closest_cause_ = PrimaryReadCause::kNoReplica;
 };
 
 }  // namespace
@@ -236,11 +242,11 @@
 
 GroupPointer find_group(const RoutingView& view, const RouteView& route, const std::string& partition_key) {
   const std::uint32_t slot = hash_slot(partition_key);
-  const auto behind = std::upper_bound(
+  const auto next_entry = std::upper_bound(
       route.slots.begin(), route.slots.end(), slot,
       [](std::uint32_t wanted, const SlotEntry& entry) { return wanted < entry.slots.first; });
-  if (behind == route.slots.begin()) return nullptr;
-  const auto& entry = *std::prev(behind);
+  if (next_entry == route.slots.begin()) return nullptr;
+  const auto& entry = *std::prev(next_entry);
   return slot <= entry.slots.last ? find_group(view, entry.group) : nullptr;
 }
 
--- a/src/declared/routing/decision.h
+++ b/src/declared/routing/decision.h
@@ -116,8 +116,8 @@
   std::optional<Position> session_position;  ///< in the statement's group; unset without a usable token
   bool in_transaction = false;
   /// When the backends for this read were first selected; unset on the first selection.
-  std::optional<TimePoint> first_chosen;
-  /// Maximum time after first_chosen for which the read may be held until a replica reaches the position.
+  std::optional<TimePoint> first_choice_at;
+  /// Maximum time after first_choice_at for which the read may be held until a replica reaches the position.
   /// Derived from the read's deadline.
   Duration hold_limit{0};
 };
--- a/src/declared/routing/freshness.cpp
+++ b/src/declared/routing/freshness.cpp
@@ -21,7 +21,7 @@
 /// Moves the estimate only if a bound contradicts it: a backend that is up to date because its primary is
 /// idle gives no evidence of a low lag. Raises the estimate at once, because a read sent too early waits in
 /// vain and few observations give a lower bound that tight.
-Duration moved_into(Duration lag, const LagBounds& bounds) {
+Duration adjusted_lag(Duration lag, const LagBounds& bounds) {
   if (lag < bounds.at_least) return bounds.at_least;
   if (bounds.at_most && *bounds.at_most < lag) return lag + (*bounds.at_most - lag) / kLagSmoothing;
   return lag;
@@ -41,7 +41,7 @@
   return found == primaries_.end() ? nullptr : &found->second;
 }
 
-Duration FreshnessTable::trailing_since(const GroupName& group, Position position, TimePoint now) const {
+Duration FreshnessTable::time_behind(const GroupName& group, Position position, TimePoint now) const {
   const auto* samples = samples_of(group);
   if (samples == nullptr) return Duration(0);
   const auto beyond = std::upper_bound(samples->begin(), samples->end(), position, kBelowSample);
@@ -71,13 +71,13 @@
   if (ordinal >= backends_.size()) backends_.resize(ordinal + 1);
   auto& known = backends_[ordinal];
   if (position < known.applied) return;  // ignores answers that arrive out of order
-  LagBounds bounds{trailing_since(group, position, now), std::nullopt};
+  LagBounds bounds{time_behind(group, position, now), std::nullopt};
   if (const auto committed = committed_after(group, known.applied, position)) {
     bounds.at_most = std::max(Duration(0), now - *committed);
   }
   known.applied = position;
   known.learned_at = now;
-  known.typical_lag = known.typical_lag ? moved_into(*known.typical_lag, bounds) : bounds.at_least;
+  known.estimated_lag = known.estimated_lag ? adjusted_lag(*known.estimated_lag, bounds) : bounds.at_least;
 }
 
 void FreshnessTable::observe_primary(const GroupName& group, Position position, TimePoint seen_at) {
@@ -136,8 +136,8 @@
   return reached->first_seen;
 }
 
-std::optional<Duration> FreshnessTable::typical_lag(std::uint32_t ordinal) const {
-  return ordinal < backends_.size() ? backends_[ordinal].typical_lag : std::nullopt;
+std::optional<Duration> FreshnessTable::estimated_lag(std::uint32_t ordinal) const {
+  return ordinal < backends_.size() ? backends_[ordinal].estimated_lag : std::nullopt;
 }
 
 Position FreshnessTable::primary_position(const GroupName& group) const {
--- a/src/declared/routing/freshness.h
+++ b/src/declared/routing/freshness.h
@@ -47,14 +47,14 @@
   [[nodiscard]] std::optional<TimePoint> first_seen(const GroupName& group, Position position) const;
   /// Estimated replication lag of the backend: raised immediately, lowered smoothly. Returns std::nullopt if
   /// unknown.
-  [[nodiscard]] std::optional<Duration> typical_lag(std::uint32_t ordinal) const;
+  [[nodiscard]] std::optional<Duration> estimated_lag(std::uint32_t ordinal) const;
   /// Highest position seen of the group's primary; zero if none.
   [[nodiscard]] Position primary_position(const GroupName& group) const;
 
  private:
   struct BackendEstimate {
     Position applied;
-    std::optional<Duration> typical_lag;
+    std::optional<Duration> estimated_lag;
     std::optional<TimePoint> learned_at;
   };
   /// Everything committed before `last_seen` is at or below `position`.
@@ -72,7 +72,7 @@
 
   [[nodiscard]] const PrimarySamples* samples_of(const GroupName& group) const;
   /// Time since the primary was first seen beyond `position`; zero if it was not.
-  [[nodiscard]] Duration trailing_since(const GroupName& group, Position position, TimePoint now) const;
+  [[nodiscard]] Duration time_behind(const GroupName& group, Position position, TimePoint now) const;
 
   /// Latest known time after which some position in (before, applied] was committed; std::nullopt if none is
   /// known.
--- a/src/declared/routing/shared_list.h
+++ b/src/declared/routing/shared_list.h
@@ -62,7 +62,7 @@
   [[nodiscard]] const Value* find(const Key& key) const {
     if (chunks_.empty()) return nullptr;
     const Chunk& chunk = *chunks_[chunk_for(key)];
-    const auto place = place_for(chunk, key);
+    const auto place = position_for(chunk, key);
     return place != chunk.end() && !(key < Order::key_of(*place)) ? &*place : nullptr;
   }
 
@@ -70,23 +70,23 @@
   void put(Value value) {
     if (chunks_.empty()) chunks_.push_back(std::make_shared<Chunk>());
     const std::size_t at = chunk_for(Order::key_of(value));
-    Chunk& chunk = own(at);
-    const auto place = chunk.begin() + (place_for(chunk, Order::key_of(value)) - chunk.cbegin());
+    Chunk& chunk = mutable_chunk(at);
+    const auto place = chunk.begin() + (position_for(chunk, Order::key_of(value)) - chunk.cbegin());
     if (place != chunk.end() && !(Order::key_of(value) < Order::key_of(*place))) {
       *place = std::move(value);
       return;
     }
     chunk.insert(place, std::move(value));
     ++size_;
-    if (chunk.size() >= 2 * kChunkLength) cut(at);
+    if (chunk.size() >= 2 * kChunkLength) split_chunk(at);
   }
 
   /// Does nothing if there is no element with this key.
   void erase(const Key& key) {
     if (find(key) == nullptr) return;
     const std::size_t at = chunk_for(key);
-    Chunk& chunk = own(at);
-    chunk.erase(place_for(chunk, key));
+    Chunk& chunk = mutable_chunk(at);
+    chunk.erase(position_for(chunk, key));
     --size_;
     if (chunk.empty()) chunks_.erase(chunks_.begin() + static_cast<std::ptrdiff_t>(at));
   }
@@ -105,18 +105,18 @@
                                          });
     return behind == chunks_.begin() ? 0 : static_cast<std::size_t>(behind - chunks_.begin()) - 1;
   }
-  static typename Chunk::const_iterator place_for(const Chunk& chunk, const Key& key) {
+  static typename Chunk::const_iterator position_for(const Chunk& chunk, const Key& key) {
     return std::lower_bound(chunk.begin(), chunk.end(), key, [](const Value& value, const Key& wanted) {
       return Order::key_of(value) < wanted;
     });
   }
   /// Returns the chunk for modification, after copying it if another list shares it.
-  Chunk& own(std::size_t at) {
+  Chunk& mutable_chunk(std::size_t at) {
     auto& chunk = chunks_[at];
     if (chunk.use_count() > 1) chunk = std::make_shared<Chunk>(*chunk);
     return *chunk;
   }
-  void cut(std::size_t at) {
+  void split_chunk(std::size_t at) {
     auto& chunk = *chunks_[at];
     const auto middle = chunk.begin() + kChunkLength;
     auto behind =
--- a/src/declared/routing/view_builder.cpp
+++ b/src/declared/routing/view_builder.cpp
@@ -47,22 +47,22 @@
   subsets_ = subset::SubsetTable();
   leaving_ = sources.leaving;
   view_ = std::make_shared<RoutingView>();
-  ViewChange everything;
-  for (const auto& [key, stored] : sources.objects) everything.objects.push_back(key);
-  return update(sources, everything);
+  ViewChange full_change;
+  for (const auto& [key, stored] : sources.objects) full_change.objects.push_back(key);
+  return update(sources, full_change);
 }
 
 ViewPointer ViewBuilder::update(const ViewSources& sources, const ViewChange& change) {
   auto view = std::make_shared<RoutingView>(*view_);
   view->domain = domain_;
   view->revision = sources.revision;
-  Touched touched;
-  std::set<std::string> moved;
-  if (change.leaving) moved = take_leaving(sources.leaving);
-  for (const auto& key : change.objects) take_object(sources, key, touched);
-  for (const auto& name : moved) record_machine(name, touched);
-  if (touched.proxies) take_membership();
-  for (const auto& name : touched.groups) {
+  Affected affected;
+  std::set<std::string> changed;
+  if (change.leaving) changed = update_leaving(sources.leaving);
+  for (const auto& key : change.objects) update_object(sources, key, affected);
+  for (const auto& name : changed) update_machine(name, affected);
+  if (affected.proxies) rebuild_subsets();
+  for (const auto& name : affected.groups) {
     const auto* stored = objects_.find({ObjectKind::kDatabaseGroup, name});
     if (stored == nullptr) {
       view->groups.erase(GroupName(name));
@@ -70,44 +70,45 @@
       make_group(*stored, sources, *view);
     }
   }
-  if (touched.proxies) move_groups(*view);
+  if (affected.proxies) update_group_subsets(*view);
   for (const auto& name : change.groups) set_state(name, sources, *view);
-  if (!touched.routes.empty()) make_routes(touched.routes, *view);
-  count_proxies(*view);
+  if (!affected.routes.empty()) make_routes(affected.routes, *view);
+  set_proxy_state(*view);
   view_ = std::move(view);
   return view_;
 }
 
 /// Stores the leaving machines. Returns those that started or stopped leaving.
-std::set<std::string> ViewBuilder::take_leaving(const std::set<std::string>& leaving) {
-  std::set<std::string> moved;
+std::set<std::string> ViewBuilder::update_leaving(const std::set<std::string>& leaving) {
+  std::set<std::string> changed;
   std::set_symmetric_difference(leaving_.begin(), leaving_.end(), leaving.begin(), leaving.end(),
-                                std::inserter(moved, moved.end()));
+                                std::inserter(changed, changed.end()));
   leaving_ = leaving;
-  return moved;
+  return changed;
 }
 
-void ViewBuilder::take_object(const ViewSources& sources, const config::ObjectKey& key, Touched& touched) {
+void ViewBuilder::update_object(const ViewSources& sources, const config::ObjectKey& key,
+                                Affected& affected) {
   const auto found = sources.objects.find(key);
   const StoredObject* after = found == sources.objects.end() ? nullptr : &found->second;
   const StoredObject* before = objects_.find(key);
   if (before == nullptr && after == nullptr) return;
-  if (key.kind == ObjectKind::kBackend) record_selecting_groups(before, touched);
-  if (key.kind == ObjectKind::kDatabaseGroup) record_group(before, after, touched);
-  if (key.kind == ObjectKind::kRoute) touched.routes.insert(key.name);
+  if (key.kind == ObjectKind::kBackend) record_selecting_groups(before, affected);
+  if (key.kind == ObjectKind::kDatabaseGroup) record_group(before, after, affected);
+  if (key.kind == ObjectKind::kRoute) affected.routes.insert(key.name);
   if (after == nullptr) {
     objects_.erase(key);
   } else {
     objects_.put(*after);
   }
-  if (key.kind == ObjectKind::kBackend) record_selecting_groups(after, touched);
-  if (key.kind == ObjectKind::kProxy) record_machine(key.name, touched);
+  if (key.kind == ObjectKind::kBackend) record_selecting_groups(after, affected);
+  if (key.kind == ObjectKind::kProxy) update_machine(key.name, affected);
   // A change of this proxy's own object may change whether it serves at all.
-  if (key.kind == ObjectKind::kProxy && key.name == this_proxy_.value) touched.proxies = true;
+  if (key.kind == ObjectKind::kProxy && key.name == this_proxy_.value) affected.proxies = true;
 }
 
-void ViewBuilder::record_group(const StoredObject* before, const StoredObject* after, Touched& touched) {
-  touched.groups.insert((before != nullptr ? before : after)->object.name);
+void ViewBuilder::record_group(const StoredObject* before, const StoredObject* after, Affected& affected) {
+  affected.groups.insert((before != nullptr ? before : after)->object.name);
   const bool same_slots = before != nullptr && after != nullptr &&
                           before->object.labels == after->object.labels &&
                           group_spec(*before).hash_slots == group_spec(*after).hash_slots;
@@ -115,33 +116,33 @@
   for (const auto* group : {before, after}) {
     if (group == nullptr) continue;
     for (const auto* route : objects_.routes_selecting(group->object.labels)) {
-      touched.routes.insert(route->object.name);
+      affected.routes.insert(route->object.name);
     }
   }
 }
 
-void ViewBuilder::record_selecting_groups(const StoredObject* backend, Touched& touched) const {
+void ViewBuilder::record_selecting_groups(const StoredObject* backend, Affected& affected) const {
   if (backend == nullptr) return;
   for (const auto* group : objects_.groups_selecting(backend->object.labels)) {
-    touched.groups.insert(group->object.name);
+    affected.groups.insert(group->object.name);
   }
 }
 
-void ViewBuilder::record_machine(const std::string& name, Touched& touched) {
-  record_selecting_groups(objects_.find({ObjectKind::kBackend, name}), touched);
+void ViewBuilder::update_machine(const std::string& name, Affected& affected) {
+  record_selecting_groups(objects_.find({ObjectKind::kBackend, name}), affected);
   const auto* proxy = objects_.find({ObjectKind::kProxy, name});
   const auto* spec = proxy == nullptr ? nullptr : &std::get<config::ProxySpec>(proxy->object.spec);
   const auto known = proxies_serving_.find(name);
   if (spec == nullptr || spec->drain || leaving_.contains(name)) {
     if (known == proxies_serving_.end()) return;
     proxies_serving_.erase(known);
-    touched.proxies = true;
+    affected.proxies = true;
     return;
   }
   subset::ProxyView view{NodeName(name), spec->zone, spec->endpoint};
   if (known != proxies_serving_.end() && *known->second == view) return;
   proxies_serving_[name] = std::make_shared<const subset::ProxyView>(std::move(view));
-  touched.proxies = true;
+  affected.proxies = true;
 }
 
 BackendView ViewBuilder::make_backend(const StoredObject& stored) {
@@ -166,18 +167,18 @@
     group->members.push_back(make_backend(*member));
   }
   set_state(*group, sources.groups);
-  set_proxies(*group);
+  assign_proxies(*group);
   view.groups.put(std::move(group));
 }
 
-void ViewBuilder::take_membership() {
+void ViewBuilder::rebuild_subsets() {
   std::vector<subset::ProxyPointer> proxies;
   proxies.reserve(proxies_serving_.size());
   for (const auto& [name, proxy] : proxies_serving_) proxies.push_back(proxy);
   subsets_ = subset::SubsetTable(proxies);
 }
 
-void ViewBuilder::set_proxies(GroupView& group) const {
+void ViewBuilder::assign_proxies(GroupView& group) const {
   const auto size = subset::subset_size(group.spec.connections_per_backend, subsets_.proxies());
   group.serving_proxies = subsets_.serving(group.name, size);
   group.proxies_serving = std::max(size, 1U);
@@ -190,17 +191,17 @@
                   [&](const subset::ProxyPointer& proxy) { return proxy->name == this_proxy_; });
 }
 
-void ViewBuilder::move_groups(RoutingView& view) const {
-  std::vector<GroupPointer> moved;
+void ViewBuilder::update_group_subsets(RoutingView& view) const {
+  std::vector<GroupPointer> changed;
   for (const auto& group : view.groups) {
     auto replacement = std::make_shared<GroupView>(*group);
-    set_proxies(*replacement);
+    assign_proxies(*replacement);
     if (replacement->serving_proxies != group->serving_proxies ||
         replacement->served_here != group->served_here) {
-      moved.push_back(std::move(replacement));
+      changed.push_back(std::move(replacement));
     }
   }
-  for (auto& group : moved) view.groups.put(std::move(group));
+  for (auto& group : changed) view.groups.put(std::move(group));
 }
 
 void ViewBuilder::make_routes(const std::set<std::string>& names, RoutingView& view) {
@@ -231,7 +232,7 @@
   return objects_.find({ObjectKind::kProxy, this_proxy_.value});
 }
 
-void ViewBuilder::count_proxies(RoutingView& view) const {
+void ViewBuilder::set_proxy_state(RoutingView& view) const {
   const auto* proxy = this_proxy_object();
   view.this_proxy_known = proxy != nullptr;
   view.this_proxy_serves = proxy != nullptr && !std::get<config::ProxySpec>(proxy->object.spec).drain;
--- a/src/declared/routing/view_builder.h
+++ b/src/declared/routing/view_builder.h
@@ -62,24 +62,25 @@
 
  private:
   /// What an update has to rebuild.
-  struct Touched {
+  struct Affected {
     std::set<std::string> groups;
     std::set<std::string> routes;
     bool proxies = false;  ///< whether the set of proxies changed, and with it possibly any group's subset
   };
 
-  std::set<std::string> take_leaving(const std::set<std::string>& leaving);
-  void take_object(const ViewSources& sources, const config::ObjectKey& key, Touched& touched);
-  void record_group(const config::StoredObject* before, const config::StoredObject* after, Touched& touched);
-  void record_selecting_groups(const config::StoredObject* backend, Touched& touched) const;
-  void record_machine(const std::string& name, Touched& touched);
+  std::set<std::string> update_leaving(const std::set<std::string>& leaving);
+  void update_object(const ViewSources& sources, const config::ObjectKey& key, Affected& affected);
+  void record_group(const config::StoredObject* before, const config::StoredObject* after,
+                    Affected& affected);
+  void record_selecting_groups(const config::StoredObject* backend, Affected& affected) const;
+  void update_machine(const std::string& name, Affected& affected);
   void make_group(const config::StoredObject& stored, const ViewSources& sources, RoutingView& view);
   void make_routes(const std::set<std::string>& names, RoutingView& view);
-  void count_proxies(RoutingView& view) const;
-  void take_membership();
-  void set_proxies(GroupView& group) const;
+  void set_proxy_state(RoutingView& view) const;
+  void rebuild_subsets();
+  void assign_proxies(GroupView& group) const;
   /// Rebuilds the groups whose proxy subset changed.
-  void move_groups(RoutingView& view) const;
+  void update_group_subsets(RoutingView& view) const;
   [[nodiscard]] BackendView make_backend(const config::StoredObject& stored);
 
   [[nodiscard]] const config::StoredObject* this_proxy_object() const;
--- a/tests/admission/concurrency_limit_test.cpp
+++ b/tests/admission/concurrency_limit_test.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::LoopFigures;
+using testing::LoopResult;
 using testing::SyntheticLoop;
 
 class ConcurrencyLimitTest : public CppUnit::TestFixture {
@@ -20,16 +20,16 @@
   CPPUNIT_TEST(test_grows_at_the_limit_up_to_the_maximum);
   CPPUNIT_TEST(test_does_not_grow_below_the_limit);
   CPPUNIT_TEST(test_shrinks_when_answers_get_slow_and_grows_back);
-  CPPUNIT_TEST(test_busy_shrinks_once_a_burst_and_pauses_growth);
-  CPPUNIT_TEST(test_stalls_that_hold_up_all_answers_do_not_shrink_it);
-  CPPUNIT_TEST(test_shrinks_at_high_rates_too);
-  CPPUNIT_TEST(test_within_the_share_it_comes_back_sooner);
-  CPPUNIT_TEST(test_never_below_one);
-  CPPUNIT_TEST(test_smaller_maximum_takes_effect);
-  CPPUNIT_TEST(test_group_commit_gets_all_that_wait);
-  CPPUNIT_TEST(test_noisy_disk_does_not_take_it_below_the_share);
-  CPPUNIT_TEST(test_backend_with_no_more_to_give_is_not_piled_upon);
-  CPPUNIT_TEST(test_disk_that_got_slower_is_measured_anew);
+  CPPUNIT_TEST(test_busy_shrinks_once_per_burst_and_pauses_growth);
+  CPPUNIT_TEST(test_stalls_that_delay_all_answers_do_not_shrink_the_limit);
+  CPPUNIT_TEST(test_shrinks_at_high_answer_rates);
+  CPPUNIT_TEST(test_recovers_sooner_below_the_share);
+  CPPUNIT_TEST(test_never_falls_below_one);
+  CPPUNIT_TEST(test_lower_maximum_reduces_the_limit);
+  CPPUNIT_TEST(test_group_commit_keeps_most_of_the_unlimited_throughput);
+  CPPUNIT_TEST(test_noisy_disk_does_not_reduce_the_limit_below_the_share);
+  CPPUNIT_TEST(test_saturated_backend_is_not_overloaded);
+  CPPUNIT_TEST(test_adapts_to_a_slower_disk);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(limit_.limit() >= 8);
   }
 
-  void test_busy_shrinks_once_a_burst_and_pauses_growth() {
+  void test_busy_shrinks_once_per_burst_and_pauses_growth() {
     answer_for(seconds(5), milliseconds(4), 10);
     for (int answer = 0; answer < 5; ++answer) limit_.busy(now_);
     CPPUNIT_ASSERT_EQUAL(7U, limit_.limit());
@@ -73,7 +73,7 @@
   }
 
   /// A disk sync or a descheduled proxy delays every statement in flight, regardless of their number.
-  void test_stalls_that_hold_up_all_answers_do_not_shrink_it() {
+  void test_stalls_that_delay_all_answers_do_not_shrink_the_limit() {
     answer_for(seconds(5), milliseconds(1), 10);
     CPPUNIT_ASSERT_EQUAL(10U, limit_.limit());
     for (int stall = 0; stall < 40; ++stall) {
@@ -84,13 +84,13 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(limit_.limit()), limit_.limit() >= 9);
   }
 
-  void test_shrinks_at_high_rates_too() {
+  void test_shrinks_at_high_answer_rates() {
     answer_for(seconds(5), milliseconds(1), 10);
     answer_quickly_for(milliseconds(500), milliseconds(30));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(limit_.limit()), limit_.limit() <= 5);
   }
 
-  void test_within_the_share_it_comes_back_sooner() {
+  void test_recovers_sooner_below_the_share() {
     limit_.busy(now_);
     CPPUNIT_ASSERT_EQUAL(2U, limit_.limit());
     answer_for(milliseconds(500), milliseconds(4), 2);
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT(limit_.limit() > 3);
   }
 
-  void test_never_below_one() {
+  void test_never_falls_below_one() {
     for (int answer = 0; answer < 100; ++answer) {
       now_ += milliseconds(60);
       limit_.busy(now_);
@@ -109,46 +109,47 @@
     CPPUNIT_ASSERT_EQUAL(1U, limit_.limit());
   }
 
-  void test_smaller_maximum_takes_effect() {
+  void test_lower_maximum_reduces_the_limit() {
     answer_for(seconds(5), milliseconds(4), 10);
     limit_.set_bounds(3, 5);
     CPPUNIT_ASSERT_EQUAL(5U, limit_.limit());
   }
 
-  void test_group_commit_gets_all_that_wait() {
+  void test_group_commit_keeps_most_of_the_unlimited_throughput() {
     const auto sync = [](std::uint32_t) { return milliseconds(3); };
-    const auto straight = SyntheticLoop(kCallers, true, sync).run(nullptr, seconds(1), seconds(10));
+    const auto unlimited = SyntheticLoop(kCallers, true, sync).run(nullptr, seconds(1), seconds(10));
     limit_ = ConcurrencyLimit();
     limit_.set_bounds(kShare, kMaximum);
     const auto limited = SyntheticLoop(kCallers, true, sync).run(&limit_, seconds(2), seconds(10));
-    CPPUNIT_ASSERT_MESSAGE(text(limited, straight),
-                           limited.served_a_second >= 0.95 * straight.served_a_second);
+    CPPUNIT_ASSERT_MESSAGE(text(limited, unlimited),
+                           limited.throughput_per_second >= 0.95 * unlimited.throughput_per_second);
   }
 
   /// Syncs take 2 to 6 ms, one in eight ten times as long: the mean over a few hundred milliseconds varies by
   /// more than the tolerance, independently of the number of statements in flight.
-  void test_noisy_disk_does_not_take_it_below_the_share() {
-    const auto straight = SyntheticLoop(kCallers, true, noisy_disk()).run(nullptr, seconds(1), seconds(60));
+  void test_noisy_disk_does_not_reduce_the_limit_below_the_share() {
+    const auto unlimited =
+        SyntheticLoop(kCallers, true, noisy_service_time()).run(nullptr, seconds(1), seconds(60));
     limit_ = ConcurrencyLimit();
     limit_.set_bounds(kShare, kMaximum);
-    const auto limited = SyntheticLoop(kCallers, true, noisy_disk()).run(&limit_, seconds(2), seconds(60));
-    CPPUNIT_ASSERT_MESSAGE(text(limited, straight),
-                           limited.served_a_second >= 0.8 * straight.served_a_second);
+    const auto limited =
+        SyntheticLoop(kCallers, true, noisy_service_time()).run(&limit_, seconds(2), seconds(60));
+    CPPUNIT_ASSERT_MESSAGE(text(limited, unlimited),
+                           limited.throughput_per_second >= 0.8 * unlimited.throughput_per_second);
     CPPUNIT_ASSERT(limit_.limit() >= kShare);
   }
 
   /// The backend runs statements one at a time, so higher concurrency only adds queueing delay.
-  void test_backend_with_no_more_to_give_is_not_piled_upon() {
+  void test_saturated_backend_is_not_overloaded() {
     limit_ = ConcurrencyLimit();
     limit_.set_bounds(kShare, kMaximum);
-    const auto one_by_one = [](std::uint32_t) { return milliseconds(2); };
-    const auto limited =
-        SyntheticLoop(2 * kMaximum, false, one_by_one).run(&limit_, seconds(10), seconds(60));
+    const auto serial = [](std::uint32_t) { return milliseconds(2); };
+    const auto limited = SyntheticLoop(2 * kMaximum, false, serial).run(&limit_, seconds(10), seconds(60));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(limited.mean_limit), limited.mean_limit < 2.5 * kShare);
-    CPPUNIT_ASSERT(limited.served_a_second > 490);
+    CPPUNIT_ASSERT(limited.throughput_per_second > 490);
   }
 
-  void test_disk_that_got_slower_is_measured_anew() {
+  void test_adapts_to_a_slower_disk() {
     limit_ = ConcurrencyLimit();
     limit_.set_bounds(kShare, kMaximum);
     auto sync_time = milliseconds(2);
@@ -165,16 +166,17 @@
   static constexpr std::uint32_t kShare = 21;
   static constexpr std::uint32_t kMaximum = 133;
 
-  static SyntheticLoop::ServiceTime noisy_disk() {
+  static SyntheticLoop::ServiceTime noisy_service_time() {
     return [random = std::mt19937(7)](std::uint32_t) mutable -> Duration {
       const auto usual = std::chrono::microseconds(2000 + random() % 4000);
       return random() % 8 == 0 ? 10 * usual : usual;
     };
   }
 
-  static std::string text(const LoopFigures& limited, const LoopFigures& straight) {
-    return std::to_string(limited.served_a_second) + " of " + std::to_string(straight.served_a_second) +
-           " statements/s, mean limit " + std::to_string(limited.mean_limit);
+  static std::string text(const LoopResult& limited, const LoopResult& unlimited) {
+    return std::to_string(limited.throughput_per_second) + " of " +
+           std::to_string(unlimited.throughput_per_second) + " statements/s, mean limit " +
+           std::to_string(limited.mean_limit);
   }
 
   /// Feeds one answer with `latency` every 10 ms.
--- a/tests/admission/synthetic_backend.h
+++ b/tests/admission/synthetic_backend.h
@@ -13,22 +13,22 @@
 
 namespace cairnhollow::admission::testing {
 
-struct LoopFigures {
-  double served_a_second = 0;
+struct LoopResult {
+  double throughput_per_second = 0;
   double mean_limit = 0;
 };
 
 class SyntheticLoop {
  public:
-  /// Service time of one batch as a function of the number of statements in flight. With `takes_all` (group
-  /// commit) a batch is all waiting statements, otherwise it is one statement.
-  using ServiceTime = std::function<Duration(std::uint32_t under_way)>;
+  /// Service time of one batch as a function of the number of statements in flight. With `is_group_commit`
+  /// (group commit) a batch is all waiting statements, otherwise it is one statement.
+  using ServiceTime = std::function<Duration(std::uint32_t concurrency)>;
 
-  SyntheticLoop(std::uint32_t callers, bool takes_all, ServiceTime service_time)
-      : callers_(callers), takes_all_(takes_all), service_time_(std::move(service_time)) {}
+  SyntheticLoop(std::uint32_t callers, bool is_group_commit, ServiceTime service_time)
+      : callers_(callers), is_group_commit_(is_group_commit), service_time_(std::move(service_time)) {}
 
   /// Runs for `warm_up`, then measures for `time`. With a null `limit` all callers run concurrently.
-  LoopFigures run(ConcurrencyLimit* limit, Duration warm_up, Duration time) {
+  LoopResult run(ConcurrencyLimit* limit, Duration warm_up, Duration time) {
     const TimePoint measured_from = now_ + warm_up;
     const TimePoint end = measured_from + time;
     std::uint64_t served = 0;
@@ -36,9 +36,9 @@
     std::uint64_t rounds = 0;
     while (now_ < end) {
       admit(limit);
-      const auto under_way = static_cast<std::uint32_t>(waiting_.size());
-      const std::size_t taken = takes_all_ ? waiting_.size() : 1;
-      now_ += service_time_(under_way);
+      const auto concurrency = static_cast<std::uint32_t>(waiting_.size());
+      const std::size_t taken = is_group_commit_ ? waiting_.size() : 1;
+      now_ += service_time_(concurrency);
       answer(limit, taken);
       if (now_ < measured_from) continue;
       served += taken;
@@ -57,8 +57,8 @@
   };
 
   void admit(const ConcurrencyLimit* limit) {
-    const std::uint32_t most = limit == nullptr ? callers_ : std::min(callers_, limit->limit());
-    while (waiting_.size() < most) {
+    const std::uint32_t maximum_in_flight = limit == nullptr ? callers_ : std::min(callers_, limit->limit());
+    while (waiting_.size() < maximum_in_flight) {
       waiting_.push_back({now_, static_cast<std::uint32_t>(waiting_.size()) + 1});
     }
   }
@@ -72,7 +72,7 @@
   }
 
   std::uint32_t callers_;
-  bool takes_all_;
+  bool is_group_commit_;
   ServiceTime service_time_;
   std::deque<Statement> waiting_;
   TimePoint now_ = TimePoint(std::chrono::seconds(100));
--- a/tests/declared/proxy/calls/caller_request_test.cpp
+++ b/tests/declared/proxy/calls/caller_request_test.cpp
@@ -26,29 +26,29 @@
   return R"({"database":"decks","partition_key":"learner-1","text":"{}")" + extra + "}";
 }
 
-void assert_fault(const std::string& body, const std::string& fault) {
+void assert_error(const std::string& body, const std::string& error) {
   Reason reason;
   const auto parsed = parse_statement(with_body(body), context(), reason);
   CPPUNIT_ASSERT_MESSAGE(body, !parsed.has_value());
   CPPUNIT_ASSERT(reason.code == ReasonCode::kInvalidArgument);
-  CPPUNIT_ASSERT_MESSAGE(reason.detail, reason.detail.find(fault) != std::string::npos);
+  CPPUNIT_ASSERT_MESSAGE(reason.detail, reason.detail.find(error) != std::string::npos);
 }
 
 class CallerRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallerRequestTest);
-  CPPUNIT_TEST(test_whole_statement);
-  CPPUNIT_TEST(test_broken_json);
-  CPPUNIT_TEST(test_each_fault_names_its_field);
-  CPPUNIT_TEST(test_all_faults_are_named_at_once);
-  CPPUNIT_TEST(test_request_id_header);
-  CPPUNIT_TEST(test_unreadable_token_counts_as_none);
-  CPPUNIT_TEST(test_answer_leaves_before_the_deadline);
-  CPPUNIT_TEST(test_too_long_bodies);
-  CPPUNIT_TEST(test_other_bodies);
+  CPPUNIT_TEST(test_parses_a_complete_statement);
+  CPPUNIT_TEST(test_rejects_malformed_json);
+  CPPUNIT_TEST(test_each_error_names_its_field);
+  CPPUNIT_TEST(test_reports_all_errors_together);
+  CPPUNIT_TEST(test_reads_the_request_id_from_the_header);
+  CPPUNIT_TEST(test_undecodable_token_is_treated_as_absent);
+  CPPUNIT_TEST(test_answer_is_due_before_the_callers_deadline);
+  CPPUNIT_TEST(test_rejects_bodies_that_are_too_long);
+  CPPUNIT_TEST(test_validates_the_other_request_bodies);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_whole_statement() {
+  void test_parses_a_complete_statement() {
     Reason reason;
     const auto parsed = parse_statement(
         with_body(
@@ -67,48 +67,48 @@
     CPPUNIT_ASSERT(!parsed->transaction.has_value());
   }
 
-  void test_broken_json() {
-    assert_fault("", "database: required");
-    assert_fault("{", "body:");
-    assert_fault("[]", "body: must be a JSON object");
-    assert_fault("\"text\"", "body: must be a JSON object");
-    assert_fault(statement(R"(,"kind":"read"})") + "}", "body:");
-    assert_fault("\xff\xfe", "body:");
+  void test_rejects_malformed_json() {
+    assert_error("", "database: required");
+    assert_error("{", "body:");
+    assert_error("[]", "body: must be a JSON object");
+    assert_error("\"text\"", "body: must be a JSON object");
+    assert_error(statement(R"(,"kind":"read"})") + "}", "body:");
+    assert_error("\xff\xfe", "body:");
   }
 
-  void test_each_fault_names_its_field() {
-    assert_fault(statement(""), "kind: required");
-    assert_fault(statement(R"(,"kind":"delete")"), "kind: must be \"read\" or \"write\"");
-    assert_fault(statement(R"(,"kind":7)"), "kind: must be a string");
-    assert_fault(statement(R"(,"kind":"read","priority":"urgent")"), "priority: must be");
-    assert_fault(statement(R"(,"kind":"read","deadline_ms":0)"), "deadline_ms:");
-    assert_fault(statement(R"(,"kind":"read","deadline_ms":60001)"), "deadline_ms:");
-    assert_fault(statement(R"(,"kind":"read","deadline_ms":-5)"), "deadline_ms:");
-    assert_fault(statement(R"(,"kind":"read","deadline_ms":1.5)"), "deadline_ms:");
-    assert_fault(statement(R"(,"kind":"read","deadline_ms":"soon")"), "deadline_ms:");
-    assert_fault(statement(R"(,"kind":"write")"), "session, number: required");
-    assert_fault(statement(R"(,"kind":"write","session":"s")"), "session, number: both or neither");
-    assert_fault(statement(R"(,"kind":"write","session":"a b","number":1)"), "session: must be 1 to 128");
-    assert_fault(statement(R"(,"kind":"write","session":"s","number":0)"), "number:");
-    assert_fault(statement(R"(,"kind":"write","session":"s","number":3,"answered_up_to":3)"),
+  void test_each_error_names_its_field() {
+    assert_error(statement(""), "kind: required");
+    assert_error(statement(R"(,"kind":"delete")"), "kind: must be \"read\" or \"write\"");
+    assert_error(statement(R"(,"kind":7)"), "kind: must be a string");
+    assert_error(statement(R"(,"kind":"read","priority":"urgent")"), "priority: must be");
+    assert_error(statement(R"(,"kind":"read","deadline_ms":0)"), "deadline_ms:");
+    assert_error(statement(R"(,"kind":"read","deadline_ms":60001)"), "deadline_ms:");
+    assert_error(statement(R"(,"kind":"read","deadline_ms":-5)"), "deadline_ms:");
+    assert_error(statement(R"(,"kind":"read","deadline_ms":1.5)"), "deadline_ms:");
+    assert_error(statement(R"(,"kind":"read","deadline_ms":"soon")"), "deadline_ms:");
+    assert_error(statement(R"(,"kind":"write")"), "session, number: required");
+    assert_error(statement(R"(,"kind":"write","session":"s")"), "session, number: both or neither");
+    assert_error(statement(R"(,"kind":"write","session":"a b","number":1)"), "session: must be 1 to 128");
+    assert_error(statement(R"(,"kind":"write","session":"s","number":0)"), "number:");
+    assert_error(statement(R"(,"kind":"write","session":"s","number":3,"answered_up_to":3)"),
                  "answered_up_to: must be below number");
-    assert_fault(statement(R"(,"kind":"read","repeatable":"yes")"), "repeatable:");
-    assert_fault(statement(R"(,"kind":"read","labels":[])"), "labels:");
-    assert_fault(statement(R"(,"kind":"read","labels":{"a":1})"), "labels");
-    assert_fault(statement(R"(,"kind":"read","session_token":5)"), "session_token: must be a string");
-    assert_fault(statement(R"(,"kind":"read","colour":"red")"), "colour");
-    assert_fault(R"({"database":"","partition_key":"k","text":"t","kind":"read"})", "database: required");
+    assert_error(statement(R"(,"kind":"read","repeatable":"yes")"), "repeatable:");
+    assert_error(statement(R"(,"kind":"read","labels":[])"), "labels:");
+    assert_error(statement(R"(,"kind":"read","labels":{"a":1})"), "labels");
+    assert_error(statement(R"(,"kind":"read","session_token":5)"), "session_token: must be a string");
+    assert_error(statement(R"(,"kind":"read","colour":"red")"), "colour");
+    assert_error(R"({"database":"","partition_key":"k","text":"t","kind":"read"})", "database: required");
   }
 
-  void test_all_faults_are_named_at_once() {
+  void test_reports_all_errors_together() {
     const std::string body = R"({"database":5,"kind":"write","priority":"x","colour":1})";
     for (const char* field :
          {"database:", "partition_key:", "text:", "priority:", "session, number", "colour"}) {
-      assert_fault(body, field);
+      assert_error(body, field);
     }
   }
 
-  void test_request_id_header() {
+  void test_reads_the_request_id_from_the_header() {
     auto request = with_body(statement(R"(,"kind":"write")"));
     request.headers.fields["idempotency-key"] = "s-1:9";
     Reason reason;
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT(reason.detail.find("does not match session:number in the body") != std::string::npos);
   }
 
-  void test_unreadable_token_counts_as_none() {
+  void test_undecodable_token_is_treated_as_absent() {
     Reason reason;
     const auto parsed = parse_statement(with_body(statement(R"(,"kind":"read","session_token":"garbage")")),
                                         context(), reason);
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(!parsed->call.token.has_value());
   }
 
-  void test_answer_leaves_before_the_deadline() {
+  void test_answer_is_due_before_the_callers_deadline() {
     Reason reason;
     const auto long_wait =
         parse_statement(with_body(statement(R"(,"kind":"read","deadline_ms":1000)")), context(), reason);
@@ -147,17 +147,17 @@
     CPPUNIT_ASSERT(no_deadline->call.deadline == context().now + seconds(5) - kAnswerMargin);
   }
 
-  void test_too_long_bodies() {
-    assert_fault(std::string(kMaximumBodyLength + 1, ' '), "body: longer than");
+  void test_rejects_bodies_that_are_too_long() {
+    assert_error(std::string(kMaximumBodyLength + 1, ' '), "body: longer than");
     const auto text = std::string(kMaximumTextLength + 1, 'x');
-    assert_fault(R"({"database":"d","partition_key":"k","kind":"read","text":")" + text + "\"}",
+    assert_error(R"({"database":"d","partition_key":"k","kind":"read","text":")" + text + "\"}",
                  "text: longer");
     const auto key = std::string(kMaximumPartitionKeyLength + 1, 'x');
-    assert_fault(R"({"database":"d","text":"t","kind":"read","partition_key":")" + key + "\"}",
+    assert_error(R"({"database":"d","text":"t","kind":"read","partition_key":")" + key + "\"}",
                  "partition_key: longer");
   }
 
-  void test_other_bodies() {
+  void test_validates_the_other_request_bodies() {
     Reason reason;
     CPPUNIT_ASSERT(!parse_begin(with_body("{}"), context(), reason).has_value());
     CPPUNIT_ASSERT(reason.detail.find("database") != std::string::npos);
--- a/tests/declared/proxy/calls/explain_test.cpp
+++ b/tests/declared/proxy/calls/explain_test.cpp
@@ -28,14 +28,14 @@
 
 class ExplainTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ExplainTest);
-  CPPUNIT_TEST(test_past_write);
-  CPPUNIT_TEST(test_hypothetical_read_with_a_token);
-  CPPUNIT_TEST(test_no_route);
-  CPPUNIT_TEST(test_faults_are_named);
+  CPPUNIT_TEST(test_explains_a_recent_write);
+  CPPUNIT_TEST(test_explains_a_hypothetical_read);
+  CPPUNIT_TEST(test_explains_a_missing_route);
+  CPPUNIT_TEST(test_reports_all_parameter_errors);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_past_write() {
+  void test_explains_a_recent_write() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(0);
     const auto written = deployment.write(caller, "one");
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT_EQUAL(404U, deployment.get(1, "/v1/explain?session=session-1&number=1").status);
   }
 
-  void test_hypothetical_read_with_a_token() {
+  void test_explains_a_hypothetical_read() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(0);
     deployment.write(caller, "one");
@@ -62,10 +62,10 @@
     const std::vector<std::string> in_order = {"database-1", "database-2", "database-0"};
     CPPUNIT_ASSERT(backends_of(with_token, "candidates") == in_order);
     CPPUNIT_ASSERT(backends_of(with_token, "passed_over").empty());
-    CPPUNIT_ASSERT_EQUAL(std::string("database-1"), deployment.read(moved(caller)).backend);
+    CPPUNIT_ASSERT_EQUAL(std::string("database-1"), deployment.read(moved_to_other_proxy(caller)).backend);
   }
 
-  void test_no_route() {
+  void test_explains_a_missing_route() {
     ProxyWorld deployment;
     const auto decision =
         object_of(deployment.get(0, "/v1/explain?database=unknown&partition_key=k&kind=read"));
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("no_route"), std::string(refusal.at("code").as_string()));
   }
 
-  void test_faults_are_named() {
+  void test_reports_all_parameter_errors() {
     ProxyWorld deployment;
     const auto response = deployment.get(0, "/v1/explain?kind=delete");
     CPPUNIT_ASSERT_EQUAL(400U, response.status);
@@ -90,7 +90,7 @@
   }
 
  private:
-  static Caller& moved(Caller& caller) {
+  static Caller& moved_to_other_proxy(Caller& caller) {
     caller.client.move_to(ProxyWorld::proxy_endpoint(1));
     return caller;
   }
--- a/tests/declared/proxy/statement/read_watch_test.cpp
+++ b/tests/declared/proxy/statement/read_watch_test.cpp
@@ -16,9 +16,9 @@
 
 class ReadWatchTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReadWatchTest);
-  CPPUNIT_TEST(test_slow_read_at_a_backend_that_is_not_probed_is_waited_for);
-  CPPUNIT_TEST(test_backend_that_owes_an_answer_to_a_probe_is_silent);
-  CPPUNIT_TEST(test_answers_to_others_count);
+  CPPUNIT_TEST(test_waits_for_a_slow_read_at_an_unprobed_backend);
+  CPPUNIT_TEST(test_ends_reads_when_a_probe_stays_unanswered);
+  CPPUNIT_TEST(test_answers_to_other_statements_keep_a_read_open);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -38,14 +38,14 @@
   }
 
   /// With many groups a backend may not be probed before a slow read is answered.
-  void test_slow_read_at_a_backend_that_is_not_probed_is_waited_for() {
-    const ReadWatch::Watched watched(*watch_, kBackend, *connection_);
+  void test_waits_for_a_slow_read_at_an_unprobed_backend() {
+    const ReadWatch::WatchedRead watched(*watch_, kBackend, *connection_);
     world_->run_for(milliseconds(900));
     CPPUNIT_ASSERT(connection_->is_open());
   }
 
-  void test_backend_that_owes_an_answer_to_a_probe_is_silent() {
-    const ReadWatch::Watched watched(*watch_, kBackend, *connection_);
+  void test_ends_reads_when_a_probe_stays_unanswered() {
+    const ReadWatch::WatchedRead watched(*watch_, kBackend, *connection_);
     world_->run_for(milliseconds(400));
     load_.probe_began(kBackend, runtime().now());
     world_->run_for(kReadSilenceLimit - kReadWatchInterval);
@@ -54,8 +54,8 @@
     CPPUNIT_ASSERT(!connection_->is_open());
   }
 
-  void test_answers_to_others_count() {
-    const ReadWatch::Watched watched(*watch_, kBackend, *connection_);
+  void test_answers_to_other_statements_keep_a_read_open() {
+    const ReadWatch::WatchedRead watched(*watch_, kBackend, *connection_);
     load_.probe_began(kBackend, runtime().now());
     for (int answer = 0; answer < 10; ++answer) {
       world_->run_for(kReadSilenceLimit / 2);
--- a/tests/declared/proxy/statement/retry_budget_test.cpp
+++ b/tests/declared/proxy/statement/retry_budget_test.cpp
@@ -15,13 +15,13 @@
 
 class RetryBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RetryBudgetTest);
-  CPPUNIT_TEST(test_successes_earn_a_share);
+  CPPUNIT_TEST(test_successes_earn_a_fraction_of_a_retry);
   CPPUNIT_TEST(test_balance_is_capped);
-  CPPUNIT_TEST(test_refusal_keeps_where_the_failure_arose);
+  CPPUNIT_TEST(test_refusal_keeps_step_and_peer_of_the_failure);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_successes_earn_a_share() {
+  void test_successes_earn_a_fraction_of_a_retry() {
     RetryBudget budget;
     spend_all(budget);
     for (int success = 0; success < 100; ++success) budget.record_success();
@@ -34,7 +34,7 @@
     CPPUNIT_ASSERT_EQUAL(100, spend_all(budget));
   }
 
-  void test_refusal_keeps_where_the_failure_arose() {
+  void test_refusal_keeps_step_and_peer_of_the_failure() {
     RetryBudget budget;
     spend_all(budget);
     Reason reason{ReasonCode::kUnreachable, "open_connection", "database-1", "no route to host"};
--- a/tests/declared/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -21,24 +21,24 @@
   CPPUNIT_TEST(test_write_goes_to_the_primary_only);
   CPPUNIT_TEST(test_transaction_goes_to_the_primary_only);
   CPPUNIT_TEST(test_read_without_token_goes_to_the_primary);
-  CPPUNIT_TEST(test_read_prefers_the_zone_then_others_then_the_primary);
+  CPPUNIT_TEST(test_read_prefers_own_zone_then_other_zones_then_the_primary);
   CPPUNIT_TEST(test_read_prefers_the_less_loaded_replica);
   CPPUNIT_TEST(test_keys_spread_over_equal_replicas);
-  CPPUNIT_TEST(test_replica_that_lacks_the_position_is_passed_over);
-  CPPUNIT_TEST(test_replica_that_will_have_it_soon_comes_after_those_that_have_it);
-  CPPUNIT_TEST(test_read_is_held_for_the_replica_that_has_the_position_first);
-  CPPUNIT_TEST(test_read_is_not_held_past_its_bounds);
-  CPPUNIT_TEST(test_a_held_read_is_sent_when_its_time_has_come);
-  CPPUNIT_TEST(test_replica_too_old_for_the_route_is_passed_over);
-  CPPUNIT_TEST(test_replica_of_unknown_age_is_passed_over);
-  CPPUNIT_TEST(test_leaving_backends_are_passed_over);
-  CPPUNIT_TEST(test_held_off_replica_is_passed_over_until_it_answers_a_probe);
-  CPPUNIT_TEST(test_replica_not_selected_by_the_route_is_passed_over);
-  CPPUNIT_TEST(test_route_without_replica_reads);
-  CPPUNIT_TEST(test_the_cause_of_a_read_on_the_primary);
-  CPPUNIT_TEST(test_no_primary);
-  CPPUNIT_TEST(test_no_route);
-  CPPUNIT_TEST(test_no_group_for_the_slot);
+  CPPUNIT_TEST(test_replica_without_the_position_is_skipped);
+  CPPUNIT_TEST(test_replica_expected_to_catch_up_ranks_after_current_ones);
+  CPPUNIT_TEST(test_read_is_held_for_the_replica_expected_to_catch_up_first);
+  CPPUNIT_TEST(test_read_is_not_held_beyond_its_limits);
+  CPPUNIT_TEST(test_held_read_is_sent_when_its_hold_ends);
+  CPPUNIT_TEST(test_replica_exceeding_the_routes_staleness_is_skipped);
+  CPPUNIT_TEST(test_replica_of_unknown_age_is_skipped);
+  CPPUNIT_TEST(test_leaving_backends_are_skipped);
+  CPPUNIT_TEST(test_failed_replica_is_skipped_until_it_answers_a_probe);
+  CPPUNIT_TEST(test_replica_not_selected_by_the_route_is_skipped);
+  CPPUNIT_TEST(test_route_without_replica_reads_uses_the_primary);
+  CPPUNIT_TEST(test_reports_why_a_read_uses_the_primary);
+  CPPUNIT_TEST(test_group_without_primary_refuses_writes);
+  CPPUNIT_TEST(test_statement_without_route_is_refused);
+  CPPUNIT_TEST(test_slot_without_group_is_refused);
   CPPUNIT_TEST(test_route_of_highest_precedence_wins);
   CPPUNIT_TEST_SUITE_END();
 
@@ -89,7 +89,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kNotPrimary, "token");
   }
 
-  void test_read_prefers_the_zone_then_others_then_the_primary() {
+  void test_read_prefers_own_zone_then_other_zones_then_the_primary() {
     settings_.zone = ZoneName("zone-2");
     assert_candidates(decide(read()), {"database-2", "database-1", "database-0"});
     settings_.zone = ZoneName("zone-1");
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT(first < 2 * kKeys / 3);
   }
 
-  void test_replica_that_lacks_the_position_is_passed_over() {
+  void test_replica_without_the_position_is_skipped() {
     auto request = read();
     request.session_position = Position{1, 200};
     estimates_.freshness.observe_primary(group().name, Position{1, 200}, kNow);
@@ -131,7 +131,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kTooStale, "the session has seen 1.200");
   }
 
-  void test_replica_that_will_have_it_soon_comes_after_those_that_have_it() {
+  void test_replica_expected_to_catch_up_ranks_after_current_ones() {
     auto request = read();
     request.session_position = Position{1, 200};
     estimates_.freshness.observe_primary(group().name, Position{1, 200}, kNow - milliseconds(5));
@@ -140,7 +140,7 @@
     assert_candidates(decide(request), {"database-2", "database-1", "database-0"});
   }
 
-  void test_read_is_held_for_the_replica_that_has_the_position_first() {
+  void test_read_is_held_for_the_replica_expected_to_catch_up_first() {
     const auto request = read_after_write(seconds(1));
     // database-1 lags by 140 ms and database-2 by 120 ms; the write was sent 10 ms ago.
     const auto decision = decide(request);
@@ -150,12 +150,12 @@
     CPPUNIT_ASSERT(decision.primary_read == PrimaryReadCause::kNone);
     // A replica known to have the position needs no hold.
     estimates_.freshness.observe_backend(group().name, 1, Position{1, 200}, kNow);
-    const auto sure = decide(request);
-    assert_candidates(sure, {"database-1", "database-2", "database-0"});
-    CPPUNIT_ASSERT(sure.hold == Duration(0));
+    const auto up_to_date = decide(request);
+    assert_candidates(up_to_date, {"database-1", "database-2", "database-0"});
+    CPPUNIT_ASSERT(up_to_date.hold == Duration(0));
   }
 
-  void test_read_is_not_held_past_its_bounds() {
+  void test_read_is_not_held_beyond_its_limits() {
     const auto little_time = decide(read_after_write(milliseconds(80)));
     assert_candidates(little_time, {"database-0"});
     CPPUNIT_ASSERT(little_time.hold == Duration(0));
@@ -169,9 +169,9 @@
     CPPUNIT_ASSERT(never.hold == Duration(0));
   }
 
-  void test_a_held_read_is_sent_when_its_time_has_come() {
+  void test_held_read_is_sent_when_its_hold_ends() {
     auto request = read_after_write(seconds(1));
-    request.first_chosen = kNow;
+    request.first_choice_at = kNow;
     CPPUNIT_ASSERT(decide(request, kNow + milliseconds(60)).hold == milliseconds(40));
     const auto due = decide(request, kNow + milliseconds(100));
     assert_candidates(due, {"database-2", "database-1", "database-0"});
@@ -188,21 +188,21 @@
     CPPUNIT_ASSERT(failed.hold == Duration(0));
   }
 
-  void test_replica_too_old_for_the_route_is_passed_over() {
+  void test_replica_exceeding_the_routes_staleness_is_skipped() {
     estimates_.freshness.observe_primary(group().name, Position{1, 300}, kNow + seconds(5));
     const auto decision = decide(read(), kNow + seconds(6));
     assert_candidates(decision, {"database-0"});
     assert_passed_over(decision, "database-1", ReasonCode::kTooStale, "the route allows 2000 ms");
   }
 
-  void test_replica_of_unknown_age_is_passed_over() {
+  void test_replica_of_unknown_age_is_skipped() {
     estimates_ = BackendEstimates{};
     const auto decision = decide(read());
     assert_candidates(decision, {"database-0"});
     assert_passed_over(decision, "database-1", ReasonCode::kTooStale, "age unknown");
   }
 
-  void test_leaving_backends_are_passed_over() {
+  void test_leaving_backends_are_skipped() {
     group_.members[1].leaving = true;
     const auto replica_leaves = decide(read());
     assert_candidates(replica_leaves, {"database-2", "database-0"});
@@ -218,7 +218,7 @@
     CPPUNIT_ASSERT(no_write.refusal.code == ReasonCode::kNoBackend);
   }
 
-  void test_held_off_replica_is_passed_over_until_it_answers_a_probe() {
+  void test_failed_replica_is_skipped_until_it_answers_a_probe() {
     estimates_.load.failed(1, kNow);
     assert_passed_over(decide(read()), "database-1", ReasonCode::kUnreachable, "failed");
     const auto later = kNow + kHoldOffLimit;
@@ -228,7 +228,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decision.candidates.size());
   }
 
-  void test_replica_not_selected_by_the_route_is_passed_over() {
+  void test_replica_not_selected_by_the_route_is_skipped() {
     config::RouteSpec route;
     route.precedence = 5;
     route.replica_selector.match_labels.entries["index"] = "2";
@@ -238,7 +238,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kNoRoute, "does not select");
   }
 
-  void test_route_without_replica_reads() {
+  void test_route_without_replica_reads_uses_the_primary() {
     config::RouteSpec route;
     route.precedence = 5;
     route.replica_reads = false;
@@ -248,7 +248,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kNotPrimary, "the route sends reads");
   }
 
-  void test_the_cause_of_a_read_on_the_primary() {
+  void test_reports_why_a_read_uses_the_primary() {
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kNone);
     auto write = read();
     write.kind = backend::StatementKind::kWrite;
@@ -276,7 +276,7 @@
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kRoute);
   }
 
-  void test_no_primary() {
+  void test_group_without_primary_refuses_writes() {
     group_.primary = BackendName();
     assert_candidates(decide(read()), {"database-1", "database-2", "database-0"}, true);
     auto write = read();
@@ -288,7 +288,7 @@
     CPPUNIT_ASSERT(!decision.refusal.step.empty());
   }
 
-  void test_no_route() {
+  void test_statement_without_route_is_refused() {
     auto request = read();
     request.database = DatabaseName("other");
     request.labels.entries["database"] = "other";
@@ -297,7 +297,7 @@
     CPPUNIT_ASSERT(decision.refusal.code == ReasonCode::kNoRoute);
   }
 
-  void test_no_group_for_the_slot() {
+  void test_slot_without_group_is_refused() {
     group_.spec.hash_slots = config::HashSlotRange{0, 0};
     const auto decision = decide(read());
     CPPUNIT_ASSERT(decision.candidates.empty());
--- a/tests/declared/routing/view_builder_test.cpp
+++ b/tests/declared/routing/view_builder_test.cpp
@@ -22,16 +22,16 @@
 
 class ViewBuilderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ViewBuilderTest);
-  CPPUNIT_TEST(test_members_are_those_that_the_selector_selects);
+  CPPUNIT_TEST(test_members_follow_the_selector);
   CPPUNIT_TEST(test_selector_without_labels_selects_all);
-  CPPUNIT_TEST(test_leaving_and_draining_backends_are_marked);
-  CPPUNIT_TEST(test_each_slot_has_its_group);
-  CPPUNIT_TEST(test_slot_that_no_group_holds);
-  CPPUNIT_TEST(test_route_by_database_and_precedence);
-  CPPUNIT_TEST(test_this_proxy);
-  CPPUNIT_TEST(test_new_primary_changes_one_group_only);
-  CPPUNIT_TEST(test_change_of_a_backend_makes_its_group_anew_only);
-  CPPUNIT_TEST(test_ordinals_stay_the_same);
+  CPPUNIT_TEST(test_leaving_and_draining_backends_are_marked_leaving);
+  CPPUNIT_TEST(test_finds_the_group_of_each_slot);
+  CPPUNIT_TEST(test_slot_outside_all_groups_has_no_group);
+  CPPUNIT_TEST(test_finds_the_route_by_database_and_precedence);
+  CPPUNIT_TEST(test_tracks_the_state_of_this_proxy);
+  CPPUNIT_TEST(test_new_primary_replaces_only_its_group);
+  CPPUNIT_TEST(test_changed_backend_rebuilds_only_its_group);
+  CPPUNIT_TEST(test_ordinals_are_stable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -49,7 +49,7 @@
     groups_[GroupName("a")] = follow::GroupState{GroupName("a"), 3, BackendName("a-0")};
   }
 
-  void test_members_are_those_that_the_selector_selects() {
+  void test_members_follow_the_selector() {
     const auto view = build();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view->groups.size());
     CPPUNIT_ASSERT(members(*view, "a") == (std::vector<std::string>{"a-0", "a-1"}));
@@ -70,7 +70,7 @@
     CPPUNIT_ASSERT(members(*build(), "c").empty());
   }
 
-  void test_leaving_and_draining_backends_are_marked() {
+  void test_leaving_and_draining_backends_are_marked_leaving() {
     leaving_ = {"a-1"};
     put({"b-0", labels("group", "b"), config::BackendSpec{ZoneName("zone"), Endpoint{"10.0.0.1", 1}, true}});
     const auto view = build();
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(!is_leaving(*view, "b", "b-1"));
   }
 
-  void test_each_slot_has_its_group() {
+  void test_finds_the_group_of_each_slot() {
     const auto view = build();
     bool seen_a = false;
     bool seen_b = false;
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT(seen_a && seen_b);
   }
 
-  void test_slot_that_no_group_holds() {
+  void test_slot_outside_all_groups_has_no_group() {
     const auto slot = hash_slot("learner-1");
     put_group("a", 0, slot - 1);
     put_group("b", slot + 1, config::kHashSlots - 1);
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), find_group(*build(), statement("decks"))->name.value);
   }
 
-  void test_route_by_database_and_precedence() {
+  void test_finds_the_route_by_database_and_precedence() {
     config::Selector decks;
     decks.match_labels = labels("database", "decks");
     put_route("decks", 5, decks);
@@ -125,14 +125,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string("excluded"), route_of(*view, statement("trips")));
     CPPUNIT_ASSERT_EQUAL(std::string("excluded"), route_of(*view, statement("unheard-of")));
     CPPUNIT_ASSERT_EQUAL(std::string("all"), route_of(*view, statement("other")));
-    auto in_haste = statement("decks");
-    in_haste.labels.entries["urgency"] = "high";
-    CPPUNIT_ASSERT_EQUAL(std::string("urgent"), route_of(*view, in_haste));
+    auto urgent_statement = statement("decks");
+    urgent_statement.labels.entries["urgency"] = "high";
+    CPPUNIT_ASSERT_EQUAL(std::string("urgent"), route_of(*view, urgent_statement));
     objects_.erase({config::ObjectKind::kRoute, "excluded"});
     CPPUNIT_ASSERT_EQUAL(std::string("listed"), route_of(*build(), statement("vehicles")));
   }
 
-  void test_this_proxy() {
+  void test_tracks_the_state_of_this_proxy() {
     CPPUNIT_ASSERT(!build()->this_proxy_serves);
     put_proxy("proxy-1", false);
     put_proxy("proxy-2", false);
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT(!build()->this_proxy_serves);
   }
 
-  void test_new_primary_changes_one_group_only() {
+  void test_new_primary_replaces_only_its_group() {
     const auto before = build();
     groups_[GroupName("a")] = follow::GroupState{GroupName("a"), 4, BackendName("a-1")};
     const auto after = builder_.update(sources(), {{}, {GroupName("a")}, false});
@@ -160,7 +160,7 @@
     CPPUNIT_ASSERT_EQUAL(before->revision, after->revision);
   }
 
-  void test_change_of_a_backend_makes_its_group_anew_only() {
+  void test_changed_backend_rebuilds_only_its_group() {
     const auto before = build();
     put({"a-1", labels("group", "a"),
          config::BackendSpec{ZoneName("other"), Endpoint{"10.0.0.1", 1}, false}});
@@ -173,7 +173,7 @@
     CPPUNIT_ASSERT(before->routes == after->routes);
   }
 
-  void test_ordinals_stay_the_same() {
+  void test_ordinals_are_stable() {
     const auto before = build();
     put({"a-00", labels("group", "a"),
          config::BackendSpec{ZoneName("zone"), Endpoint{"10.0.0.9", 1}, false}});
--- a/tests/declared/routing/view_update_property_test.cpp
+++ b/tests/declared/routing/view_update_property_test.cpp
@@ -10,7 +10,7 @@
 using config::ObjectKind;
 
 /// Generates configurations from a small set of names and labels, so that changes often interact.
-class World {
+class ConfigurationGenerator {
  public:
   /// Applies one to four random changes and returns them.
   ViewChange change() {
@@ -88,10 +88,10 @@
   std::set<std::string> leaving_;
 };
 
-void assert_same_groups(const RoutingView& one, const RoutingView& other) {
-  RC_ASSERT(one.groups.size() == other.groups.size());
+void assert_same_groups(const RoutingView& actual, const RoutingView& other) {
+  RC_ASSERT(actual.groups.size() == other.groups.size());
   auto expected = other.groups.begin();
-  for (const auto& group : one.groups) {
+  for (const auto& group : actual.groups) {
     const auto& wanted = **expected++;
     RC_ASSERT(group->name == wanted.name);
     RC_ASSERT(group->labels == wanted.labels);
@@ -115,10 +115,10 @@
   }
 }
 
-void assert_same_routes(const RouteList& one, const RouteList& other) {
-  RC_ASSERT(one.size() == other.size());
+void assert_same_routes(const RouteList& actual, const RouteList& other) {
+  RC_ASSERT(actual.size() == other.size());
   auto expected = other.begin();
-  for (const auto& route : one) {
+  for (const auto& route : actual) {
     const auto& wanted = **expected++;
     RC_ASSERT(route->name == wanted.name);
     RC_ASSERT(route->spec == wanted.spec);
@@ -130,24 +130,24 @@
   }
 }
 
-void assert_same(const RoutingView& one, const RoutingView& other) {
-  RC_ASSERT(one.revision == other.revision);
-  RC_ASSERT(one.this_proxy_serves == other.this_proxy_serves);
-  RC_ASSERT(one.this_proxy_leaves == other.this_proxy_leaves);
-  RC_ASSERT(one.proxies_serving == other.proxies_serving);
-  assert_same_groups(one, other);
-  assert_same_routes(one.routes->any_database, other.routes->any_database);
-  RC_ASSERT(one.routes->by_database.size() == other.routes->by_database.size());
+void assert_same(const RoutingView& actual, const RoutingView& other) {
+  RC_ASSERT(actual.revision == other.revision);
+  RC_ASSERT(actual.this_proxy_serves == other.this_proxy_serves);
+  RC_ASSERT(actual.this_proxy_leaves == other.this_proxy_leaves);
+  RC_ASSERT(actual.proxies_serving == other.proxies_serving);
+  assert_same_groups(actual, other);
+  assert_same_routes(actual.routes->any_database, other.routes->any_database);
+  RC_ASSERT(actual.routes->by_database.size() == other.routes->by_database.size());
   auto expected = other.routes->by_database.begin();
-  for (const auto& entry : one.routes->by_database) {
+  for (const auto& entry : actual.routes->by_database) {
     RC_ASSERT(entry->database == (*expected)->database);
     assert_same_routes(entry->routes, (*expected++)->routes);
   }
 }
 
-ViewPointer update(ViewBuilder& builder, World& world) {
-  const auto change = world.change();
-  return builder.update(world.sources(), change);
+ViewPointer update(ViewBuilder& builder, ConfigurationGenerator& generator) {
+  const auto change = generator.change();
+  return builder.update(generator.sources(), change);
 }
 
 struct NumberOrder {
@@ -158,40 +158,40 @@
 
 class ViewUpdatePropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ViewUpdatePropertyTest);
-  CPPUNIT_TEST(test_updated_view_equals_the_one_built_anew);
-  CPPUNIT_TEST(test_earlier_view_stays_as_it_was);
-  CPPUNIT_TEST(test_shared_list_is_a_map);
+  CPPUNIT_TEST(test_updated_view_equals_a_rebuilt_one);
+  CPPUNIT_TEST(test_update_leaves_the_earlier_view_unchanged);
+  CPPUNIT_TEST(test_shared_list_behaves_like_a_map);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_updated_view_equals_the_one_built_anew() {
+  void test_updated_view_equals_a_rebuilt_one() {
     config::assert_property("the updated view equals a rebuilt one", [] {
-      World world;
+      ConfigurationGenerator generator;
       ViewBuilder builder(NodeName("machine-1"));
       for (int step = *rc::gen::inRange(1, 40); step > 0; --step) {
-        const auto updated = update(builder, world);
-        assert_same(*updated, *ViewBuilder(NodeName("machine-1")).rebuild(world.sources()));
+        const auto updated = update(builder, generator);
+        assert_same(*updated, *ViewBuilder(NodeName("machine-1")).rebuild(generator.sources()));
       }
     });
   }
 
-  void test_earlier_view_stays_as_it_was() {
+  void test_update_leaves_the_earlier_view_unchanged() {
     config::assert_property(
         "an update leaves the earlier view unchanged",
         [] {
-          World world;
+          ConfigurationGenerator generator;
           ViewBuilder builder(NodeName("machine-1"));
-          for (int step = 0; step < 20; ++step) update(builder, world);
-          const auto held = builder.rebuild(world.sources());
-          const auto copy = ViewBuilder(NodeName("machine-1")).rebuild(world.sources());
-          for (int step = 0; step < 5; ++step) update(builder, world);
+          for (int step = 0; step < 20; ++step) update(builder, generator);
+          const auto held = builder.rebuild(generator.sources());
+          const auto copy = ViewBuilder(NodeName("machine-1")).rebuild(generator.sources());
+          for (int step = 0; step < 5; ++step) update(builder, generator);
           assert_same(*held, *copy);
         },
         100);
   }
 
   /// The list is long enough for several chunks, which are split and removed again.
-  void test_shared_list_is_a_map() {
+  void test_shared_list_behaves_like_a_map() {
     config::assert_property(
         "a shared list behaves like a map",
         [] {
