--- a/src/declared/proxy/statement/backend_access.h
+++ b/src/declared/proxy/statement/backend_access.h
@@ -12,7 +12,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Owns one connection while it lives. On destruction the connection is returned for reuse unless it is
+/// Holds one connection for its lifetime. On destruction the connection is returned for reuse unless it is
 /// closed.
 class ConnectionLease {
  public:
--- a/src/declared/proxy/statement/read_executor.h
+++ b/src/declared/proxy/statement/read_executor.h
@@ -32,7 +32,7 @@
     routing::Decision decision;
   };
 
-  /// Selects the candidates. Holds the read for as long as the decision says, unless too many reads are
+  /// Selects the candidates. Holds the read for as long as the decision requires, unless too many reads are
   /// already held. `call` must outlive the coroutine.
   Awaitable<Choice> choose(const StatementCall& call, routing::Request& request);
   /// Tries the candidates in order. `previous` is the last attempt of an earlier selection. The arguments
--- a/src/declared/routing/backend_load.h
+++ b/src/declared/routing/backend_load.h
@@ -9,8 +9,8 @@
 
 namespace cairnhollow::declared::routing {
 
-/// After a connection failure reads skip the backend for this long, doubled with each consecutive failure up
-/// to kHoldOffLimit, and until it has answered a probe, so that no caller's read is used as the probe.
+/// After a backend could not be reached, reads skip it for this long, doubled with each consecutive failure
+/// up to kHoldOffLimit, and until it has answered a probe, so that no caller's read is used as the probe.
 inline constexpr Duration kHoldOffBase = std::chrono::milliseconds(100);
 inline constexpr Duration kHoldOffLimit = std::chrono::seconds(2);
 
