--- a/src/declared/proxy/calls/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -1,4 +1,4 @@
-// Readiness, metrics and explanations of the caller API, by domain.
+// Readiness, metrics and explain requests of the caller API, per domain.
 #include <boost/json.hpp>
 
 #include "declared/proxy/calls/caller_api.h"
@@ -43,12 +43,12 @@
     const bool admitted = admit(*domain, false, not_ready);
     if (!admitted) reason = not_ready;
     ready = ready || admitted;
-    json::object told{{"name", domain->name().value},
-                      {"ready", admitted},
-                      {"revision", domain->state().serving.view()->revision},
-                      {"lease_valid", domain->lease_valid()}};
-    if (!admitted) told["reason"] = not_ready.to_string();
-    domains.push_back(std::move(told));
+    json::object domain_status{{"name", domain->name().value},
+                               {"ready", admitted},
+                               {"revision", domain->state().serving.view()->revision},
+                               {"lease_valid", domain->lease_valid()}};
+    if (!admitted) domain_status["reason"] = not_ready.to_string();
+    domains.push_back(std::move(domain_status));
   }
   if (ready && !sends_callers_elsewhere()) {
     json::object body{{"ready", true}};
@@ -62,7 +62,7 @@
   }
   if (ready) reason = Reason{ReasonCode::kDraining, "readiness", "", "this proxy is leaving"};
   auto refused = refuse(std::move(reason));
-  name_renewal(refused);
+  set_renewal_retry(refused);
   return refusal_answer(refused, std::nullopt);
 }
 
@@ -75,7 +75,7 @@
 
 HttpResponse CallerApi::get_explain(const http::RequestTarget& target) {
   Reason reason;
-  // A recent request is found by its id, whatever its domain.
+  // A recent request is looked up by its id, in any domain.
   const DatabaseName database(target.parameter("database"));
   auto* domain = database.empty() ? domains_.all().front().get() : domains_.of_database(database, reason);
   if (domain == nullptr) return refusal_answer(refuse(std::move(reason)), std::nullopt);
--- a/src/declared/proxy/calls/request_table.h
+++ b/src/declared/proxy/calls/request_table.h
@@ -1,4 +1,4 @@
-// The requests that this proxy is serving now: at most one of each request id, and how many in all.
+// Tracks the requests that this proxy is serving: at most one per request id, and their total number.
 #pragma once
 
 #include <optional>
@@ -10,26 +10,26 @@
 
 class RequestTable {
  public:
-  /// Counts one request from its construction to its end. `id` may be empty: it is then only counted.
+  /// Tracks one request for the lifetime of this object. With an empty `id` it is only counted.
   class Entry {
    public:
     Entry(RequestTable& table, std::optional<RequestId> id) : table_(table), id_(std::move(id)) {
-      entered_ = !id_ || table_.ids_.insert(*id_).second;
+      is_unique_ = !id_ || table_.ids_.insert(*id_).second;
       ++table_.count_;
     }
     ~Entry() {
       --table_.count_;
-      if (id_ && entered_) table_.ids_.erase(*id_);
+      if (id_ && is_unique_) table_.ids_.erase(*id_);
     }
     Entry(const Entry&) = delete;
     Entry& operator=(const Entry&) = delete;
-    /// False when a request of the same id is being served: this one must be refused.
-    [[nodiscard]] bool entered() const { return entered_; }
+    /// False if a request with the same id is being served, in which case this one must be refused.
+    [[nodiscard]] bool is_unique() const { return is_unique_; }
 
    private:
     RequestTable& table_;
     std::optional<RequestId> id_;
-    bool entered_ = false;
+    bool is_unique_ = false;
   };
 
   [[nodiscard]] std::size_t count() const { return count_; }
--- a/src/declared/proxy/statement/attempt.h
+++ b/src/declared/proxy/statement/attempt.h
@@ -1,5 +1,5 @@
-// What the executors of reads, writes and transactions share: the proxy's state and the sending of one
-// statement to one backend.
+// State and functions shared by the executors of reads, writes and transactions: the proxy's state, and
+// sending one statement to one backend.
 #pragma once
 
 #include <memory>
@@ -34,53 +34,54 @@
   [[nodiscard]] const BackendName& backend_name() const { return backend->name; }
 };
 
-/// Counts a statement as load of a backend for as long as it lives: from before it waits for admission, so
-/// that others choose a backend with a shorter queue.
-class LoadCount {
+/// Counts a statement towards a backend's load for the lifetime of this object. Created before the statement
+/// waits for admission, so that other statements prefer backends with shorter queues.
+class ScopedLoad {
  public:
-  LoadCount(ProxyState& state, const AttemptTarget& target)
+  ScopedLoad(ProxyState& state, const AttemptTarget& target)
       : load_(state.estimates.load), ordinal_(target.backend->ordinal) {
     load_.statement_started(ordinal_);
   }
-  ~LoadCount() { load_.statement_ended(ordinal_); }
-  LoadCount(const LoadCount&) = delete;
-  LoadCount& operator=(const LoadCount&) = delete;
+  ~ScopedLoad() { load_.statement_ended(ordinal_); }
+  ScopedLoad(const ScopedLoad&) = delete;
+  ScopedLoad& operator=(const ScopedLoad&) = delete;
 
  private:
   routing::BackendLoadTable& load_;
   std::uint32_t ordinal_;
 };
 
-/// Looks the candidate up in the view that the decision was made from.
+/// Looks up the candidate in the view that the decision was based on.
 AttemptTarget make_target(const routing::RoutingView& view, const routing::Decision& decision,
                           const routing::Candidate& candidate);
-/// The primary of the group now; empty with kNoPrimary when none is known.
+/// Returns the group's current primary, or std::nullopt with kNoPrimary if none is known.
 std::optional<AttemptTarget> primary_target(const routing::RoutingView& view, const GroupName& group,
                                             Reason& reason);
 
-/// Acquires a connection to the target. Records a backend that cannot be reached, and suspects it when it
-/// is the primary.
+/// Acquires a connection to the target, or returns null with the reason. Records an unreachable backend as
+/// failed and, if it is the primary, reports the primary as suspect.
 Awaitable<std::unique_ptr<ConnectionLease>> acquire(ProxyState& state, AttemptTarget target,
                                                     Priority priority, TimePoint deadline, Reason& reason);
 
-/// The same for work that only the primary of the target's term can do: the wait ends with kNotPrimary as
-/// soon as another primary is known.
+/// Like acquire(), for work that only the primary of the target's term can do: the wait ends with kNotPrimary
+/// as soon as another primary is known.
 Awaitable<std::unique_ptr<ConnectionLease>> acquire_at_primary(ProxyState& state, AttemptTarget target,
                                                                Priority priority, TimePoint deadline,
                                                                Reason& reason);
 
-/// The refusal of a statement that could not acquire a connection to the target. For overload it names when
-/// the target's queue is likely worked off.
-Refused refuse_unacquired(const ProxyState& state, const AttemptTarget& target, Reason reason);
+/// Builds the refusal of a statement that could not acquire a connection to the target. For overload it
+/// includes when the target's queue is expected to have drained.
+Refused acquire_refusal(const ProxyState& state, const AttemptTarget& target, Reason reason);
 
-/// Sends one statement, unless the lease has lapsed meanwhile (then Failed, kNotSent, kLeaseExpired).
-/// Learns positions, primaries and failures from the answer.
+/// Sends one statement, unless the lease has expired in the meantime (then Failed, kNotSent, kLeaseExpired).
+/// Updates the estimates of positions, primaries and failures from the answer.
 Awaitable<backend::ExecuteAnswer> send(ProxyState& state, AttemptTarget target, ConnectionLease& lease,
                                        backend::Statement statement, backend::Requirements requirements,
                                        Reason& reason);
 
-/// Learns from an answer of the target. `asked_at` is when the question was sent, `reason` why it failed.
-void learn_from(ProxyState& state, const AttemptTarget& target, const backend::ExecuteAnswer& answer,
-                const Reason& reason, TimePoint asked_at);
+/// Updates the estimates from an answer of the target. `asked_at` is when the request was sent, `reason` why
+/// it failed.
+void update_estimates(ProxyState& state, const AttemptTarget& target, const backend::ExecuteAnswer& answer,
+                      const Reason& reason, TimePoint asked_at);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/routing/backend_load.cpp
+++ b/src/declared/routing/backend_load.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Failures in a row after which the hold-off has long reached its limit.
+/// Number of consecutive failures after which the hold-off has reached kHoldOffLimit; bounds the shift.
 constexpr std::uint32_t kMaximumDoublings = 16;
 
 }  // namespace
@@ -49,7 +49,7 @@
   ++known.answers;
 }
 
-bool BackendLoadTable::held_off(std::uint32_t ordinal, TimePoint now) const {
+bool BackendLoadTable::is_held_off(std::uint32_t ordinal, TimePoint now) const {
   if (ordinal >= entries_.size()) return false;
   const auto& known = entries_[ordinal];
   return known.awaits_probe || known.hold_off_until > now;
--- a/tests/declared/routing/choice_test.cpp
+++ b/tests/declared/routing/choice_test.cpp
@@ -1,4 +1,4 @@
-// The choice of backends: who may serve, in which order, and the reason for each one passed over.
+// Tests backend selection: the candidates, their order, and the reason why each other backend is skipped.
 #include "declared/routing/choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,24 +21,24 @@
   CPPUNIT_TEST(test_write_goes_to_the_primary_only);
   CPPUNIT_TEST(test_transaction_goes_to_the_primary_only);
   CPPUNIT_TEST(test_read_without_token_goes_to_the_primary);
-  CPPUNIT_TEST(test_read_prefers_the_zone_then_others_then_the_primary);
+  CPPUNIT_TEST(test_read_prefers_own_zone_then_other_zones_then_the_primary);
   CPPUNIT_TEST(test_read_prefers_the_less_loaded_replica);
   CPPUNIT_TEST(test_keys_spread_over_equal_replicas);
-  CPPUNIT_TEST(test_replica_that_lacks_the_position_is_passed_over);
-  CPPUNIT_TEST(test_replica_that_will_have_it_soon_comes_after_those_that_have_it);
-  CPPUNIT_TEST(test_read_is_held_for_the_replica_that_has_the_position_first);
-  CPPUNIT_TEST(test_read_is_not_held_past_its_bounds);
-  CPPUNIT_TEST(test_a_held_read_is_sent_when_its_time_has_come);
-  CPPUNIT_TEST(test_replica_too_old_for_the_route_is_passed_over);
-  CPPUNIT_TEST(test_replica_of_unknown_age_is_passed_over);
-  CPPUNIT_TEST(test_leaving_backends_are_passed_over);
-  CPPUNIT_TEST(test_held_off_replica_is_passed_over_until_it_answers_a_probe);
-  CPPUNIT_TEST(test_replica_not_selected_by_the_route_is_passed_over);
-  CPPUNIT_TEST(test_route_without_replica_reads);
-  CPPUNIT_TEST(test_the_cause_of_a_read_on_the_primary);
-  CPPUNIT_TEST(test_no_primary);
-  CPPUNIT_TEST(test_no_route);
-  CPPUNIT_TEST(test_no_group_for_the_slot);
+  CPPUNIT_TEST(test_replica_without_the_position_is_skipped);
+  CPPUNIT_TEST(test_replica_expected_to_catch_up_ranks_after_current_ones);
+  CPPUNIT_TEST(test_read_is_held_for_the_replica_expected_to_catch_up_first);
+  CPPUNIT_TEST(test_read_is_not_held_beyond_its_limits);
+  CPPUNIT_TEST(test_held_read_is_sent_when_its_hold_ends);
+  CPPUNIT_TEST(test_replica_exceeding_the_routes_staleness_is_skipped);
+  CPPUNIT_TEST(test_replica_of_unknown_age_is_skipped);
+  CPPUNIT_TEST(test_leaving_backends_are_skipped);
+  CPPUNIT_TEST(test_failed_replica_is_skipped_until_it_answers_a_probe);
+  CPPUNIT_TEST(test_replica_not_selected_by_the_route_is_skipped);
+  CPPUNIT_TEST(test_route_without_replica_reads_uses_the_primary);
+  CPPUNIT_TEST(test_reports_why_a_read_uses_the_primary);
+  CPPUNIT_TEST(test_group_without_primary_refuses_writes);
+  CPPUNIT_TEST(test_statement_without_route_is_refused);
+  CPPUNIT_TEST(test_slot_without_group_is_refused);
   CPPUNIT_TEST(test_route_of_highest_precedence_wins);
   CPPUNIT_TEST_SUITE_END();
 
@@ -89,7 +89,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kNotPrimary, "token");
   }
 
-  void test_read_prefers_the_zone_then_others_then_the_primary() {
+  void test_read_prefers_own_zone_then_other_zones_then_the_primary() {
     settings_.zone = ZoneName("zone-2");
     assert_candidates(decide(read()), {"database-2", "database-1", "database-0"});
     settings_.zone = ZoneName("zone-1");
@@ -116,11 +116,11 @@
     CPPUNIT_ASSERT(first < 2 * kKeys / 3);
   }
 
-  void test_replica_that_lacks_the_position_is_passed_over() {
+  void test_replica_without_the_position_is_skipped() {
     auto request = read();
     request.session_position = Position{1, 200};
     estimates_.freshness.observe_primary(group().name, Position{1, 200}, kNow);
-    // Both replicas are known to trail by far more than a replica may be let wait.
+    // Both replicas lag by far more than replica_wait.
     for (std::uint32_t index = 1; index < 3; ++index) {
       for (int repeat = 0; repeat < 30; ++repeat) {
         estimates_.freshness.observe_backend(group().name, index, kSeen, kNow + seconds(1));
@@ -131,7 +131,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kTooStale, "the session has seen 1.200");
   }
 
-  void test_replica_that_will_have_it_soon_comes_after_those_that_have_it() {
+  void test_replica_expected_to_catch_up_ranks_after_current_ones() {
     auto request = read();
     request.session_position = Position{1, 200};
     estimates_.freshness.observe_primary(group().name, Position{1, 200}, kNow - milliseconds(5));
@@ -140,21 +140,22 @@
     assert_candidates(decide(request), {"database-2", "database-1", "database-0"});
   }
 
-  void test_read_is_held_for_the_replica_that_has_the_position_first() {
+  void test_read_is_held_for_the_replica_expected_to_catch_up_first() {
     const auto request = read_after_write(seconds(1));
     // database-1 lags by 140 ms and database-2 by 120 ms; the write was sent 10 ms ago.
     const auto decision = decide(request);
     assert_candidates(decision, {"database-2", "database-1", "database-0"});
-    CPPUNIT_ASSERT(decision.hold == milliseconds(100));  // 10 ms before it is expected there
+    // 10 ms before the replica is expected to have the position.
+    CPPUNIT_ASSERT(decision.hold == milliseconds(100));
     CPPUNIT_ASSERT(decision.primary_read == PrimaryReadCause::kNone);
-    // One that surely has the position needs no wait.
+    // A replica known to have the position needs no hold.
     estimates_.freshness.observe_backend(group().name, 1, Position{1, 200}, kNow);
-    const auto sure = decide(request);
-    assert_candidates(sure, {"database-1", "database-2", "database-0"});
-    CPPUNIT_ASSERT(sure.hold == Duration(0));
+    const auto up_to_date = decide(request);
+    assert_candidates(up_to_date, {"database-1", "database-2", "database-0"});
+    CPPUNIT_ASSERT(up_to_date.hold == Duration(0));
   }
 
-  void test_read_is_not_held_past_its_bounds() {
+  void test_read_is_not_held_beyond_its_limits() {
     const auto little_time = decide(read_after_write(milliseconds(80)));
     assert_candidates(little_time, {"database-0"});
     CPPUNIT_ASSERT(little_time.hold == Duration(0));
@@ -168,18 +169,18 @@
     CPPUNIT_ASSERT(never.hold == Duration(0));
   }
 
-  void test_a_held_read_is_sent_when_its_time_has_come() {
+  void test_held_read_is_sent_when_its_hold_ends() {
     auto request = read_after_write(seconds(1));
-    request.first_chosen = kNow;
+    request.first_choice_at = kNow;
     CPPUNIT_ASSERT(decide(request, kNow + milliseconds(60)).hold == milliseconds(40));
     const auto due = decide(request, kNow + milliseconds(100));
     assert_candidates(due, {"database-2", "database-1", "database-0"});
     CPPUNIT_ASSERT(due.hold == Duration(0));
-    // A position that this proxy has not seen of the primary is expected a lag after the read came.
+    // A position that this proxy has not seen at the primary is expected one lag after the read arrived.
     request.session_position = Position{1, 900};
     CPPUNIT_ASSERT(decide(request).hold == milliseconds(110));
     CPPUNIT_ASSERT(decide(request, kNow + milliseconds(110)).hold == Duration(0));
-    // A replica that fails meanwhile is not waited for.
+    // A replica that fails in the meantime is not waited for.
     estimates_.load.failed(1, kNow + milliseconds(50));
     estimates_.load.failed(2, kNow + milliseconds(50));
     const auto failed = decide(request, kNow + milliseconds(50));
@@ -187,21 +188,21 @@
     CPPUNIT_ASSERT(failed.hold == Duration(0));
   }
 
-  void test_replica_too_old_for_the_route_is_passed_over() {
+  void test_replica_exceeding_the_routes_staleness_is_skipped() {
     estimates_.freshness.observe_primary(group().name, Position{1, 300}, kNow + seconds(5));
     const auto decision = decide(read(), kNow + seconds(6));
     assert_candidates(decision, {"database-0"});
     assert_passed_over(decision, "database-1", ReasonCode::kTooStale, "the route allows 2000 ms");
   }
 
-  void test_replica_of_unknown_age_is_passed_over() {
+  void test_replica_of_unknown_age_is_skipped() {
     estimates_ = BackendEstimates{};
     const auto decision = decide(read());
     assert_candidates(decision, {"database-0"});
     assert_passed_over(decision, "database-1", ReasonCode::kTooStale, "age unknown");
   }
 
-  void test_leaving_backends_are_passed_over() {
+  void test_leaving_backends_are_skipped() {
     group_.members[1].leaving = true;
     const auto replica_leaves = decide(read());
     assert_candidates(replica_leaves, {"database-2", "database-0"});
@@ -217,7 +218,7 @@
     CPPUNIT_ASSERT(no_write.refusal.code == ReasonCode::kNoBackend);
   }
 
-  void test_held_off_replica_is_passed_over_until_it_answers_a_probe() {
+  void test_failed_replica_is_skipped_until_it_answers_a_probe() {
     estimates_.load.failed(1, kNow);
     assert_passed_over(decide(read()), "database-1", ReasonCode::kUnreachable, "failed");
     const auto later = kNow + kHoldOffLimit;
@@ -227,7 +228,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, decision.candidates.size());
   }
 
-  void test_replica_not_selected_by_the_route_is_passed_over() {
+  void test_replica_not_selected_by_the_route_is_skipped() {
     config::RouteSpec route;
     route.precedence = 5;
     route.replica_selector.match_labels.entries["index"] = "2";
@@ -237,7 +238,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kNoRoute, "does not select");
   }
 
-  void test_route_without_replica_reads() {
+  void test_route_without_replica_reads_uses_the_primary() {
     config::RouteSpec route;
     route.precedence = 5;
     route.replica_reads = false;
@@ -247,7 +248,7 @@
     assert_passed_over(decision, "database-1", ReasonCode::kNotPrimary, "the route sends reads");
   }
 
-  void test_the_cause_of_a_read_on_the_primary() {
+  void test_reports_why_a_read_uses_the_primary() {
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kNone);
     auto write = read();
     write.kind = backend::StatementKind::kWrite;
@@ -257,7 +258,7 @@
     CPPUNIT_ASSERT(decide(without_token).primary_read == PrimaryReadCause::kNoToken);
     for (std::uint32_t index = 1; index < 3; ++index) group_.members[index].leaving = true;
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kNoReplica);
-    // Of several causes that of the replica nearest to serving is told.
+    // With different causes, that of the replica closest to serving the read is reported.
     group_.members[1].leaving = false;
     estimates_.load.failed(1, kNow);
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kUnreachable);
@@ -275,7 +276,7 @@
     CPPUNIT_ASSERT(decide(read()).primary_read == PrimaryReadCause::kRoute);
   }
 
-  void test_no_primary() {
+  void test_group_without_primary_refuses_writes() {
     group_.primary = BackendName();
     assert_candidates(decide(read()), {"database-1", "database-2", "database-0"}, true);
     auto write = read();
@@ -287,7 +288,7 @@
     CPPUNIT_ASSERT(!decision.refusal.step.empty());
   }
 
-  void test_no_route() {
+  void test_statement_without_route_is_refused() {
     auto request = read();
     request.database = DatabaseName("other");
     request.labels.entries["database"] = "other";
@@ -296,7 +297,7 @@
     CPPUNIT_ASSERT(decision.refusal.code == ReasonCode::kNoRoute);
   }
 
-  void test_no_group_for_the_slot() {
+  void test_slot_without_group_is_refused() {
     group_.spec.hash_slots = config::HashSlotRange{0, 0};
     const auto decision = decide(read());
     CPPUNIT_ASSERT(decision.candidates.empty());
@@ -327,8 +328,8 @@
     request.session_position = kSeen;
     return request;
   }
-  /// A read of a session whose write got position 200 and was sent 10 ms ago. Both replicas lack it;
-  /// database-1 is known to lag by 140 ms and database-2 by 120 ms.
+  /// A read in a session whose write got position 200 and was sent 10 ms ago. Neither replica has it;
+  /// database-1 lags by 140 ms and database-2 by 120 ms.
   Request read_after_write(Duration hold_limit) {
     estimates_ = BackendEstimates{};
     auto& freshness = estimates_.freshness;
@@ -383,7 +384,7 @@
       CPPUNIT_ASSERT_MESSAGE(entry.reason.detail, entry.reason.detail.find(words) != std::string::npos);
       return;
     }
-    CPPUNIT_FAIL(backend + " was not passed over");
+    CPPUNIT_FAIL(backend + " was not skipped");
   }
 
   GroupView group_;
