--- a/src/declared/control/follow/batch_history.h
+++ b/src/declared/control/follow/batch_history.h
@@ -1,5 +1,5 @@
-// Which objects each batch of changes touched that a relay took in. Unlike config::ChangeHistory, a batch may
-// span several revisions.
+// Records which objects each batch of changes received by a relay touched. Unlike in config::ChangeHistory, a
+// batch may span several revisions.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace cairnhollow::declared::control {
 
-/// Bounded: old batches are dropped once more than kMaximumKeys objects are named.
+/// Bounded: the oldest batches are dropped once the history holds more than kMaximumKeys object keys.
 class BatchHistory {
  public:
   static constexpr std::size_t kMaximumKeys = 65536;
 
-  /// `from` is the revision before the batch, `to` the one after it.
+  /// Records the changes after revision `from` up to and including revision `to`.
   void record(std::uint64_t from, std::uint64_t to, std::vector<config::ObjectKey> touched);
-  /// Everything before `revision` is unknown from now on.
+  /// Clears the history; changes up to and including `revision` are unknown from now on.
   void restart(std::uint64_t revision);
-  /// The objects touched after `revision`, and perhaps some that were not; empty when no longer kept.
+  /// Returns a superset of the objects touched after `revision`, or std::nullopt if `revision` is outside the
+  /// retained range.
   [[nodiscard]] std::optional<std::set<config::ObjectKey>> touched_since(std::uint64_t revision) const;
 
  private:
@@ -30,9 +31,9 @@
     std::vector<config::ObjectKey> touched;
   };
 
-  std::uint64_t known_from_ = 0;  ///< what came after this revision is known
+  std::uint64_t known_from_ = 0;  ///< changes after this revision are known
   std::uint64_t last_ = 0;
-  std::deque<Batch> batches_;  ///< ascending
+  std::deque<Batch> batches_;  ///< in ascending order of revision
   std::size_t key_count_ = 0;
 };
 
--- a/src/declared/control/follow/change_command.h
+++ b/src/declared/control/follow/change_command.h
@@ -1,4 +1,4 @@
-// A change of the configuration as an entry of the replicated log.
+// Encodes a configuration change as an entry of the replicated log.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,9 @@
 
 namespace cairnhollow::declared::control {
 
-/// Written in the format `feature_level`. Empty with kUnsupported when the change says something that the
-/// format can't hold: voters of an earlier build would drop it, and their configuration would be another one.
+/// Encodes `request` in format `feature_level`. Returns std::nullopt and sets kUnsupported if the request
+/// uses a field that this format cannot represent: voters running an earlier build would drop the field, and
+/// their configuration would diverge.
 std::optional<std::string> encode_change(const config::ChangeRequest& request, wire::Format feature_level,
                                          Reason& reason);
 
--- a/src/declared/control/follow/config_replica.cpp
+++ b/src/declared/control/follow/config_replica.cpp
@@ -12,7 +12,7 @@
   if (request) {
     outcome = machine_.apply(*request);
   } else {
-    // The same on every node: the bytes are the same. Nothing is changed.
+    // Deterministic: every node decodes the same bytes and fails alike. The configuration is left unchanged.
     outcome.revision = machine_.revision();
     outcome.reason = reason;
     runtime_.logger().log(runtime::LogLevel::kError, "change_not_readable", reason, {});
--- a/src/declared/control/follow/config_replica.h
+++ b/src/declared/control/follow/config_replica.h
@@ -1,4 +1,4 @@
-// The replicated configuration on this control node: what the consensus log drives.
+// The replicated configuration of a control node, driven by the consensus log.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,8 @@
 
 namespace cairnhollow::declared::control {
 
-/// Applies committed ChangeRequests and remembers when and with what outcome. `runtime` outlives it.
+/// Applies committed ChangeRequests; records their outcomes and the time at which each revision was applied.
+/// `runtime` is not owned and must outlive this object.
 class ConfigReplica : public consensus::ReplicatedStateMachine, public ConfigView {
  public:
   explicit ConfigReplica(runtime::Runtime& runtime, wire::Format feature_level = wire::kWrittenFormat)
@@ -32,9 +33,11 @@
   [[nodiscard]] std::optional<config::ConfigChanges> changes_since(std::uint64_t revision) const override {
     return machine_.changes_since(revision);
   }
-  /// The outcome of the change committed at a log index; kept for the last kOutcomesKept changes.
+  /// Returns the outcome of the change committed at log index `index`, or std::nullopt if it is not among the
+  /// last kOutcomesKept changes.
   [[nodiscard]] std::optional<config::ChangeOutcome> outcome_at(std::uint64_t index) const;
-  /// The highest revision that this node had applied by `time`; 0 when none of those kept.
+  /// Returns the highest revision that this node had applied by `time`; 0 if none of the retained revisions
+  /// is that old.
   [[nodiscard]] std::uint64_t revision_at(TimePoint time) const;
   [[nodiscard]] wire::Format feature_level() const override { return feature_level_; }
   runtime::Signal& changed() override { return changed_; }
@@ -50,8 +53,8 @@
   runtime::Runtime& runtime_;
   wire::Format feature_level_;
   config::StateMachine machine_;
-  std::map<std::uint64_t, config::ChangeOutcome> outcomes_;  ///< by log index
-  std::deque<RevisionTime> revision_times_;                  ///< ascending
+  std::map<std::uint64_t, config::ChangeOutcome> outcomes_;  ///< keyed by log index
+  std::deque<RevisionTime> revision_times_;                  ///< in ascending order of revision
   runtime::Signal changed_;
 };
 
--- a/src/declared/control/follow/config_view.h
+++ b/src/declared/control/follow/config_view.h
@@ -1,5 +1,5 @@
-// The configuration as a control node serves it to its followers: replicated by consensus on a voter,
-// followed from another control node on a relay.
+// Interface to the configuration that a control node serves to its followers: on a voter it is replicated by
+// consensus, on a relay it is followed from another control node.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,15 @@
  public:
   virtual ~ConfigView() = default;
   [[nodiscard]] virtual std::uint64_t revision() const = 0;
-  /// By kind, then name.
+  /// Ordered by kind, then name.
   [[nodiscard]] virtual std::vector<config::StoredObject> objects() const = 0;
-  /// Changes after `revision`; empty when they are no longer kept: then all objects are sent.
+  /// Returns the changes after `revision`, or std::nullopt if they are no longer retained; the caller then
+  /// sends a full snapshot.
   [[nodiscard]] virtual std::optional<config::ConfigChanges> changes_since(std::uint64_t revision) const = 0;
-  /// The format in which the configuration is written and sent on, as far as it loses nothing.
+  /// The preferred encoding format. Content that it cannot represent is encoded in the earliest later format
+  /// that can.
   [[nodiscard]] virtual wire::Format feature_level() const { return wire::kWrittenFormat; }
-  /// Notified after the revision has grown.
+  /// Notified after the revision has increased.
   virtual runtime::Signal& changed() = 0;
 };
 
--- a/src/declared/control/follow/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -79,7 +79,8 @@
   const Duration hold = std::clamp<Duration>(request->hold, Duration(0), serving_lease_ / kHoldLeaseDivisor);
   Question question;
   question.arrived = runtime_.now();
-  // A replaced question was due by its own time: a follower that asks often must not be held for ever.
+  // A request that replaces an open one inherits its hold deadline; otherwise a client that sends requests
+  // frequently could be held indefinitely.
   question.hold_until = question.arrived + hold;
   if (follower.question) question.hold_until = std::min(question.hold_until, follower.question->hold_until);
   question.request = std::move(*request);
@@ -122,7 +123,7 @@
 }
 
 std::vector<FollowServer::BatchEntry> FollowServer::collect_batch() const {
-  // Questions that are due soon join the round: it costs them nothing and saves a round.
+  // Requests due within one tick join the batch, which saves a separate quorum round for them.
   const TimePoint soon = runtime_.now() + kRenewalTick;
   std::vector<BatchEntry> batch;
   for (const auto& [id, follower] : followers_) {
@@ -161,13 +162,14 @@
   const auto found = followers_.find(entry.follower);
   if (found == followers_.end()) return nullptr;
   const auto& question = found->second->question;
-  // A question that replaced the one in the batch came after the barrier had begun: it waits for the next.
+  // A request that replaced the one in the batch arrived after the barrier had begun, so it waits for the
+  // next barrier.
   return question && question->request.nonce == entry.nonce ? found->second : nullptr;
 }
 
 Awaitable<void> FollowServer::send_first_configurations() {
   while (!first_configurations_.empty()) {
-    co_await runtime_.sleep_for(Duration(0));  // what else is ready goes first
+    co_await runtime_.sleep_for(Duration(0));  // yield so that other ready work runs first
     const BatchEntry entry = first_configurations_.front();
     first_configurations_.pop_front();
     if (const auto follower = find_asker(entry)) answer(follower);
@@ -185,7 +187,7 @@
   }
   const Reason come_back{ReasonCode::kOverloaded, "follow", "",
                          "other first configurations are on their way"};
-  // A first configuration is not even encoded in vain.
+  // Skip encoding a full configuration that could not be sent now.
   const bool is_full = question.request.revision == 0 && !has_room(kLargeUpdateBytes);
   const std::string* update = nullptr;
   if (!is_full) update = &encoder_.update_since(question.request.revision, question.request.news_version);
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -1,5 +1,5 @@
-// The control node's side of the follow stream: answers proxies' questions, each only after a quorum round
-// that began after the question arrived, so that a control node that is cut off can renew no lease.
+// Server side of the follow protocol. Each request is answered only after a quorum round that began after the
+// request arrived, so a control node cut off from the quorum cannot renew leases.
 #pragma once
 
 #include <cstdint>
@@ -21,34 +21,36 @@
 
 namespace cairnhollow::declared::control {
 
-/// Counters since the start.
+/// Counters since start.
 struct FollowServerStatistics {
   std::uint64_t questions = 0;
   std::uint64_t answers = 0;
   std::uint64_t refusals = 0;
-  std::uint64_t told_to_come_back = 0;  ///< of the refusals: too many large updates were on their way
-  std::uint64_t quorum_rounds = 0;      ///< barriers waited for; each serves many questions
+  std::uint64_t told_to_come_back = 0;  ///< refusals because too many large updates were in flight
+  std::uint64_t quorum_rounds = 0;      ///< read barriers waited for; each serves many requests
 };
 
-/// A question without news is held for the time that it allows; all questions due are answered after one
-/// read barrier. A newer question on a connection replaces an open one. When a barrier fails, all
-/// questions due are refused at once. Of those that it confirms, renewals are answered before first
-/// configurations, which then follow one in each turn of the event loop. Large updates on their way are
-/// bounded (kLargeUpdateBytesAtOnce), so that many first configurations neither fill the memory nor hold up
-/// the renewals of those who serve; who asks for one more gets kOverloaded at once and comes back. What it
-/// refers to outlives it; it lives until the process ends.
+/// A request that has nothing new to report is held for the time it allows; all due requests are answered
+/// after one read barrier. A newer request on a connection replaces the open one. If the barrier fails, all
+/// due requests are refused at once. After a successful barrier, lease renewals are answered before first
+/// configurations, which are then sent one per turn of the event loop. The bytes of large updates in flight
+/// are limited (kLargeUpdateBytesAtOnce) so that many first configurations neither exhaust memory nor delay
+/// lease renewals; a follower above the limit is refused at once with kOverloaded and retries. References
+/// passed to the constructor are not owned and must outlive this object, which must live until the process
+/// ends.
 class FollowServer {
  public:
   FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
                ConfigView& configuration, NewsDirectory& directory);
 
   void start();
-  /// Refuses every open question with kDraining and closes the connections.
+  /// Refuses every open request with kDraining and closes the connections.
   void stop();
   /// Serves one follower until its connection ends.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
 
-  /// Called for each suspicion that a proxy reports. Set before start().
+  /// Sets the callback invoked for each suspected primary that a proxy reports. Must be called before
+  /// start().
   void on_suspect(std::function<void(const follow::SuspectPrimary&)> callback) {
     on_suspect_ = std::move(callback);
   }
@@ -61,23 +63,23 @@
     follow::FollowRequest request;
     TimePoint arrived{};
     TimePoint hold_until{};
-    bool confirmed = false;  ///< by a barrier; its first configuration is about to be sent
+    bool confirmed = false;  ///< confirmed by a barrier; its first configuration is about to be sent
   };
   struct Outgoing {
     std::string frame;               ///< an encoded answer
-    std::size_t large_bytes = 0;     ///< what it takes of kLargeUpdateBytesAtOnce
-    std::uint64_t large_number = 0;  ///< of a large one, counted up from 1
+    std::size_t large_bytes = 0;     ///< bytes counted against kLargeUpdateBytesAtOnce; 0 for a small answer
+    std::uint64_t large_number = 0;  ///< sequence number of a large update, from 1; 0 for a small answer
   };
   struct Follower {
     std::shared_ptr<runtime::FrameConnection> connection;
     NodeName node;
     ZoneName zone;
     std::optional<Question> question;
-    std::deque<Outgoing> outgoing;  ///< the front one is being sent
+    std::deque<Outgoing> outgoing;  ///< the front entry is being sent
     bool sending = false;
   };
   using FollowerId = std::uint64_t;
-  /// A question of the batch that a barrier is run for.
+  /// A request in the batch that a barrier is run for.
   struct BatchEntry {
     FollowerId follower = 0;
     std::uint64_t nonce = 0;
@@ -86,7 +88,7 @@
   Awaitable<void> run();
   Awaitable<void> forward(runtime::Signal& from);
   Awaitable<void> answer_batch();
-  /// Answers those that wait for a first configuration, one in each turn of the event loop.
+  /// Answers the confirmed first configurations, one per turn of the event loop.
   Awaitable<void> send_first_configurations();
   Awaitable<void> send_outgoing(std::shared_ptr<Follower> follower);
   bool take_question(Follower& follower, const std::string& frame);
@@ -94,16 +96,16 @@
   [[nodiscard]] bool any_due() const;
   [[nodiscard]] TimePoint next_due() const;
   [[nodiscard]] std::vector<BatchEntry> collect_batch() const;
-  /// The follower, if the question of the batch is still its open one.
+  /// Returns the follower if its open request is still the one in the batch, else null.
   [[nodiscard]] std::shared_ptr<Follower> find_asker(const BatchEntry& entry) const;
   void answer(const std::shared_ptr<Follower>& follower);
   void refuse(const std::shared_ptr<Follower>& follower, const Reason& reason);
   void refuse_due(const Reason& reason);
-  /// Whether an update of this many bytes may be sent now.
+  /// Whether an update of `update_bytes` bytes may be sent now.
   [[nodiscard]] bool has_room(std::size_t update_bytes) const;
   void send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer);
   void release(const Outgoing& outgoing);
-  /// Closes the connection when the large update is still not sent after kLargeUpdateLimit.
+  /// Closes the connection if the large update has not been sent within kLargeUpdateLimit.
   Awaitable<void> limit_large_update(std::shared_ptr<Follower> follower, std::uint64_t large_number);
 
   runtime::Runtime& runtime_;
@@ -117,10 +119,10 @@
   std::function<void(const follow::SuspectPrimary&)> on_suspect_;
   std::map<FollowerId, std::shared_ptr<Follower>> followers_;
   FollowerId next_follower_ = 1;
-  std::deque<BatchEntry> first_configurations_;  ///< confirmed, to be sent
+  std::deque<BatchEntry> first_configurations_;  ///< confirmed by a barrier, waiting to be sent
   runtime::Signal wake_;
-  TimePoint sleeping_until_ = TimePoint::max();  ///< when run() wakes by itself
-  std::size_t large_bytes_ = 0;                  ///< of large updates on their way
+  TimePoint sleeping_until_ = TimePoint::max();  ///< when run() next wakes without a notification
+  std::size_t large_bytes_ = 0;                  ///< total size of the large updates in flight
   std::uint64_t large_updates_ = 0;
   bool sending_first_configurations_ = false;
   bool stopping_ = false;
--- a/src/declared/control/follow/followed_config.h
+++ b/src/declared/control/follow/followed_config.h
@@ -1,5 +1,5 @@
-// A relay's configuration: the copy that its follow client keeps, with the changes that its own followers
-// miss.
+// The configuration of a relay: the copy held by its follow client, with a change history to serve its own
+// followers incrementally.
 #pragma once
 
 #include "declared/control/follow/batch_history.h"
@@ -9,14 +9,14 @@
 
 namespace cairnhollow::declared::control {
 
-/// `client` and `runtime` outlive it.
+/// `client` and `runtime` are not owned and must outlive this object.
 class FollowedConfig : public ConfigView {
  public:
   FollowedConfig(runtime::Runtime& runtime, const follow::FollowClient& client,
                  wire::Format feature_level = wire::kWrittenFormat)
       : client_(client), feature_level_(feature_level), changed_(runtime) {}
 
-  /// To be called with the effect of each answer that the client took in.
+  /// Must be called with the effect of each answer that the client applied.
   void record_answer(const follow::AnswerEffect& effect);
 
   [[nodiscard]] std::uint64_t revision() const override { return client_.current().revision; }
@@ -33,7 +33,8 @@
   runtime::Signal changed_;
 };
 
-/// One question to the control node followed stands for all followers that wait. `client` outlives it.
+/// Renewal barrier of a relay: one request to the upstream control node covers all waiting followers.
+/// `client` is not owned and must outlive this object.
 class FollowBarrier : public RenewalBarrier {
  public:
   explicit FollowBarrier(follow::FollowClient& client) : client_(client) {}
--- a/src/declared/control/follow/follower_registry.h
+++ b/src/declared/control/follow/follower_registry.h
@@ -1,4 +1,4 @@
-// Who follows this control node: revision, lease and load of each proxy as its last question said.
+// Tracks the followers of a control node: revision, lease and load of each proxy as of its last request.
 #pragma once
 
 #include <cstdint>
@@ -14,28 +14,29 @@
 struct FollowerStatus {
   NodeName node;
   ZoneName zone;
-  std::uint64_t revision = 0;  ///< held by the proxy for certain: it named it in a question
-  TimePoint lease_until{};     ///< the lease given here has lapsed by then for certain
+  std::uint64_t revision = 0;  ///< lower bound: the proxy named it in a request
+  TimePoint
+      lease_until{};  ///< on this node's clock; the proxy's lease has expired by then, clock drift included
   std::uint64_t in_flight = 0;
   bool draining = false;
   [[nodiscard]] bool may_serve(TimePoint now) const { return now < lease_until; }
 };
 
-/// Keeps a proxy until a while after its lease has lapsed.
+/// Keeps an entry for some time after the proxy's lease has expired.
 class FollowerRegistry {
  public:
   explicit FollowerRegistry(Duration serving_lease) : serving_lease_(serving_lease) {}
 
   void record_question(const NodeName& node, const ZoneName& zone, const follow::FollowRequest& request);
-  /// A lease was given for a question that arrived at `arrived`.
+  /// Records that a lease was granted for a request that arrived at `arrived`.
   void record_lease(const NodeName& node, TimePoint arrived);
-  /// Forgets proxies whose lease lapsed long ago.
+  /// Removes proxies whose lease expired more than kLapsedFollowerKept before `now`.
   void forget_lapsed(TimePoint now);
 
   [[nodiscard]] std::vector<FollowerStatus> list() const;
-  /// Proxies that may serve now.
+  /// Number of proxies whose lease has not expired at `now`.
   [[nodiscard]] std::size_t serving(TimePoint now) const;
-  /// Least revision over the proxies that may serve now; empty when there are none.
+  /// Lowest revision among the proxies that may serve at `now`, or std::nullopt if there are none.
   [[nodiscard]] std::optional<std::uint64_t> least_revision(TimePoint now) const;
 
  private:
@@ -43,7 +44,7 @@
   std::map<NodeName, FollowerStatus> followers_;
 };
 
-/// How long after a question's arrival its lease has lapsed on the proxy's clock too, which may be slower.
+/// Time after a request's arrival by which its lease has expired even on a proxy whose clock runs slower.
 Duration lease_with_drift(Duration serving_lease);
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/follow/renewal_barrier.h
+++ b/src/declared/control/follow/renewal_barrier.h
@@ -1,5 +1,5 @@
-// What a control node waits for before it renews serving leases: proof that the configuration it holds was in
-// force after the followers had asked.
+// Barrier that a control node passes before renewing serving leases: proof that its configuration was current
+// after the requests arrived.
 #pragma once
 
 #include "consensus/consensus.h"
@@ -9,12 +9,13 @@
 class RenewalBarrier {
  public:
   virtual ~RenewalBarrier() = default;
-  /// True once a quorum round that began after this call has confirmed everything accepted before it, and
-  /// the local configuration holds that. Fails at once when it can't succeed.
+  /// Returns true once a quorum round that began after this call has confirmed everything accepted before it
+  /// and the local configuration includes it. Returns false with `reason` by `deadline`, or immediately if it
+  /// cannot succeed.
   virtual Awaitable<bool> wait(TimePoint deadline, Reason& reason) = 0;
 };
 
-/// A member of the consensus group. `consensus` outlives it.
+/// Barrier for a member of the consensus group. `consensus` is not owned and must outlive this object.
 class ConsensusBarrier : public RenewalBarrier {
  public:
   explicit ConsensusBarrier(consensus::Consensus& consensus) : consensus_(consensus) {}
--- a/src/declared/control/follow/update_encoder.h
+++ b/src/declared/control/follow/update_encoder.h
@@ -1,4 +1,4 @@
-// Encodes what changed since a follower's last answer, once for all followers at the same place.
+// Encodes the updates for followers, once for all followers at the same revision and news version.
 #pragma once
 
 #include <compare>
@@ -11,17 +11,17 @@
 
 namespace cairnhollow::declared::control {
 
-/// `configuration` and `directory` outlive it.
+/// `configuration` and `directory` are not owned and must outlive this object.
 class UpdateEncoder {
  public:
   UpdateEncoder(const ConfigView& configuration, const NewsDirectory& directory)
       : configuration_(configuration), directory_(directory) {}
 
-  /// An encoded FollowUpdate that brings a follower from (revision, news version) to the present; empty
-  /// when nothing changed. The reference holds until the next call.
+  /// Returns an encoded FollowUpdate that brings a follower from (revision, news version) to the current
+  /// state; empty if nothing changed. The reference is valid until the next call.
   const std::string& update_since(std::uint64_t revision, std::uint64_t news_version);
 
-  /// How many updates were encoded, for tests and metrics.
+  /// Number of updates encoded so far, for tests and metrics.
   [[nodiscard]] std::uint64_t encoded() const { return encoded_; }
 
  private:
@@ -36,7 +36,7 @@
   const ConfigView& configuration_;
   const NewsDirectory& directory_;
   Place present_;
-  std::map<Place, std::string> updates_;  ///< from each place to `present_`
+  std::map<Place, std::string> updates_;  ///< keyed by start; each leads to `present_`
   std::uint64_t encoded_ = 0;
 };
 
--- a/tests/declared/control/follow/batch_history_test.cpp
+++ b/tests/declared/control/follow/batch_history_test.cpp
@@ -1,4 +1,4 @@
-// What a relay remembers of the batches of changes that it took in.
+// Tests which changes a relay's batch history reports and when it forgets them.
 #include "declared/control/follow/batch_history.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/control/follow/first_configurations_test.cpp
+++ b/tests/declared/control/follow/first_configurations_test.cpp
@@ -1,5 +1,5 @@
-// Many first configurations at once: how many are on their way together, what the others are told, and that
-// those who serve are renewed meanwhile.
+// Many followers request their first configuration at once: in-flight updates are limited, excess followers
+// are refused, and lease renewals continue.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <deque>
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kObjects = 2000;
 constexpr std::size_t kLabelBytes = 1000;
-/// How many configurations of this size may be on their way at once.
+/// Number of configurations of this size that may be in flight at once.
 constexpr std::size_t kFit = kLargeUpdateBytesAtOnce / (kObjects * (kLabelBytes + 100));
 constexpr std::uint64_t kRevision = 7;
 
@@ -51,7 +51,7 @@
   runtime::Signal changed_;
 };
 
-/// Takes frames only when it is told to.
+/// Completes the send of an update only after take_all().
 class SlowConnection : public runtime::FrameConnection {
  public:
   explicit SlowConnection(runtime::Runtime& runtime) : changed_(runtime) {}
@@ -143,7 +143,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(kFollowers - kFit, refused);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{refused}, server_->statistics().told_to_come_back);
-    // As soon as one has taken its own, there is room for one more.
+    // Completing one send makes room for one more configuration.
     followers_.front()->take_all();
     world_->run_for(milliseconds(50));
     ask_all();
--- a/tests/declared/control/follow/follow_roles.h
+++ b/tests/declared/control/follow/follow_roles.h
@@ -1,4 +1,4 @@
-// The two sides of the follow stream as bare processes: a control node reduced to its follow server, and a
+// Simulated processes for tests of the follow protocol: a control node reduced to its follow server, and a
 // follower.
 #pragma once
 
@@ -20,7 +20,7 @@
 inline const Endpoint kRelay{"10.0.1.2", 4000};
 inline const Endpoint kSecond{"10.0.1.3", 4000};
 
-/// Read barriers that succeed, fail or hang, as the test says.
+/// Consensus whose read barriers succeed or fail, as `quorum` says.
 class FakeConsensus : public consensus::Consensus {
  public:
   explicit FakeConsensus(runtime::Runtime& runtime) : runtime_(runtime) {}
@@ -50,7 +50,7 @@
   runtime::Runtime& runtime_;
 };
 
-/// A control node reduced to its follow server.
+/// A control node that runs only its follow server.
 class ServerRole : public runtime::Role {
  public:
   explicit ServerRole(runtime::Runtime& runtime, Endpoint endpoint = kServer)
@@ -87,7 +87,7 @@
   wire::ConnectionDispatcher dispatcher_;
 };
 
-/// A follower: nothing but its client.
+/// A follower that runs only its follow client.
 class ClientRole : public runtime::Role {
  public:
   ClientRole(runtime::Runtime& runtime, follow::FollowClientSettings settings)
@@ -103,7 +103,7 @@
   follow::FollowClient client;
 };
 
-/// A change that writes one backend, as the log holds it.
+/// Returns an encoded log entry that writes one backend.
 inline std::string write_command(int number, const std::string& name) {
   config::ChangeRequest request;
   request.change_id = "change-" + std::to_string(number);
--- a/tests/declared/control/follow/follow_server_test.cpp
+++ b/tests/declared/control/follow/follow_server_test.cpp
@@ -1,5 +1,5 @@
-// The follow stream, both sides, over the virtual network: incremental answers, snapshots, leases that only a
-// quorum round renews, and frames that are no messages.
+// Tests the follow protocol end to end over the simulated network: incremental updates, snapshots, leases
+// renewed only by a quorum round, and malformed frames.
 #include "declared/control/follow/follow_server.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,7 +21,7 @@
 using testing::ServerRole;
 using testing::write_command;
 
-/// Sends raw frames and keeps the answers.
+/// Sends raw frames and sets `closed` once the server has closed the connection.
 Awaitable<void> send_frames(runtime::Runtime& runtime, std::vector<std::string> frames, bool& closed) {
   Reason reason;
   const TimePoint deadline = runtime.now() + seconds(1);
@@ -112,7 +112,7 @@
     CPPUNIT_ASSERT(client(1).lease_valid(world_->runtime(client_name(1)).now()));
     server().consensus.quorum = false;
     world_->run_for(kLease + milliseconds(1));
-    // The last answer before the loss counts from its question, so that the lease has lapsed by now.
+    // The last lease counts from when its request was sent, so it has expired by now.
     const TimePoint now = world_->runtime(client_name(1)).now();
     CPPUNIT_ASSERT(!client(1).lease_valid(now));
     CPPUNIT_ASSERT(client(1).last_failure().code == ReasonCode::kNoQuorum);
@@ -131,7 +131,7 @@
     const auto answers_before = server().server.statistics().answers;
     write(1);
     world_->run_for(milliseconds(15));
-    // Every follower is told of the change by the same round, give or take the ones that were asking.
+    // Every follower receives the change from the same round, apart from those with a request in transit.
     CPPUNIT_ASSERT(server().server.statistics().answers - answers_before >= kFollowers);
     CPPUNIT_ASSERT(server().consensus.rounds - rounds_before <= 4);
   }
@@ -145,7 +145,7 @@
     for (int number = 1; number <= kFollowers; ++number) {
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, client(number).current().revision);
     }
-    // One follower at the server: the relay, which asks once for all that wait.
+    // The relay is the server's only follower and sends one request for all waiting followers.
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server().server.connections());
     const auto asked_before = server().server.statistics().questions;
     std::uint64_t answered_before = 0;
@@ -215,7 +215,7 @@
     world_->run_for(milliseconds(20));
     const auto& groups = client(1).current().groups;
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, groups.at(GroupName("decks")).term);
-    // An older term never comes back.
+    // A state with an older term is ignored.
     server().directory.learn(follow::GroupState{GroupName("decks"), 6, BackendName("c")});
     world_->run_for(milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), groups.at(GroupName("decks")).primary.value);
@@ -261,7 +261,7 @@
       return server().server.registry().least_revision(world_->runtime("server").now()).value_or(99);
     };
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, least());
-    // Once the lease of the one cut off has lapsed, with drift allowed for, it serves nothing.
+    // After the disconnected follower's lease has expired, clock drift included, it no longer counts.
     world_->run_for(lease_with_drift(kLease));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, least());
   }
