--- a/src/declared/control/operator/drain_events.h
+++ b/src/declared/control/operator/drain_events.h
@@ -1,4 +1,4 @@
-// Events of drains that operators begin and end by changes of objects.
+// Derives fleet events from changes that start or end a drain.
 #pragma once
 
 #include <vector>
@@ -10,18 +10,19 @@
 
 inline constexpr std::size_t kDrainEventsPerChange = 20;
 
-/// Finds the drains that a change begins or ends: look before it is made, report once it was accepted.
+/// Finds the drains that a change starts or ends. Construct it before the change is applied; call
+/// at_revision() after the change was accepted.
 class DrainEvents {
  public:
-  /// `machine` is the configuration before the change.
+  /// `machine` holds the configuration before the change.
   DrainEvents(const config::ChangeRequest& request, const config::StateMachine& machine);
 
-  /// An event for each object up to kDrainEventsPerChange, and one that counts the others, so that a large
-  /// change does not push all else out of the event log. Number, time and node are left to the recorder.
+  /// Returns one event per object up to kDrainEventsPerChange, plus one that counts the rest, so that a large
+  /// change does not evict other events from the log. Number, time and node are filled in by the recorder.
   [[nodiscard]] std::vector<FleetEvent> at_revision(std::uint64_t revision) const;
 
  private:
-  /// One proxy or backend whose drain begins or ends.
+  /// A proxy or backend whose drain starts or ends.
   struct Drain {
     config::ObjectKey object;
     bool begins = false;
--- a/src/declared/control/operator/event_log.h
+++ b/src/declared/control/operator/event_log.h
@@ -1,5 +1,4 @@
-// The events that this control node has recorded, for operators: a ring in memory, and a line of the log
-// each.
+// In-memory ring buffer of the events recorded by this control node, each also written to the log.
 #pragma once
 
 #include <deque>
@@ -10,21 +9,21 @@
 
 namespace cairnhollow::declared::control {
 
-/// Keeps the last kEventsKept events. `runtime` outlives it.
+/// Keeps the last kEventsKept events. `runtime` is not owned and must outlive this object.
 class EventLog : public EventSource {
  public:
   EventLog(runtime::Runtime& runtime, NodeName node) : runtime_(runtime), node_(std::move(node)) {}
 
   [[nodiscard]] std::vector<FleetEvent> events_since(std::uint64_t since, std::uint32_t limit) const override;
-  /// A cause that failed makes the log line a warning.
+  /// Logged as a warning if `event.cause` is a failure.
   void record(FleetEvent event) override;
-  /// As record(), from its parts.
+  /// Builds the event from its fields and records it.
   void record(std::string kind, std::string subject, std::string message, Reason cause = {});
 
  private:
   runtime::Runtime& runtime_;
   NodeName node_;
-  std::deque<FleetEvent> events_;  ///< by number, ascending
+  std::deque<FleetEvent> events_;  ///< in ascending order of number
   std::uint64_t next_number_ = 1;
 };
 
--- a/src/declared/control/operator/fleet_status.h
+++ b/src/declared/control/operator/fleet_status.h
@@ -1,4 +1,4 @@
-// What the operator service reads of a control node's followers and of the other control nodes.
+// Status of a control node's followers and of its peer control nodes, for the operator service.
 #pragma once
 
 #include "declared/control/follow/follow_server.h"
@@ -7,18 +7,19 @@
 
 namespace cairnhollow::declared::control {
 
-/// The proxies among a node's followers, by name; relays, which send news, are left out.
+/// Returns the proxies among the node's followers, ordered by name. Relays are excluded: they are listed in
+/// `peers`.
 std::vector<ProxyStatus> proxy_status(const FollowerRegistry& registry, const PeerDirectory& peers,
                                       const NodeName& control_node, TimePoint now);
 
-/// The nodes among `peers` that are not among `members`.
+/// Returns the nodes in `peers` that are not in `members`.
 std::vector<OtherControlNode> nodes_beside(const std::vector<consensus::Member>& members,
                                            const std::vector<ControlPeerStatus>& peers);
 
-/// All that have sent news, by name.
+/// Returns all control nodes that have sent news, ordered by name.
 std::vector<ControlPeerStatus> peer_status(const PeerDirectory& peers, TimePoint now);
 
-/// What it refers to outlives it.
+/// References passed to the constructor are not owned and must outlive this object.
 class FleetStatusSource : public FollowerStatusSource {
  public:
   FleetStatusSource(runtime::Runtime& runtime, NodeName node, Duration serving_lease,
--- a/src/declared/control/operator/operator_api.cpp
+++ b/src/declared/control/operator/operator_api.cpp
@@ -25,7 +25,7 @@
 using runtime::HttpResponse;
 
 constexpr Duration kDefaultDeadline = std::chrono::seconds(5);
-/// Member changes and switchovers wait for a node or backend to catch up.
+/// Membership changes and switchovers wait for a node or backend to catch up.
 constexpr Duration kLongDeadline = std::chrono::seconds(30);
 constexpr std::uint64_t kMaximumTimeoutMilliseconds = 120'000;
 constexpr std::uint32_t kDefaultEventLimit = 100;
@@ -50,7 +50,7 @@
   return response;
 }
 
-/// Adds members to a problem document (extension members, RFC 9457 section 3.2).
+/// Adds extension members to a problem document (RFC 9457 section 3.2).
 void extend_problem(HttpResponse& response, const boost::json::object& members) {
   boost::system::error_code error;
   boost::json::value document = boost::json::parse(response.body, error);
@@ -67,7 +67,7 @@
   return value;
 }
 
-/// The body's JSON as `read` understands it.
+/// Parses the body as JSON and converts it by `read`; std::nullopt with `reason` on failure.
 template <class Read>
 auto read_body(const HttpRequest& request, Read read, Reason& reason)
     -> decltype(read(boost::json::value(), reason)) {
@@ -85,7 +85,7 @@
  private:
   using Resource = Awaitable<HttpResponse> (OperatorApi::*)(HttpRequest, RequestTarget);
 
-  /// Null when the method is not offered there; `known` tells whether the path is.
+  /// Returns null if no resource handles the method; `known` reports whether the path exists.
   static Resource find_resource(HttpMethod method, const RequestTarget& target, bool& known);
 
   Awaitable<HttpResponse> get_health(HttpRequest request, RequestTarget target);
@@ -103,16 +103,17 @@
   Awaitable<HttpResponse> post_switchover(HttpRequest request, RequestTarget target);
 
   HttpResponse refuse(const Reason& reason) const;
-  /// The value as JSON, or the refusal when there is none.
+  /// Returns the value as JSON, or a refusal if there is none.
   template <class Value>
   HttpResponse answer(const std::optional<Value>& value, const Reason& reason) const {
     return value ? json_response(to_json(*value)) : refuse(reason);
   }
-  /// `{"WORD": true}`, or the refusal.
+  /// Returns `{"WORD": true}`, or a refusal if `is_done` is false.
   HttpResponse done(bool is_done, const char* word, const Reason& reason) const {
     return is_done ? json_response(boost::json::object{{word, true}}) : refuse(reason);
   }
-  /// The deadline that `?timeout=` asks for, at most kMaximumTimeoutMilliseconds from now, or the default.
+  /// Deadline from `?timeout=`, at most kMaximumTimeoutMilliseconds from now; without it, `otherwise` from
+  /// now.
   [[nodiscard]] TimePoint deadline_of(const RequestTarget& target, Duration otherwise) const;
 
   runtime::Runtime& runtime_;
@@ -123,7 +124,7 @@
                                                  bool& known) {
   struct Entry {
     HttpMethod method;
-    std::vector<std::string> pattern;  ///< "*" stands for any one segment
+    std::vector<std::string> pattern;  ///< "*" matches any one segment
     Resource resource;
   };
   static const std::vector<Entry> entries = {
@@ -293,7 +294,7 @@
       limit_text.empty() ? std::optional<std::uint64_t>(kDefaultEventLimit) : parse_number(limit_text);
   if (!since || !limit) co_return refuse(invalid("since, limit: must be whole numbers"));
   const auto bounded = static_cast<std::uint32_t>(std::min<std::uint64_t>(*limit, kMaximumEventLimit));
-  // With a number to go on from, the next ones; without, the latest.
+  // With `since`: the first `limit` events after it. Without: the last `limit` events.
   const bool latest = since_text.empty();
   const std::uint32_t asked = latest ? std::numeric_limits<std::uint32_t>::max() : bounded;
   const TimePoint deadline = deadline_of(target, kDefaultDeadline);
--- a/src/declared/control/operator/operator_api.h
+++ b/src/declared/control/operator/operator_api.h
@@ -1,5 +1,5 @@
-// The operator API of a control node: HTTP and JSON over an OperatorService. docs/API_OPERATOR.md lists
-// the resources.
+// HTTP and JSON operator API of a control node on top of an OperatorService. docs/API_OPERATOR.md lists the
+// resources.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 namespace cairnhollow::declared::control {
 
-/// `service` and `runtime` outlive the handler.
+/// `service` and `runtime` are not owned and must outlive the handler.
 std::unique_ptr<runtime::HttpHandler> make_operator_api(runtime::Runtime& runtime, OperatorService& service);
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/operator/operator_json.h
+++ b/src/declared/control/operator/operator_json.h
@@ -1,4 +1,4 @@
-// The operator API's values in JSON: written by control/operator_api, read back by the command line.
+// JSON encoding of the operator API's types, written by control/operator_api and read by the command line.
 #pragma once
 
 #include <boost/json/value.hpp>
@@ -20,14 +20,14 @@
 boost::json::value to_json(const SwitchoverOutcome& outcome);
 boost::json::value to_json(const consensus::Member& member);
 
-// Requests: every fault is reported, unknown keys among them.
+// Requests: all faults are reported; an unknown key is a fault.
 std::optional<config::ChangeRequest> change_request_from_json(const boost::json::value& value,
                                                               Reason& reason);
 std::optional<SwitchoverRequest> switchover_request_from_json(const boost::json::value& value,
                                                               Reason& reason);
 std::optional<consensus::Member> member_from_json(const boost::json::value& value, Reason& reason);
 
-// Answers: unknown keys are passed over, so that an older command line reads a newer node's answers.
+// Responses: unknown keys are ignored, so that an older command line can read a newer node's responses.
 std::optional<config::ChangeOutcome> change_outcome_from_json(const boost::json::value& value,
                                                               Reason& reason);
 std::optional<ObjectList> object_list_from_json(const boost::json::value& value, Reason& reason);
--- a/src/declared/control/operator/operator_json_read.cpp
+++ b/src/declared/control/operator/operator_json_read.cpp
@@ -1,4 +1,4 @@
-// JSON to values (declared in operator_json.h).
+// JSON decoding (declared in operator_json.h).
 #include <fmt/format.h>
 
 #include "declared/config/document_reader.h"
@@ -27,7 +27,7 @@
   return std::nullopt;
 }
 
-/// Reads each item of an optional list by `read(reader) -> Item`.
+/// Reads each item of an optional list with `read(reader) -> Item`.
 template <class Read>
 auto read_list(MappingReader& parent, const std::string& key, Read read) {
   std::vector<decltype(read(parent))> items;
@@ -72,7 +72,7 @@
   if (!target) reader.faults().add(0, reader.path_of(key), "must be an IP address and port");
 }
 
-/// A stored object or manifest; empty with the fault recorded when it is none.
+/// Reads a stored object or manifest; on failure records the fault and returns std::nullopt.
 std::optional<config::Manifest> read_manifest(const boost::json::value& value, const std::string& field,
                                               FaultList& faults) {
   Reason fault;
@@ -225,7 +225,7 @@
   return names;
 }
 
-/// Runs `read(reader, value)` over a whole JSON value; empty when it reported a fault.
+/// Runs `read(reader, value)` on a whole JSON value; std::nullopt with `reason` if it reported a fault.
 template <class Value, class Read>
 std::optional<Value> read_whole(const boost::json::value& json, Reason& reason, Read read) {
   FaultList faults("");
--- a/src/declared/control/operator/operator_json_write.cpp
+++ b/src/declared/control/operator/operator_json_write.cpp
@@ -1,4 +1,4 @@
-// Values to JSON (declared in operator_json.h).
+// JSON encoding (declared in operator_json.h).
 #include <boost/json.hpp>
 
 #include "declared/config/manifest.h"
--- a/src/declared/control/operator/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -35,7 +35,7 @@
     reason = Reason{ReasonCode::kOutcomeUnknown, "apply_change", "",
                     fmt::format("the outcome at log index {} is no longer kept", *index)};
   }
-  // The outcome of a change that is sent again is an earlier revision: its events are recorded already.
+  // A resent change returns its original, earlier revision; its events have been recorded already.
   if (outcome && outcome->accepted && outcome->revision > revision_before) {
     for (auto& event : drains.at_revision(outcome->revision)) sources_.events.record(std::move(event));
   }
@@ -138,8 +138,8 @@
     if (!peer.reachable) unnamed.revision = 0;
     record(std::move(unnamed));
   }
-  // Whatever the followers said: a lease that still runs was given after a quorum round that began when the
-  // proxy asked, together with everything accepted by then.
+  // Lower bound that does not depend on followers' reports: a lease still running was granted after a quorum
+  // round that began after the proxy's request, so the proxy has everything accepted by then.
   const std::uint64_t leased = replica_.revision_at(runtime_.now() - sources_.followers.longest_lease());
   report.least = std::max(least, leased);
   if (report.least >= report.revision) report.behind.clear();
--- a/src/declared/control/operator/operator_service_impl.h
+++ b/src/declared/control/operator/operator_service_impl.h
@@ -1,5 +1,5 @@
-// The operator service of a control node: the replicated configuration through consensus, everything else
-// through the sources that the node hands in.
+// Operator service of a control node: changes and reads the replicated configuration through consensus, and
+// gets everything else from the node's OperatorSources.
 #pragma once
 
 #include <memory>
@@ -11,10 +11,10 @@
 
 namespace cairnhollow::declared::control {
 
-/// What it refers to outlives it.
+/// References passed to the constructor are not owned and must outlive this object.
 class OperatorServiceImpl : public OperatorService {
  public:
-  /// `operator_endpoint`: where operators reach this node.
+  /// `operator_endpoint` is the address of this node's operator API.
   OperatorServiceImpl(runtime::Runtime& runtime, NodeName node, Endpoint operator_endpoint,
                       consensus::Consensus& consensus, const ConfigReplica& replica, OperatorSources sources);
 
--- a/src/declared/control/operator/operator_sources.h
+++ b/src/declared/control/operator/operator_sources.h
@@ -1,5 +1,5 @@
-// What the operator service asks of the rest of the control node. Each is one small interface, so that the
-// service can be tested without probes, followers or a platform.
+// Interfaces through which the operator service reads the rest of the control node, so that it can be tested
+// without probes, followers or a platform.
 #pragma once
 
 #include <cstdint>
@@ -11,72 +11,72 @@
 
 namespace cairnhollow::declared::control {
 
-/// How the database groups stand.
+/// Status of the database groups.
 class GroupStatusSource {
  public:
   virtual ~GroupStatusSource() = default;
-  /// Every group that this node knows of, by name. Members are known in full only for groups that it probes.
+  /// Returns every group known to this node, ordered by name. Member details are complete only for groups
+  /// that this node probes.
   [[nodiscard]] virtual std::vector<GroupStatus> group_status() const = 0;
-  /// Machines that the platform lists as leaving, by name.
+  /// Returns the machines that the platform lists as leaving, ordered by name.
   [[nodiscard]] virtual std::vector<std::string> leaving_machines() const = 0;
 };
 
-/// What the news exchange knows of another control node.
+/// Status of another control node as of its last news message.
 struct ControlPeerStatus {
   NodeName node;
-  Endpoint operator_endpoint;                  ///< port 0 while unknown
-  bool reachable = false;                      ///< heard lately
-  std::uint64_t revision = 0;                  ///< applied at it, as of its last message
-  std::uint64_t followers_serving = 0;         ///< proxies with a lease given by it
-  std::uint64_t followers_least_revision = 0;  ///< over those
+  Endpoint operator_endpoint;                  ///< port 0 if unknown
+  bool reachable = false;                      ///< heard from recently
+  std::uint64_t revision = 0;                  ///< revision applied by the node as of its last message
+  std::uint64_t followers_serving = 0;         ///< proxies that hold a lease granted by it
+  std::uint64_t followers_least_revision = 0;  ///< lowest revision among those proxies
 };
 
-/// Who follows the control nodes, and how far the configuration has spread among them.
+/// Status of this node's followers and of the other control nodes.
 class FollowerStatusSource {
  public:
   virtual ~FollowerStatusSource() = default;
-  /// The proxies that follow this node, by name; `control_node` is this node.
+  /// Returns the proxies that follow this node, ordered by name; `control_node` is this node.
   [[nodiscard]] virtual std::vector<ProxyStatus> followers() const = 0;
-  /// The other control nodes, by name, those included that have not been heard yet.
+  /// Returns the other control nodes, ordered by name, including those not heard from yet.
   [[nodiscard]] virtual std::vector<ControlPeerStatus> control_peers() const = 0;
-  /// A serving lease that any control node gave has lapsed this long after its question was asked, on this
-  /// node's clock.
+  /// Time after a request was sent by which any lease granted for it has expired, on this node's clock.
   [[nodiscard]] virtual Duration longest_lease() const = 0;
 };
 
-/// The events that this node has recorded.
+/// The events recorded by this node.
 class EventSource {
  public:
   virtual ~EventSource() = default;
-  /// Events with a number above `since`, oldest first, at most `limit` of them.
+  /// Returns the events with a number above `since`, oldest first, at most `limit`.
   [[nodiscard]] virtual std::vector<FleetEvent> events_since(std::uint64_t since,
                                                              std::uint32_t limit) const = 0;
-  /// Records one; number, time and node are filled in by the recorder.
+  /// Records an event; the recorder fills in number, time and node.
   virtual void record(FleetEvent event) = 0;
 };
 
-/// Carries out planned hand-overs of a group's primary role.
+/// Runs planned switchovers of a group's primary.
 class SwitchoverExecutor {
  public:
   virtual ~SwitchoverExecutor() = default;
-  /// Returns once the new primary serves. kNotFound: no such group, or no member that `target` selects;
-  /// kNoQuorum: no majority of the group answers; kDeadlineExceeded: the target did not catch up, and the
-  /// old primary keeps the role; kOutcomeUnknown: the promotion was sent and not answered.
+  /// Returns once the new primary serves. Errors: kNotFound: no such group, or `target` selects no member;
+  /// kNoQuorum: no majority of the group answers; kDeadlineExceeded: the target did not catch up, and the old
+  /// primary keeps its role; kOutcomeUnknown: the promotion was sent but not answered.
   virtual Awaitable<std::optional<SwitchoverOutcome>> switch_over(SwitchoverRequest request,
                                                                   TimePoint deadline, Reason& reason) = 0;
 };
 
-/// Health and metrics of the whole node.
+/// Readiness and metrics of the whole node.
 class NodeHealthSource {
  public:
   virtual ~NodeHealthSource() = default;
-  /// False with the reason while the node cannot take part (recovering, stopping).
+  /// Returns false with `reason` while the node cannot take part (recovering, stopping).
   [[nodiscard]] virtual bool ready(Reason& reason) const = 0;
-  /// Prometheus text format.
+  /// Metrics in the Prometheus text format.
   [[nodiscard]] virtual std::string metrics_text() const = 0;
 };
 
-/// All of them. What they refer to outlives the service.
+/// The sources of an operator service. Not owned; the referenced objects must outlive the service.
 struct OperatorSources {
   GroupStatusSource& groups;
   FollowerStatusSource& followers;
--- a/src/declared/control/operator/relay_operator_service.h
+++ b/src/declared/control/operator/relay_operator_service.h
@@ -1,4 +1,5 @@
-// What a relay offers to operators: what it knows itself; everything else is for a node that has the log.
+// Operator service of a relay: reports what the relay itself knows and refuses everything that needs the
+// configuration log.
 #pragma once
 
 #include "declared/control/control_core.h"
@@ -7,7 +8,7 @@
 
 namespace cairnhollow::declared::control {
 
-/// What it refers to outlives it.
+/// References passed to the constructor are not owned and must outlive this object.
 class RelayOperatorService : public OperatorService {
  public:
   RelayOperatorService(runtime::Runtime& runtime, NodeName node, ControlCore& core,
--- a/tests/declared/control/operator/operator_api_test.cpp
+++ b/tests/declared/control/operator/operator_api_test.cpp
@@ -1,4 +1,4 @@
-// The operator API as HTTP requests: resources, faults of requests, refusals.
+// Tests the operator API over HTTP: resources, invalid requests and refusals.
 #include "declared/control/operator/operator_api.h"
 
 #include <cppunit/extensions/HelperMacros.h>
