--- a/src/declared/follow/follow_client.cpp
+++ b/src/declared/follow/follow_client.cpp
@@ -93,7 +93,7 @@
   const Duration limit = refused ? kFollowRefusedPauseLimit : kFollowRetryPauseLimit;
   const Duration pause = std::min<Duration>(kFollowRetryPause * rounds, limit);
   const TimePoint end = runtime_.now() + runtime_.random().between(pause, 2 * pause);
-  // The reader of the connection given up on wakes this as well.
+  // The reader of the abandoned connection notifies this signal too.
   while (!stopping_ && runtime_.now() < end) co_await wake_.wait_until(end);
 }
 
@@ -132,7 +132,7 @@
   runtime_.spawn("follow_client_reader", read_frames(link));
   bool was_served = false;
   while (!stopping_) {
-    // The first question on a connection is answered at once: the lease may be near its end.
+    // The first request on a connection must not be held: the lease may be about to expire.
     const double share = kHoldShareLow + (kHoldShareHigh - kHoldShareLow) * runtime_.random().unit();
     const auto interval = static_cast<double>(settings_.follow_interval.count());
     const bool may_hold = was_served && renewals_waiting_ == 0;
@@ -241,7 +241,7 @@
   if (!accept_answer(current_, answer, link.asked_at, effect, reason)) {
     last_failure_ = reason;
     if (last_failure_.peer.empty()) last_failure_.peer = link.connection->peer();
-    // Who serves goes on to another control node rather than let its lease run out.
+    // A follower that serves moves to another control node rather than let its lease expire.
     const bool may_wait = last_failure_.code == ReasonCode::kOverloaded && current_.revision == 0;
     return may_wait ? take_busy_answer(link) : WaitResult::kFailed;
   }
@@ -259,13 +259,13 @@
 FollowClient::WaitResult FollowClient::take_busy_answer(Link& link) {
   link.answer_due = false;
   ++statistics_.busy_answers;
-  answered_.notify_all();  // renewals fail at once
+  answered_.notify_all();  // pending renewals fail at once
   const TimePoint now = runtime_.now();
   if (!link.busy_since) link.busy_since = now;
   return now < *link.busy_since + kBusyLimit ? WaitResult::kBusy : WaitResult::kFailed;
 }
 
-/// Whatever is waiting to be asked: it would only be told again to come back.
+/// Not cut short by urgent requests: the control node would only refuse them again.
 Awaitable<void> FollowClient::pause_while_busy(std::shared_ptr<Link> link) {
   const TimePoint end = runtime_.now() + runtime_.random().between(kBusyPause, 3 * kBusyPause);
   while (!link->broken && !stopping_ && runtime_.now() < end) co_await wake_.wait_until(end);
--- a/src/declared/follow/messages.h
+++ b/src/declared/follow/messages.h
@@ -1,6 +1,6 @@
-// A proxy (or relay) follows a control node: it asks, the control node answers after a quorum round that
-// began after the question arrived. The answer renews the proxy's serving lease, counted by the proxy
-// from when it asked.
+// Messages of the follow protocol: a proxy or relay sends requests, and the control node answers each after a
+// quorum round that began after its arrival. The answer renews the follower's serving lease, which counts
+// from when the follower sent the request.
 #pragma once
 
 #include <variant>
@@ -12,12 +12,12 @@
 
 namespace cairnhollow::declared::follow {
 
-/// What is known of one database group now. A higher term replaces a lower one; within a term the
-/// primary never changes. Not part of the replicated configuration: safety is the group's own.
+/// Latest known state of a database group. A higher term replaces a lower one; within a term the primary
+/// never changes. Not part of the replicated configuration: the group itself ensures its safety.
 struct GroupState {
   GroupName group;
   std::uint64_t term = 0;
-  BackendName primary;  ///< empty while no primary of `term` is known
+  BackendName primary;  ///< empty if no primary of `term` is known
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -25,7 +25,7 @@
   }
 };
 
-/// A proxy saw a write fail or a term pass by; starts a probe of the group at once.
+/// Report that a proxy saw a write fail or a newer term; triggers a probe of the group at once.
 struct SuspectPrimary {
   GroupName group;
   BackendName backend;
@@ -38,12 +38,12 @@
 };
 
 struct FollowRequest {
-  std::uint64_t nonce = 0;         ///< echoed; the proxy drops answers to older questions
-  std::uint64_t revision = 0;      ///< the configuration revision the proxy has; 0 for none
-  std::uint64_t news_version = 0;  ///< the answering node's news version seen last; 0 for none
-  Duration hold{0};                ///< how long the node may keep the question open while it has nothing new
+  std::uint64_t nonce = 0;         ///< echoed in the answer; the proxy drops answers to older requests
+  std::uint64_t revision = 0;      ///< configuration revision held by the proxy; 0 if none
+  std::uint64_t news_version = 0;  ///< last news version received from the answering node; 0 if none
+  Duration hold{0};                ///< how long the node may hold the request while it has nothing new
   std::vector<SuspectPrimary> suspects;
-  std::uint64_t in_flight = 0;  ///< statements being served, for status
+  std::uint64_t in_flight = 0;  ///< statements in progress, for status
   bool draining = false;
 
   template <class Archive>
@@ -54,13 +54,13 @@
   }
 };
 
-/// What changed since the revision and news version asked for. Encoded once for all followers that asked
-/// from the same place.
+/// Changes since the revision and news version in the request. Encoded once for all followers at the same
+/// versions.
 struct FollowUpdate {
   std::variant<config::ConfigChanges, config::ConfigSnapshot> configuration;
-  bool has_news = false;             ///< whether `groups` and `leaving` say anything
-  std::vector<GroupState> groups;    ///< changed since the news version asked for
-  std::vector<std::string> leaving;  ///< names of machines that the platform lists as leaving (whole list)
+  bool has_news = false;             ///< whether `groups` and `leaving` are set
+  std::vector<GroupState> groups;    ///< changed since the news version in the request
+  std::vector<std::string> leaving;  ///< all machines that the platform lists as leaving
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -70,12 +70,13 @@
 
 struct FollowAnswer {
   std::uint64_t nonce = 0;
-  std::uint64_t revision = 0;  ///< the configuration is complete up to here
-  Duration lease{0};           ///< the proxy may serve until (time it asked + lease) on its own clock
+  std::uint64_t revision = 0;  ///< the configuration is complete up to this revision
+  Duration lease{0};  ///< the proxy may serve until (time it sent the request + lease) on its own clock
   std::uint64_t news_version = 0;
-  std::string update;  ///< an encoded FollowUpdate; empty: nothing changed
-  /// Set: no lease. Try another control node; but after kOverloaded, a follower without a configuration comes
-  /// back to this one, which is busy with others' first configurations.
+  std::string update;  ///< an encoded FollowUpdate; empty if nothing changed
+  /// If set, no lease is granted and the follower should try another control node. Exception: after
+  /// kOverloaded, a follower without a configuration retries at this node, which is busy with other first
+  /// configurations.
   std::optional<Reason> refusal;
 
   template <class Archive>
--- a/tests/declared/follow/follow_client_test.cpp
+++ b/tests/declared/follow/follow_client_test.cpp
@@ -1,5 +1,5 @@
-// A follower that every control node refuses asks again after a pause, not at once; one that is told to come
-// back asks the same node again, on the same connection.
+// A follower pauses between attempts when every control node refuses it, and retries on the same connection
+// when a busy control node refuses it.
 #include "declared/follow/follow_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,7 +15,7 @@
 
 const Endpoint kControlEndpoint{"10.0.0.1", 4000};
 
-/// Answers every question with a refusal.
+/// A control node that refuses every request.
 class RefusingControlNode : public runtime::Role {
  public:
   explicit RefusingControlNode(runtime::Runtime& runtime) : runtime_(runtime) {}
@@ -29,7 +29,7 @@
   Awaitable<void> drain() override { co_return; }
   [[nodiscard]] std::uint64_t questions() const { return questions_; }
 
-  /// What it answers; kNone: it grants a lease at once.
+  /// Reason of the refusals; kNone grants a lease at once.
   ReasonCode refusal = ReasonCode::kNoQuorum;
 
  private:
@@ -92,7 +92,7 @@
   void test_refused_follower_pauses() {
     client_->start();
     world_->run_for(std::chrono::seconds(2));
-    // Pauses of 50 ms and more add up to 2 s.
+    // Pauses of at least 50 ms limit the number of requests in 2 s.
     CPPUNIT_ASSERT(control().questions() >= 2);
     CPPUNIT_ASSERT(control().questions() <= 40);
   }
--- a/tests/declared/follow/serving_configuration_test.cpp
+++ b/tests/declared/follow/serving_configuration_test.cpp
@@ -1,5 +1,5 @@
-// What an answer does to a follower's copy: what it names as touched, and what a follower that keeps
-// revisions only keeps.
+// Tests how an answer changes a follower's state: the reported effect, and a follower that keeps revisions
+// only.
 #include "declared/follow/serving_configuration.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/follow/slow_configuration_test.cpp
+++ b/tests/declared/follow/slow_configuration_test.cpp
@@ -1,5 +1,4 @@
-// A first configuration that comes slowly is waited for; one that does not come at all is asked for
-// elsewhere.
+// A first configuration that arrives slowly is awaited; if it stops arriving, another control node is tried.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <boost/endian/conversion.hpp>
@@ -21,7 +20,7 @@
 constexpr Duration kBetweenPieces = milliseconds(100);
 constexpr std::size_t kPieces = 10;
 
-/// The answer to a client's first question, with its length before it.
+/// The answer to a client's first request, prefixed with its length.
 std::string first_answer() {
   config::ConfigSnapshot snapshot;
   config::Object object{"proxy-1", {}, config::ProxySpec{}};
@@ -73,7 +72,7 @@
   }
 
  private:
-  /// Sends the first pieces of the answer, and waits until the client has either taken it or moved on.
+  /// Sends the first `pieces` pieces of the answer and waits until the client has applied it or moved on.
   Awaitable<void> answer_in_pieces(std::size_t pieces) {
     auto& runtime = loopback_.runtime();
     auto peer = co_await listener_->accept();
