--- a/src/declared/config/change_history.h
+++ b/src/declared/config/change_history.h
@@ -1,5 +1,5 @@
-// Which objects each of the latest revisions touched, so that a follower that is a little behind can be
-// sent just those.
+// Records which objects each of the latest revisions touched, so that a follower slightly behind can be sent
+// only those.
 #pragma once
 
 #include <cereal/types/deque.hpp>
@@ -13,16 +13,17 @@
 
 namespace cairnhollow::declared::config {
 
-/// Bounded: keeps the latest kMaximumRevisions revisions and, of them, at most about kMaximumKeys keys.
-/// Holds keys only; the content of an object is what is in force now.
+/// Bounded: keeps the latest kMaximumRevisions revisions with at most kMaximumKeys object keys in total, and
+/// always the latest revision. Stores keys only; the content of an object is its current version.
 class ChangeHistory {
  public:
   static constexpr std::size_t kMaximumRevisions = 4096;
   static constexpr std::size_t kMaximumKeys = 65536;
 
-  /// Revisions come without gaps: `revision` is one above the last one recorded.
+  /// `revision` must be one above the last recorded revision.
   void record(std::uint64_t revision, std::vector<ObjectKey> touched);
-  /// The objects touched after `revision`; empty optional when that is no longer kept.
+  /// Returns the objects touched after `revision`, or std::nullopt if `revision` is outside the retained
+  /// range.
   [[nodiscard]] std::optional<std::set<ObjectKey>> touched_since(std::uint64_t revision) const;
 
   template <class Archive>
@@ -33,7 +34,7 @@
  private:
   std::uint64_t last_revision_ = 0;
   std::uint64_t key_count_ = 0;
-  std::deque<std::vector<ObjectKey>> touched_;  ///< one entry a revision, the last one at the back
+  std::deque<std::vector<ObjectKey>> touched_;  ///< one entry per revision, the latest at the back
 };
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/change_memory.h
+++ b/src/declared/config/change_memory.h
@@ -1,5 +1,5 @@
-// Outcomes of the latest changes by change id, so that a change that is sent again because its answer was
-// lost gets its first answer.
+// Outcomes of the latest changes by change id, so that a change resent after its answer was lost gets the
+// original answer.
 #pragma once
 
 #include <cereal/types/deque.hpp>
@@ -14,7 +14,7 @@
 
 namespace cairnhollow::declared::config {
 
-/// 128 bits of hash over a whole request, so that two different requests never look like a resend of one.
+/// 128-bit hash of a whole request, so that two different requests are never taken for resends of one.
 struct ChangeFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -26,7 +26,7 @@
   }
 };
 
-/// What is kept of one decided change.
+/// The record kept of a decided change.
 struct RememberedChange {
   ChangeFingerprint fingerprint;
   std::string operator_name;
@@ -38,20 +38,20 @@
   }
 };
 
-/// Bounded: accepted and refused changes each forget their oldest first, so that a flood of refused ones
-/// can't push out an accepted one. A refused change that is forgotten may be decided anew, since it never
-/// ran; an accepted one may not, and may_have_forgotten() tells when that can't be ruled out.
+/// Bounded: accepted and refused changes are evicted separately, oldest first, so that a flood of refused
+/// changes cannot evict an accepted one. An evicted refused change may be decided again because it never took
+/// effect; an accepted one may not, and may_have_forgotten() reports when that cannot be ruled out.
 class ChangeMemory {
  public:
   static constexpr std::size_t kMaximumAccepted = 4096;
   static constexpr std::size_t kMaximumRefused = 4096;
 
   [[nodiscard]] const RememberedChange* find(const std::string& change_id) const;
-  /// `change_id` is not known yet. The revisions of accepted changes come without gaps.
+  /// `change_id` must not be recorded yet. Revisions of accepted changes must have no gaps.
   void remember(const std::string& change_id, RememberedChange change);
-  /// True when a change whose id was chosen at `revision` may have been accepted and forgotten since.
+  /// Returns true if a change whose id was chosen at `revision` may have been accepted and evicted since.
   [[nodiscard]] bool may_have_forgotten(std::uint64_t revision) const { return revision < forgotten_up_to_; }
-  /// Who wrote `revision`: "alice (change 4711)"; "an earlier change" once that is forgotten.
+  /// Returns the author of `revision`, e.g. "alice (change 4711)"; "an earlier change" if it was evicted.
   [[nodiscard]] std::string author_of(std::uint64_t revision) const;
 
   template <class Archive>
@@ -61,9 +61,9 @@
 
  private:
   std::map<std::string, RememberedChange> changes_;
-  std::deque<std::string> accepted_;   ///< ids by revision, from forgotten_up_to_ + 1 on
-  std::deque<std::string> refused_;    ///< ids, the oldest first
-  std::uint64_t forgotten_up_to_ = 0;  ///< the changes of this revision and of those below are forgotten
+  std::deque<std::string> accepted_;   ///< change ids by revision, starting at forgotten_up_to_ + 1
+  std::deque<std::string> refused_;    ///< change ids, oldest first
+  std::uint64_t forgotten_up_to_ = 0;  ///< accepted changes up to and including this revision are evicted
 };
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/change_outcome.h
+++ b/src/declared/config/change_outcome.h
@@ -1,4 +1,4 @@
-// A change that an operator sends, and the answer to it.
+// A change request sent by an operator, and its outcome.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 /// Writes or deletes one object.
 struct ObjectChange {
-  Object object;  ///< for a deletion only kind and name count
+  Object object;  ///< for a deletion only kind and name are used
   bool deletion = false;
-  std::optional<std::uint64_t> based_on;  ///< version it was based on; 0: must not exist; unset: any
+  std::optional<std::uint64_t> based_on;  ///< expected version; 0: must not exist; unset: not checked
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -23,11 +23,11 @@
   }
 };
 
-/// What an operator sends: all of it is accepted or none.
+/// A change request; applied atomically.
 struct ChangeRequest {
-  std::string change_id;  ///< chosen by the sender; a resend under the same id gets the first answer
-  /// The revision that the sender had seen when it chose the id. A resend says the same. It lets a copy be
-  /// told from a new change even when the first one is no longer remembered.
+  std::string change_id;  ///< chosen by the sender; a resend with the same id gets the original outcome
+  /// The latest revision known to the sender when it chose the id; unchanged in a resend. Distinguishes a
+  /// resend from a new change after the original outcome has been evicted.
   std::uint64_t at_revision = 0;
   std::string operator_name;
   std::vector<ObjectChange> changes;
@@ -38,12 +38,12 @@
   }
 };
 
-/// The answer to a change, the same for every resend of it.
+/// The outcome of a change, identical for every resend.
 struct ChangeOutcome {
   bool accepted = false;
-  std::uint64_t revision = 0;               ///< of the configuration after the change
-  Reason reason;                            ///< why it was refused
-  std::optional<StoredObject> conflicting;  ///< the object that won, for kConflict
+  std::uint64_t revision = 0;               ///< configuration revision after the change
+  Reason reason;                            ///< why the change was refused
+  std::optional<StoredObject> conflicting;  ///< for kConflict: the stored object that caused the conflict
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/declared/config/changes.h
+++ b/src/declared/config/changes.h
@@ -1,4 +1,4 @@
-// Sets of configuration objects as they are sent to followers.
+// Sets of configuration objects as sent to followers.
 #pragma once
 
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace cairnhollow::declared::config {
 
-/// Objects changed after the revision asked for, in order of revision.
+/// Objects changed after a given revision, in order of revision.
 struct ConfigChanges {
   std::vector<StoredObject> upserts;
   std::vector<ObjectKey> deletions;
@@ -18,7 +18,7 @@
   }
 };
 
-/// All objects: sent when the changes asked for are compacted away.
+/// All objects; sent when the requested changes are no longer retained.
 struct ConfigSnapshot {
   std::vector<StoredObject> objects;
 
--- a/src/declared/config/document.h
+++ b/src/declared/config/document.h
@@ -1,5 +1,5 @@
-// A YAML or JSON document as one tree with line numbers, so that manifests are read and written by the same
-// code in both formats.
+// Tree representation with line numbers for YAML and JSON documents, so that manifests are read and written
+// by the same code in both formats.
 #pragma once
 
 #include <boost/json/value.hpp>
@@ -13,15 +13,15 @@
 
 struct DocumentEntry;
 
-/// A value of a document. YAML's unquoted scalars are kPlain: the field that is read decides what they are.
+/// A value of a document. Unquoted YAML scalars are kPlain: the field being read determines their type.
 struct DocumentNode {
   enum class Type : std::uint8_t { kNull, kPlain, kString, kNumber, kBoolean, kMapping, kSequence };
 
   Type type = Type::kNull;
-  std::string text;                    ///< of scalars
-  std::vector<DocumentEntry> entries;  ///< of mappings, in the order written
-  std::vector<DocumentNode> items;     ///< of sequences
-  int line = 0;                        ///< from 1; 0 when unknown (JSON)
+  std::string text;                    ///< for scalars
+  std::vector<DocumentEntry> entries;  ///< for mappings, in document order
+  std::vector<DocumentNode> items;     ///< for sequences
+  int line = 0;                        ///< 1-based; 0 if unknown (JSON)
 
   static DocumentNode mapping();
   static DocumentNode sequence();
@@ -37,19 +37,20 @@
   DocumentNode value;
 };
 
-// Limits of one text, so that a small input can't grow large (YAML aliases) or exhaust the stack.
+// Limits per input text; they prevent expansion of YAML aliases and stack exhaustion.
 inline constexpr std::size_t kMaximumDocumentDepth = 32;
 inline constexpr std::size_t kMaximumDocumentNodes = 1'000'000;
 inline constexpr std::size_t kMaximumDocumentBytes = 16U << 20;
 
-/// All documents of a YAML stream that are not empty. kInvalidArgument with the line on bad input.
+/// Returns all non-empty documents of a YAML stream. Fails with kInvalidArgument and the line number on
+/// malformed input.
 std::optional<std::vector<DocumentNode>> parse_yaml(const std::string& text, Reason& reason);
-/// Empty with kInvalidArgument on bad input.
+/// Fails with kInvalidArgument on malformed input.
 std::optional<boost::json::value> parse_json(const std::string& text, Reason& reason);
 
 DocumentNode from_json(const boost::json::value& value);
 boost::json::value to_json(const DocumentNode& node);
-/// One YAML document without a leading "---"; ends with a newline.
+/// Writes one YAML document without a leading "---"; ends with a newline.
 std::string to_yaml(const DocumentNode& node);
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_json.cpp
+++ b/src/declared/config/document_json.cpp
@@ -1,4 +1,4 @@
-// JSON to and from document trees, by Boost.JSON.
+// Conversion between JSON and document trees, using Boost.JSON.
 #include <fmt/format.h>
 
 #include <boost/json.hpp>
--- a/src/declared/config/document_reader.h
+++ b/src/declared/config/document_reader.h
@@ -1,4 +1,4 @@
-// Reads typed fields out of a document's mappings and collects every fault with its line.
+// Reads typed fields from a document's mappings and collects all faults with their lines.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 
 namespace cairnhollow::declared::config {
 
-/// Faults of one text, in the order found.
+/// The faults of one text, in the order found.
 class FaultList {
  public:
-  /// `file` is named in front of each fault when it is not empty.
+  /// If `file` is not empty, each fault is prefixed with it.
   explicit FaultList(std::string file) : file_(std::move(file)) {}
 
   void add(int line, const std::string& field, const std::string& problem);
   [[nodiscard]] bool empty() const { return faults_.empty(); }
-  /// kInvalidArgument with all faults (long lists are cut with their count).
+  /// Returns kInvalidArgument listing all faults (long lists are truncated, with the number omitted).
   [[nodiscard]] Reason reason() const;
 
  private:
@@ -30,8 +30,8 @@
 
 enum class Presence : std::uint8_t { kRequired, kOptional };
 
-/// Reads the entries of one mapping. A field that is missing or has a fault leaves its target as it was.
-/// `node` and `faults` outlive the reader.
+/// Reads the entries of one mapping. A field that is missing or faulty leaves its target unchanged. `node`
+/// and `faults` are not owned and must outlive the reader.
 class MappingReader {
  public:
   /// `path` is the field's path, e.g. "spec"; empty for the document itself.
@@ -41,9 +41,9 @@
   void read(const std::string& key, Presence presence, bool& target);
   void read(const std::string& key, Presence presence, std::uint64_t& target);
   void read(const std::string& key, Presence presence, std::uint32_t& target);
-  /// The entry's value; null when it is missing. The caller reads it by a reader of its own.
+  /// Returns the entry's value, or null if it is missing. The caller reads the value with its own reader.
   const DocumentNode* take(const std::string& key, Presence presence);
-  /// Reports every entry that was not asked for. To be called last.
+  /// Reports every entry that was not requested. Must be called last.
   void finish();
 
   [[nodiscard]] std::string path_of(const std::string& key) const;
@@ -57,7 +57,7 @@
   std::set<std::string> known_;
 };
 
-/// Text of a string or unquoted scalar; empty for another type.
+/// Returns the text of a string or unquoted scalar; std::nullopt for other types.
 std::optional<std::string> scalar_text(const DocumentNode& node);
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_yaml.cpp
+++ b/src/declared/config/document_yaml.cpp
@@ -1,4 +1,4 @@
-// YAML to and from document trees, by yaml-cpp. Its exceptions stop here.
+// Conversion between YAML and document trees, using yaml-cpp. No yaml-cpp exception leaves this file.
 #include <fmt/format.h>
 #include <yaml-cpp/eventhandler.h>
 #include <yaml-cpp/yaml.h>
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// A fault of the text that yaml-cpp itself doesn't see.
+/// A fault that yaml-cpp does not detect itself.
 struct DocumentFault {
   int line = 0;
   std::string problem;
 };
 
-/// Builds document trees from the parser's events, within the limits of one text. Throws DocumentFault.
+/// Builds document trees from parser events within the document limits. Throws DocumentFault.
 class TreeBuilder : public YAML::EventHandler {
  public:
   std::vector<DocumentNode> take_documents() { return std::move(documents_); }
 
   void OnDocumentStart(const YAML::Mark& mark) override {
-    // yaml-cpp 0.7 yields empty documents for ever at a token that fits nowhere, such as a comma.
+    // yaml-cpp 0.7 yields empty documents endlessly at an unexpected token such as a comma.
     if (last_start_ == mark.pos) fail(mark, "unexpected character");
     last_start_ = mark.pos;
     anchors_.clear();
@@ -74,8 +74,8 @@
     DocumentNode node;
     YAML::Mark mark;
     YAML::anchor_t anchor = YAML::NullAnchor;
-    std::size_t size = 1;  ///< values in it, itself included
-    bool has_key = false;  ///< of a mapping: the last entry waits for its value
+    std::size_t size = 1;  ///< number of values in the node, including itself
+    bool has_key = false;  ///< for a mapping: the last entry has no value yet
   };
   struct AnchoredNode {
     DocumentNode node;
@@ -123,7 +123,7 @@
     if (anchor != YAML::NullAnchor) anchors_[anchor] = {node, size};
   }
 
-  /// Puts a finished node where it belongs.
+  /// Adds a finished node to its parent, or to the documents if it has none.
   void add_counted(const YAML::Mark& mark, DocumentNode node, std::size_t size) {
     if (open_.empty()) {
       if (node.type != DocumentNode::Type::kNull) documents_.push_back(std::move(node));
@@ -150,13 +150,13 @@
   }
 
   std::vector<DocumentNode> documents_;
-  std::vector<OpenNode> open_;  ///< the innermost at the back
+  std::vector<OpenNode> open_;  ///< innermost node at the back
   std::map<YAML::anchor_t, AnchoredNode> anchors_;
   std::size_t values_ = 0;
-  int last_start_ = -1;  ///< where the last document began
+  int last_start_ = -1;  ///< position at which the last document began
 };
 
-/// True for texts that YAML would read as something other than a string.
+/// Returns true for text that YAML would read as something other than a string.
 bool needs_quotes(const std::string& text) {
   static constexpr std::array<std::string_view, 9> kWords = {"",  "~", "null", "true", "false",
                                                              "y", "n", "yes",  "no"};
--- a/src/declared/config/duration_text.h
+++ b/src/declared/config/duration_text.h
@@ -1,4 +1,4 @@
-// Durations as people write them in manifests: a whole number and a unit, "500ms", "5s", "2m", "1h".
+// Text form of durations in manifests: a whole number and a unit, such as "500ms", "5s", "2m" or "1h".
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 
 namespace cairnhollow::declared::config {
 
-/// Milliseconds; empty for another form or when the value does not fit.
+/// Returns milliseconds; std::nullopt if the text is malformed or the value overflows.
 std::optional<std::uint64_t> parse_milliseconds(const std::string& text);
-/// In the largest unit that needs no fraction.
+/// Formats a duration in milliseconds in the largest unit that needs no fraction.
 std::string format_milliseconds(std::uint64_t milliseconds);
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/label_index.cpp
+++ b/src/declared/config/label_index.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The requirement that the fewest objects stand under; empty when the selector has none.
+/// Returns the requirement with the fewest matching entries; std::nullopt if the selector requires no label.
 std::optional<LabelRequirement> rarest_requirement(const Selector& selector, const LabelPostings& postings) {
   const auto requirements = requirements_of(selector);
   std::optional<LabelRequirement> rarest;
@@ -113,7 +113,7 @@
 
 void SelectorIndex::remove(const StoredObject* owner) {
   unconditional_.erase(owner);
-  // Which requirement it stands under depended on the others at that time: look under all of its own.
+  // The requirement chosen by add() depended on the index at that time, so try all of them.
   for (const auto& requirement : requirements_of(selector_of_(*owner))) {
     for (const auto& value : requirement.values) postings_.remove(requirement.key, value, owner);
   }
--- a/src/declared/config/label_index.h
+++ b/src/declared/config/label_index.h
@@ -1,5 +1,5 @@
-// Finds objects by label without looking at all of them: objects that a selector selects, and objects whose
-// selectors select a set of labels.
+// Label indexes that avoid scanning all objects: objects matched by a selector, and objects whose selectors
+// match a set of labels.
 #pragma once
 
 #include <functional>
@@ -18,15 +18,16 @@
     return left->object.name < right->object.name;
   }
 };
-/// Objects of one kind, by name; so that what is found does not depend on addresses.
+/// Objects of one kind, ordered by name so that results do not depend on addresses.
 using ObjectSet = std::set<const StoredObject*, OrderByName>;
 
-/// A label that a selector requires to have one of some values.
+/// A label that must have one of several values.
 struct LabelRequirement {
   std::string key;
   std::vector<std::string> values;
 };
-/// Every `matchLabels` entry and every `In` expression; empty when the selector requires no label.
+/// Returns every `matchLabels` entry and every `In` expression; empty if the selector requires no label
+/// value.
 std::vector<LabelRequirement> requirements_of(const Selector& selector);
 
 /// Sets of objects by label.
@@ -34,37 +35,37 @@
  public:
   void add(const std::string& key, const std::string& value, const StoredObject* object);
   void remove(const std::string& key, const std::string& value, const StoredObject* object);
-  /// Null when there are none.
+  /// Returns null if no object has the label.
   [[nodiscard]] const ObjectSet* find(const std::string& key, const std::string& value) const;
-  /// How many objects stand under the values that a requirement allows.
+  /// Returns the number of entries under the values that a requirement allows.
   [[nodiscard]] std::size_t count(const LabelRequirement& requirement) const;
 
  private:
   std::map<std::string, std::map<std::string, ObjectSet>> by_label_;
 };
 
-/// Objects of one kind by their own labels. The objects stay where they are while they are in the index.
+/// Index of objects of one kind by their labels. Indexed objects are not owned and must not move.
 class LabelIndex {
  public:
   void add(const StoredObject* object);
   void remove(const StoredObject* object);
-  /// All objects that the selector selects. Looks at the objects under the rarest label that it requires; at
-  /// all of them when it requires none.
+  /// Returns all objects matched by the selector. Scans only the objects with its rarest required label, or
+  /// all objects if it requires none.
   [[nodiscard]] ObjectSet selected_by(const Selector& selector) const;
-  /// One object that the selector selects and `accepts` accepts, the same on every node; null when there is
-  /// none. `accepts` is asked first.
+  /// Returns an object matched by the selector for which `accepts` returns true; the same on every node.
+  /// Returns null if there is none. `accepts` is called before the selector is evaluated.
   using Accepts = std::function<bool(const StoredObject& object)>;
   [[nodiscard]] const StoredObject* find_selected(const Selector& selector, const Accepts& accepts) const;
 
  private:
-  /// The sets that hold all objects which the selector may select.
+  /// Returns sets that together contain all objects the selector may match.
   [[nodiscard]] std::vector<const ObjectSet*> candidates_of(const Selector& selector) const;
 
   ObjectSet all_;
   LabelPostings postings_;
 };
 
-/// Objects of one kind by a selector that each of them holds.
+/// Index of objects of one kind by the selector that each of them holds.
 class SelectorIndex {
  public:
   using SelectorOf = const Selector& (*)(const StoredObject&);
@@ -72,13 +73,13 @@
 
   void add(const StoredObject* owner);
   void remove(const StoredObject* owner);
-  /// All owners whose selector selects `labels`. Looks at the owners that require one of the labels, and at
-  /// those that require none at all.
+  /// Returns all owners whose selector matches `labels`. Scans only the owners that require one of these
+  /// labels and those that require none.
   [[nodiscard]] ObjectSet selecting(const LabelSet& labels) const;
 
  private:
   SelectorOf selector_of_;
-  LabelPostings postings_;  ///< each owner under one requirement of its selector
+  LabelPostings postings_;  ///< each owner is listed under one requirement of its selector
   ObjectSet unconditional_;
 };
 
--- a/src/declared/config/manifest.cpp
+++ b/src/declared/config/manifest.cpp
@@ -1,4 +1,4 @@
-// Documents to objects.
+// Conversion from documents to objects.
 #include "declared/config/manifest.h"
 
 #include <fmt/format.h>
@@ -81,7 +81,7 @@
   }
 }
 
-/// The fields that proxies and backends share.
+/// Reads the fields common to proxies and backends.
 template <class Spec>
 Spec read_machine(MappingReader& reader) {
   Spec spec;
@@ -105,7 +105,7 @@
   return spec;
 }
 
-/// An optional duration; `milliseconds` keeps its value without one.
+/// Reads an optional duration; leaves `milliseconds` unchanged if the field is missing.
 void read_duration(MappingReader& reader, const char* field, std::uint64_t& milliseconds) {
   const DocumentNode* node = reader.take(field, kOptional);
   if (node == nullptr) return;
--- a/src/declared/config/manifest.h
+++ b/src/declared/config/manifest.h
@@ -1,6 +1,6 @@
-// Manifests: objects as operators write them, in YAML (several documents a file) or JSON of the same shape:
-// `kind`, `metadata: {name, labels, resourceVersion}`, `spec`. docs/MANIFESTS.md lists every key. Keys that
-// are not known are faults.
+// Manifests: configuration objects as written by operators, in YAML (several documents per file) or in JSON
+// of the same structure: `kind`, `metadata: {name, labels, resourceVersion}`, `spec`. docs/MANIFESTS.md lists
+// every key. Unknown keys are faults.
 #pragma once
 
 #include <boost/json/value.hpp>
@@ -14,26 +14,26 @@
 
 namespace cairnhollow::declared::config {
 
-/// One object as it was written.
+/// One object as written in a manifest.
 struct Manifest {
   Object object;
-  std::optional<std::uint64_t> resource_version;  ///< the version that it was read at
+  std::optional<std::uint64_t> resource_version;  ///< the version that was read before editing, if given
   std::string file;
-  int line = 0;  ///< of the document's start, from 1; 0 when unknown
+  int line = 0;  ///< line of the document's start, 1-based; 0 if unknown
 };
 
-/// kInvalidArgument with all faults as "file:line: field: problem" in the detail. Only the form is checked
-/// here; the rules of validation.h are for the configuration to check.
+/// Fails with kInvalidArgument and all faults as "file:line: field: problem" in the detail. Checks only the
+/// form; the rules of validation.h are checked when the configuration is changed.
 std::optional<std::vector<Manifest>> parse_manifests(const std::string& text, const std::string& file,
                                                      Reason& reason);
-/// One object from JSON. Faults are "field: problem".
+/// Reads one object from JSON. Faults are reported as "field: problem".
 std::optional<Manifest> manifest_from_json(const boost::json::value& value, Reason& reason);
 
 DocumentNode to_document(const Object& object);
-/// As above, with metadata.resourceVersion.
+/// Includes metadata.resourceVersion.
 DocumentNode to_document(const StoredObject& stored);
 
-/// A stream of YAML documents that parse_manifests() reads back.
+/// Writes a stream of YAML documents that parse_manifests() can read.
 std::string to_yaml(const std::vector<StoredObject>& objects);
 boost::json::value to_json(const Object& object);
 boost::json::value to_json(const StoredObject& stored);
--- a/src/declared/config/manifest_writer.cpp
+++ b/src/declared/config/manifest_writer.cpp
@@ -1,4 +1,4 @@
-// Objects to documents (declared in manifest.h).
+// Conversion from objects to documents (declared in manifest.h).
 #include "declared/config/duration_text.h"
 #include "declared/config/manifest.h"
 #include "declared/config/object_names.h"
--- a/src/declared/config/object_names.h
+++ b/src/declared/config/object_names.h
@@ -1,4 +1,4 @@
-// Names of object kinds as operators write and read them.
+// Names of the object kinds in manifests and commands.
 #pragma once
 
 #include <optional>
@@ -12,11 +12,11 @@
 inline constexpr ObjectKind kAllKinds[] = {ObjectKind::kProxy, ObjectKind::kBackend,
                                            ObjectKind::kDatabaseGroup, ObjectKind::kRoute};
 
-/// "Proxy", "Backend", "DatabaseGroup" or "Route"; "Unknown" for a value outside the list.
+/// Returns "Proxy", "Backend", "DatabaseGroup" or "Route"; "Unknown" for an invalid value.
 std::string_view kind_name(ObjectKind kind);
-/// The reverse of kind_name(), exact; empty for another text.
+/// Inverse of kind_name(), case-sensitive; std::nullopt for other text.
 std::optional<ObjectKind> parse_kind(std::string_view name);
-/// "Backend/study-records-1-kelburn".
+/// Formats a key as KIND/NAME, e.g. "Backend/study-records-1-kelburn".
 std::string to_string(const ObjectKey& key);
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/object_query.h
+++ b/src/declared/config/object_query.h
@@ -1,4 +1,4 @@
-// Which objects a reader wants.
+// Filter for reading configuration objects.
 #pragma once
 
 #include <optional>
@@ -9,10 +9,10 @@
 
 namespace cairnhollow::declared::config {
 
-/// Objects that meet every part that is given.
+/// Matches objects that satisfy all given criteria.
 struct ObjectQuery {
   std::optional<ObjectKind> kind;  ///< unset: all kinds
-  std::vector<std::string> names;  ///< empty: any name; otherwise looked up, so that few cost little
+  std::vector<std::string> names;  ///< empty: any name; otherwise looked up by key, without a scan
   Selector selector;
 };
 
--- a/src/declared/config/object_store.h
+++ b/src/declared/config/object_store.h
@@ -1,4 +1,5 @@
-// The objects in force, with the indexes that let a change be checked at the cost of what it touches.
+// The current objects, with indexes that keep the cost of validating a change proportional to what it
+// touches.
 #pragma once
 
 #include <map>
@@ -10,10 +11,10 @@
 
 namespace cairnhollow::declared::config {
 
-/// The objects in force, by kind, then name.
+/// The current objects, ordered by kind, then name.
 using ObjectTable = std::map<ObjectKey, StoredObject>;
 
-/// Pointers that it returns hold until the next put() or erase() of that object. Not copied: the indexes
+/// Returned pointers are valid until the next put() or erase() of that object. Not copyable: the indexes
 /// point into the table.
 class ObjectStore {
  public:
@@ -28,12 +29,12 @@
   void erase(const ObjectKey& key);
 
   [[nodiscard]] const ObjectTable& table() const { return table_; }
-  /// Null when there is none.
+  /// Returns null if there is no such object.
   [[nodiscard]] const StoredObject* find(const ObjectKey& key) const;
-  /// The object's endpoint; null for kinds without one.
+  /// Returns the object's endpoint; null for kinds without one.
   [[nodiscard]] static const Endpoint* endpoint_of(const Object& object);
 
-  /// Proxies and backends with this endpoint, by key.
+  /// Returns the proxies and backends with this endpoint, ordered by key.
   [[nodiscard]] std::vector<const StoredObject*> with_endpoint(const Endpoint& endpoint) const;
   [[nodiscard]] ObjectSet backends_selected_by(const Selector& selector) const {
     return backends_.selected_by(selector);
@@ -45,11 +46,11 @@
                                                            const LabelIndex::Accepts& accepts) const {
     return groups_.find_selected(selector, accepts);
   }
-  /// Groups whose backend selector selects a backend with these labels.
+  /// Returns the groups whose backend selector matches a backend with these labels.
   [[nodiscard]] ObjectSet groups_selecting(const LabelSet& backend_labels) const {
     return groups_by_backend_.selecting(backend_labels);
   }
-  /// Routes whose group selector selects a group with these labels.
+  /// Returns the routes whose group selector matches a group with these labels.
   [[nodiscard]] ObjectSet routes_selecting(const LabelSet& group_labels) const {
     return routes_by_group_.selecting(group_labels);
   }
--- a/src/declared/config/objects.h
+++ b/src/declared/config/objects.h
@@ -1,5 +1,5 @@
-// The configuration objects that operators create, label and select. Plain values; rules that hold
-// between them are in config/validation.
+// The configuration objects that operators create, label and select. Plain values; rules between objects are
+// in config/validation.
 #pragma once
 
 #include <cereal/types/variant.hpp>
@@ -39,8 +39,8 @@
   }
 };
 
-/// Selects objects (or statements) by labels: every entry and every expression must hold. An empty
-/// selector selects everything.
+/// Selects objects (or statements) by labels: every entry and every expression must match. An empty selector
+/// matches everything.
 struct Selector {
   LabelSet match_labels;
   std::vector<SelectorExpression> match_expressions;
@@ -53,10 +53,10 @@
   }
 };
 
-/// A proxy that may serve callers. A proxy without an object follows but serves nothing.
+/// A proxy that may serve clients. A proxy process without such an object follows but does not serve.
 struct ProxySpec {
   ZoneName zone;
-  Endpoint endpoint;  ///< where callers reach it
+  Endpoint endpoint;  ///< address for clients
   bool drain = false;
   auto operator<=>(const ProxySpec&) const = default;
 
@@ -66,11 +66,11 @@
   }
 };
 
-/// One database server.
+/// A database server.
 struct BackendSpec {
   ZoneName zone;
   Endpoint endpoint;
-  bool drain = false;  ///< takes no new work; its primary role is handed over first
+  bool drain = false;  ///< accepts no new work; its primary role is handed over first
   auto operator<=>(const BackendSpec&) const = default;
 
   template <class Archive>
@@ -79,7 +79,7 @@
   }
 };
 
-/// Hash slots of partition keys, both ends included, of kHashSlots in all.
+/// Range of hash slots of partition keys, both ends inclusive, out of kHashSlots.
 struct HashSlotRange {
   std::uint32_t first = 0;
   std::uint32_t last = 0;
@@ -92,12 +92,12 @@
 };
 inline constexpr std::uint32_t kHashSlots = 65536;
 
-/// A replicated database: its members are the backends that the selector selects.
+/// A replicated database whose members are the backends matched by the selector.
 struct DatabaseGroupSpec {
   Selector backend_selector;
-  HashSlotRange hash_slots{0, kHashSlots - 1};  ///< which partition keys this group holds
+  HashSlotRange hash_slots{0, kHashSlots - 1};  ///< partition keys held by this group
   std::uint32_t connections_per_backend = 35;   ///< connection limit of each backend
-  std::uint32_t slots_per_backend = 5;          ///< statements a backend runs at once
+  std::uint32_t slots_per_backend = 5;          ///< concurrent statements per backend
   auto operator<=>(const DatabaseGroupSpec&) const = default;
 
   template <class Archive>
@@ -106,18 +106,19 @@
   }
 };
 
-/// Of routes that don't say; also of those written before routes had it.
+/// For routes that do not set it, including those stored before the field existed.
 inline constexpr std::uint64_t kDefaultReplicaWaitMilliseconds = 200;
 
-/// Which statements go to which groups, and how their reads may be served.
+/// Which statements are sent to which groups, and how their reads may be served.
 struct RouteSpec {
-  std::uint32_t precedence = 0;  ///< the matching route with the highest value wins, then by name
-  Selector statement_selector;   ///< over the statement's labels; "database" is always one of them
-  Selector group_selector;       ///< over group labels; the group holding the key's hash slot is taken
-  Selector replica_selector;     ///< over backend labels: which replicas may serve reads
+  std::uint32_t precedence = 0;  ///< the matching route with the highest value wins, ties by name
+  Selector statement_selector;   ///< over statement labels; "database" is always one of them
+  Selector group_selector;    ///< over group labels; among the matches, the group that holds the key's hash
+                              ///< slot is used
+  Selector replica_selector;  ///< over backend labels: replicas that may serve reads
   bool replica_reads = true;
-  std::uint64_t max_staleness_milliseconds = 5000;  ///< reads never see data older than this
-  /// A read may be held for this long until a replica has the session's position; 0: never.
+  std::uint64_t max_staleness_milliseconds = 5000;  ///< upper limit for the age of data returned by reads
+  /// Maximum time that a read waits for a replica to reach the session's position; 0: no waiting.
   std::uint64_t replica_wait_milliseconds = kDefaultReplicaWaitMilliseconds;
   auto operator<=>(const RouteSpec&) const = default;
 
@@ -130,10 +131,10 @@
   }
 };
 
-/// The alternative's place is the ObjectKind's value minus one.
+/// The index of each alternative must be the ObjectKind's value minus one.
 using ObjectSpec = std::variant<ProxySpec, BackendSpec, DatabaseGroupSpec, RouteSpec>;
 
-/// What an operator declares.
+/// A configuration object as declared by an operator.
 struct Object {
   std::string name;
   LabelSet labels;
@@ -148,7 +149,7 @@
   }
 };
 
-/// An object in force. `version` is the revision of the change that last wrote it.
+/// An object in the current configuration. `version` is the revision of the change that last wrote it.
 struct StoredObject {
   Object object;
   std::uint64_t version = 0;
--- a/src/declared/config/relations.cpp
+++ b/src/declared/config/relations.cpp
@@ -20,7 +20,7 @@
  public:
   explicit RelationValidator(const ObjectStore& objects) : objects_(objects) {}
 
-  /// Checks the rules that one object takes part in.
+  /// Checks the rules that involve `touched`.
   void check(const StoredObject* touched) {
     switch (touched->object.kind()) {
       case ObjectKind::kProxy:
@@ -57,8 +57,8 @@
     }
   }
 
-  /// A backend belongs to one group at most. The fault is that of the touched object, which is the backend
-  /// or one of the groups.
+  /// A backend belongs to at most one group. The fault is reported on the touched object, which is the
+  /// backend or one of the groups.
   void check_membership(const StoredObject* backend, const StoredObject* touched, const char* field) {
     const ObjectSet owners = objects_.groups_selecting(backend->object.labels);
     if (owners.size() < 2) return;
--- a/src/declared/config/selector.cpp
+++ b/src/declared/config/selector.cpp
@@ -15,7 +15,7 @@
     case SelectorOperator::kIn:
       return listed;
     case SelectorOperator::kNotIn:
-      return !listed;  // as in Kubernetes: an absent label is in no list
+      return !listed;  // as in Kubernetes, NotIn matches if the label is absent
     case SelectorOperator::kExists:
       return present;
     case SelectorOperator::kDoesNotExist:
--- a/src/declared/config/selector_text.cpp
+++ b/src/declared/config/selector_text.cpp
@@ -28,7 +28,7 @@
   return clauses;
 }
 
-/// Reads "key in (a,b)" and "key notin (a,b)".
+/// Parses "key in (a,b)" and "key notin (a,b)".
 std::optional<SelectorExpression> parse_set_clause(const std::string& clause) {
   const auto open = clause.find('(');
   if (open == std::string::npos || clause.back() != ')') return std::nullopt;
@@ -49,7 +49,7 @@
   return !text.empty() && text.find_first_of(" \t()=!") == std::string::npos;
 }
 
-/// Adds one clause to the selector; false when it has none of the forms.
+/// Adds one clause to the selector; returns false if it is malformed or repeats a key.
 bool add_clause(const std::string& clause, Selector& selector) {
   if (clause.empty()) return false;
   if (clause.find('(') != std::string::npos) {
--- a/src/declared/config/selector_text.h
+++ b/src/declared/config/selector_text.h
@@ -1,4 +1,4 @@
-// Selectors in one line, in the form that kubectl's -l takes: "zone=kelburn,tier in (a,b),!legacy".
+// One-line text form of selectors, as in kubectl's -l option: "zone=kelburn,tier in (a,b),!legacy".
 #pragma once
 
 #include <optional>
@@ -10,14 +10,14 @@
 
 namespace cairnhollow::declared::config {
 
-/// "In", "NotIn", "Exists" or "DoesNotExist".
+/// Returns "In", "NotIn", "Exists" or "DoesNotExist".
 std::string_view selector_operator_name(SelectorOperator op);
 std::optional<SelectorOperator> parse_selector_operator(std::string_view name);
 
-/// Clauses, separated by commas: `key=value` (or `==`), `key!=value`, `key in (a,b)`, `key notin (a,b)`,
-/// `key`, `!key`. Blank text selects everything. kInvalidArgument names the clause.
+/// Parses comma-separated clauses: `key=value` (or `==`), `key!=value`, `key in (a,b)`, `key notin (a,b)`,
+/// `key`, `!key`. Blank text selects everything. Fails with kInvalidArgument naming the malformed clause.
 std::optional<Selector> parse_selector(const std::string& text, Reason& reason);
-/// The reverse of parse_selector(); "" for the empty selector.
+/// Inverse of parse_selector(); "" for the empty selector.
 std::string format_selector(const Selector& selector);
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/state_machine.cpp
+++ b/src/declared/config/state_machine.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kSnapshotFormat = 2;
 constexpr std::size_t kChecksumLength = 16;
 
-/// 64 bits as 16 hexadecimal digits.
+/// XXH3-64 of `bytes` as 16 hexadecimal digits.
 std::string checksum(const std::string& bytes) {
   return fmt::format("{:016x}", XXH3_64bits(bytes.data(), bytes.size()));
 }
@@ -26,12 +26,13 @@
   return {hash.high64, hash.low64};
 }
 
-/// Of the earliest format, from today's on, that loses nothing: the same on every build that can read it.
+/// Encodes in the earliest format from kReplicaWaitFormat on that can represent the request, so that all
+/// builds that can read the request compute the same fingerprint.
 ChangeFingerprint fingerprint(const ChangeRequest& request) {
   return fingerprint_of(wire::encode_from(request, wire::kReplicaWaitFormat));
 }
 
-/// Also when a build remembered it that wrote an earlier format.
+/// Also accepts a fingerprint recorded by a build that wrote kEarliestFormat.
 bool is_fingerprint_of(const ChangeFingerprint& known, const ChangeRequest& request) {
   if (known == fingerprint(request)) return true;
   return wire::fits_format(request, wire::kEarliestFormat) &&
@@ -66,7 +67,7 @@
 
 }  // namespace
 
-/// Faults of the request's frame, before its objects are looked at.
+/// Checks the request's own fields; its objects are checked later.
 std::optional<Reason> StateMachine::check_request(const ChangeRequest& request) const {
   if (request.change_id.empty()) return invalid("changeId: must not be empty");
   if (!is_valid_identifier(request.change_id)) {
--- a/src/declared/config/state_machine.h
+++ b/src/declared/config/state_machine.h
@@ -1,4 +1,5 @@
-// The replicated configuration: applies committed changes in log order, the same on every control node.
+// The replicated configuration: applies committed changes in log order, with the same result on every control
+// node.
 #pragma once
 
 #include <cstdint>
@@ -17,35 +18,36 @@
 
 namespace cairnhollow::declared::config {
 
-/// Deterministic; holds no clock and no randomness. A change costs what it touches, not the whole
-/// configuration. Every accepted change raises the revision by one, also
-/// one that leaves every object as it was; a refused change leaves no trace but its remembered outcome.
+/// Deterministic: uses no clock and no randomness. The cost of a change depends on the objects it touches,
+/// not on the size of the configuration. Every accepted change increments the revision, even if it leaves all
+/// objects unchanged; a refused change only records its outcome.
 class StateMachine {
  public:
-  /// Objects of one change; more are refused.
+  /// Maximum number of objects in one change.
   static constexpr std::size_t kMaximumChangesPerRequest = 10'000;
-  static constexpr std::size_t kMaximumIdentifierLength = 128;  ///< of change ids and operator names
+  static constexpr std::size_t kMaximumIdentifierLength =
+      128;  ///< characters in a change id or operator name
 
   /// Applies one committed change. Refusals: kInvalidArgument (all faults in the detail), kConflict (an
-  /// object's version is not the one the change was based on), kAlreadyExists (the change id was used
-  /// before with other content), kOutcomeUnknown (the change may be a copy of one that was accepted so long
-  /// ago that it is no longer remembered; this copy changes nothing).
+  /// object is not at the version on which the change was based), kAlreadyExists (the change id was used with
+  /// different content), kOutcomeUnknown (possibly a resend of an accepted change whose outcome has been
+  /// evicted; not applied).
   ChangeOutcome apply(const ChangeRequest& request);
 
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
-  /// By kind, then name.
+  /// Ordered by kind, then name.
   [[nodiscard]] std::vector<StoredObject> list(std::optional<ObjectKind> kind) const;
-  /// By kind, then name. Names that are not there are passed over.
+  /// Ordered by kind, then name. Names without an object are skipped.
   [[nodiscard]] std::vector<StoredObject> select(const ObjectQuery& query) const;
   [[nodiscard]] std::optional<StoredObject> find(const ObjectKey& key) const;
-  /// Changes after `revision`, each object once and as it is now; empty when they are no longer kept or
-  /// `revision` is above the current one: then send a snapshot.
+  /// Returns the changes after `revision`, each object once and in its current version. Returns std::nullopt
+  /// if they are no longer retained or `revision` is above the current one; the caller then sends a snapshot.
   [[nodiscard]] std::optional<ConfigChanges> changes_since(std::uint64_t revision) const;
 
-  /// Everything that later answers depend on, the change memory included, behind a checksum.
-  /// Written in the earliest format from `level` on that loses nothing.
+  /// Serializes the full state, including the change memory, preceded by a checksum. Uses the earliest format
+  /// from `level` on that can represent it.
   [[nodiscard]] std::string take_snapshot(wire::Format level = wire::kWrittenFormat) const;
-  /// kCorrupt, and kUnsupported for one that a newer build wrote, leave the state as it was.
+  /// Fails with kCorrupt, or kUnsupported if a newer build wrote the snapshot; the state is then unchanged.
   bool restore_snapshot(const std::string& bytes, Reason& reason);
 
  private:
--- a/src/declared/config/validation.h
+++ b/src/declared/config/validation.h
@@ -1,5 +1,5 @@
-// Rules that an object must meet by itself, and rules between objects. Checked by the state machine before a
-// change is accepted, so that every configuration in force meets them all.
+// Validation rules within an object and between objects. The state machine checks them before it accepts a
+// change, so that every accepted configuration satisfies them.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::declared::config {
 
-// Limits of single fields; docs/MANIFESTS.md lists them for operators.
+// Field limits, listed for operators in docs/MANIFESTS.md.
 inline constexpr std::size_t kMaximumNameLength = 63;
 inline constexpr std::size_t kMaximumLabels = 64;
 inline constexpr std::size_t kMaximumSelectorExpressions = 32;
@@ -22,29 +22,30 @@
 inline constexpr std::uint64_t kMaximumStalenessMilliseconds = 86'400'000;  // one day
 inline constexpr std::uint64_t kMaximumReplicaWaitMilliseconds = 10'000;
 
-/// All objects in force, or as they would be after a change.
+/// The objects to validate: the current configuration, or the configuration after a change.
 using ObjectTable = std::map<ObjectKey, StoredObject>;
 
-/// One broken rule.
+/// A violation of one rule.
 struct FieldFault {
   ObjectKey object;
   std::string field;    ///< path in the manifest, e.g. "spec.hashSlots.last"
-  std::string problem;  ///< what is wrong, with the value found
+  std::string problem;  ///< the violation, including the offending value
   auto operator<=>(const FieldFault&) const = default;
 };
 
-/// Objects and zones are named like DNS labels (RFC 1123), with dots allowed.
+/// Valid names of objects and zones: DNS labels (RFC 1123), with dots allowed.
 bool is_valid_name(const std::string& name);
 
-/// Rules within one object: names, labels, selectors, ranges.
+/// Checks the rules within one object: names, labels, selectors, ranges.
 std::vector<FieldFault> validate_object(const Object& object);
 
-/// Rules between objects, checked for the `touched` ones against all of `objects`: endpoints are unique, a
-/// backend belongs to at most one group, groups that one route selects share no hash slot. What is not
-/// touched is taken to meet them already.
+/// Checks the rules between the `touched` objects and all of `objects`: endpoints are unique, a backend
+/// belongs to at most one group, and the groups selected by one route share no hash slot. Objects that were
+/// not touched are assumed to be valid.
 std::vector<FieldFault> validate_relations(const ObjectStore& objects, const std::vector<ObjectKey>& touched);
 
-/// kInvalidArgument with all faults, sorted, in its detail (long lists are cut with their count).
+/// Returns kInvalidArgument with all faults, sorted, in the detail (long lists are truncated, with the number
+/// omitted).
 Reason reason_for_faults(std::vector<FieldFault> faults);
 
 }  // namespace cairnhollow::declared::config
--- a/tests/declared/config/generators.h
+++ b/tests/declared/config/generators.h
@@ -1,4 +1,5 @@
-// Random objects, labels and selectors for properties. Few keys and values, so that selectors often match.
+// Generators of random objects, labels and selectors for property tests. Few distinct keys and values, so
+// that selectors often match.
 #pragma once
 
 #include <rapidcheck.h>
@@ -9,9 +10,9 @@
 
 rc::Gen<LabelSet> any_labels();
 rc::Gen<Selector> any_selector();
-/// Valid by itself, of any kind; one of four names, one of five endpoints.
+/// A valid object of any kind, with one of four names and one of five endpoints.
 rc::Gen<Object> any_object();
-/// Up to four objects, each once, written or deleted.
+/// Up to four distinct objects, each written or deleted.
 rc::Gen<std::vector<ObjectChange>> any_changes();
 
 }  // namespace cairnhollow::declared::config
--- a/tests/declared/config/manifest_test.cpp
+++ b/tests/declared/config/manifest_test.cpp
@@ -1,4 +1,4 @@
-// Manifests: every field is read and written back; every fault is named by field and line.
+// Tests manifests: every field is read and written, and every fault is reported with field and line.
 #include "declared/config/manifest.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/config/properties.h
+++ b/tests/declared/config/properties.h
@@ -1,4 +1,4 @@
-// rapidcheck under CppUnit, with a fixed seed.
+// Runs rapidcheck properties as CppUnit tests, with a fixed seed.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,7 +8,7 @@
 
 namespace cairnhollow::declared::config {
 
-/// Fails the CppUnit test with rapidcheck's counterexample when the property does not hold.
+/// Fails the CppUnit test with rapidcheck's counterexample if the property does not hold.
 template <class Property>
 void assert_property(const std::string& name, Property property, int cases = 300) {
   rc::detail::TestParams parameters;
--- a/tests/declared/config/properties_test.cpp
+++ b/tests/declared/config/properties_test.cpp
@@ -1,4 +1,4 @@
-// Properties of selectors, manifests, the indexes and the state machine, over random objects.
+// Property tests of selectors, manifests, indexes and the state machine over random objects.
 #include <fmt/format.h>
 
 #include "declared/config/manifest.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The rules between objects, checked over all of them by comparing everything with everything.
+/// Reference implementation of the rules between objects, by exhaustive comparison.
 bool meets_all_rules(const std::vector<StoredObject>& objects) {
   const auto of_kind = [&](ObjectKind kind) {
     std::vector<const Object*> found;
@@ -49,7 +49,7 @@
   return true;
 }
 
-/// What a change would leave, by plain means.
+/// Reference model: the objects after a change.
 std::vector<StoredObject> model_after(const std::vector<StoredObject>& before,
                                       const std::vector<ObjectChange>& changes, std::uint64_t revision) {
   std::map<ObjectKey, StoredObject> table;
--- a/tests/declared/config/selector_text_test.cpp
+++ b/tests/declared/config/selector_text_test.cpp
@@ -1,4 +1,4 @@
-// Selectors in one line.
+// Tests parsing and formatting of selectors in text form.
 #include "declared/config/selector_text.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/config/state_machine_test.cpp
+++ b/tests/declared/config/state_machine_test.cpp
@@ -1,4 +1,4 @@
-// The replicated configuration: races, resends, refusals, snapshots.
+// Tests the replicated configuration: concurrent changes, resends, refusals and snapshots.
 #include "declared/config/state_machine.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -131,12 +131,12 @@
   }
 
   void resend_older_than_the_memory_is_never_applied_twice() {
-    // The worst sort: not based on a version, and what it created is gone again.
+    // The hardest case: the change expects no version, and the object it created has been deleted since.
     const auto old = change_of("old", {write_of(backend_object("a", 1))});
     accept(old);
     accept(change_of("gone", {deletion_of(backend_object("a", 1))}));
     fill_memory_with_accepted(ChangeMemory::kMaximumAccepted - 2);
-    CPPUNIT_ASSERT(machine_.apply(old).accepted);  // the first answer, for the last time
+    CPPUNIT_ASSERT(machine_.apply(old).accepted);  // still within the change memory
     fill_memory_with_accepted(1);
     const auto outcome = machine_.apply(old);
     CPPUNIT_ASSERT(!outcome.accepted);
@@ -159,7 +159,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, machine_.apply(first).revision);
     CPPUNIT_ASSERT(machine_.apply(first).accepted);
-    // Its author is still known too.
+    // The author of the accepted change is still known too.
     const auto conflict = machine_.apply(change_of("late", {write_of(backend_object("a", 2), 0)}));
     CPPUNIT_ASSERT(conflict.reason.detail.find("alice (change first)") != std::string::npos);
     accept(change_of("next", {write_of(backend_object("a", 5), 1)}));
@@ -259,7 +259,7 @@
     CPPUNIT_ASSERT(machine_.list(std::nullopt) == restored.list(std::nullopt));
     CPPUNIT_ASSERT_EQUAL(machine_.take_snapshot(), restored.take_snapshot());
     CPPUNIT_ASSERT(restored.changes_since(1)->deletions == machine_.changes_since(1)->deletions);
-    // The rules between objects hold on, over what was restored.
+    // The rules between objects also apply to the restored objects.
     const auto other_owner =
         change_of("c3", {write_of(group_object("h", "service=x", {20, 30}))}, restored.revision());
     CPPUNIT_ASSERT_EQUAL(machine_.apply(other_owner).reason.detail,
@@ -289,7 +289,7 @@
                                         write_of(proxy_object("p", 2))}));
     CPPUNIT_ASSERT(outcome.reason.code == ReasonCode::kInvalidArgument);
     CPPUNIT_ASSERT(before == machine_.list(std::nullopt));
-    // What was put back takes part in the rules again.
+    // The restored objects take part in validation again.
     CPPUNIT_ASSERT(!machine_.apply(change_of("c3", {write_of(backend_object("d", 1))})).accepted);
     accept(change_of("c4", {write_of(backend_object("d", 3))}));
   }
@@ -304,7 +304,7 @@
 
   std::uint64_t version_of(const std::string& name) { return machine_.find(backend_key(name))->version; }
 
-  /// Accepts `count` changes that touch nothing that a test looks at.
+  /// Accepts `count` changes that contain no objects.
   void fill_memory_with_accepted(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       accept(change_of(fmt::format("filler-{}", machine_.revision()), {}, machine_.revision()));
--- a/tests/declared/config/test_objects.h
+++ b/tests/declared/config/test_objects.h
@@ -1,4 +1,4 @@
-// Short ways to write objects and changes in tests of the configuration.
+// Helpers that build objects and changes for configuration tests.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace cairnhollow::declared::config {
 
-/// A selector from its one-line form; the empty selector for a bad text.
+/// Parses a selector from text; returns the empty selector if the text is malformed.
 inline Selector selector_of(const std::string& text) {
   Reason reason;
   return parse_selector(text, reason).value_or(Selector{});
--- a/tests/declared/config/validation_test.cpp
+++ b/tests/declared/config/validation_test.cpp
@@ -1,4 +1,4 @@
-// Rules within one object and rules between objects.
+// Tests the validation rules within one object and between objects.
 #include "declared/config/validation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
