--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -30,14 +30,12 @@
   std::uint64_t quorum_rounds = 0;      ///< read barriers waited for; each serves many requests
 };
 
-/// A request that has nothing new to report is held for the time it allows; all due requests are answered
-/// after one read barrier. A newer request on a connection replaces the open one. If the barrier fails, all
-/// due requests are refused at once. After a successful barrier, lease renewals are answered before first
-/// configurations, which are then sent one per turn of the event loop. The bytes of large updates in flight
-/// are limited (kLargeUpdateBytesAtOnce) so that many first configurations neither exhaust memory nor delay
-/// lease renewals; a follower above the limit is refused at once with kOverloaded and retries. References
-/// passed to the constructor are not owned and must outlive this object, which must live until the process
-/// ends.
+/// A request is held until there are changes or its hold time has elapsed; all due requests are answered, or
+/// refused if it fails, after one read barrier. A newer request on a connection replaces the open one. Lease
+/// renewals go before first configurations, which are sent one per turn of the event loop. Large updates in
+/// flight are limited (kLargeUpdateBytesAtOnce), so that first configurations neither exhaust memory nor
+/// delay renewals; a follower above the limit gets kOverloaded at once and retries. References passed to the
+/// constructor are not owned and must outlive this object, which must live until the process ends.
 class FollowServer {
  public:
   FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
