--- a/src/declared/config/document_reader.cpp
+++ b/src/declared/config/document_reader.cpp
@@ -65,7 +65,7 @@
   for (const auto& entry : node_.entries) {
     if (entry.key != key) continue;
     if (found != nullptr) {
-      faults_.add(entry.value.line, path_of(key), "is given twice");
+      faults_.add(entry.value.line, path_of(key), "duplicate key");
     } else {
       found = &entry.value;
     }
@@ -82,7 +82,7 @@
   if (auto text = scalar_text(*value)) {
     target = std::move(*text);
   } else {
-    faults_.add(value->line, path_of(key), "must be a text");
+    faults_.add(value->line, path_of(key), "must be a string");
   }
 }
 
@@ -123,7 +123,7 @@
   for (const auto& entry : node_.entries) {
     if (known_.contains(entry.key)) continue;
     faults_.add(entry.value.line, path_of(entry.key),
-                fmt::format("unknown key; known here: {}", boost::algorithm::join(known_, ", ")));
+                fmt::format("unknown key; known keys: {}", boost::algorithm::join(known_, ", ")));
   }
 }
 
--- a/src/declared/config/document_yaml.cpp
+++ b/src/declared/config/document_yaml.cpp
@@ -49,7 +49,7 @@
 
   void OnAlias(const YAML::Mark& mark, YAML::anchor_t anchor) override {
     const auto known = anchors_.find(anchor);
-    if (known == anchors_.end()) fail(mark, "an alias stands inside of what it names");
+    if (known == anchors_.end()) fail(mark, "an alias refers to a node that contains it");
     count(mark, known->second.size);
     DocumentNode node = known->second.node;
     node.line = line_of(mark);
@@ -97,11 +97,11 @@
 
   void count(const YAML::Mark& mark, std::size_t values) {
     values_ += values;
-    if (values_ > kMaximumDocumentNodes) fail(mark, "too many values");
+    if (values_ > kMaximumDocumentNodes) fail(mark, "too many values in the input");
   }
 
   void open(const YAML::Mark& mark, YAML::anchor_t anchor, DocumentNode::Type type) {
-    if (open_.size() >= kMaximumDocumentDepth) fail(mark, "nested too deep");
+    if (open_.size() >= kMaximumDocumentDepth) fail(mark, "nested too deeply");
     count(mark, 1);
     open_.push_back({node_at(mark, type), mark, anchor});
   }
@@ -139,7 +139,7 @@
       parent.node.entries.back().value.line = key_line;
       parent.has_key = false;
     } else {
-      if (!is_text(node)) fail(mark, "a key is not a plain text");
+      if (!is_text(node)) fail(mark, "a mapping key must be a string");
       parent.node.entries.push_back({node.text, node_at(mark, DocumentNode::Type::kNull)});
       parent.has_key = true;
     }
--- a/src/declared/config/manifest.cpp
+++ b/src/declared/config/manifest.cpp
@@ -32,7 +32,7 @@
     target.op = *op;
   } else {
     faults.add(node.line, reader.path_of("operator"),
-               fmt::format("'{}' is none of In, NotIn, Exists, DoesNotExist", name));
+               fmt::format("unknown operator '{}'; must be In, NotIn, Exists or DoesNotExist", name));
   }
   if (const DocumentNode* values = reader.take("values", kOptional)) {
     if (values->type != DocumentNode::Type::kSequence) {
@@ -42,7 +42,7 @@
       if (auto text = scalar_text(item)) {
         target.values.push_back(std::move(*text));
       } else {
-        faults.add(item.line, reader.path_of("values"), "must be a list of texts");
+        faults.add(item.line, reader.path_of("values"), "must be a list of strings");
       }
     }
   }
@@ -173,7 +173,7 @@
   if (!kind) {
     if (kind_text.empty()) return manifest;
     faults.add(document.line, "kind",
-               fmt::format("'{}' is none of Proxy, Backend, DatabaseGroup, Route", kind_text));
+               fmt::format("unknown kind '{}'; must be Proxy, Backend, DatabaseGroup or Route", kind_text));
   } else if (spec != nullptr) {
     MappingReader spec_reader(*spec, "spec", faults);
     manifest.object.spec = read_spec(*kind, spec_reader);
--- a/src/declared/config/selector_text.cpp
+++ b/src/declared/config/selector_text.cpp
@@ -107,8 +107,8 @@
   for (const auto& clause : split_clauses(text)) {
     if (add_clause(clause, selector)) continue;
     reason = Reason{ReasonCode::kInvalidArgument, "parse_selector", "",
-                    fmt::format("selector: '{}' is none of key=value, key!=value, key in (a,b), "
-                                "key notin (a,b), key, !key (or repeats a key)",
+                    fmt::format("selector: invalid clause '{}'; must be key=value, key!=value, key in (a,b), "
+                                "key notin (a,b), key or !key, and must not repeat a key",
                                 clause)};
     return std::nullopt;
   }
--- a/src/declared/config/state_machine.cpp
+++ b/src/declared/config/state_machine.cpp
@@ -243,15 +243,17 @@
     reason = Reason{ReasonCode::kCorrupt, "restore_snapshot", "", std::move(detail)};
     return false;
   };
-  if (bytes.size() < kChecksumLength) return corrupt("the snapshot is too short");
+  if (bytes.size() < kChecksumLength) return corrupt("the snapshot is shorter than its checksum");
   const std::string content = bytes.substr(kChecksumLength);
-  if (bytes.compare(0, kChecksumLength, checksum(content)) != 0) return corrupt("the checksum differs");
+  if (bytes.compare(0, kChecksumLength, checksum(content)) != 0)
+    return corrupt("the snapshot's checksum does not match its content");
   StateMachine restored;
   ObjectTable table;
   const auto read = [&](wire::MessageReader& reader) {
     std::uint32_t format = 0;
     reader(format);
-    if (format != kSnapshotFormat) throw cereal::Exception(fmt::format("unknown snapshot format {}", format));
+    if (format != kSnapshotFormat)
+      throw cereal::Exception(fmt::format("unsupported snapshot format {}", format));
     table.clear();
     reader(restored.revision_, table, restored.history_, restored.memory_);
   };
--- a/src/declared/control/operator/operator_api.cpp
+++ b/src/declared/control/operator/operator_api.cpp
@@ -158,7 +158,7 @@
 
 Awaitable<HttpResponse> OperatorApi::handle(HttpRequest request, runtime::HttpConnectionId /*connection*/) {
   auto target = http::parse_request_target(request.target);
-  if (!target) co_return refuse(invalid("target: not a path"));
+  if (!target) co_return refuse(invalid("target: must be a path"));
   const std::string timeout = target->parameter("timeout");
   if (!timeout.empty() && !config::parse_milliseconds(timeout)) {
     co_return refuse(invalid("timeout: must be a duration, e.g. 500ms or 10s"));
@@ -171,7 +171,7 @@
   }
   http::Problem problem;
   problem.reason = Reason{known ? ReasonCode::kUnsupported : ReasonCode::kNotFound, "find_resource", "",
-                          known ? "the method is not offered there" : "there is no such resource"};
+                          known ? "the resource does not support this method" : "no such resource"};
   constexpr unsigned kNotFoundStatus = 404;
   constexpr unsigned kMethodNotAllowedStatus = 405;
   co_return http::make_problem_response(known ? kMethodNotAllowedStatus : kNotFoundStatus, problem);
@@ -247,7 +247,7 @@
   const std::string kind_text = target.parameter("kind");
   query.kind = config::parse_kind(kind_text);
   if (!query.kind && !kind_text.empty()) {
-    reason = invalid(fmt::format("kind: '{}' is no kind", kind_text));
+    reason = invalid(fmt::format("kind: unknown kind '{}'", kind_text));
     return std::nullopt;
   }
   const std::string names = target.parameter("names");
@@ -270,7 +270,7 @@
 Awaitable<HttpResponse> OperatorApi::get_object(HttpRequest /*request*/, RequestTarget target) {
   Reason reason;
   const auto kind = config::parse_kind(target.segments[2]);
-  if (!kind) co_return refuse(invalid(fmt::format("kind: '{}' is no kind", target.segments[2])));
+  if (!kind) co_return refuse(invalid(fmt::format("kind: unknown kind '{}'", target.segments[2])));
   const config::ObjectKey key{*kind, target.segments[3]};
   const TimePoint deadline = deadline_of(target, kDefaultDeadline);
   const auto stored = co_await service_.find(key, deadline, reason);
--- a/src/declared/control/operator/operator_json_read.cpp
+++ b/src/declared/control/operator/operator_json_read.cpp
@@ -96,7 +96,7 @@
   key_reader.finish();
   const auto kind = config::parse_kind(kind_text);
   if (!kind) {
-    reader.faults().add(0, key_reader.path_of("kind"), fmt::format("'{}' is no kind", kind_text));
+    reader.faults().add(0, key_reader.path_of("kind"), fmt::format("unknown kind '{}'", kind_text));
     return;
   }
   if (*kind == config::ObjectKind::kBackend) change.object.spec = config::BackendSpec{};
--- a/src/declared/control/operator/operator_service.cpp
+++ b/src/declared/control/operator/operator_service.cpp
@@ -4,7 +4,7 @@
 
 Reason OperatorService::has_no_log(std::string step) const {
   return Reason{ReasonCode::kNotLeader, std::move(step), node_.value,
-                "this node has no part in the log; ask a voter"};
+                "this node does not hold the configuration log; send the request to a voter"};
 }
 
 Awaitable<std::optional<config::ChangeOutcome>> OperatorService::apply(config::ChangeRequest /*request*/,
--- a/src/declared/control/operator/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -32,8 +32,10 @@
   if (!index) co_return std::nullopt;
   auto outcome = replica_.outcome_at(*index);
   if (!outcome) {
-    reason = Reason{ReasonCode::kOutcomeUnknown, "apply_change", "",
-                    fmt::format("the outcome at log index {} is no longer kept", *index)};
+    reason = Reason{
+        ReasonCode::kOutcomeUnknown, "apply_change", "",
+        fmt::format("the outcome of log index {} is no longer retained; resend with the same change id",
+                    *index)};
   }
   // A resent change returns its original, earlier revision; its events have been recorded already.
   if (outcome && outcome->accepted && outcome->revision > revision_before) {
@@ -150,13 +152,14 @@
                                                 Reason& reason) {
   const std::string node = member.node.value;
   const bool added = co_await consensus_.add_member(std::move(member), deadline, reason);
-  if (added) record("member_added", node, fmt::format("{} became a member", node));
+  if (added) record("member_added", node, fmt::format("{} was added to the consensus group", node));
   co_return added;
 }
 
 Awaitable<bool> OperatorServiceImpl::remove_member(NodeName node, TimePoint deadline, Reason& reason) {
   const bool removed = co_await consensus_.remove_member(node, deadline, reason);
-  if (removed) record("member_removed", node.value, fmt::format("{} is no member any more", node.value));
+  if (removed)
+    record("member_removed", node.value, fmt::format("{} was removed from the consensus group", node.value));
   co_return removed;
 }
 
@@ -166,7 +169,7 @@
   const std::string to = replacement.node.value;
   const bool replaced =
       co_await consensus_.replace_member(std::move(lost), std::move(replacement), deadline, reason);
-  if (replaced) record("member_replaced", to, fmt::format("{} became a member in place of {}", to, from));
+  if (replaced) record("member_replaced", to, fmt::format("{} replaced {} in the consensus group", to, from));
   co_return replaced;
 }
 
--- a/src/declared/follow/serving_configuration.cpp
+++ b/src/declared/follow/serving_configuration.cpp
@@ -60,7 +60,8 @@
   }
   if (answer.revision < current.revision) {
     reason = Reason{ReasonCode::kConflict, "follow", "",
-                    fmt::format("answered with revision {} after {}", answer.revision, current.revision)};
+                    fmt::format("the control node answered with revision {}, but revision {} is already held",
+                                answer.revision, current.revision)};
     return false;
   }
   FollowUpdate update;
@@ -71,7 +72,7 @@
     if (!decoded) return false;
     update = std::move(*decoded);
   } else if (answer.revision != current.revision) {
-    reason = Reason{ReasonCode::kCorrupt, "follow", "", "a new revision came without its changes"};
+    reason = Reason{ReasonCode::kCorrupt, "follow", "", "the answer has a new revision but no changes"};
     return false;
   }
   effect.configuration = answer.revision > current.revision;
--- a/tests/declared/config/manifest_test.cpp
+++ b/tests/declared/config/manifest_test.cpp
@@ -127,7 +127,7 @@
   }
 
   void unknown_fields_are_named_with_their_line() {
-    CPPUNIT_ASSERT_EQUAL(std::string("f.yaml:6: spec.colour: unknown key; known here: drain, endpoint, zone"),
+    CPPUNIT_ASSERT_EQUAL(std::string("f.yaml:6: spec.colour: unknown key; known keys: drain, endpoint, zone"),
                          fault_of("kind: Proxy\n"
                                   "metadata: {name: p}\n"
                                   "spec:\n"
@@ -148,7 +148,7 @@
         "  hashSlots: {first: -1, last: many}\n"
         "  connectionsPerBackend: 4294967296\n"
         "  slotsPerBackend: \"5\"\n");
-    CPPUNIT_ASSERT(contains(faults, "f.yaml:2: metadata.name: must be a text"));
+    CPPUNIT_ASSERT(contains(faults, "f.yaml:2: metadata.name: must be a string"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:4: spec.backendSelector: must be a mapping"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:5: spec.hashSlots.first: must be a whole number"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:5: spec.hashSlots.last: must be a whole number"));
@@ -173,7 +173,8 @@
         "  maxStaleness: 5\n");
     CPPUNIT_ASSERT(contains(faults, "f.yaml:5: spec.statementSelector.matchLabels: must be a mapping"));
     CPPUNIT_ASSERT(contains(
-        faults, "f.yaml:8: spec.groupSelector.matchExpressions[0].operator: 'Equals' is none of In"));
+        faults,
+        "f.yaml:8: spec.groupSelector.matchExpressions[0].operator: unknown operator 'Equals'; must be In"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:9: spec.groupSelector.matchExpressions[1].key: is required"));
     CPPUNIT_ASSERT(
         contains(faults, "f.yaml:9: spec.groupSelector.matchExpressions[1].values: must be a list"));
@@ -186,7 +187,8 @@
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p}\n"), "spec: is required"));
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p}\nspec: {zone: a}\n"),
                             "spec.endpoint: is required"));
-    CPPUNIT_ASSERT(contains(fault_of("kind: Shard\nmetadata: {name: p}\nspec: {}\n"), "'Shard' is none of"));
+    CPPUNIT_ASSERT(contains(fault_of("kind: Shard\nmetadata: {name: p}\nspec: {}\n"),
+                            "kind: unknown kind 'Shard'; must be"));
   }
 
   void all_faults_are_named_at_once() {
@@ -208,7 +210,7 @@
   void repeated_keys_are_faults() {
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nkind: Backend\nmetadata: {name: p}\n"
                                      "spec: {zone: a, endpoint: '127.0.0.1:1'}\n"),
-                            "kind: is given twice"));
+                            "kind: duplicate key"));
   }
 
   void texts_that_look_like_numbers_stay_texts() {
@@ -245,7 +247,8 @@
         "metadata: {name: &name orders-a, labels: &labels {app: *name}}\n"
         "spec: {zone: *name, endpoint: '127.0.0.1:1'}\n");
     CPPUNIT_ASSERT(manifests[0].object.labels.find("app") == "orders-a");
-    CPPUNIT_ASSERT(contains(fault_of("kind: &loop [*loop]\n"), "line 1: an alias stands inside"));
+    CPPUNIT_ASSERT(
+        contains(fault_of("kind: &loop [*loop]\n"), "line 1: an alias refers to a node that contains it"));
     CPPUNIT_ASSERT(contains(fault_of("kind: *unknown\n"), "line 1"));
   }
 
--- a/tests/declared/control/operator/operator_api_test.cpp
+++ b/tests/declared/control/operator/operator_api_test.cpp
@@ -88,9 +88,9 @@
             {"basedOn": "1", "delete": {"kind": "Shard", "name": "x"}},
             {"basedOn": 2, "object": {"kind": "Proxy", "metadata": {"name": "p", "resourceVersion": 3},
              "spec": {"zone": "a", "endpoint": "10.0.0.1:1"}}}]})");
-    for (const char* part : {"changeId: must be a text", "atRevision: must be a whole number",
+    for (const char* part : {"changeId: must be a string", "atRevision: must be a whole number",
                              "operatr: unknown key", "spec.endpoint: is required", "basedOn: must be",
-                             "'Shard' is no kind", "differs from the object's resourceVersion"}) {
+                             "unknown kind 'Shard'", "differs from the object's resourceVersion"}) {
       CPPUNIT_ASSERT_MESSAGE(std::string(part) + " in " + wrong, contains(wrong, part));
     }
     CPPUNIT_ASSERT(!detail_of("{\"changeId\":").empty());
