--- a/src/cli/wait_command.cpp
+++ b/src/cli/wait_command.cpp
@@ -31,7 +31,7 @@
 
   void show(std::uint64_t wanted, const declared::control::InForceReport& report) {
     std::string line =
-        fmt::format("waiting for revision {}: {} is in force everywhere", wanted, report.least);
+        fmt::format("waiting for revision {}: {} is in force everywhere", wanted, report.least_revision);
     if (!report.behind.empty()) line += "; behind: " + names_behind(report);
     if (line == last_) return;
     stream_ << line << "\n" << std::flush;
@@ -53,7 +53,7 @@
     const auto report = co_await context.client.in_force(deadline, reason);
     if (report) {
       if (revision == 0) revision = report->revision;
-      if (report->least >= revision) {
+      if (report->least_revision >= revision) {
         // Behind a document on the output it would be no part of it.
         auto& stream = context.line.output == OutputFormat::kTable ? context.output : context.errors;
         stream << "revision " << revision << " is in force on every proxy that may serve\n";
--- a/src/declared/config/change_memory.cpp
+++ b/src/declared/config/change_memory.cpp
@@ -4,19 +4,19 @@
 
 namespace cairnhollow::declared::config {
 
-const RememberedChange* ChangeMemory::find(const std::string& change_id) const {
+const DecidedChange* ChangeMemory::find(const std::string& change_id) const {
   const auto found = changes_.find(change_id);
   return found == changes_.end() ? nullptr : &found->second;
 }
 
-void ChangeMemory::remember(const std::string& change_id, RememberedChange change) {
+void ChangeMemory::remember(const std::string& change_id, DecidedChange change) {
   auto& order = change.outcome.accepted ? accepted_ : refused_;
   order.push_back(change_id);
   changes_.emplace(change_id, std::move(change));
   if (accepted_.size() > kMaximumAccepted) {
     changes_.erase(accepted_.front());
     accepted_.pop_front();
-    ++forgotten_up_to_;
+    ++evicted_up_to_;
   }
   if (refused_.size() > kMaximumRefused) {
     changes_.erase(refused_.front());
@@ -25,10 +25,10 @@
 }
 
 std::string ChangeMemory::author_of(std::uint64_t revision) const {
-  if (revision <= forgotten_up_to_ || revision > forgotten_up_to_ + accepted_.size()) {
+  if (revision <= evicted_up_to_ || revision > evicted_up_to_ + accepted_.size()) {
     return "an earlier change";
   }
-  const std::string& id = accepted_[revision - forgotten_up_to_ - 1];
+  const std::string& id = accepted_[revision - evicted_up_to_ - 1];
   const std::string& author = changes_.at(id).operator_name;
   return fmt::format("{} (change {})", author.empty() ? "an unnamed operator" : author, id);
 }
--- a/src/declared/config/change_memory.h
+++ b/src/declared/config/change_memory.h
@@ -27,7 +27,7 @@
 };
 
 /// The record kept of a decided change.
-struct RememberedChange {
+struct DecidedChange {
   ChangeFingerprint fingerprint;
   std::string operator_name;
   ChangeOutcome outcome;
@@ -40,30 +40,30 @@
 
 /// Bounded: accepted and refused changes are evicted separately, oldest first, so that a flood of refused
 /// changes cannot evict an accepted one. An evicted refused change may be decided again because it never took
-/// effect; an accepted one may not, and may_have_forgotten() reports when that cannot be ruled out.
+/// effect; an accepted one may not, and may_have_evicted() reports when that cannot be ruled out.
 class ChangeMemory {
  public:
   static constexpr std::size_t kMaximumAccepted = 4096;
   static constexpr std::size_t kMaximumRefused = 4096;
 
-  [[nodiscard]] const RememberedChange* find(const std::string& change_id) const;
+  [[nodiscard]] const DecidedChange* find(const std::string& change_id) const;
   /// `change_id` must not be recorded yet. Revisions of accepted changes must have no gaps.
-  void remember(const std::string& change_id, RememberedChange change);
+  void remember(const std::string& change_id, DecidedChange change);
   /// Returns true if a change whose id was chosen at `revision` may have been accepted and evicted since.
-  [[nodiscard]] bool may_have_forgotten(std::uint64_t revision) const { return revision < forgotten_up_to_; }
+  [[nodiscard]] bool may_have_evicted(std::uint64_t revision) const { return revision < evicted_up_to_; }
   /// Returns the author of `revision`, e.g. "alice (change 4711)"; "an earlier change" if it was evicted.
   [[nodiscard]] std::string author_of(std::uint64_t revision) const;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(changes_, accepted_, refused_, forgotten_up_to_);
+    archive(changes_, accepted_, refused_, evicted_up_to_);
   }
 
  private:
-  std::map<std::string, RememberedChange> changes_;
-  std::deque<std::string> accepted_;   ///< change ids by revision, starting at forgotten_up_to_ + 1
-  std::deque<std::string> refused_;    ///< change ids, oldest first
-  std::uint64_t forgotten_up_to_ = 0;  ///< accepted changes up to and including this revision are evicted
+  std::map<std::string, DecidedChange> changes_;
+  std::deque<std::string> accepted_;  ///< change ids by revision, starting at evicted_up_to_ + 1
+  std::deque<std::string> refused_;   ///< change ids, oldest first
+  std::uint64_t evicted_up_to_ = 0;   ///< accepted changes up to and including this revision are evicted
 };
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_reader.cpp
+++ b/src/declared/config/document_reader.cpp
@@ -60,7 +60,7 @@
 }
 
 const DocumentNode* MappingReader::take(const std::string& key, Presence presence) {
-  known_.insert(key);
+  requested_keys_.insert(key);
   const DocumentNode* found = nullptr;
   for (const auto& entry : node_.entries) {
     if (entry.key != key) continue;
@@ -121,9 +121,9 @@
 
 void MappingReader::finish() {
   for (const auto& entry : node_.entries) {
-    if (known_.contains(entry.key)) continue;
+    if (requested_keys_.contains(entry.key)) continue;
     faults_.add(entry.value.line, path_of(entry.key),
-                fmt::format("unknown key; known keys: {}", boost::algorithm::join(known_, ", ")));
+                fmt::format("unknown key; known keys: {}", boost::algorithm::join(requested_keys_, ", ")));
   }
 }
 
--- a/src/declared/config/document_reader.h
+++ b/src/declared/config/document_reader.h
@@ -54,7 +54,7 @@
   const DocumentNode& node_;
   std::string path_;
   FaultList& faults_;
-  std::set<std::string> known_;
+  std::set<std::string> requested_keys_;
 };
 
 /// Returns the text of a string or unquoted scalar; std::nullopt for other types.
--- a/src/declared/config/document_yaml.cpp
+++ b/src/declared/config/document_yaml.cpp
@@ -53,7 +53,7 @@
     count(mark, known->second.size);
     DocumentNode node = known->second.node;
     node.line = line_of(mark);
-    add_counted(mark, std::move(node), known->second.size);
+    attach(mark, std::move(node), known->second.size);
   }
 
   void OnSequenceStart(const YAML::Mark& mark, const std::string& /*tag*/, YAML::anchor_t anchor,
@@ -96,8 +96,8 @@
   }
 
   void count(const YAML::Mark& mark, std::size_t values) {
-    values_ += values;
-    if (values_ > kMaximumDocumentNodes) fail(mark, "too many values in the input");
+    value_count_ += values;
+    if (value_count_ > kMaximumDocumentNodes) fail(mark, "too many values in the input");
   }
 
   void open(const YAML::Mark& mark, YAML::anchor_t anchor, DocumentNode::Type type) {
@@ -109,22 +109,22 @@
   void close() {
     OpenNode done = std::move(open_.back());
     open_.pop_back();
-    remember(done.anchor, done.node, done.size);
-    add_counted(done.mark, std::move(done.node), done.size);
+    record_anchor(done.anchor, done.node, done.size);
+    attach(done.mark, std::move(done.node), done.size);
   }
 
   void add(const YAML::Mark& mark, YAML::anchor_t anchor, DocumentNode node) {
     count(mark, 1);
-    remember(anchor, node, 1);
-    add_counted(mark, std::move(node), 1);
+    record_anchor(anchor, node, 1);
+    attach(mark, std::move(node), 1);
   }
 
-  void remember(YAML::anchor_t anchor, const DocumentNode& node, std::size_t size) {
+  void record_anchor(YAML::anchor_t anchor, const DocumentNode& node, std::size_t size) {
     if (anchor != YAML::NullAnchor) anchors_[anchor] = {node, size};
   }
 
   /// Adds a finished node to its parent, or to the documents if it has none.
-  void add_counted(const YAML::Mark& mark, DocumentNode node, std::size_t size) {
+  void attach(const YAML::Mark& mark, DocumentNode node, std::size_t size) {
     if (open_.empty()) {
       if (node.type != DocumentNode::Type::kNull) documents_.push_back(std::move(node));
       return;
@@ -139,20 +139,20 @@
       parent.node.entries.back().value.line = key_line;
       parent.has_key = false;
     } else {
-      if (!is_text(node)) fail(mark, "a mapping key must be a string");
+      if (!is_string_scalar(node)) fail(mark, "a mapping key must be a string");
       parent.node.entries.push_back({node.text, node_at(mark, DocumentNode::Type::kNull)});
       parent.has_key = true;
     }
   }
 
-  static bool is_text(const DocumentNode& node) {
+  static bool is_string_scalar(const DocumentNode& node) {
     return node.type == DocumentNode::Type::kPlain || node.type == DocumentNode::Type::kString;
   }
 
   std::vector<DocumentNode> documents_;
   std::vector<OpenNode> open_;  ///< innermost node at the back
   std::map<YAML::anchor_t, AnchoredNode> anchors_;
-  std::size_t values_ = 0;
+  std::size_t value_count_ = 0;
   int last_start_ = -1;  ///< position at which the last document began
 };
 
--- a/src/declared/config/label_index.cpp
+++ b/src/declared/config/label_index.cpp
@@ -16,7 +16,8 @@
 namespace {
 
 /// Returns the requirement with the fewest matching entries; std::nullopt if the selector requires no label.
-std::optional<LabelRequirement> rarest_requirement(const Selector& selector, const LabelPostings& postings) {
+std::optional<LabelRequirement> most_selective_requirement(const Selector& selector,
+                                                           const LabelPostings& postings) {
   const auto requirements = requirements_of(selector);
   std::optional<LabelRequirement> rarest;
   std::size_t least = 0;
@@ -73,7 +74,7 @@
 }
 
 std::vector<const ObjectSet*> LabelIndex::candidates_of(const Selector& selector) const {
-  const auto requirement = rarest_requirement(selector, postings_);
+  const auto requirement = most_selective_requirement(selector, postings_);
   if (!requirement) return {&all_};
   std::vector<const ObjectSet*> candidates;
   for (const auto& value : requirement->values) {
@@ -103,7 +104,7 @@
 }
 
 void SelectorIndex::add(const StoredObject* owner) {
-  const auto requirement = rarest_requirement(selector_of_(*owner), postings_);
+  const auto requirement = most_selective_requirement(selector_of_(*owner), postings_);
   if (!requirement) {
     unconditional_.insert(owner);
     return;
--- a/src/declared/config/selector.cpp
+++ b/src/declared/config/selector.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool holds(const SelectorExpression& expression, const LabelSet& labels) {
+bool matches_expression(const SelectorExpression& expression, const LabelSet& labels) {
   const auto label = labels.entries.find(expression.key);
   const bool present = label != labels.entries.end();
   const bool listed = present && std::find(expression.values.begin(), expression.values.end(),
@@ -27,15 +27,15 @@
 }  // namespace
 
 bool Selector::matches(const LabelSet& labels) const {
-  const auto entry_holds = [&](const auto& entry) {
+  const auto entry_matches = [&](const auto& entry) {
     const auto label = labels.entries.find(entry.first);
     return label != labels.entries.end() && label->second == entry.second;
   };
-  const auto expression_holds = [&](const SelectorExpression& expression) {
-    return holds(expression, labels);
+  const auto expression_matches = [&](const SelectorExpression& expression) {
+    return matches_expression(expression, labels);
   };
-  return std::all_of(match_labels.entries.begin(), match_labels.entries.end(), entry_holds) &&
-         std::all_of(match_expressions.begin(), match_expressions.end(), expression_holds);
+  return std::all_of(match_labels.entries.begin(), match_labels.entries.end(), entry_matches) &&
+         std::all_of(match_expressions.begin(), match_expressions.end(), expression_matches);
 }
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/state_machine.cpp
+++ b/src/declared/config/state_machine.cpp
@@ -59,8 +59,8 @@
       if (!is_valid_name(change.object.name)) faults.push_back({key, "metadata.name", "is not a name"});
       continue;
     }
-    const auto of_object = validate_object(change.object);
-    faults.insert(faults.end(), of_object.begin(), of_object.end());
+    const auto object_faults = validate_object(change.object);
+    faults.insert(faults.end(), object_faults.begin(), object_faults.end());
   }
   return faults;
 }
@@ -91,12 +91,12 @@
 
 ChangeOutcome StateMachine::apply(const ChangeRequest& request) {
   if (auto fault = check_request(request)) return refuse(std::move(*fault));
-  if (const RememberedChange* known = memory_.find(request.change_id)) {
+  if (const DecidedChange* known = memory_.find(request.change_id)) {
     if (is_fingerprint_of(known->fingerprint, request)) return known->outcome;
     return refuse(Reason{ReasonCode::kAlreadyExists, "apply_change", "",
                          fmt::format("changeId: {} was used before with other content", request.change_id)});
   }
-  if (memory_.may_have_forgotten(request.at_revision)) {
+  if (memory_.may_have_evicted(request.at_revision)) {
     return refuse(
         Reason{ReasonCode::kOutcomeUnknown, "apply_change", "",
                fmt::format("atRevision: a change {} chosen at revision {} may have been accepted and "
@@ -112,7 +112,7 @@
   const auto faults = check_objects(request);
   if (!faults.empty()) return refuse(reason_for_faults(faults));
   if (auto conflict = find_conflict(request)) return std::move(*conflict);
-  return write_all(request);
+  return apply_changes(request);
 }
 
 ChangeOutcome StateMachine::refuse(Reason reason) const {
@@ -147,7 +147,7 @@
   return outcome;
 }
 
-ChangeOutcome StateMachine::write_all(const ChangeRequest& request) {
+ChangeOutcome StateMachine::apply_changes(const ChangeRequest& request) {
   const std::uint64_t next_revision = revision_ + 1;
   std::vector<ObjectKey> touched;
   std::map<ObjectKey, std::optional<StoredObject>> before;
--- a/src/declared/config/state_machine.h
+++ b/src/declared/config/state_machine.h
@@ -55,7 +55,7 @@
   ChangeOutcome decide(const ChangeRequest& request);
   [[nodiscard]] ChangeOutcome refuse(Reason reason) const;
   [[nodiscard]] std::optional<ChangeOutcome> find_conflict(const ChangeRequest& request) const;
-  ChangeOutcome write_all(const ChangeRequest& request);
+  ChangeOutcome apply_changes(const ChangeRequest& request);
 
   std::uint64_t revision_ = 0;
   ObjectStore objects_;
--- a/src/declared/control/failover/node_health.cpp
+++ b/src/declared/control/failover/node_health.cpp
@@ -40,7 +40,7 @@
   gauge("cairnhollow_control_follower_connections", "Open follow connections.", followers_.connections());
   gauge("cairnhollow_control_followers_serving", "Proxies with a serving lease given here.",
         followers_.registry().serving(runtime_.now()));
-  counter("cairnhollow_control_follow_questions_total", "Questions of followers.", follow.questions);
+  counter("cairnhollow_control_follow_questions_total", "Questions of followers.", follow.requests);
   counter("cairnhollow_control_follow_answers_total", "Leases given to followers.", follow.answers);
   counter("cairnhollow_control_follow_refusals_total", "Questions refused for want of a quorum.",
           follow.refusals);
--- a/src/declared/control/follow/batch_history.h
+++ b/src/declared/control/follow/batch_history.h
@@ -20,7 +20,7 @@
   /// Records the changes after revision `from` up to and including revision `to`.
   void record(std::uint64_t from, std::uint64_t to, std::vector<config::ObjectKey> touched);
   /// Clears the history; changes up to and including `revision` are unknown from now on.
-  void restart(std::uint64_t revision);
+  void reset(std::uint64_t revision);
   /// Returns a superset of the objects touched after `revision`, or std::nullopt if `revision` is outside the
   /// retained range.
   [[nodiscard]] std::optional<std::set<config::ObjectKey>> touched_since(std::uint64_t revision) const;
@@ -31,8 +31,8 @@
     std::vector<config::ObjectKey> touched;
   };
 
-  std::uint64_t known_from_ = 0;  ///< changes after this revision are known
-  std::uint64_t last_ = 0;
+  std::uint64_t base_revision_ = 0;  ///< changes after this revision are known
+  std::uint64_t last_revision_ = 0;
   std::deque<Batch> batches_;  ///< in ascending order of revision
   std::size_t key_count_ = 0;
 };
--- a/src/declared/control/follow/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -28,7 +28,7 @@
   stopping_ = true;
   const Reason reason{ReasonCode::kDraining, "follow", "", "the control node is stopping"};
   for (const auto& [id, follower] : followers_) {
-    if (follower->question) refuse(follower, reason);
+    if (follower->pending) refuse(follower, reason);
   }
   wake_.notify_all();
   configuration_.changed().notify_all();
@@ -52,18 +52,18 @@
   while (true) {
     Reason reason;
     const auto frame = co_await connection->receive(reason);
-    if (!frame || !take_question(*follower, *frame)) break;
+    if (!frame || !accept_request(*follower, *frame)) break;
     if (stopping_)
       refuse(follower, Reason{ReasonCode::kDraining, "follow", "", "the control node is stopping"});
-    if (!follower->question) continue;
-    const bool due = is_due(*follower->question, runtime_.now());
-    if (due || follower->question->hold_until < sleeping_until_) wake_.notify_all();
+    if (!follower->pending) continue;
+    const bool due = is_due(*follower->pending, runtime_.now());
+    if (due || follower->pending->hold_until < next_wakeup_) wake_.notify_all();
   }
   followers_.erase(id);
   connection->close();
 }
 
-bool FollowServer::take_question(Follower& follower, const std::string& frame) {
+bool FollowServer::accept_request(Follower& follower, const std::string& frame) {
   Reason reason;
   auto request = wire::decode<follow::FollowRequest>(frame, reason);
   if (!request) {
@@ -71,41 +71,41 @@
                           {{"proxy", follower.node.value}});
     return false;
   }
-  ++statistics_.questions;
-  registry_.record_question(follower.node, follower.zone, *request);
+  ++statistics_.requests;
+  registry_.record_request(follower.node, follower.zone, *request);
   for (const auto& suspect : request->suspects) {
     if (on_suspect_) on_suspect_(suspect);
   }
   const Duration hold = std::clamp<Duration>(request->hold, Duration(0), serving_lease_ / kHoldLeaseDivisor);
-  Question question;
-  question.arrived = runtime_.now();
+  PendingRequest pending;
+  pending.arrived = runtime_.now();
   // A request that replaces an open one inherits its hold deadline; otherwise a client that sends requests
   // frequently could be held indefinitely.
-  question.hold_until = question.arrived + hold;
-  if (follower.question) question.hold_until = std::min(question.hold_until, follower.question->hold_until);
-  question.request = std::move(*request);
-  follower.question = std::move(question);
+  pending.hold_until = pending.arrived + hold;
+  if (follower.pending) pending.hold_until = std::min(pending.hold_until, follower.pending->hold_until);
+  pending.request = std::move(*request);
+  follower.pending = std::move(pending);
   return true;
 }
 
-bool FollowServer::is_due(const Question& question, TimePoint now) const {
-  if (question.confirmed) return false;
-  return now >= question.hold_until || question.request.revision < configuration_.revision() ||
-         question.request.news_version < directory_.version();
+bool FollowServer::is_due(const PendingRequest& pending, TimePoint now) const {
+  if (pending.confirmed) return false;
+  return now >= pending.hold_until || pending.request.revision < configuration_.revision() ||
+         pending.request.news_version < directory_.version();
 }
 
 bool FollowServer::any_due() const {
   const TimePoint now = runtime_.now();
   return std::any_of(followers_.begin(), followers_.end(), [&](const auto& entry) {
-    return entry.second->question && is_due(*entry.second->question, now);
+    return entry.second->pending && is_due(*entry.second->pending, now);
   });
 }
 
 TimePoint FollowServer::next_due() const {
   TimePoint next = TimePoint::max();
   for (const auto& [id, follower] : followers_) {
-    if (follower->question && !follower->question->confirmed)
-      next = std::min(next, follower->question->hold_until);
+    if (follower->pending && !follower->pending->confirmed)
+      next = std::min(next, follower->pending->hold_until);
   }
   return next;
 }
@@ -115,10 +115,10 @@
     if (any_due()) {
       co_await answer_batch();
     } else {
-      sleeping_until_ = next_due();
-      co_await wake_.wait_until(sleeping_until_);
+      next_wakeup_ = next_due();
+      co_await wake_.wait_until(next_wakeup_);
     }
-    registry_.forget_lapsed(runtime_.now());
+    registry_.remove_expired(runtime_.now());
   }
 }
 
@@ -127,8 +127,8 @@
   const TimePoint soon = runtime_.now() + kRenewalTick;
   std::vector<BatchEntry> batch;
   for (const auto& [id, follower] : followers_) {
-    if (!follower->question || !is_due(*follower->question, soon)) continue;
-    batch.push_back({id, follower->question->request.nonce});
+    if (!follower->pending || !is_due(*follower->pending, soon)) continue;
+    batch.push_back({id, follower->pending->request.nonce});
   }
   return batch;
 }
@@ -144,12 +144,12 @@
     co_return;
   }
   for (const auto& entry : batch) {
-    const auto follower = find_asker(entry);
+    const auto follower = find_follower(entry);
     if (!follower) continue;
-    if (follower->question->request.revision > 0) {
+    if (follower->pending->request.revision > 0) {
       answer(follower);
     } else {
-      follower->question->confirmed = true;
+      follower->pending->confirmed = true;
       first_configurations_.push_back(entry);
     }
   }
@@ -158,13 +158,13 @@
   runtime_.spawn("follow_server_first", send_first_configurations());
 }
 
-std::shared_ptr<FollowServer::Follower> FollowServer::find_asker(const BatchEntry& entry) const {
+std::shared_ptr<FollowServer::Follower> FollowServer::find_follower(const BatchEntry& entry) const {
   const auto found = followers_.find(entry.follower);
   if (found == followers_.end()) return nullptr;
-  const auto& question = found->second->question;
+  const auto& pending = found->second->pending;
   // A request that replaced the one in the batch arrived after the barrier had begun, so it waits for the
   // next barrier.
-  return question && question->request.nonce == entry.nonce ? found->second : nullptr;
+  return pending && pending->request.nonce == entry.nonce ? found->second : nullptr;
 }
 
 Awaitable<void> FollowServer::send_first_configurations() {
@@ -172,47 +172,47 @@
     co_await runtime_.sleep_for(Duration(0));  // yield so that other ready work runs first
     const BatchEntry entry = first_configurations_.front();
     first_configurations_.pop_front();
-    if (const auto follower = find_asker(entry)) answer(follower);
+    if (const auto follower = find_follower(entry)) answer(follower);
   }
   sending_first_configurations_ = false;
 }
 
 void FollowServer::answer(const std::shared_ptr<Follower>& follower) {
-  const Question question = std::move(*follower->question);
-  follower->question.reset();
-  if (question.request.revision > configuration_.revision()) {
-    follower->question = question;
+  const PendingRequest pending = std::move(*follower->pending);
+  follower->pending.reset();
+  if (pending.request.revision > configuration_.revision()) {
+    follower->pending = pending;
     refuse(follower, Reason{ReasonCode::kConflict, "follow", "", "the follower holds a newer revision"});
     return;
   }
   const Reason come_back{ReasonCode::kOverloaded, "follow", "",
                          "other first configurations are on their way"};
   // Skip encoding a full configuration that could not be sent now.
-  const bool is_full = question.request.revision == 0 && !has_room(kLargeUpdateBytes);
+  const bool is_full = pending.request.revision == 0 && !may_send_update(kLargeUpdateBytes);
   const std::string* update = nullptr;
-  if (!is_full) update = &encoder_.update_since(question.request.revision, question.request.news_version);
-  if (update == nullptr || !has_room(update->size())) {
-    ++statistics_.told_to_come_back;
-    follower->question = question;
+  if (!is_full) update = &encoder_.update_since(pending.request.revision, pending.request.news_version);
+  if (update == nullptr || !may_send_update(update->size())) {
+    ++statistics_.overload_refusals;
+    follower->pending = pending;
     refuse(follower, come_back);
     return;
   }
   follow::FollowAnswer answer;
-  answer.nonce = question.request.nonce;
+  answer.nonce = pending.request.nonce;
   answer.revision = configuration_.revision();
   answer.lease = serving_lease_;
   answer.news_version = directory_.version();
   answer.update = *update;
-  registry_.record_lease(follower->node, question.arrived);
+  registry_.record_lease(follower->node, pending.arrived);
   ++statistics_.answers;
   send(follower, answer);
 }
 
 void FollowServer::refuse(const std::shared_ptr<Follower>& follower, const Reason& reason) {
   follow::FollowAnswer answer;
-  answer.nonce = follower->question->request.nonce;
+  answer.nonce = follower->pending->request.nonce;
   answer.refusal = reason;
-  follower->question.reset();
+  follower->pending.reset();
   ++statistics_.refusals;
   send(follower, answer);
 }
@@ -220,23 +220,23 @@
 void FollowServer::refuse_due(const Reason& reason) {
   const TimePoint now = runtime_.now();
   for (const auto& [id, follower] : followers_) {
-    if (follower->question && is_due(*follower->question, now)) refuse(follower, reason);
+    if (follower->pending && is_due(*follower->pending, now)) refuse(follower, reason);
   }
 }
 
-bool FollowServer::has_room(std::size_t update_bytes) const {
+bool FollowServer::may_send_update(std::size_t update_bytes) const {
   return update_bytes < kLargeUpdateBytes || large_bytes_ == 0 ||
          large_bytes_ + update_bytes <= kLargeUpdateBytesAtOnce;
 }
 
 void FollowServer::send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer) {
-  Outgoing outgoing;
+  OutgoingAnswer outgoing;
   outgoing.frame = wire::encode(answer);
   if (answer.update.size() >= kLargeUpdateBytes) {
     outgoing.large_bytes = answer.update.size();
-    outgoing.large_number = ++large_updates_;
+    outgoing.large_update_id = ++last_large_update_id_;
     large_bytes_ += outgoing.large_bytes;
-    runtime_.spawn("follow_server_limit", limit_large_update(follower, outgoing.large_number));
+    runtime_.spawn("follow_server_limit", enforce_send_timeout(follower, outgoing.large_update_id));
   }
   follower->outgoing.push_back(std::move(outgoing));
   if (follower->sending) return;
@@ -244,7 +244,7 @@
   runtime_.spawn("follow_server_send", send_outgoing(follower));
 }
 
-void FollowServer::release(const Outgoing& outgoing) { large_bytes_ -= outgoing.large_bytes; }
+void FollowServer::release(const OutgoingAnswer& outgoing) { large_bytes_ -= outgoing.large_bytes; }
 
 Awaitable<void> FollowServer::send_outgoing(std::shared_ptr<Follower> follower) {
   bool sent = true;
@@ -260,11 +260,11 @@
   follower->sending = false;
 }
 
-Awaitable<void> FollowServer::limit_large_update(std::shared_ptr<Follower> follower,
-                                                 std::uint64_t large_number) {
+Awaitable<void> FollowServer::enforce_send_timeout(std::shared_ptr<Follower> follower,
+                                                   std::uint64_t large_update_id) {
   co_await runtime_.sleep_for(kLargeUpdateLimit);
   for (const auto& outgoing : follower->outgoing) {
-    if (outgoing.large_number == large_number) follower->connection->close();
+    if (outgoing.large_update_id == large_update_id) follower->connection->close();
   }
 }
 
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -23,10 +23,10 @@
 
 /// Counters since start.
 struct FollowServerStatistics {
-  std::uint64_t questions = 0;
+  std::uint64_t requests = 0;
   std::uint64_t answers = 0;
   std::uint64_t refusals = 0;
-  std::uint64_t told_to_come_back = 0;  ///< refusals because too many large updates were in flight
+  std::uint64_t overload_refusals = 0;  ///< refusals because too many large updates were in flight
   std::uint64_t quorum_rounds = 0;      ///< read barriers waited for; each serves many requests
 };
 
@@ -57,23 +57,23 @@
   [[nodiscard]] std::size_t connections() const { return followers_.size(); }
 
  private:
-  struct Question {
+  struct PendingRequest {
     follow::FollowRequest request;
     TimePoint arrived{};
     TimePoint hold_until{};
     bool confirmed = false;  ///< confirmed by a barrier; its first configuration is about to be sent
   };
-  struct Outgoing {
-    std::string frame;               ///< an encoded answer
-    std::size_t large_bytes = 0;     ///< bytes counted against kLargeUpdateBytesAtOnce; 0 for a small answer
-    std::uint64_t large_number = 0;  ///< sequence number of a large update, from 1; 0 for a small answer
+  struct OutgoingAnswer {
+    std::string frame;            ///< an encoded answer
+    std::size_t large_bytes = 0;  ///< bytes counted against kLargeUpdateBytesAtOnce; 0 for a small answer
+    std::uint64_t large_update_id = 0;  ///< sequence number of a large update, from 1; 0 for a small answer
   };
   struct Follower {
     std::shared_ptr<runtime::FrameConnection> connection;
     NodeName node;
     ZoneName zone;
-    std::optional<Question> question;
-    std::deque<Outgoing> outgoing;  ///< the front entry is being sent
+    std::optional<PendingRequest> pending;
+    std::deque<OutgoingAnswer> outgoing;  ///< the front entry is being sent
     bool sending = false;
   };
   using FollowerId = std::uint64_t;
@@ -89,22 +89,22 @@
   /// Answers the confirmed first configurations, one per turn of the event loop.
   Awaitable<void> send_first_configurations();
   Awaitable<void> send_outgoing(std::shared_ptr<Follower> follower);
-  bool take_question(Follower& follower, const std::string& frame);
-  [[nodiscard]] bool is_due(const Question& question, TimePoint now) const;
+  bool accept_request(Follower& follower, const std::string& frame);
+  [[nodiscard]] bool is_due(const PendingRequest& pending, TimePoint now) const;
   [[nodiscard]] bool any_due() const;
   [[nodiscard]] TimePoint next_due() const;
   [[nodiscard]] std::vector<BatchEntry> collect_batch() const;
   /// Returns the follower if its open request is still the one in the batch, else null.
-  [[nodiscard]] std::shared_ptr<Follower> find_asker(const BatchEntry& entry) const;
+  [[nodiscard]] std::shared_ptr<Follower> find_follower(const BatchEntry& entry) const;
   void answer(const std::shared_ptr<Follower>& follower);
   void refuse(const std::shared_ptr<Follower>& follower, const Reason& reason);
   void refuse_due(const Reason& reason);
   /// Whether an update of `update_bytes` bytes may be sent now.
-  [[nodiscard]] bool has_room(std::size_t update_bytes) const;
+  [[nodiscard]] bool may_send_update(std::size_t update_bytes) const;
   void send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer);
-  void release(const Outgoing& outgoing);
+  void release(const OutgoingAnswer& outgoing);
   /// Closes the connection if the large update has not been sent within kLargeUpdateLimit.
-  Awaitable<void> limit_large_update(std::shared_ptr<Follower> follower, std::uint64_t large_number);
+  Awaitable<void> enforce_send_timeout(std::shared_ptr<Follower> follower, std::uint64_t large_update_id);
 
   runtime::Runtime& runtime_;
   Duration serving_lease_;
@@ -119,9 +119,9 @@
   FollowerId next_follower_ = 1;
   std::deque<BatchEntry> first_configurations_;  ///< confirmed by a barrier, waiting to be sent
   runtime::Signal wake_;
-  TimePoint sleeping_until_ = TimePoint::max();  ///< when run() next wakes without a notification
-  std::size_t large_bytes_ = 0;                  ///< total size of the large updates in flight
-  std::uint64_t large_updates_ = 0;
+  TimePoint next_wakeup_ = TimePoint::max();  ///< when run() next wakes without a notification
+  std::size_t large_bytes_ = 0;               ///< total size of the large updates in flight
+  std::uint64_t last_large_update_id_ = 0;
   bool sending_first_configurations_ = false;
   bool stopping_ = false;
 };
--- a/src/declared/control/follow/followed_config.cpp
+++ b/src/declared/control/follow/followed_config.cpp
@@ -6,11 +6,11 @@
   if (!effect.configuration) return;
   const std::uint64_t revision = client_.current().revision;
   if (effect.snapshot) {
-    history_.restart(revision);
+    history_.reset(revision);
   } else {
-    history_.record(revision_noted_, revision, effect.touched);
+    history_.record(recorded_revision_, revision, effect.touched);
   }
-  revision_noted_ = revision;
+  recorded_revision_ = revision;
   changed_.notify_all();
 }
 
--- a/src/declared/control/follow/followed_config.h
+++ b/src/declared/control/follow/followed_config.h
@@ -29,7 +29,7 @@
   const follow::FollowClient& client_;
   wire::Format feature_level_;
   BatchHistory history_;
-  std::uint64_t revision_noted_ = 0;
+  std::uint64_t recorded_revision_ = 0;
   runtime::Signal changed_;
 };
 
--- a/src/declared/control/follow/follower_registry.cpp
+++ b/src/declared/control/follow/follower_registry.cpp
@@ -10,8 +10,8 @@
   return serving_lease + serving_lease / kClockDriftDivisor;
 }
 
-void FollowerRegistry::record_question(const NodeName& node, const ZoneName& zone,
-                                       const follow::FollowRequest& request) {
+void FollowerRegistry::record_request(const NodeName& node, const ZoneName& zone,
+                                      const follow::FollowRequest& request) {
   auto& follower = followers_[node];
   follower.node = node;
   follower.zone = zone;
@@ -26,7 +26,7 @@
   follower.lease_until = std::max(follower.lease_until, arrived + lease_with_drift(serving_lease_));
 }
 
-void FollowerRegistry::forget_lapsed(TimePoint now) {
+void FollowerRegistry::remove_expired(TimePoint now) {
   std::erase_if(followers_,
                 [&](const auto& entry) { return entry.second.lease_until + kLapsedFollowerKept < now; });
 }
--- a/src/declared/control/follow/follower_registry.h
+++ b/src/declared/control/follow/follower_registry.h
@@ -27,11 +27,11 @@
  public:
   explicit FollowerRegistry(Duration serving_lease) : serving_lease_(serving_lease) {}
 
-  void record_question(const NodeName& node, const ZoneName& zone, const follow::FollowRequest& request);
+  void record_request(const NodeName& node, const ZoneName& zone, const follow::FollowRequest& request);
   /// Records that a lease was granted for a request that arrived at `arrived`.
   void record_lease(const NodeName& node, TimePoint arrived);
   /// Removes proxies whose lease expired more than kLapsedFollowerKept before `now`.
-  void forget_lapsed(TimePoint now);
+  void remove_expired(TimePoint now);
 
   [[nodiscard]] std::vector<FollowerStatus> list() const;
   /// Number of proxies whose lease has not expired at `now`.
--- a/src/declared/control/follow/update_encoder.cpp
+++ b/src/declared/control/follow/update_encoder.cpp
@@ -6,22 +6,22 @@
 namespace cairnhollow::declared::control {
 
 const std::string& UpdateEncoder::update_since(std::uint64_t revision, std::uint64_t news_version) {
-  const Place present{configuration_.revision(), directory_.version()};
-  if (present != present_) {
+  const StateVersion current{configuration_.revision(), directory_.version()};
+  if (current != current_) {
     updates_.clear();
-    present_ = present;
+    current_ = current;
   }
-  const Place from{revision, news_version};
+  const StateVersion from{revision, news_version};
   const auto known = updates_.find(from);
   if (known != updates_.end()) return known->second;
-  std::string update = from == present ? std::string() : encode_since(from);
+  std::string update = from == current ? std::string() : encode_since(from);
   return updates_.emplace(from, std::move(update)).first->second;
 }
 
-std::string UpdateEncoder::encode_since(const Place& from) {
+std::string UpdateEncoder::encode_since(const StateVersion& from) {
   ++encoded_;
   follow::FollowUpdate update;
-  if (from.revision != present_.revision) {
+  if (from.revision != current_.revision) {
     auto changes = from.revision == 0 ? std::nullopt : configuration_.changes_since(from.revision);
     if (changes) {
       update.configuration = std::move(*changes);
@@ -29,7 +29,7 @@
       update.configuration = config::ConfigSnapshot{configuration_.objects()};
     }
   }
-  if (from.news_version != present_.news_version) {
+  if (from.news_version != current_.news_version) {
     update.has_news = true;
     update.groups = directory_.changed_since(from.news_version);
     update.leaving.assign(directory_.leaving().begin(), directory_.leaving().end());
--- a/src/declared/control/follow/update_encoder.h
+++ b/src/declared/control/follow/update_encoder.h
@@ -25,18 +25,18 @@
   [[nodiscard]] std::uint64_t encoded() const { return encoded_; }
 
  private:
-  struct Place {
+  struct StateVersion {
     std::uint64_t revision = 0;
     std::uint64_t news_version = 0;
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const StateVersion&) const = default;
   };
 
-  std::string encode_since(const Place& from);
+  std::string encode_since(const StateVersion& from);
 
   const ConfigView& configuration_;
   const NewsDirectory& directory_;
-  Place present_;
-  std::map<Place, std::string> updates_;  ///< keyed by start; each leads to `present_`
+  StateVersion current_;
+  std::map<StateVersion, std::string> updates_;  ///< keyed by start; each leads to `current_`
   std::uint64_t encoded_ = 0;
 };
 
--- a/src/declared/control/operator/drain_events.cpp
+++ b/src/declared/control/operator/drain_events.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool drains(const config::Object& object) {
+bool is_draining(const config::Object& object) {
   if (const auto* proxy = std::get_if<config::ProxySpec>(&object.spec)) return proxy->drain;
   if (const auto* backend = std::get_if<config::BackendSpec>(&object.spec)) return backend->drain;
   return false;
@@ -19,8 +19,8 @@
   for (const auto& change : request.changes) {
     if (change.deletion) continue;
     const auto before = machine.find(change.object.key());
-    const bool drained_before = before && drains(before->object);
-    if (drains(change.object) == drained_before) continue;
+    const bool drained_before = before && is_draining(before->object);
+    if (is_draining(change.object) == drained_before) continue;
     drains_.push_back({change.object.key(), !drained_before});
   }
 }
--- a/src/declared/control/operator/fleet_status.cpp
+++ b/src/declared/control/operator/fleet_status.cpp
@@ -41,8 +41,8 @@
   return statuses;
 }
 
-std::vector<OtherControlNode> nodes_beside(const std::vector<consensus::Member>& members,
-                                           const std::vector<ControlPeerStatus>& peers) {
+std::vector<OtherControlNode> non_member_nodes(const std::vector<consensus::Member>& members,
+                                               const std::vector<ControlPeerStatus>& peers) {
   std::vector<OtherControlNode> others;
   for (const auto& peer : peers) {
     const bool is_member = std::any_of(members.begin(), members.end(),
--- a/src/declared/control/operator/fleet_status.h
+++ b/src/declared/control/operator/fleet_status.h
@@ -13,8 +13,8 @@
                                       const NodeName& control_node, TimePoint now);
 
 /// Returns the nodes in `peers` that are not in `members`.
-std::vector<OtherControlNode> nodes_beside(const std::vector<consensus::Member>& members,
-                                           const std::vector<ControlPeerStatus>& peers);
+std::vector<OtherControlNode> non_member_nodes(const std::vector<consensus::Member>& members,
+                                               const std::vector<ControlPeerStatus>& peers);
 
 /// Returns all control nodes that have sent news, ordered by name.
 std::vector<ControlPeerStatus> peer_status(const PeerDirectory& peers, TimePoint now);
--- a/src/declared/control/operator/operator_api.cpp
+++ b/src/declared/control/operator/operator_api.cpp
@@ -85,8 +85,8 @@
  private:
   using Resource = Awaitable<HttpResponse> (OperatorApi::*)(HttpRequest, RequestTarget);
 
-  /// Returns null if no resource handles the method; `known` reports whether the path exists.
-  static Resource find_resource(HttpMethod method, const RequestTarget& target, bool& known);
+  /// Returns null if no resource handles the method; `path_exists` reports whether the path exists.
+  static Resource find_resource(HttpMethod method, const RequestTarget& target, bool& path_exists);
 
   Awaitable<HttpResponse> get_health(HttpRequest request, RequestTarget target);
   Awaitable<HttpResponse> get_readiness(HttpRequest request, RequestTarget target);
@@ -108,20 +108,20 @@
   HttpResponse answer(const std::optional<Value>& value, const Reason& reason) const {
     return value ? json_response(to_json(*value)) : refuse(reason);
   }
-  /// Returns `{"WORD": true}`, or a refusal if `is_done` is false.
-  HttpResponse done(bool is_done, const char* word, const Reason& reason) const {
-    return is_done ? json_response(boost::json::object{{word, true}}) : refuse(reason);
+  /// Returns `{"WORD": true}`, or a refusal if `succeeded` is false.
+  HttpResponse confirmation(bool succeeded, const char* word, const Reason& reason) const {
+    return succeeded ? json_response(boost::json::object{{word, true}}) : refuse(reason);
   }
-  /// Deadline from `?timeout=`, at most kMaximumTimeoutMilliseconds from now; without it, `otherwise` from
+  /// Deadline from `?timeout=`, at most kMaximumTimeoutMilliseconds from now; without it, `fallback` from
   /// now.
-  [[nodiscard]] TimePoint deadline_of(const RequestTarget& target, Duration otherwise) const;
+  [[nodiscard]] TimePoint deadline_of(const RequestTarget& target, Duration fallback) const;
 
   runtime::Runtime& runtime_;
   OperatorService& service_;
 };
 
 OperatorApi::Resource OperatorApi::find_resource(HttpMethod method, const RequestTarget& target,
-                                                 bool& known) {
+                                                 bool& path_exists) {
   struct Entry {
     HttpMethod method;
     std::vector<std::string> pattern;  ///< "*" matches any one segment
@@ -142,15 +142,16 @@
       {HttpMethod::kPost, {"v1", "members", "*", "replace"}, &OperatorApi::replace_member},
       {HttpMethod::kPost, {"v1", "switchover"}, &OperatorApi::post_switchover},
   };
-  const auto fits = [&](const std::vector<std::string>& pattern) {
-    return std::equal(
-        pattern.begin(), pattern.end(), target.segments.begin(), target.segments.end(),
-        [](const std::string& want, const std::string& have) { return want == "*" || want == have; });
+  const auto matches = [&](const std::vector<std::string>& pattern) {
+    return std::equal(pattern.begin(), pattern.end(), target.segments.begin(), target.segments.end(),
+                      [](const std::string& expected, const std::string& actual) {
+                        return expected == "*" || expected == actual;
+                      });
   };
-  known = false;
+  path_exists = false;
   for (const auto& entry : entries) {
-    if (!fits(entry.pattern)) continue;
-    known = true;
+    if (!matches(entry.pattern)) continue;
+    path_exists = true;
     if (entry.method == method) return entry.resource;
   }
   return nullptr;
@@ -163,18 +164,18 @@
   if (!timeout.empty() && !config::parse_milliseconds(timeout)) {
     co_return refuse(invalid("timeout: must be a duration, e.g. 500ms or 10s"));
   }
-  bool known = false;
-  const Resource resource = find_resource(request.method, *target, known);
+  bool path_exists = false;
+  const Resource resource = find_resource(request.method, *target, path_exists);
   if (resource != nullptr) {
     HttpResponse response = co_await (this->*resource)(std::move(request), std::move(*target));
     co_return response;
   }
   http::Problem problem;
-  problem.reason = Reason{known ? ReasonCode::kUnsupported : ReasonCode::kNotFound, "find_resource", "",
-                          known ? "the resource does not support this method" : "no such resource"};
+  problem.reason = Reason{path_exists ? ReasonCode::kUnsupported : ReasonCode::kNotFound, "find_resource", "",
+                          path_exists ? "the resource does not support this method" : "no such resource"};
   constexpr unsigned kNotFoundStatus = 404;
   constexpr unsigned kMethodNotAllowedStatus = 405;
-  co_return http::make_problem_response(known ? kMethodNotAllowedStatus : kNotFoundStatus, problem);
+  co_return http::make_problem_response(path_exists ? kMethodNotAllowedStatus : kNotFoundStatus, problem);
 }
 
 HttpResponse OperatorApi::refuse(const Reason& reason) const {
@@ -203,9 +204,9 @@
   return response;
 }
 
-TimePoint OperatorApi::deadline_of(const RequestTarget& target, Duration otherwise) const {
+TimePoint OperatorApi::deadline_of(const RequestTarget& target, Duration fallback) const {
   const auto asked = config::parse_milliseconds(target.parameter("timeout"));
-  if (!asked) return runtime_.now() + otherwise;
+  if (!asked) return runtime_.now() + fallback;
   return runtime_.now() + std::chrono::milliseconds(std::min(*asked, kMaximumTimeoutMilliseconds));
 }
 
@@ -317,7 +318,7 @@
   if (!member) co_return refuse(reason);
   const TimePoint deadline = deadline_of(target, kLongDeadline);
   const bool added = co_await service_.add_member(std::move(*member), deadline, reason);
-  co_return done(added, "added", reason);
+  co_return confirmation(added, "added", reason);
 }
 
 Awaitable<HttpResponse> OperatorApi::delete_member(HttpRequest /*request*/, RequestTarget target) {
@@ -325,7 +326,7 @@
   const NodeName node{target.segments[2]};
   const TimePoint deadline = deadline_of(target, kLongDeadline);
   const bool removed = co_await service_.remove_member(node, deadline, reason);
-  co_return done(removed, "removed", reason);
+  co_return confirmation(removed, "removed", reason);
 }
 
 Awaitable<HttpResponse> OperatorApi::replace_member(HttpRequest request, RequestTarget target) {
@@ -335,7 +336,7 @@
   const NodeName lost{target.segments[2]};
   const TimePoint deadline = deadline_of(target, kLongDeadline);
   const bool replaced = co_await service_.replace_member(lost, std::move(*member), deadline, reason);
-  co_return done(replaced, "replaced", reason);
+  co_return confirmation(replaced, "replaced", reason);
 }
 
 Awaitable<HttpResponse> OperatorApi::post_switchover(HttpRequest request, RequestTarget target) {
--- a/src/declared/control/operator/operator_json_read.cpp
+++ b/src/declared/control/operator/operator_json_read.cpp
@@ -227,7 +227,7 @@
 
 /// Runs `read(reader, value)` on a whole JSON value; std::nullopt with `reason` if it reported a fault.
 template <class Value, class Read>
-std::optional<Value> read_whole(const boost::json::value& json, Reason& reason, Read read) {
+std::optional<Value> read_document(const boost::json::value& json, Reason& reason, Read read) {
   FaultList faults("");
   const DocumentNode node = config::from_json(json);
   MappingReader reader(node, "", faults);
@@ -242,7 +242,7 @@
 
 std::optional<config::ChangeRequest> change_request_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<config::ChangeRequest>(value, reason, [](MappingReader& reader, auto& request) {
+  return read_document<config::ChangeRequest>(value, reason, [](MappingReader& reader, auto& request) {
     reader.read("changeId", kRequired, request.change_id);
     reader.read("atRevision", kRequired, request.at_revision);
     reader.read("operator", kOptional, request.operator_name);
@@ -254,7 +254,7 @@
 
 std::optional<SwitchoverRequest> switchover_request_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<SwitchoverRequest>(value, reason, [](MappingReader& reader, auto& request) {
+  return read_document<SwitchoverRequest>(value, reason, [](MappingReader& reader, auto& request) {
     reader.read("group", kRequired, request.group.value);
     std::string target;
     reader.read("target", kOptional, target);
@@ -269,7 +269,7 @@
 }
 
 std::optional<consensus::Member> member_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<consensus::Member>(value, reason, [](MappingReader& reader, auto& member) {
+  return read_document<consensus::Member>(value, reason, [](MappingReader& reader, auto& member) {
     member = read_member(reader);
     reader.finish();
   });
@@ -277,7 +277,7 @@
 
 std::optional<config::ChangeOutcome> change_outcome_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<config::ChangeOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
+  return read_document<config::ChangeOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
     reader.read("accepted", kRequired, outcome.accepted);
     reader.read("revision", kRequired, outcome.revision);
     read_reason(reader, "reason", outcome.reason);
@@ -289,7 +289,7 @@
 }
 
 std::optional<ObjectList> object_list_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<ObjectList>(value, reason, [](MappingReader& reader, auto& list) {
+  return read_document<ObjectList>(value, reason, [](MappingReader& reader, auto& list) {
     reader.read("revision", kRequired, list.revision);
     const DocumentNode* objects = reader.take("objects", kRequired);
     if (objects == nullptr) return;
@@ -301,7 +301,7 @@
 }
 
 std::optional<FleetStatus> fleet_status_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<FleetStatus>(value, reason, [](MappingReader& reader, auto& status) {
+  return read_document<FleetStatus>(value, reason, [](MappingReader& reader, auto& status) {
     reader.read("answeredBy", kRequired, status.answered_by.value);
     reader.read("leader", kOptional, status.leader.value);
     reader.read("consensusTerm", kOptional, status.consensus_term);
@@ -316,23 +316,23 @@
 }
 
 std::optional<std::vector<FleetEvent>> events_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<std::vector<FleetEvent>>(value, reason, [](MappingReader& reader, auto& events) {
+  return read_document<std::vector<FleetEvent>>(value, reason, [](MappingReader& reader, auto& events) {
     reader.take("events", kRequired);
     events = read_list(reader, "events", read_event);
   });
 }
 
 std::optional<InForceReport> in_force_report_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<InForceReport>(value, reason, [](MappingReader& reader, auto& report) {
+  return read_document<InForceReport>(value, reason, [](MappingReader& reader, auto& report) {
     reader.read("revision", kRequired, report.revision);
-    reader.read("least", kRequired, report.least);
+    reader.read("least", kRequired, report.least_revision);
     report.behind = read_list(reader, "behind", read_proxy);
   });
 }
 
 std::optional<SwitchoverOutcome> switchover_outcome_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<SwitchoverOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
+  return read_document<SwitchoverOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
     reader.read("primary", kRequired, outcome.primary.value);
     reader.read("term", kRequired, outcome.term);
   });
--- a/src/declared/control/operator/operator_json_write.cpp
+++ b/src/declared/control/operator/operator_json_write.cpp
@@ -138,7 +138,7 @@
 
 json::value to_json(const InForceReport& report) {
   return json::object{{"revision", report.revision},
-                      {"least", report.least},
+                      {"least", report.least_revision},
                       {"behind", list_json(report.behind, proxy_json)}};
 }
 
--- a/src/declared/control/operator/operator_service.h
+++ b/src/declared/control/operator/operator_service.h
@@ -99,7 +99,7 @@
 /// How far an accepted revision has propagated.
 struct InForceReport {
   std::uint64_t revision = 0;  ///< configuration revision after a read barrier
-  std::uint64_t least =
+  std::uint64_t least_revision =
       0;  ///< lowest revision in force on proxies that may still serve; `revision` if there are none
   /// Proxies that may serve below `revision`. An entry without a proxy name covers all followers of
   /// `control_node`, a node other than the answering one.
@@ -166,7 +166,7 @@
   [[nodiscard]] const NodeName& node() const { return node_; }
 
  private:
-  [[nodiscard]] Reason has_no_log(std::string step) const;
+  [[nodiscard]] Reason no_log_refusal(std::string step) const;
 
   NodeName node_;
 };
--- a/src/declared/control/operator/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -76,7 +76,7 @@
   status.commit_index = consensus.commit_index;
   status.revision = replica_.revision();
   status.members = member_status(consensus);
-  status.other_control_nodes = nodes_beside(consensus.members, sources_.followers.control_peers());
+  status.other_control_nodes = non_member_nodes(consensus.members, sources_.followers.control_peers());
   status.groups = sources_.groups.group_status();
   status.proxies = sources_.followers.followers();
   status.leaving = sources_.groups.leaving_machines();
@@ -124,10 +124,10 @@
 InForceReport OperatorServiceImpl::in_force_report() const {
   InForceReport report;
   report.revision = replica_.revision();
-  std::uint64_t least = report.revision;
+  std::uint64_t least_revision = report.revision;
   const auto record = [&](ProxyStatus proxy) {
     if (proxy.revision >= report.revision) return;
-    least = std::min(least, proxy.revision);
+    least_revision = std::min(least_revision, proxy.revision);
     report.behind.push_back(std::move(proxy));
   };
   for (auto& proxy : sources_.followers.followers()) {
@@ -143,8 +143,8 @@
   // Lower bound that does not depend on followers' reports: a lease still running was granted after a quorum
   // round that began after the proxy's request, so the proxy has everything accepted by then.
   const std::uint64_t leased = replica_.revision_at(runtime_.now() - sources_.followers.longest_lease());
-  report.least = std::max(least, leased);
-  if (report.least >= report.revision) report.behind.clear();
+  report.least_revision = std::max(least_revision, leased);
+  if (report.least_revision >= report.revision) report.behind.clear();
   return report;
 }
 
--- a/src/declared/control/operator/relay_operator_service.cpp
+++ b/src/declared/control/operator/relay_operator_service.cpp
@@ -14,7 +14,7 @@
   status.groups = core_.groups().group_status();
   status.proxies =
       proxy_status(core_.follow_server().registry(), core_.news().peers(), node(), runtime_.now());
-  status.other_control_nodes = nodes_beside({}, peer_status(core_.news().peers(), runtime_.now()));
+  status.other_control_nodes = non_member_nodes({}, peer_status(core_.news().peers(), runtime_.now()));
   status.leaving = core_.groups().leaving_machines();
   co_return status;
 }
--- a/src/declared/follow/follow_client.cpp
+++ b/src/declared/follow/follow_client.cpp
@@ -10,7 +10,7 @@
 
 FollowClient::FollowClient(runtime::Runtime& runtime, FollowClientSettings settings)
     : runtime_(runtime), settings_(std::move(settings)), answered_(runtime), wake_(runtime) {
-  current_.reads_updates = settings_.read_updates;
+  current_.decodes_updates = settings_.decode_updates;
 }
 
 void FollowClient::start() { runtime_.spawn("follow_client", run()); }
@@ -23,11 +23,11 @@
 
 void FollowClient::report_suspect(SuspectPrimary suspect) {
   const auto now = runtime_.now();
-  const auto reported = suspects_reported_.find(suspect.group);
-  if (reported != suspects_reported_.end() && now < reported->second + kSuspectRepeatInterval) return;
-  suspects_reported_[suspect.group] = now;
+  const auto reported = last_suspect_reports_.find(suspect.group);
+  if (reported != last_suspect_reports_.end() && now < reported->second + kSuspectRepeatInterval) return;
+  last_suspect_reports_[suspect.group] = now;
   suspects_.push_back(std::move(suspect));
-  ask_now_ = true;
+  request_now_ = true;
   wake_.notify_all();
 }
 
@@ -35,22 +35,23 @@
   in_flight_ = in_flight;
   if (draining_ == draining) return;
   draining_ = draining;
-  ask_now_ = true;
+  request_now_ = true;
   wake_.notify_all();
 }
 
 Awaitable<bool> FollowClient::renew(TimePoint deadline, Reason& reason) {
   const std::uint64_t first_nonce = next_nonce_;
   const std::uint64_t busy_answers = statistics_.busy_answers;
-  ++renewals_waiting_;
-  ask_now_ = true;
+  ++pending_renewals_;
+  request_now_ = true;
   wake_.notify_all();
   bool in_time = true;
-  while (answered_nonce_ < first_nonce && busy_answers == statistics_.busy_answers && in_time && !stopping_) {
+  while (last_answered_nonce_ < first_nonce && busy_answers == statistics_.busy_answers && in_time &&
+         !stopping_) {
     in_time = co_await answered_.wait_until(deadline);
   }
-  --renewals_waiting_;
-  if (answered_nonce_ >= first_nonce) co_return true;
+  --pending_renewals_;
+  if (last_answered_nonce_ >= first_nonce) co_return true;
   reason = last_failure_;
   if (in_time && last_failure_.failed()) co_return false;
   reason = Reason{ReasonCode::kDeadlineExceeded, "renew", followed_peer_, "no answer came in time"};
@@ -63,12 +64,12 @@
     Reason reason;
     auto connection =
         co_await runtime_.network().connect(endpoint, runtime_.now() + kFollowConnectTimeout, reason);
-    bool was_served = false;
+    bool lease_granted = false;
     if (connection) {
       link_ = std::make_shared<Link>();
       link_->connection = std::move(connection);
       followed_peer_ = endpoint.to_string();
-      was_served = co_await converse(link_);
+      lease_granted = co_await run_session(link_);
       link_->connection->close();
       link_.reset();
       followed_peer_.clear();
@@ -77,18 +78,18 @@
     }
     if (stopping_) break;
     ++endpoint_index_;
-    ++statistics_.moves;
+    ++statistics_.node_switches;
     answered_.notify_all();
     runtime_.logger().log(runtime::LogLevel::kInfo, "control_node_given_up", last_failure_, {});
-    co_await pause_after_failure(was_served);
+    co_await pause_after_failure(lease_granted);
   }
 }
 
-Awaitable<void> FollowClient::pause_after_failure(bool was_served) {
-  failures_in_a_row_ = was_served ? 1 : failures_in_a_row_ + 1;
-  const auto endpoints = std::min(settings_.control_endpoints.size(), kFollowTriesWithoutPause);
-  if (failures_in_a_row_ < endpoints) co_return;
-  const auto rounds = static_cast<std::int64_t>(failures_in_a_row_ / endpoints);
+Awaitable<void> FollowClient::pause_after_failure(bool lease_granted) {
+  consecutive_failures_ = lease_granted ? 1 : consecutive_failures_ + 1;
+  const auto endpoints = std::min(settings_.control_endpoints.size(), kFollowAttemptsBeforePause);
+  if (consecutive_failures_ < endpoints) co_return;
+  const auto rounds = static_cast<std::int64_t>(consecutive_failures_ / endpoints);
   const bool refused = last_failure_.code == ReasonCode::kUnsupported;
   const Duration limit = refused ? kFollowRefusedPauseLimit : kFollowRetryPauseLimit;
   const Duration pause = std::min<Duration>(kFollowRetryPause * rounds, limit);
@@ -126,34 +127,34 @@
   co_return sent;
 }
 
-Awaitable<bool> FollowClient::converse(std::shared_ptr<Link> link) {
+Awaitable<bool> FollowClient::run_session(std::shared_ptr<Link> link) {
   const bool greeted = co_await send_hello(link);
   if (!greeted) co_return false;
   runtime_.spawn("follow_client_reader", read_frames(link));
-  bool was_served = false;
+  bool lease_granted = false;
   while (!stopping_) {
     // The first request on a connection must not be held: the lease may be about to expire.
     const double share = kHoldShareLow + (kHoldShareHigh - kHoldShareLow) * runtime_.random().unit();
     const auto interval = static_cast<double>(settings_.follow_interval.count());
-    const bool may_hold = was_served && renewals_waiting_ == 0;
+    const bool may_hold = lease_granted && pending_renewals_ == 0;
     const Duration hold = may_hold ? Duration(static_cast<std::int64_t>(interval * share)) : Duration(0);
-    const bool asked = co_await ask(link, hold);
-    if (!asked) break;
+    const bool request_sent = co_await send_request(link, hold);
+    if (!request_sent) break;
     const WaitResult result = co_await wait_for_answer(link);
     if (result == WaitResult::kFailed) break;
-    if (result == WaitResult::kAskAgain) continue;
+    if (result == WaitResult::kRequestAgain) continue;
     if (result == WaitResult::kBusy) {
       co_await pause_while_busy(link);
       continue;
     }
-    was_served = true;
-    failures_in_a_row_ = 0;
-    co_await pause_before_next_question(link);
+    lease_granted = true;
+    consecutive_failures_ = 0;
+    co_await pause_before_next_request(link);
   }
-  co_return was_served;
+  co_return lease_granted;
 }
 
-Awaitable<bool> FollowClient::ask(std::shared_ptr<Link> link, Duration hold) {
+Awaitable<bool> FollowClient::send_request(std::shared_ptr<Link> link, Duration hold) {
   FollowRequest request;
   request.nonce = next_nonce_++;
   request.revision = current_.revision;
@@ -162,13 +163,13 @@
   request.suspects = std::exchange(suspects_, {});
   request.in_flight = in_flight_;
   request.draining = draining_;
-  ask_now_ = false;
+  request_now_ = false;
   link->nonce = request.nonce;
-  link->asked_at = runtime_.now();
-  if (!link->answer_due) link->unanswered_since = link->asked_at;
-  link->answer_due = true;
+  link->sent_at = runtime_.now();
+  if (!link->awaiting_answer) link->unanswered_since = link->sent_at;
+  link->awaiting_answer = true;
   std::string frame = wire::encode(request);
-  ++statistics_.questions;
+  ++statistics_.requests;
   statistics_.bytes_sent += frame.size();
   Reason reason;
   const bool sent = co_await link->connection->send(std::move(frame), reason);
@@ -180,13 +181,13 @@
   TimePoint deadline = link->unanswered_since + settings_.follow_timeout;
   link->bytes_seen = link->connection->bytes_received();
   while (true) {
-    const WaitResult result = take_frames(*link);
-    if (result != WaitResult::kAskAgain) co_return result;
+    const WaitResult result = process_frames(*link);
+    if (result != WaitResult::kRequestAgain) co_return result;
     if (link->broken || stopping_) {
       last_failure_ = link->reason;
       co_return WaitResult::kFailed;
     }
-    if (must_ask_now()) co_return WaitResult::kAskAgain;
+    if (must_request_now()) co_return WaitResult::kRequestAgain;
     const bool notified = co_await wake_.wait_until(deadline);
     if (!notified && is_receiving(*link)) {
       deadline = runtime_.now() + settings_.follow_timeout;
@@ -200,18 +201,18 @@
 
 bool FollowClient::is_receiving(Link& link) const {
   const std::uint64_t before = std::exchange(link.bytes_seen, link.connection->bytes_received());
-  const bool in_time = runtime_.now() < link.unanswered_since + kFirstConfigurationLimit;
+  const bool in_time = runtime_.now() < link.unanswered_since + kFirstConfigurationTimeout;
   return current_.revision == 0 && link.bytes_seen > before && in_time;
 }
 
-Awaitable<void> FollowClient::pause_before_next_question(std::shared_ptr<Link> link) {
-  const TimePoint earliest = link->asked_at + kMinimumQuestionInterval;
-  while (!must_ask_now() && !link->broken && !stopping_ && runtime_.now() < earliest) {
+Awaitable<void> FollowClient::pause_before_next_request(std::shared_ptr<Link> link) {
+  const TimePoint earliest = link->sent_at + kMinimumRequestInterval;
+  while (!must_request_now() && !link->broken && !stopping_ && runtime_.now() < earliest) {
     co_await wake_.wait_until(earliest);
   }
 }
 
-FollowClient::WaitResult FollowClient::take_frames(Link& link) {
+FollowClient::WaitResult FollowClient::process_frames(Link& link) {
   while (!link.frames.empty()) {
     const std::string frame = std::move(link.frames.front());
     link.frames.pop_front();
@@ -225,30 +226,30 @@
       last_failure_.peer = link.connection->peer();
       return WaitResult::kFailed;
     }
-    const WaitResult result = take_answer(link, *answer);
-    if (result != WaitResult::kAskAgain) return result;
+    const WaitResult result = process_answer(link, *answer);
+    if (result != WaitResult::kRequestAgain) return result;
   }
-  return WaitResult::kAskAgain;
+  return WaitResult::kRequestAgain;
 }
 
-FollowClient::WaitResult FollowClient::take_answer(Link& link, const FollowAnswer& answer) {
+FollowClient::WaitResult FollowClient::process_answer(Link& link, const FollowAnswer& answer) {
   if (answer.nonce != link.nonce) {
     ++statistics_.stale_answers;
-    return WaitResult::kAskAgain;
+    return WaitResult::kRequestAgain;
   }
   AnswerEffect effect;
   Reason reason;
-  if (!accept_answer(current_, answer, link.asked_at, effect, reason)) {
+  if (!accept_answer(current_, answer, link.sent_at, effect, reason)) {
     last_failure_ = reason;
     if (last_failure_.peer.empty()) last_failure_.peer = link.connection->peer();
-    // A follower that serves moves to another control node rather than let its lease expire.
+    // A follower that serves switches to another control node rather than let its lease expire.
     const bool may_wait = last_failure_.code == ReasonCode::kOverloaded && current_.revision == 0;
-    return may_wait ? take_busy_answer(link) : WaitResult::kFailed;
+    return may_wait ? process_busy_answer(link) : WaitResult::kFailed;
   }
   link.busy_since.reset();
   link.news_version = answer.news_version;
-  link.answer_due = false;
-  answered_nonce_ = answer.nonce;
+  link.awaiting_answer = false;
+  last_answered_nonce_ = answer.nonce;
   ++statistics_.answers;
   if (effect.snapshot) ++statistics_.snapshots;
   if (effect.any() && on_change_) on_change_(effect);
@@ -256,18 +257,18 @@
   return WaitResult::kAnswered;
 }
 
-FollowClient::WaitResult FollowClient::take_busy_answer(Link& link) {
-  link.answer_due = false;
+FollowClient::WaitResult FollowClient::process_busy_answer(Link& link) {
+  link.awaiting_answer = false;
   ++statistics_.busy_answers;
   answered_.notify_all();  // pending renewals fail at once
   const TimePoint now = runtime_.now();
   if (!link.busy_since) link.busy_since = now;
-  return now < *link.busy_since + kBusyLimit ? WaitResult::kBusy : WaitResult::kFailed;
+  return now < *link.busy_since + kBusyTimeout ? WaitResult::kBusy : WaitResult::kFailed;
 }
 
 /// Not cut short by urgent requests: the control node would only refuse them again.
 Awaitable<void> FollowClient::pause_while_busy(std::shared_ptr<Link> link) {
-  const TimePoint end = runtime_.now() + runtime_.random().between(kBusyPause, 3 * kBusyPause);
+  const TimePoint end = runtime_.now() + runtime_.random().between(kBusyRetryPause, 3 * kBusyRetryPause);
   while (!link->broken && !stopping_ && runtime_.now() < end) co_await wake_.wait_until(end);
 }
 
--- a/src/declared/follow/follow_client.h
+++ b/src/declared/follow/follow_client.h
@@ -25,17 +25,17 @@
       std::chrono::milliseconds(700);  ///< time without an answer after which another control node is tried
   /// False only in scale runs, where one machine simulates many followers: updates are received and counted
   /// but not decoded, and only the revision and the lease are kept.
-  bool read_updates = true;
+  bool decode_updates = true;
 };
 
 /// Counters since start, for metrics and scale runs.
 struct FollowStatistics {
-  std::uint64_t questions = 0;
+  std::uint64_t requests = 0;
   std::uint64_t answers = 0;
   std::uint64_t stale_answers = 0;  ///< dropped because the nonce belonged to an older request
   std::uint64_t snapshots = 0;
-  std::uint64_t busy_answers = 0;  ///< refusals after which the same control node is asked again
-  std::uint64_t moves = 0;         ///< switches to another control node
+  std::uint64_t busy_answers = 0;   ///< refusals after which the same control node is asked again
+  std::uint64_t node_switches = 0;  ///< switches to another control node
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
 };
@@ -89,31 +89,31 @@
     Reason reason;  ///< why the connection broke
     std::uint64_t news_version = 0;
     std::uint64_t nonce = 0;       ///< of the newest request
-    TimePoint asked_at{};          ///< when the newest request was sent
+    TimePoint sent_at{};           ///< when the newest request was sent
     TimePoint unanswered_since{};  ///< when the oldest request since the last answer was sent
-    bool answer_due = false;
+    bool awaiting_answer = false;
     std::optional<TimePoint> busy_since;  ///< start of the current run of busy answers
     std::uint64_t bytes_seen = 0;         ///< bytes received when progress was last checked
   };
-  enum class WaitResult : std::uint8_t { kAnswered, kAskAgain, kBusy, kFailed };
+  enum class WaitResult : std::uint8_t { kAnswered, kRequestAgain, kBusy, kFailed };
 
   Awaitable<void> run();
   Awaitable<void> read_frames(std::shared_ptr<Link> link);
   /// Sends requests over one connection until it fails. Returns true if it granted at least one lease.
-  Awaitable<bool> converse(std::shared_ptr<Link> link);
+  Awaitable<bool> run_session(std::shared_ptr<Link> link);
   Awaitable<bool> send_hello(std::shared_ptr<Link> link);
-  Awaitable<bool> ask(std::shared_ptr<Link> link, Duration hold);
+  Awaitable<bool> send_request(std::shared_ptr<Link> link, Duration hold);
   Awaitable<WaitResult> wait_for_answer(std::shared_ptr<Link> link);
   /// Whether a first configuration is arriving: bytes were received since the previous call.
   [[nodiscard]] bool is_receiving(Link& link) const;
-  Awaitable<void> pause_before_next_question(std::shared_ptr<Link> link);
+  Awaitable<void> pause_before_next_request(std::shared_ptr<Link> link);
   Awaitable<void> pause_while_busy(std::shared_ptr<Link> link);
-  Awaitable<void> pause_after_failure(bool was_served);
-  /// Processes the frames received; kAskAgain means that none of them was the awaited answer.
-  WaitResult take_frames(Link& link);
-  WaitResult take_answer(Link& link, const FollowAnswer& answer);
-  WaitResult take_busy_answer(Link& link);
-  [[nodiscard]] bool must_ask_now() const { return ask_now_ && !stopping_; }
+  Awaitable<void> pause_after_failure(bool lease_granted);
+  /// Processes the frames received; kRequestAgain means that none of them was the awaited answer.
+  WaitResult process_frames(Link& link);
+  WaitResult process_answer(Link& link, const FollowAnswer& answer);
+  WaitResult process_busy_answer(Link& link);
+  [[nodiscard]] bool must_request_now() const { return request_now_ && !stopping_; }
 
   runtime::Runtime& runtime_;
   FollowClientSettings settings_;
@@ -127,16 +127,16 @@
   std::string followed_peer_;
   std::shared_ptr<Link> link_;
   std::vector<SuspectPrimary> suspects_;
-  std::map<GroupName, TimePoint> suspects_reported_;  ///< when each group's primary was last reported
+  std::map<GroupName, TimePoint> last_suspect_reports_;  ///< when each group's primary was last reported
   std::uint64_t next_nonce_ = 1;
   std::uint64_t in_flight_ = 0;
   bool draining_ = false;
-  bool ask_now_ = false;
-  std::uint64_t answered_nonce_ = 0;  ///< nonce of the newest answered request
-  std::size_t renewals_waiting_ = 0;
+  bool request_now_ = false;
+  std::uint64_t last_answered_nonce_ = 0;  ///< nonce of the newest answered request
+  std::size_t pending_renewals_ = 0;
   bool stopping_ = false;
   std::size_t endpoint_index_ = 0;
-  std::size_t failures_in_a_row_ = 0;
+  std::size_t consecutive_failures_ = 0;
 };
 
 }  // namespace cairnhollow::declared::follow
--- a/src/declared/follow/serving_configuration.cpp
+++ b/src/declared/follow/serving_configuration.cpp
@@ -52,7 +52,7 @@
   return true;
 }
 
-bool accept_answer(ServingConfiguration& current, const FollowAnswer& answer, TimePoint asked_at,
+bool accept_answer(ServingConfiguration& current, const FollowAnswer& answer, TimePoint sent_at,
                    AnswerEffect& effect, Reason& reason) {
   if (answer.refusal) {
     reason = *answer.refusal;
@@ -65,7 +65,7 @@
     return false;
   }
   FollowUpdate update;
-  if (!answer.update.empty() && !current.reads_updates) {
+  if (!answer.update.empty() && !current.decodes_updates) {
     if (current.revision == 0) update.configuration = config::ConfigSnapshot{};
   } else if (!answer.update.empty()) {
     auto decoded = wire::decode<FollowUpdate>(answer.update, reason);
@@ -84,7 +84,7 @@
     current.revision = answer.revision;
   }
   if (update.has_news) apply_news(current, update, effect);
-  current.lease_deadline = std::max(current.lease_deadline, asked_at + answer.lease);
+  current.lease_deadline = std::max(current.lease_deadline, sent_at + answer.lease);
   return true;
 }
 
--- a/src/declared/follow/serving_configuration.h
+++ b/src/declared/follow/serving_configuration.h
@@ -18,7 +18,7 @@
   std::map<GroupName, GroupState> groups;
   std::set<std::string> leaving;  ///< machines that the platform lists as leaving
   TimePoint lease_deadline{};     ///< new work may be accepted strictly before this time; zero: never
-  bool reads_updates = true;      ///< false: only revision and lease are kept (scale runs)
+  bool decodes_updates = true;    ///< false: only revision and lease are kept (scale runs)
 };
 
 /// The changes that an answer made.
@@ -32,9 +32,9 @@
   [[nodiscard]] bool any() const { return configuration || groups || leaving; }
 };
 
-/// Applies an answer to a request sent at `asked_at`. Returns false and changes nothing if the answer is a
+/// Applies an answer to a request sent at `sent_at`. Returns false and changes nothing if the answer is a
 /// refusal (its reason is passed on), is malformed or would decrease the revision (kConflict).
-bool accept_answer(ServingConfiguration& current, const FollowAnswer& answer, TimePoint asked_at,
+bool accept_answer(ServingConfiguration& current, const FollowAnswer& answer, TimePoint sent_at,
                    AnswerEffect& effect, Reason& reason);
 
 /// Applies a group's state if it is newer: a higher term, or the primary of the current term if none was
--- a/src/declared/proxy/calls/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -25,7 +25,7 @@
   gauges.reads_held = domain.state().positions.waiting();
   gauges.revision = domain.state().serving.view()->revision;
   gauges.lease_valid = domain.lease_valid();
-  gauges.follow_moves = domain.follow().statistics().moves;
+  gauges.follow_moves = domain.follow().statistics().node_switches;
   for (const auto& [backend, admission] : domain.access().admissions()) {
     gauges.admissions.emplace(backend, admission->statistics());
   }
--- a/tests/declared/config/manifest_test.cpp
+++ b/tests/declared/config/manifest_test.cpp
@@ -54,18 +54,18 @@
 class ManifestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ManifestTest);
   CPPUNIT_TEST(every_field_is_read);
-  CPPUNIT_TEST(defaults_are_those_of_the_page);
-  CPPUNIT_TEST(what_is_written_is_read_back);
-  CPPUNIT_TEST(unknown_fields_are_named_with_their_line);
-  CPPUNIT_TEST(wrong_types_are_named_with_their_line);
-  CPPUNIT_TEST(bad_selectors_are_named_with_their_line);
-  CPPUNIT_TEST(missing_fields_are_named);
-  CPPUNIT_TEST(all_faults_are_named_at_once);
-  CPPUNIT_TEST(broken_yaml_is_named_with_its_line);
+  CPPUNIT_TEST(defaults_match_the_documentation);
+  CPPUNIT_TEST(written_manifests_are_read_back);
+  CPPUNIT_TEST(unknown_fields_are_reported_with_their_line);
+  CPPUNIT_TEST(wrong_types_are_reported_with_their_line);
+  CPPUNIT_TEST(invalid_selectors_are_reported_with_their_line);
+  CPPUNIT_TEST(missing_fields_are_reported);
+  CPPUNIT_TEST(all_faults_are_reported_at_once);
+  CPPUNIT_TEST(malformed_yaml_is_reported_with_its_line);
   CPPUNIT_TEST(repeated_keys_are_faults);
-  CPPUNIT_TEST(texts_that_look_like_numbers_stay_texts);
+  CPPUNIT_TEST(strings_that_look_like_numbers_stay_strings);
   CPPUNIT_TEST(deep_and_large_documents_are_refused);
-  CPPUNIT_TEST(stray_tokens_end_the_parse);
+  CPPUNIT_TEST(stray_tokens_are_refused);
   CPPUNIT_TEST(aliases_are_copies);
   CPPUNIT_TEST_SUITE_END();
 
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{75}, route_spec.replica_wait_milliseconds);
   }
 
-  void defaults_are_those_of_the_page() {
+  void defaults_match_the_documentation() {
     const auto group = parse("kind: DatabaseGroup\nmetadata: {name: g}\nspec: {backendSelector: {}}\n");
     const auto& group_spec = std::get<DatabaseGroupSpec>(group[0].object.spec);
     CPPUNIT_ASSERT((group_spec.hash_slots == HashSlotRange{0, 65535}));
@@ -111,7 +111,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{200}, route_spec.replica_wait_milliseconds);
   }
 
-  void what_is_written_is_read_back() {
+  void written_manifests_are_read_back() {
     std::vector<StoredObject> objects;
     for (const auto& manifest : parse(kEveryField)) objects.push_back({manifest.object, 4});
     const auto again = parse(to_yaml(objects));
@@ -126,7 +126,7 @@
     }
   }
 
-  void unknown_fields_are_named_with_their_line() {
+  void unknown_fields_are_reported_with_their_line() {
     CPPUNIT_ASSERT_EQUAL(std::string("f.yaml:6: spec.colour: unknown key; known keys: drain, endpoint, zone"),
                          fault_of("kind: Proxy\n"
                                   "metadata: {name: p}\n"
@@ -139,7 +139,7 @@
                             "f.yaml:2: metadata.owner: unknown key"));
   }
 
-  void wrong_types_are_named_with_their_line() {
+  void wrong_types_are_reported_with_their_line() {
     const std::string faults = fault_of(
         "kind: DatabaseGroup\n"
         "metadata: {name: [a]}\n"
@@ -159,7 +159,7 @@
                             "f.yaml:6: spec.drain: must be true or false"));
   }
 
-  void bad_selectors_are_named_with_their_line() {
+  void invalid_selectors_are_reported_with_their_line() {
     const std::string faults = fault_of(
         "kind: Route\n"
         "metadata: {name: r}\n"
@@ -181,7 +181,7 @@
     CPPUNIT_ASSERT(contains(faults, "f.yaml:10: spec.maxStaleness: must be a whole number with a unit"));
   }
 
-  void missing_fields_are_named() {
+  void missing_fields_are_reported() {
     CPPUNIT_ASSERT(contains(fault_of("metadata: {}\nspec: {}\n"), "kind: is required"));
     CPPUNIT_ASSERT(contains(fault_of("metadata: {}\nspec: {}\n"), "metadata.name: is required"));
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p}\n"), "spec: is required"));
@@ -191,7 +191,7 @@
                             "kind: unknown kind 'Shard'; must be"));
   }
 
-  void all_faults_are_named_at_once() {
+  void all_faults_are_reported_at_once() {
     const std::string faults = fault_of(
         "kind: Proxy\nmetadata: {name: p}\nspec: {endpoint: x}\n"
         "---\n"
@@ -202,7 +202,7 @@
     CPPUNIT_ASSERT(contains(faults, "f.yaml:7: spec.size: unknown key"));
   }
 
-  void broken_yaml_is_named_with_its_line() {
+  void malformed_yaml_is_reported_with_its_line() {
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p\nspec: {}\n"), "f.yaml"));
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\n  bad: : indent\n"), "line 2"));
   }
@@ -213,7 +213,7 @@
                             "kind: duplicate key"));
   }
 
-  void texts_that_look_like_numbers_stay_texts() {
+  void strings_that_look_like_numbers_stay_strings() {
     const Object object{"p", LabelSet{{{"a", "1"}, {"b", "true"}, {"c", "~"}, {"d", ""}, {"e", "1e3"}}},
                         ProxySpec{ZoneName("null"), {"127.0.0.1", 1}, false}};
     const auto again = parse(to_yaml({StoredObject{object, 1}}));
@@ -233,7 +233,7 @@
     CPPUNIT_ASSERT(!parse_manifests(bomb, "f.yaml", reason));
   }
 
-  void stray_tokens_end_the_parse() {
+  void stray_tokens_are_refused() {
     for (const char* text : {",", "!a,", "!-00',,", ",],( \"]b'\"", "a: 1\n,"}) {
       Reason reason;
       CPPUNIT_ASSERT_MESSAGE(text, !parse_manifests(text, "f.yaml", reason));
--- a/tests/declared/config/properties_test.cpp
+++ b/tests/declared/config/properties_test.cpp
@@ -73,8 +73,8 @@
   CPPUNIT_TEST(index_finds_what_a_scan_finds);
   CPPUNIT_TEST(selector_index_finds_what_a_scan_finds);
   CPPUNIT_TEST(state_machine_accepts_exactly_what_meets_the_rules);
-  CPPUNIT_TEST(random_bytes_crash_no_parser);
-  CPPUNIT_TEST(damaged_manifests_give_objects_or_faults);
+  CPPUNIT_TEST(parsers_survive_random_bytes);
+  CPPUNIT_TEST(damaged_manifests_parse_or_report_faults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -172,7 +172,7 @@
     });
   }
 
-  void damaged_manifests_give_objects_or_faults() {
+  void damaged_manifests_parse_or_report_faults() {
     assert_property("damaged manifests", [] {
       std::string text = to_yaml({{*any_object(), 1}, {*any_object(), 2}});
       for (auto steps = *rc::gen::inRange(1, 5); steps > 0; --steps) {
@@ -189,7 +189,7 @@
     });
   }
 
-  void random_bytes_crash_no_parser() {
+  void parsers_survive_random_bytes() {
     assert_property(
         "parsers",
         [] {
--- a/tests/declared/config/state_machine_test.cpp
+++ b/tests/declared/config/state_machine_test.cpp
@@ -12,25 +12,25 @@
 class StateMachineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StateMachineTest);
   CPPUNIT_TEST(accepted_changes_raise_the_revision_and_set_versions);
-  CPPUNIT_TEST(of_two_changes_on_one_version_exactly_one_wins);
-  CPPUNIT_TEST(of_two_creations_exactly_one_wins);
+  CPPUNIT_TEST(only_one_of_two_changes_to_a_version_is_accepted);
+  CPPUNIT_TEST(only_one_of_two_creations_is_accepted);
   CPPUNIT_TEST(conflict_in_one_object_refuses_the_whole_change);
   CPPUNIT_TEST(resend_gets_the_first_answer);
   CPPUNIT_TEST(resend_of_a_refused_change_gets_the_first_answer);
   CPPUNIT_TEST(resend_gets_the_first_answer_from_a_restored_snapshot);
   CPPUNIT_TEST(same_id_with_other_content_is_refused);
   CPPUNIT_TEST(resend_older_than_the_memory_is_never_applied_twice);
-  CPPUNIT_TEST(refused_changes_push_no_accepted_one_out_of_the_memory);
+  CPPUNIT_TEST(refused_changes_do_not_evict_accepted_ones);
   CPPUNIT_TEST(new_changes_are_accepted_when_the_memory_is_full);
-  CPPUNIT_TEST(revision_not_reached_is_refused);
+  CPPUNIT_TEST(future_revision_is_refused);
   CPPUNIT_TEST(invalid_changes_are_refused_with_all_faults);
-  CPPUNIT_TEST(object_named_twice_is_refused);
+  CPPUNIT_TEST(object_listed_twice_is_refused);
   CPPUNIT_TEST(deletion_of_an_absent_object_is_accepted);
-  CPPUNIT_TEST(selection_by_kind_names_and_selector);
+  CPPUNIT_TEST(selects_by_kind_names_and_selector);
   CPPUNIT_TEST(changes_since_gives_each_object_once);
   CPPUNIT_TEST(snapshot_round_trip_keeps_everything);
-  CPPUNIT_TEST(broken_snapshots_are_refused_and_change_nothing);
-  CPPUNIT_TEST(refused_change_restores_what_was_there);
+  CPPUNIT_TEST(corrupt_snapshots_are_refused_and_change_nothing);
+  CPPUNIT_TEST(refused_change_restores_the_previous_objects);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, version_of("b"));
   }
 
-  void of_two_changes_on_one_version_exactly_one_wins() {
+  void only_one_of_two_changes_to_a_version_is_accepted() {
     accept(change_of("c1", {write_of(backend_object("a", 1))}));
     const auto first = machine_.apply(change_of("left", {write_of(backend_object("a", 2), 1)}));
     const auto second = machine_.apply(change_of("right", {write_of(backend_object("a", 3), 1)}));
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT(machine_.find(backend_key("a"))->object == backend_object("a", 2));
   }
 
-  void of_two_creations_exactly_one_wins() {
+  void only_one_of_two_creations_is_accepted() {
     const auto first = machine_.apply(change_of("left", {write_of(backend_object("a", 2), 0)}));
     const auto second = machine_.apply(change_of("right", {write_of(backend_object("a", 3), 0)}));
     CPPUNIT_ASSERT(first.accepted);
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT(!restored.find(backend_key("a")));
   }
 
-  void refused_changes_push_no_accepted_one_out_of_the_memory() {
+  void refused_changes_do_not_evict_accepted_ones() {
     const auto first = change_of("first", {write_of(backend_object("a", 1))});
     accept(first);
     for (std::size_t i = 0; i < ChangeMemory::kMaximumRefused + 10; ++i) {
@@ -175,7 +175,7 @@
     CPPUNIT_ASSERT(too_old.reason.code == ReasonCode::kOutcomeUnknown);
   }
 
-  void revision_not_reached_is_refused() {
+  void future_revision_is_refused() {
     const auto outcome = machine_.apply(change_of("c1", {write_of(backend_object("a", 1))}, 1));
     CPPUNIT_ASSERT(outcome.reason.code == ReasonCode::kInvalidArgument);
     CPPUNIT_ASSERT(outcome.reason.detail.find("atRevision") != std::string::npos);
@@ -198,7 +198,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, machine_.revision());
   }
 
-  void object_named_twice_is_refused() {
+  void object_listed_twice_is_refused() {
     const auto outcome = machine_.apply(
         change_of("c1", {write_of(backend_object("a", 1)), deletion_of(backend_object("a", 1))}));
     CPPUNIT_ASSERT(outcome.reason.code == ReasonCode::kInvalidArgument);
@@ -213,7 +213,7 @@
                    ReasonCode::kInvalidArgument);
   }
 
-  void selection_by_kind_names_and_selector() {
+  void selects_by_kind_names_and_selector() {
     const LabelSet zone{{{"zone", "k"}}};
     accept(change_of("c1", {write_of(backend_object("b", 1, zone)), write_of(backend_object("a", 2)),
                             write_of(backend_object("c", 3, zone)), write_of(proxy_object("a", 4))}));
@@ -267,7 +267,7 @@
     CPPUNIT_ASSERT(restored.apply(other_owner).reason.code == ReasonCode::kInvalidArgument);
   }
 
-  void broken_snapshots_are_refused_and_change_nothing() {
+  void corrupt_snapshots_are_refused_and_change_nothing() {
     accept(change_of("c1", {write_of(backend_object("a", 1))}));
     const std::string good = machine_.take_snapshot();
     std::string flipped = good;
@@ -281,7 +281,7 @@
     CPPUNIT_ASSERT_EQUAL(good, machine_.take_snapshot());
   }
 
-  void refused_change_restores_what_was_there() {
+  void refused_change_restores_the_previous_objects() {
     accept(change_of("c1", {write_of(backend_object("a", 1)), write_of(backend_object("b", 2))}));
     const auto before = machine_.list(std::nullopt);
     const auto outcome =
--- a/tests/declared/config/validation_test.cpp
+++ b/tests/declared/config/validation_test.cpp
@@ -20,12 +20,12 @@
   CPPUNIT_TEST(names_and_labels_have_limits);
   CPPUNIT_TEST(selectors_have_limits);
   CPPUNIT_TEST(numbers_have_ranges);
-  CPPUNIT_TEST(endpoints_are_those_of_machines);
+  CPPUNIT_TEST(endpoints_must_be_unicast_addresses);
   CPPUNIT_TEST(endpoint_belongs_to_one_object);
   CPPUNIT_TEST(backend_belongs_to_one_group);
   CPPUNIT_TEST(groups_of_a_route_share_no_hash_slot);
   CPPUNIT_TEST(untouched_objects_are_not_checked);
-  CPPUNIT_TEST(long_lists_of_faults_are_cut_with_their_count);
+  CPPUNIT_TEST(long_fault_lists_are_truncated_with_a_count);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(contains(faults_of(route), "spec.precedence"));
   }
 
-  void endpoints_are_those_of_machines() {
+  void endpoints_must_be_unicast_addresses() {
     for (const char* address : {"0.0.0.0", "::", "224.0.0.1", "host", ""}) {
       Object proxy = proxy_object("p", 1);
       std::get<ProxySpec>(proxy.spec).endpoint.address = address;
@@ -136,7 +136,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), relation_faults({{ObjectKind::kBackend, "gone"}}));
   }
 
-  void long_lists_of_faults_are_cut_with_their_count() {
+  void long_fault_lists_are_truncated_with_a_count() {
     std::vector<FieldFault> faults;
     for (int i = 0; i < 30; ++i) {
       faults.push_back({{ObjectKind::kBackend, "b"}, "field" + std::to_string(100 + i), "bad"});
--- a/tests/declared/control/follow/batch_history_test.cpp
+++ b/tests/declared/control/follow/batch_history_test.cpp
@@ -12,43 +12,43 @@
 
 class BatchHistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BatchHistoryTest);
-  CPPUNIT_TEST(test_names_what_came_after);
-  CPPUNIT_TEST(test_place_inside_a_batch_gets_the_whole_batch);
-  CPPUNIT_TEST(test_unknown_places_are_refused);
-  CPPUNIT_TEST(test_gap_starts_anew);
-  CPPUNIT_TEST(test_bounded);
+  CPPUNIT_TEST(returns_objects_touched_after_a_revision);
+  CPPUNIT_TEST(revision_inside_a_batch_returns_the_whole_batch);
+  CPPUNIT_TEST(unknown_revisions_return_nothing);
+  CPPUNIT_TEST(gap_between_batches_resets_the_history);
+  CPPUNIT_TEST(evicts_oldest_batches_above_the_key_limit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     history_ = BatchHistory();
-    history_.restart(10);
+    history_.reset(10);
     history_.record(10, 13, {key(1), key(2)});
     history_.record(13, 14, {key(3)});
   }
 
-  void test_names_what_came_after() {
+  void returns_objects_touched_after_a_revision() {
     CPPUNIT_ASSERT(*history_.touched_since(13) == std::set<config::ObjectKey>{key(3)});
     CPPUNIT_ASSERT((*history_.touched_since(10) == std::set<config::ObjectKey>{key(1), key(2), key(3)}));
     CPPUNIT_ASSERT(history_.touched_since(14)->empty());
   }
 
-  void test_place_inside_a_batch_gets_the_whole_batch() {
+  void revision_inside_a_batch_returns_the_whole_batch() {
     CPPUNIT_ASSERT((*history_.touched_since(12) == std::set<config::ObjectKey>{key(1), key(2), key(3)}));
   }
 
-  void test_unknown_places_are_refused() {
+  void unknown_revisions_return_nothing() {
     CPPUNIT_ASSERT(!history_.touched_since(9));
     CPPUNIT_ASSERT(!history_.touched_since(15));
   }
 
-  void test_gap_starts_anew() {
+  void gap_between_batches_resets_the_history() {
     history_.record(20, 21, {key(4)});
     CPPUNIT_ASSERT(!history_.touched_since(14));
     CPPUNIT_ASSERT(*history_.touched_since(20) == std::set<config::ObjectKey>{key(4)});
   }
 
-  void test_bounded() {
+  void evicts_oldest_batches_above_the_key_limit() {
     std::uint64_t revision = 14;
     for (std::size_t batch = 0; batch < 2 * BatchHistory::kMaximumKeys / 1000; ++batch) {
       std::vector<config::ObjectKey> keys;
--- a/tests/declared/control/follow/first_configurations_test.cpp
+++ b/tests/declared/control/follow/first_configurations_test.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kObjects = 2000;
 constexpr std::size_t kLabelBytes = 1000;
 /// Number of configurations of this size that may be in flight at once.
-constexpr std::size_t kFit = kLargeUpdateBytesAtOnce / (kObjects * (kLabelBytes + 100));
+constexpr std::size_t kInFlightLimit = kLargeUpdateBytesAtOnce / (kObjects * (kLabelBytes + 100));
 constexpr std::uint64_t kRevision = 7;
 
 class OpenBarrier : public RenewalBarrier {
@@ -51,7 +51,7 @@
   runtime::Signal changed_;
 };
 
-/// Completes the send of an update only after take_all().
+/// Completes the send of an update only after resume_receiving().
 class SlowConnection : public runtime::FrameConnection {
  public:
   explicit SlowConnection(runtime::Runtime& runtime) : changed_(runtime) {}
@@ -59,7 +59,7 @@
   Awaitable<bool> send(std::string frame, Reason& reason) override {
     auto answer = wire::decode<follow::FollowAnswer>(frame, reason);
     answers.push_back(*answer);
-    while (!closed && !takes && !answer->update.empty()) co_await changed_.wait();
+    while (!closed && !receiving && !answer->update.empty()) co_await changed_.wait();
     co_return !closed;
   }
   Awaitable<std::optional<std::string>> receive(Reason& reason) override {
@@ -78,19 +78,19 @@
   }
   [[nodiscard]] std::string peer() const override { return "slow"; }
 
-  void ask(std::uint64_t nonce, std::uint64_t revision) {
+  void send_request(std::uint64_t nonce, std::uint64_t revision) {
     follow::FollowRequest request;
     request.nonce = nonce;
     request.revision = revision;
     questions_.push_back(wire::encode(request));
     changed_.notify_all();
   }
-  void take_all() {
-    takes = true;
+  void resume_receiving() {
+    receiving = true;
     changed_.notify_all();
   }
 
-  bool takes = false;
+  bool receiving = false;
   bool closed = false;
   std::vector<follow::FollowAnswer> answers;
 
@@ -101,13 +101,13 @@
 
 class FirstConfigurationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FirstConfigurationsTest);
-  CPPUNIT_TEST(test_configurations_on_their_way_are_bounded);
-  CPPUNIT_TEST(test_who_serves_is_renewed_meanwhile);
-  CPPUNIT_TEST(test_follower_that_takes_nothing_is_dropped);
+  CPPUNIT_TEST(limits_first_configurations_in_flight);
+  CPPUNIT_TEST(renews_leases_while_first_configurations_are_sent);
+  CPPUNIT_TEST(closes_connections_that_do_not_receive);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  static constexpr std::size_t kFollowers = 5 * kFit;
+  static constexpr std::size_t kFollowers = 5 * kInFlightLimit;
 
   void setUp() override {
     world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
@@ -130,9 +130,9 @@
     world_.reset();
   }
 
-  void test_configurations_on_their_way_are_bounded() {
-    ask_all();
-    CPPUNIT_ASSERT_EQUAL(kFit, count_sent());
+  void limits_first_configurations_in_flight() {
+    request_all();
+    CPPUNIT_ASSERT_EQUAL(kInFlightLimit, count_sent());
     std::size_t refused = 0;
     for (const auto& follower : followers_) {
       CPPUNIT_ASSERT_EQUAL(std::size_t{1}, follower->answers.size());
@@ -141,41 +141,41 @@
       CPPUNIT_ASSERT(refusal->code == ReasonCode::kOverloaded);
       ++refused;
     }
-    CPPUNIT_ASSERT_EQUAL(kFollowers - kFit, refused);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{refused}, server_->statistics().told_to_come_back);
+    CPPUNIT_ASSERT_EQUAL(kFollowers - kInFlightLimit, refused);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{refused}, server_->statistics().overload_refusals);
     // Completing one send makes room for one more configuration.
-    followers_.front()->take_all();
+    followers_.front()->resume_receiving();
     world_->run_for(milliseconds(50));
-    ask_all();
-    CPPUNIT_ASSERT_EQUAL(kFit + 1, count_sent());
+    request_all();
+    CPPUNIT_ASSERT_EQUAL(kInFlightLimit + 1, count_sent());
   }
 
-  void test_who_serves_is_renewed_meanwhile() {
-    ask_all();
+  void renews_leases_while_first_configurations_are_sent() {
+    request_all();
     auto& serving = *followers_.back();
     CPPUNIT_ASSERT(serving.answers.front().refusal.has_value());
-    serving.ask(2, kRevision);
+    serving.send_request(2, kRevision);
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT(!serving.answers.back().refusal);
     CPPUNIT_ASSERT(serving.answers.back().lease == seconds(2));
   }
 
-  void test_follower_that_takes_nothing_is_dropped() {
-    ask_all();
+  void closes_connections_that_do_not_receive() {
+    request_all();
     world_->run_for(kLargeUpdateLimit + milliseconds(50));
     std::size_t closed = 0;
     for (const auto& follower : followers_) closed += follower->closed ? 1 : 0;
-    CPPUNIT_ASSERT_EQUAL(kFit, closed);
-    ask_all();
-    CPPUNIT_ASSERT_EQUAL(2 * kFit, count_sent());
+    CPPUNIT_ASSERT_EQUAL(kInFlightLimit, closed);
+    request_all();
+    CPPUNIT_ASSERT_EQUAL(2 * kInFlightLimit, count_sent());
   }
 
  private:
-  void ask_all() {
+  void request_all() {
     for (const auto& follower : followers_) {
-      const auto asked = std::count_if(follower->answers.begin(), follower->answers.end(),
-                                       [](const auto& answer) { return !answer.update.empty(); });
-      if (asked == 0) follower->ask(1, 0);
+      const auto received = std::count_if(follower->answers.begin(), follower->answers.end(),
+                                          [](const auto& answer) { return !answer.update.empty(); });
+      if (received == 0) follower->send_request(1, 0);
     }
     world_->run_for(milliseconds(50));
   }
--- a/tests/declared/control/follow/follow_server_test.cpp
+++ b/tests/declared/control/follow/follow_server_test.cpp
@@ -40,17 +40,17 @@
 
 class FollowServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FollowServerTest);
-  CPPUNIT_TEST(test_new_follower_gets_a_snapshot_then_changes);
-  CPPUNIT_TEST(test_restart_after_500_changes_gets_a_snapshot);
-  CPPUNIT_TEST(test_follower_cut_off_for_500_changes_gets_just_those);
-  CPPUNIT_TEST(test_no_lease_without_a_quorum);
-  CPPUNIT_TEST(test_many_followers_share_quorum_rounds);
-  CPPUNIT_TEST(test_relay_serves_many_followers_with_few_questions);
-  CPPUNIT_TEST(test_relay_that_is_cut_off_renews_nobody);
-  CPPUNIT_TEST(test_relay_refused_by_one_voter_asks_the_next_for_its_followers);
-  CPPUNIT_TEST(test_news_reach_a_held_question_at_once);
-  CPPUNIT_TEST(test_frames_that_are_no_messages_end_the_connection);
-  CPPUNIT_TEST(test_in_force_counts_only_living_leases);
+  CPPUNIT_TEST(new_follower_gets_a_snapshot_then_changes);
+  CPPUNIT_TEST(follower_restarted_after_500_changes_gets_a_snapshot);
+  CPPUNIT_TEST(reconnected_follower_gets_only_the_500_missed_changes);
+  CPPUNIT_TEST(grants_no_lease_without_a_quorum);
+  CPPUNIT_TEST(followers_share_quorum_rounds);
+  CPPUNIT_TEST(relay_serves_many_followers_with_few_requests);
+  CPPUNIT_TEST(disconnected_relay_renews_no_lease);
+  CPPUNIT_TEST(relay_refused_by_one_voter_tries_the_next);
+  CPPUNIT_TEST(news_completes_a_held_request_at_once);
+  CPPUNIT_TEST(malformed_frames_close_the_connection);
+  CPPUNIT_TEST(least_revision_ignores_expired_leases);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -63,7 +63,7 @@
   }
   void tearDown() override { world_.reset(); }
 
-  void test_new_follower_gets_a_snapshot_then_changes() {
+  void new_follower_gets_a_snapshot_then_changes() {
     write(3);
     start_client(1);
     world_->run_for(milliseconds(300));
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, client(1).current().objects.size());
   }
 
-  void test_restart_after_500_changes_gets_a_snapshot() {
+  void follower_restarted_after_500_changes_gets_a_snapshot() {
     write(3);
     start_client(1);
     world_->run_for(milliseconds(300));
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT(client(1).lease_valid(world_->runtime(client_name(1)).now()));
   }
 
-  void test_follower_cut_off_for_500_changes_gets_just_those() {
+  void reconnected_follower_gets_only_the_500_missed_changes() {
     write(3);
     start_client(1);
     world_->run_for(milliseconds(300));
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT(client(1).lease_valid(world_->runtime(client_name(1)).now()));
   }
 
-  void test_no_lease_without_a_quorum() {
+  void grants_no_lease_without_a_quorum() {
     write(3);
     start_client(1);
     world_->run_for(milliseconds(300));
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT(client(1).lease_valid(world_->runtime(client_name(1)).now()));
   }
 
-  void test_many_followers_share_quorum_rounds() {
+  void followers_share_quorum_rounds() {
     constexpr int kFollowers = 40;
     for (int number = 1; number <= kFollowers; ++number) start_client(number);
     world_->run_for(seconds(2));
@@ -136,7 +136,7 @@
     CPPUNIT_ASSERT(server().consensus.rounds - rounds_before <= 4);
   }
 
-  void test_relay_serves_many_followers_with_few_questions() {
+  void relay_serves_many_followers_with_few_requests() {
     constexpr int kFollowers = 40;
     write(3);
     start_relay();
@@ -147,7 +147,7 @@
     }
     // The relay is the server's only follower and sends one request for all waiting followers.
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server().server.connections());
-    const auto asked_before = server().server.statistics().questions;
+    const auto asked_before = server().server.statistics().requests;
     std::uint64_t answered_before = 0;
     for (int number = 1; number <= kFollowers; ++number)
       answered_before += client(number).statistics().answers;
@@ -160,14 +160,14 @@
       answered += client(number).statistics().answers;
     }
     CPPUNIT_ASSERT(answered - answered_before >= kFollowers);
-    CPPUNIT_ASSERT(server().server.statistics().questions - asked_before <= 10);
+    CPPUNIT_ASSERT(server().server.statistics().requests - asked_before <= 10);
     server().directory.learn(follow::GroupState{GroupName("decks"), 7, BackendName("b")});
     world_->run_for(milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, client(1).current().groups.at(GroupName("decks")).term);
     CPPUNIT_ASSERT(world_->faults().empty());
   }
 
-  void test_relay_that_is_cut_off_renews_nobody() {
+  void disconnected_relay_renews_no_lease() {
     write(3);
     start_relay();
     start_client(1, kRelay);
@@ -188,7 +188,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, client(1).current().revision);
   }
 
-  void test_relay_refused_by_one_voter_asks_the_next_for_its_followers() {
+  void relay_refused_by_one_voter_tries_the_next() {
     write(3);
     world_->start({"second", kSecond.address, ZoneName("zone-1")},
                   [](runtime::Runtime& runtime) { return std::make_unique<ServerRole>(runtime, kSecond); });
@@ -204,11 +204,11 @@
       world_->run_for(milliseconds(100));
       CPPUNIT_ASSERT(client(1).lease_valid(world_->runtime(client_name(1)).now()));
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client(1).statistics().moves);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client(1).statistics().node_switches);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, second.server.connections());
   }
 
-  void test_news_reach_a_held_question_at_once() {
+  void news_completes_a_held_request_at_once() {
     start_client(1);
     world_->run_for(seconds(1));
     server().directory.learn(follow::GroupState{GroupName("decks"), 7, BackendName("b")});
@@ -221,7 +221,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), groups.at(GroupName("decks")).primary.value);
   }
 
-  void test_frames_that_are_no_messages_end_the_connection() {
+  void malformed_frames_close_the_connection() {
     wire::Hello hello;
     hello.node = NodeName("torn");
     const std::string greeting = wire::encode(hello);
@@ -250,7 +250,7 @@
     CPPUNIT_ASSERT(world_->faults().empty());
   }
 
-  void test_in_force_counts_only_living_leases() {
+  void least_revision_ignores_expired_leases() {
     start_client(1);
     start_client(2);
     world_->run_for(seconds(1));
--- a/tests/declared/control/operator/operator_api_test.cpp
+++ b/tests/declared/control/operator/operator_api_test.cpp
@@ -34,15 +34,15 @@
 class OperatorApiTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OperatorApiTest);
   CPPUNIT_TEST(objects_are_listed_by_kind_and_selector);
-  CPPUNIT_TEST(one_object_or_not_found);
-  CPPUNIT_TEST(bad_changes_name_every_fault);
-  CPPUNIT_TEST(conflict_carries_the_winner);
-  CPPUNIT_TEST(follower_names_the_leader);
-  CPPUNIT_TEST(unknown_resources_and_methods);
-  CPPUNIT_TEST(timeouts_are_kept);
-  CPPUNIT_TEST(timeouts_that_are_none_are_refused);
-  CPPUNIT_TEST(events_are_the_latest_or_the_next);
-  CPPUNIT_TEST(health_readiness_and_metrics);
+  CPPUNIT_TEST(get_object_returns_it_or_not_found);
+  CPPUNIT_TEST(invalid_change_reports_every_fault);
+  CPPUNIT_TEST(conflict_returns_the_conflicting_object);
+  CPPUNIT_TEST(refusal_of_a_non_leader_names_the_leader);
+  CPPUNIT_TEST(unknown_resource_or_method_is_refused);
+  CPPUNIT_TEST(request_timeout_is_applied);
+  CPPUNIT_TEST(malformed_timeout_is_refused);
+  CPPUNIT_TEST(events_returns_latest_or_following_events);
+  CPPUNIT_TEST(serves_health_readiness_and_metrics);
   CPPUNIT_TEST(values_round_trip_through_json);
   CPPUNIT_TEST_SUITE_END();
 
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(400U, get("/v1/objects?selector=a%20in%20b").status);
   }
 
-  void one_object_or_not_found() {
+  void get_object_returns_it_or_not_found() {
     post("/v1/changes", kAccepted);
     CPPUNIT_ASSERT(contains(get("/v1/objects/Proxy/p").body, R"("resourceVersion":1)"));
     const auto missing = get("/v1/objects/Proxy/q");
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(400U, get("/v1/objects/Shard/q").status);
   }
 
-  void bad_changes_name_every_fault() {
+  void invalid_change_reports_every_fault() {
     const auto detail_of = [&](const std::string& body) {
       const auto response = post("/v1/changes", body);
       CPPUNIT_ASSERT_EQUAL(400U, response.status);
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT(fleet_->log.commands.empty());
   }
 
-  void conflict_carries_the_winner() {
+  void conflict_returns_the_conflicting_object() {
     post("/v1/changes", kAccepted);
     std::string second = kAccepted;
     second.replace(second.find("c1"), 2, "c2");
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(contains(conflict.body, "written by aroha (change c1)"));
   }
 
-  void follower_names_the_leader() {
+  void refusal_of_a_non_leader_names_the_leader() {
     const auto refused = post("/v1/changes", kAccepted, 2);
     CPPUNIT_ASSERT(contains(refused.body, R"("code":"not_leader")"));
     CPPUNIT_ASSERT(contains(refused.body, R"("leader":"10.0.0.1:80")"));
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT(lost.headers.find("retry-after"));
   }
 
-  void unknown_resources_and_methods() {
+  void unknown_resource_or_method_is_refused() {
     CPPUNIT_ASSERT_EQUAL(404U, get("/v1/nothing").status);
     CPPUNIT_ASSERT_EQUAL(404U, get("/").status);
     CPPUNIT_ASSERT_EQUAL(404U, get("/v1/objects/Proxy").status);
@@ -129,7 +129,7 @@
     CPPUNIT_ASSERT_EQUAL(405U, post("/v1/status", "{}").status);
   }
 
-  void timeouts_are_kept() {
+  void request_timeout_is_applied() {
     fleet_->log.has_quorum = false;
     const TimePoint begun = fleet_->world.now();
     CPPUNIT_ASSERT(contains(get("/v1/objects?timeout=700ms").body, "no_quorum"));
@@ -137,7 +137,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, get("/v1/status").status);
   }
 
-  void timeouts_that_are_none_are_refused() {
+  void malformed_timeout_is_refused() {
     for (const char* timeout : {"soon", "5", "-1s", "5s5"}) {
       const auto response = get("/v1/status?timeout=" + std::string(timeout));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(timeout, 400U, response.status);
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT_EQUAL(200U, get("/v1/status?timeout=10m").status);
   }
 
-  void events_are_the_latest_or_the_next() {
+  void events_returns_latest_or_following_events() {
     for (int i = 0; i < 5; ++i) fleet_->node(1).sources.record(FleetEvent{});
     const auto numbers = [&](const std::string& query) {
       Reason reason;
@@ -163,7 +163,7 @@
     CPPUNIT_ASSERT_EQUAL(400U, get("/v1/events?since=x").status);
   }
 
-  void health_readiness_and_metrics() {
+  void serves_health_readiness_and_metrics() {
     CPPUNIT_ASSERT_EQUAL(std::string("ok\n"), get("/healthz").body);
     CPPUNIT_ASSERT_EQUAL(200U, get("/readyz").status);
     fleet_->node(1).sources.is_ready = false;
@@ -201,11 +201,11 @@
     CPPUNIT_ASSERT_EQUAL(event.cause.to_string(), events->at(0).cause.to_string());
     InForceReport report;
     report.revision = 9;
-    report.least = 8;
+    report.least_revision = 8;
     report.behind = {ProxyStatus{}};
     const auto report_again = in_force_report_from_json(to_json(report), reason);
     CPPUNIT_ASSERT(report_again);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, report_again->least);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, report_again->least_revision);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, report_again->behind.size());
   }
 
--- a/tests/declared/follow/follow_client_test.cpp
+++ b/tests/declared/follow/follow_client_test.cpp
@@ -67,9 +67,9 @@
 
 class FollowClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FollowClientTest);
-  CPPUNIT_TEST(test_refused_follower_pauses);
-  CPPUNIT_TEST(test_follower_told_to_come_back_stays);
-  CPPUNIT_TEST(test_follower_moves_on_from_a_node_that_stays_busy);
+  CPPUNIT_TEST(pauses_between_attempts_when_refused);
+  CPPUNIT_TEST(retries_a_busy_node_on_the_same_connection);
+  CPPUNIT_TEST(leaves_a_node_that_stays_busy);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -89,7 +89,7 @@
     world_.reset();
   }
 
-  void test_refused_follower_pauses() {
+  void pauses_between_attempts_when_refused() {
     client_->start();
     world_->run_for(std::chrono::seconds(2));
     // Pauses of at least 50 ms limit the number of requests in 2 s.
@@ -97,25 +97,25 @@
     CPPUNIT_ASSERT(control().questions() <= 40);
   }
 
-  void test_follower_told_to_come_back_stays() {
+  void retries_a_busy_node_on_the_same_connection() {
     control().refusal = ReasonCode::kOverloaded;
     client_->start();
     world_->run_for(std::chrono::seconds(2));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().moves);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().node_switches);
     CPPUNIT_ASSERT(!client_->lease_valid(world_->runtime("proxy-1").now()));
     CPPUNIT_ASSERT(control().questions() >= 6);
     CPPUNIT_ASSERT(control().questions() <= 20);
     control().refusal = ReasonCode::kNone;
-    world_->run_for(3 * kBusyPause);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().moves);
+    world_->run_for(3 * kBusyRetryPause);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().node_switches);
     CPPUNIT_ASSERT(client_->lease_valid(world_->runtime("proxy-1").now()));
   }
 
-  void test_follower_moves_on_from_a_node_that_stays_busy() {
+  void leaves_a_node_that_stays_busy() {
     control().refusal = ReasonCode::kOverloaded;
     client_->start();
-    world_->run_for(kBusyLimit + 4 * kBusyPause);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, client_->statistics().moves);
+    world_->run_for(kBusyTimeout + 4 * kBusyRetryPause);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, client_->statistics().node_switches);
   }
 
  private:
--- a/tests/declared/follow/serving_configuration_test.cpp
+++ b/tests/declared/follow/serving_configuration_test.cpp
@@ -25,12 +25,12 @@
 
 class ServingConfigurationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServingConfigurationTest);
-  CPPUNIT_TEST(test_effect_names_the_groups_with_newer_state);
-  CPPUNIT_TEST(test_updates_that_are_not_read);
+  CPPUNIT_TEST(effect_lists_groups_with_newer_state);
+  CPPUNIT_TEST(keeps_only_revision_and_lease_without_decoding);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_effect_names_the_groups_with_newer_state() {
+  void effect_lists_groups_with_newer_state() {
     ServingConfiguration current;
     current.groups[GroupName("a")] = {GroupName("a"), 3, BackendName("a-0")};
     FollowUpdate update;
@@ -43,9 +43,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a-0"), current.groups.at(GroupName("a")).primary.value);
   }
 
-  void test_updates_that_are_not_read() {
+  void keeps_only_revision_and_lease_without_decoding() {
     ServingConfiguration current;
-    current.reads_updates = false;
+    current.decodes_updates = false;
     FollowUpdate whole;
     whole.configuration = config::ConfigSnapshot{{proxy("proxy-1", 4)}};
     AnswerEffect first;
--- a/tests/declared/follow/slow_configuration_test.cpp
+++ b/tests/declared/follow/slow_configuration_test.cpp
@@ -39,8 +39,8 @@
 
 class SlowConfigurationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SlowConfigurationTest);
-  CPPUNIT_TEST(test_configuration_that_keeps_coming_is_waited_for);
-  CPPUNIT_TEST(test_configuration_that_stops_coming_is_given_up_on);
+  CPPUNIT_TEST(waits_for_a_configuration_that_keeps_arriving);
+  CPPUNIT_TEST(abandons_a_configuration_that_stops_arriving);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -59,15 +59,15 @@
     loopback_.run_to_end();
   }
 
-  void test_configuration_that_keeps_coming_is_waited_for() {
+  void waits_for_a_configuration_that_keeps_arriving() {
     loopback_.run(answer_in_pieces(kPieces));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().moves);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().node_switches);
     CPPUNIT_ASSERT_EQUAL(kRevision, client_->current().revision);
   }
 
-  void test_configuration_that_stops_coming_is_given_up_on() {
+  void abandons_a_configuration_that_stops_arriving() {
     loopback_.run(answer_in_pieces(kPieces / 2));
-    CPPUNIT_ASSERT(client_->statistics().moves > 0);
+    CPPUNIT_ASSERT(client_->statistics().node_switches > 0);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->current().revision);
   }
 
@@ -84,7 +84,8 @@
       co_await peer.try_send(bytes);
     }
     const TimePoint limit = loopback_.limit();
-    while (client_->current().revision == 0 && client_->statistics().moves == 0 && runtime.now() < limit) {
+    while (client_->current().revision == 0 && client_->statistics().node_switches == 0 &&
+           runtime.now() < limit) {
       co_await runtime.sleep_for(milliseconds(10));
     }
     peer.close();
