--- a/src/declared/config/change_memory.h
+++ b/src/declared/config/change_memory.h
@@ -1,5 +1,5 @@
-// Outcomes of the latest changes by change id, so that a change that is sent again because its answer was
-// lost gets its first answer.
+// Outcomes of the latest changes by change id, so that a change resent after its answer was lost gets the
+// original answer.
 #pragma once
 
 #include <cereal/types/deque.hpp>
@@ -14,7 +14,7 @@
 
 namespace cairnhollow::declared::config {
 
-/// 128 bits of hash over a whole request, so that two different requests never look like a resend of one.
+/// 128-bit hash of a whole request, so that two different requests are never taken for resends of one.
 struct ChangeFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -26,8 +26,8 @@
   }
 };
 
-/// What is kept of one decided change.
-struct RememberedChange {
+/// The record kept of a decided change.
+struct DecidedChange {
   ChangeFingerprint fingerprint;
   std::string operator_name;
   ChangeOutcome outcome;
@@ -38,32 +38,32 @@
   }
 };
 
-/// Bounded: accepted and refused changes each forget their oldest first, so that a flood of refused ones
-/// can't push out an accepted one. A refused change that is forgotten may be decided anew, since it never
-/// ran; an accepted one may not, and may_have_forgotten() tells when that can't be ruled out.
+/// Bounded: accepted and refused changes are evicted separately, oldest first, so that a flood of refused
+/// changes cannot evict an accepted one. An evicted refused change may be decided again because it never took
+/// effect; an accepted one may not, and may_have_evicted() reports when that cannot be ruled out.
 class ChangeMemory {
  public:
   static constexpr std::size_t kMaximumAccepted = 4096;
   static constexpr std::size_t kMaximumRefused = 4096;
 
-  [[nodiscard]] const RememberedChange* find(const std::string& change_id) const;
-  /// `change_id` is not known yet. The revisions of accepted changes come without gaps.
-  void remember(const std::string& change_id, RememberedChange change);
-  /// True when a change whose id was chosen at `revision` may have been accepted and forgotten since.
-  [[nodiscard]] bool may_have_forgotten(std::uint64_t revision) const { return revision < forgotten_up_to_; }
-  /// Who wrote `revision`: "alice (change 4711)"; "an earlier change" once that is forgotten.
+  [[nodiscard]] const DecidedChange* find(const std::string& change_id) const;
+  /// `change_id` must not be recorded yet. Revisions of accepted changes must have no gaps.
+  void remember(const std::string& change_id, DecidedChange change);
+  /// Returns true if a change whose id was chosen at `revision` may have been accepted and evicted since.
+  [[nodiscard]] bool may_have_evicted(std::uint64_t revision) const { return revision < evicted_up_to_; }
+  /// Returns the author of `revision`, e.g. "alice (change 4711)"; "an earlier change" if it was evicted.
   [[nodiscard]] std::string author_of(std::uint64_t revision) const;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(changes_, accepted_, refused_, forgotten_up_to_);
+    archive(changes_, accepted_, refused_, evicted_up_to_);
   }
 
  private:
-  std::map<std::string, RememberedChange> changes_;
-  std::deque<std::string> accepted_;   ///< ids by revision, from forgotten_up_to_ + 1 on
-  std::deque<std::string> refused_;    ///< ids, the oldest first
-  std::uint64_t forgotten_up_to_ = 0;  ///< the changes of this revision and of those below are forgotten
+  std::map<std::string, DecidedChange> changes_;
+  std::deque<std::string> accepted_;  ///< change ids by revision, starting at evicted_up_to_ + 1
+  std::deque<std::string> refused_;   ///< change ids, oldest first
+  std::uint64_t evicted_up_to_ = 0;   ///< accepted changes up to and including this revision are evicted
 };
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/config/document_reader.cpp
+++ b/src/declared/config/document_reader.cpp
@@ -60,12 +60,12 @@
 }
 
 const DocumentNode* MappingReader::take(const std::string& key, Presence presence) {
-  known_.insert(key);
+  requested_keys_.insert(key);
   const DocumentNode* found = nullptr;
   for (const auto& entry : node_.entries) {
     if (entry.key != key) continue;
     if (found != nullptr) {
-      faults_.add(entry.value.line, path_of(key), "is given twice");
+      faults_.add(entry.value.line, path_of(key), "duplicate key");
     } else {
       found = &entry.value;
     }
@@ -82,7 +82,7 @@
   if (auto text = scalar_text(*value)) {
     target = std::move(*text);
   } else {
-    faults_.add(value->line, path_of(key), "must be a text");
+    faults_.add(value->line, path_of(key), "must be a string");
   }
 }
 
@@ -121,9 +121,9 @@
 
 void MappingReader::finish() {
   for (const auto& entry : node_.entries) {
-    if (known_.contains(entry.key)) continue;
+    if (requested_keys_.contains(entry.key)) continue;
     faults_.add(entry.value.line, path_of(entry.key),
-                fmt::format("unknown key; known here: {}", boost::algorithm::join(known_, ", ")));
+                fmt::format("unknown key; known keys: {}", boost::algorithm::join(requested_keys_, ", ")));
   }
 }
 
--- a/src/declared/config/document_yaml.cpp
+++ b/src/declared/config/document_yaml.cpp
@@ -1,4 +1,4 @@
-// YAML to and from document trees, by yaml-cpp. Its exceptions stop here.
+// Conversion between YAML and document trees, using yaml-cpp. No yaml-cpp exception leaves this file.
 #include <fmt/format.h>
 #include <yaml-cpp/eventhandler.h>
 #include <yaml-cpp/yaml.h>
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// A fault of the text that yaml-cpp itself doesn't see.
+/// A fault that yaml-cpp does not detect itself.
 struct DocumentFault {
   int line = 0;
   std::string problem;
 };
 
-/// Builds document trees from the parser's events, within the limits of one text. Throws DocumentFault.
+/// Builds document trees from parser events within the document limits. Throws DocumentFault.
 class TreeBuilder : public YAML::EventHandler {
  public:
   std::vector<DocumentNode> take_documents() { return std::move(documents_); }
 
   void OnDocumentStart(const YAML::Mark& mark) override {
-    // yaml-cpp 0.7 yields empty documents for ever at a token that fits nowhere, such as a comma.
+    // yaml-cpp 0.7 yields empty documents endlessly at an unexpected token such as a comma.
     if (last_start_ == mark.pos) fail(mark, "unexpected character");
     last_start_ = mark.pos;
     anchors_.clear();
@@ -49,11 +49,11 @@
 
   void OnAlias(const YAML::Mark& mark, YAML::anchor_t anchor) override {
     const auto known = anchors_.find(anchor);
-    if (known == anchors_.end()) fail(mark, "an alias stands inside of what it names");
+    if (known == anchors_.end()) fail(mark, "an alias refers to a node that contains it");
     count(mark, known->second.size);
     DocumentNode node = known->second.node;
     node.line = line_of(mark);
-    add_counted(mark, std::move(node), known->second.size);
+    attach(mark, std::move(node), known->second.size);
   }
 
   void OnSequenceStart(const YAML::Mark& mark, const std::string& /*tag*/, YAML::anchor_t anchor,
@@ -74,8 +74,8 @@
     DocumentNode node;
     YAML::Mark mark;
     YAML::anchor_t anchor = YAML::NullAnchor;
-    std::size_t size = 1;  ///< values in it, itself included
-    bool has_key = false;  ///< of a mapping: the last entry waits for its value
+    std::size_t size = 1;  ///< number of values in the node, including itself
+    bool has_key = false;  ///< for a mapping: the last entry has no value yet
   };
   struct AnchoredNode {
     DocumentNode node;
@@ -96,12 +96,12 @@
   }
 
   void count(const YAML::Mark& mark, std::size_t values) {
-    values_ += values;
-    if (values_ > kMaximumDocumentNodes) fail(mark, "too many values");
+    value_count_ += values;
+    if (value_count_ > kMaximumDocumentNodes) fail(mark, "too many values in the input");
   }
 
   void open(const YAML::Mark& mark, YAML::anchor_t anchor, DocumentNode::Type type) {
-    if (open_.size() >= kMaximumDocumentDepth) fail(mark, "nested too deep");
+    if (open_.size() >= kMaximumDocumentDepth) fail(mark, "nested too deeply");
     count(mark, 1);
     open_.push_back({node_at(mark, type), mark, anchor});
   }
@@ -109,22 +109,22 @@
   void close() {
     OpenNode done = std::move(open_.back());
     open_.pop_back();
-    remember(done.anchor, done.node, done.size);
-    add_counted(done.mark, std::move(done.node), done.size);
+    record_anchor(done.anchor, done.node, done.size);
+    attach(done.mark, std::move(done.node), done.size);
   }
 
   void add(const YAML::Mark& mark, YAML::anchor_t anchor, DocumentNode node) {
     count(mark, 1);
-    remember(anchor, node, 1);
-    add_counted(mark, std::move(node), 1);
+    record_anchor(anchor, node, 1);
+    attach(mark, std::move(node), 1);
   }
 
-  void remember(YAML::anchor_t anchor, const DocumentNode& node, std::size_t size) {
+  void record_anchor(YAML::anchor_t anchor, const DocumentNode& node, std::size_t size) {
     if (anchor != YAML::NullAnchor) anchors_[anchor] = {node, size};
   }
 
-  /// Puts a finished node where it belongs.
-  void add_counted(const YAML::Mark& mark, DocumentNode node, std::size_t size) {
+  /// Adds a finished node to its parent, or to the documents if it has none.
+  void attach(const YAML::Mark& mark, DocumentNode node, std::size_t size) {
     if (open_.empty()) {
       if (node.type != DocumentNode::Type::kNull) documents_.push_back(std::move(node));
       return;
@@ -139,24 +139,24 @@
       parent.node.entries.back().value.line = key_line;
       parent.has_key = false;
     } else {
-      if (!is_text(node)) fail(mark, "a key is not a plain text");
+      if (!is_string_scalar(node)) fail(mark, "a mapping key must be a string");
       parent.node.entries.push_back({node.text, node_at(mark, DocumentNode::Type::kNull)});
       parent.has_key = true;
     }
   }
 
-  static bool is_text(const DocumentNode& node) {
+  static bool is_string_scalar(const DocumentNode& node) {
     return node.type == DocumentNode::Type::kPlain || node.type == DocumentNode::Type::kString;
   }
 
   std::vector<DocumentNode> documents_;
-  std::vector<OpenNode> open_;  ///< the innermost at the back
+  std::vector<OpenNode> open_;  ///< innermost node at the back
   std::map<YAML::anchor_t, AnchoredNode> anchors_;
-  std::size_t values_ = 0;
-  int last_start_ = -1;  ///< where the last document began
+  std::size_t value_count_ = 0;
+  int last_start_ = -1;  ///< position at which the last document began
 };
 
-/// True for texts that YAML would read as something other than a string.
+/// Returns true for text that YAML would read as something other than a string.
 bool needs_quotes(const std::string& text) {
   static constexpr std::array<std::string_view, 9> kWords = {"",  "~", "null", "true", "false",
                                                              "y", "n", "yes",  "no"};
--- a/src/declared/config/label_index.cpp
+++ b/src/declared/config/label_index.cpp
@@ -15,8 +15,9 @@
 
 namespace {
 
-/// The requirement that the fewest objects stand under; empty when the selector has none.
-std::optional<LabelRequirement> rarest_requirement(const Selector& selector, const LabelPostings& postings) {
+/// Returns the requirement with the fewest matching entries; std::nullopt if the selector requires no label.
+std::optional<LabelRequirement> most_selective_requirement(const Selector& selector,
+                                                           const LabelPostings& postings) {
   const auto requirements = requirements_of(selector);
   std::optional<LabelRequirement> rarest;
   std::size_t least = 0;
@@ -73,7 +74,7 @@
 }
 
 std::vector<const ObjectSet*> LabelIndex::candidates_of(const Selector& selector) const {
-  const auto requirement = rarest_requirement(selector, postings_);
+  const auto requirement = most_selective_requirement(selector, postings_);
   if (!requirement) return {&all_};
   std::vector<const ObjectSet*> candidates;
   for (const auto& value : requirement->values) {
@@ -103,7 +104,7 @@
 }
 
 void SelectorIndex::add(const StoredObject* owner) {
-  const auto requirement = rarest_requirement(selector_of_(*owner), postings_);
+  const auto requirement = most_selective_requirement(selector_of_(*owner), postings_);
   if (!requirement) {
     unconditional_.insert(owner);
     return;
@@ -113,7 +114,7 @@
 
 void SelectorIndex::remove(const StoredObject* owner) {
   unconditional_.erase(owner);
-  // Which requirement it stands under depended on the others at that time: look under all of its own.
+  // The requirement chosen by add() depended on the index at that time, so try all of them.
   for (const auto& requirement : requirements_of(selector_of_(*owner))) {
     for (const auto& value : requirement.values) postings_.remove(requirement.key, value, owner);
   }
--- a/src/declared/config/manifest.cpp
+++ b/src/declared/config/manifest.cpp
@@ -1,4 +1,4 @@
-// Documents to objects.
+// Conversion from documents to objects.
 #include "declared/config/manifest.h"
 
 #include <fmt/format.h>
@@ -32,7 +32,7 @@
     target.op = *op;
   } else {
     faults.add(node.line, reader.path_of("operator"),
-               fmt::format("'{}' is none of In, NotIn, Exists, DoesNotExist", name));
+               fmt::format("unknown operator '{}'; must be In, NotIn, Exists or DoesNotExist", name));
   }
   if (const DocumentNode* values = reader.take("values", kOptional)) {
     if (values->type != DocumentNode::Type::kSequence) {
@@ -42,7 +42,7 @@
       if (auto text = scalar_text(item)) {
         target.values.push_back(std::move(*text));
       } else {
-        faults.add(item.line, reader.path_of("values"), "must be a list of texts");
+        faults.add(item.line, reader.path_of("values"), "must be a list of strings");
       }
     }
   }
@@ -81,7 +81,7 @@
   }
 }
 
-/// The fields that proxies and backends share.
+/// Reads the fields common to proxies and backends.
 template <class Spec>
 Spec read_machine(MappingReader& reader) {
   Spec spec;
@@ -105,7 +105,7 @@
   return spec;
 }
 
-/// An optional duration; `milliseconds` keeps its value without one.
+/// Reads an optional duration; leaves `milliseconds` unchanged if the field is missing.
 void read_duration(MappingReader& reader, const char* field, std::uint64_t& milliseconds) {
   const DocumentNode* node = reader.take(field, kOptional);
   if (node == nullptr) return;
@@ -173,7 +173,7 @@
   if (!kind) {
     if (kind_text.empty()) return manifest;
     faults.add(document.line, "kind",
-               fmt::format("'{}' is none of Proxy, Backend, DatabaseGroup, Route", kind_text));
+               fmt::format("unknown kind '{}'; must be Proxy, Backend, DatabaseGroup or Route", kind_text));
   } else if (spec != nullptr) {
     MappingReader spec_reader(*spec, "spec", faults);
     manifest.object.spec = read_spec(*kind, spec_reader);
--- a/src/declared/config/selector_text.cpp
+++ b/src/declared/config/selector_text.cpp
@@ -28,7 +28,7 @@
   return clauses;
 }
 
-/// Reads "key in (a,b)" and "key notin (a,b)".
+/// Parses "key in (a,b)" and "key notin (a,b)".
 std::optional<SelectorExpression> parse_set_clause(const std::string& clause) {
   const auto open = clause.find('(');
   if (open == std::string::npos || clause.back() != ')') return std::nullopt;
@@ -49,7 +49,7 @@
   return !text.empty() && text.find_first_of(" \t()=!") == std::string::npos;
 }
 
-/// Adds one clause to the selector; false when it has none of the forms.
+/// Adds one clause to the selector; returns false if it is malformed or repeats a key.
 bool add_clause(const std::string& clause, Selector& selector) {
   if (clause.empty()) return false;
   if (clause.find('(') != std::string::npos) {
@@ -107,8 +107,8 @@
   for (const auto& clause : split_clauses(text)) {
     if (add_clause(clause, selector)) continue;
     reason = Reason{ReasonCode::kInvalidArgument, "parse_selector", "",
-                    fmt::format("selector: '{}' is none of key=value, key!=value, key in (a,b), "
-                                "key notin (a,b), key, !key (or repeats a key)",
+                    fmt::format("selector: invalid clause '{}'; must be key=value, key!=value, key in (a,b), "
+                                "key notin (a,b), key or !key, and must not repeat a key",
                                 clause)};
     return std::nullopt;
   }
--- a/src/declared/config/state_machine.cpp
+++ b/src/declared/config/state_machine.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kSnapshotFormat = 2;
 constexpr std::size_t kChecksumLength = 16;
 
-/// 64 bits as 16 hexadecimal digits.
+/// XXH3-64 of `bytes` as 16 hexadecimal digits.
 std::string checksum(const std::string& bytes) {
   return fmt::format("{:016x}", XXH3_64bits(bytes.data(), bytes.size()));
 }
@@ -26,12 +26,13 @@
   return {hash.high64, hash.low64};
 }
 
-/// Of the earliest format, from today's on, that loses nothing: the same on every build that can read it.
+/// Encodes in the earliest format from kReplicaWaitFormat on that can represent the request, so that all
+/// builds that can read the request compute the same fingerprint.
 ChangeFingerprint fingerprint(const ChangeRequest& request) {
   return fingerprint_of(wire::encode_from(request, wire::kReplicaWaitFormat));
 }
 
-/// Also when a build remembered it that wrote an earlier format.
+/// Also accepts a fingerprint recorded by a build that wrote kEarliestFormat.
 bool is_fingerprint_of(const ChangeFingerprint& known, const ChangeRequest& request) {
   if (known == fingerprint(request)) return true;
   return wire::fits_format(request, wire::kEarliestFormat) &&
@@ -58,15 +59,15 @@
       if (!is_valid_name(change.object.name)) faults.push_back({key, "metadata.name", "is not a name"});
       continue;
     }
-    const auto of_object = validate_object(change.object);
-    faults.insert(faults.end(), of_object.begin(), of_object.end());
+    const auto object_faults = validate_object(change.object);
+    faults.insert(faults.end(), object_faults.begin(), object_faults.end());
   }
   return faults;
 }
 
 }  // namespace
 
-/// Faults of the request's frame, before its objects are looked at.
+/// Checks the request's own fields; its objects are checked later.
 std::optional<Reason> StateMachine::check_request(const ChangeRequest& request) const {
   if (request.change_id.empty()) return invalid("changeId: must not be empty");
   if (!is_valid_identifier(request.change_id)) {
@@ -90,12 +91,12 @@
 
 ChangeOutcome StateMachine::apply(const ChangeRequest& request) {
   if (auto fault = check_request(request)) return refuse(std::move(*fault));
-  if (const RememberedChange* known = memory_.find(request.change_id)) {
+  if (const DecidedChange* known = memory_.find(request.change_id)) {
     if (is_fingerprint_of(known->fingerprint, request)) return known->outcome;
     return refuse(Reason{ReasonCode::kAlreadyExists, "apply_change", "",
                          fmt::format("changeId: {} was used before with other content", request.change_id)});
   }
-  if (memory_.may_have_forgotten(request.at_revision)) {
+  if (memory_.may_have_evicted(request.at_revision)) {
     return refuse(
         Reason{ReasonCode::kOutcomeUnknown, "apply_change", "",
                fmt::format("atRevision: a change {} chosen at revision {} may have been accepted and "
@@ -111,7 +112,7 @@
   const auto faults = check_objects(request);
   if (!faults.empty()) return refuse(reason_for_faults(faults));
   if (auto conflict = find_conflict(request)) return std::move(*conflict);
-  return write_all(request);
+  return apply_changes(request);
 }
 
 ChangeOutcome StateMachine::refuse(Reason reason) const {
@@ -146,7 +147,7 @@
   return outcome;
 }
 
-ChangeOutcome StateMachine::write_all(const ChangeRequest& request) {
+ChangeOutcome StateMachine::apply_changes(const ChangeRequest& request) {
   const std::uint64_t next_revision = revision_ + 1;
   std::vector<ObjectKey> touched;
   std::map<ObjectKey, std::optional<StoredObject>> before;
@@ -242,15 +243,17 @@
     reason = Reason{ReasonCode::kCorrupt, "restore_snapshot", "", std::move(detail)};
     return false;
   };
-  if (bytes.size() < kChecksumLength) return corrupt("the snapshot is too short");
+  if (bytes.size() < kChecksumLength) return corrupt("the snapshot is shorter than its checksum");
   const std::string content = bytes.substr(kChecksumLength);
-  if (bytes.compare(0, kChecksumLength, checksum(content)) != 0) return corrupt("the checksum differs");
+  if (bytes.compare(0, kChecksumLength, checksum(content)) != 0)
+    return corrupt("the snapshot's checksum does not match its content");
   StateMachine restored;
   ObjectTable table;
   const auto read = [&](wire::MessageReader& reader) {
     std::uint32_t format = 0;
     reader(format);
-    if (format != kSnapshotFormat) throw cereal::Exception(fmt::format("unknown snapshot format {}", format));
+    if (format != kSnapshotFormat)
+      throw cereal::Exception(fmt::format("unsupported snapshot format {}", format));
     table.clear();
     reader(restored.revision_, table, restored.history_, restored.memory_);
   };
--- a/src/declared/control/operator/operator_api.cpp
+++ b/src/declared/control/operator/operator_api.cpp
@@ -25,7 +25,7 @@
 using runtime::HttpResponse;
 
 constexpr Duration kDefaultDeadline = std::chrono::seconds(5);
-/// Member changes and switchovers wait for a node or backend to catch up.
+/// Membership changes and switchovers wait for a node or backend to catch up.
 constexpr Duration kLongDeadline = std::chrono::seconds(30);
 constexpr std::uint64_t kMaximumTimeoutMilliseconds = 120'000;
 constexpr std::uint32_t kDefaultEventLimit = 100;
@@ -50,7 +50,7 @@
   return response;
 }
 
-/// Adds members to a problem document (extension members, RFC 9457 section 3.2).
+/// Adds extension members to a problem document (RFC 9457 section 3.2).
 void extend_problem(HttpResponse& response, const boost::json::object& members) {
   boost::system::error_code error;
   boost::json::value document = boost::json::parse(response.body, error);
@@ -67,7 +67,7 @@
   return value;
 }
 
-/// The body's JSON as `read` understands it.
+/// Parses the body as JSON and converts it by `read`; std::nullopt with `reason` on failure.
 template <class Read>
 auto read_body(const HttpRequest& request, Read read, Reason& reason)
     -> decltype(read(boost::json::value(), reason)) {
@@ -85,8 +85,8 @@
  private:
   using Resource = Awaitable<HttpResponse> (OperatorApi::*)(HttpRequest, RequestTarget);
 
-  /// Null when the method is not offered there; `known` tells whether the path is.
-  static Resource find_resource(HttpMethod method, const RequestTarget& target, bool& known);
+  /// Returns null if no resource handles the method; `path_exists` reports whether the path exists.
+  static Resource find_resource(HttpMethod method, const RequestTarget& target, bool& path_exists);
 
   Awaitable<HttpResponse> get_health(HttpRequest request, RequestTarget target);
   Awaitable<HttpResponse> get_readiness(HttpRequest request, RequestTarget target);
@@ -103,27 +103,28 @@
   Awaitable<HttpResponse> post_switchover(HttpRequest request, RequestTarget target);
 
   HttpResponse refuse(const Reason& reason) const;
-  /// The value as JSON, or the refusal when there is none.
+  /// Returns the value as JSON, or a refusal if there is none.
   template <class Value>
   HttpResponse answer(const std::optional<Value>& value, const Reason& reason) const {
     return value ? json_response(to_json(*value)) : refuse(reason);
   }
-  /// `{"WORD": true}`, or the refusal.
-  HttpResponse done(bool is_done, const char* word, const Reason& reason) const {
-    return is_done ? json_response(boost::json::object{{word, true}}) : refuse(reason);
+  /// Returns `{"WORD": true}`, or a refusal if `succeeded` is false.
+  HttpResponse confirmation(bool succeeded, const char* word, const Reason& reason) const {
+    return succeeded ? json_response(boost::json::object{{word, true}}) : refuse(reason);
   }
-  /// The deadline that `?timeout=` asks for, at most kMaximumTimeoutMilliseconds from now, or the default.
-  [[nodiscard]] TimePoint deadline_of(const RequestTarget& target, Duration otherwise) const;
+  /// Deadline from `?timeout=`, at most kMaximumTimeoutMilliseconds from now; without it, `fallback` from
+  /// now.
+  [[nodiscard]] TimePoint deadline_of(const RequestTarget& target, Duration fallback) const;
 
   runtime::Runtime& runtime_;
   OperatorService& service_;
 };
 
 OperatorApi::Resource OperatorApi::find_resource(HttpMethod method, const RequestTarget& target,
-                                                 bool& known) {
+                                                 bool& path_exists) {
   struct Entry {
     HttpMethod method;
-    std::vector<std::string> pattern;  ///< "*" stands for any one segment
+    std::vector<std::string> pattern;  ///< "*" matches any one segment
     Resource resource;
   };
   static const std::vector<Entry> entries = {
@@ -141,15 +142,16 @@
       {HttpMethod::kPost, {"v1", "members", "*", "replace"}, &OperatorApi::replace_member},
       {HttpMethod::kPost, {"v1", "switchover"}, &OperatorApi::post_switchover},
   };
-  const auto fits = [&](const std::vector<std::string>& pattern) {
-    return std::equal(
-        pattern.begin(), pattern.end(), target.segments.begin(), target.segments.end(),
-        [](const std::string& want, const std::string& have) { return want == "*" || want == have; });
+  const auto matches = [&](const std::vector<std::string>& pattern) {
+    return std::equal(pattern.begin(), pattern.end(), target.segments.begin(), target.segments.end(),
+                      [](const std::string& expected, const std::string& actual) {
+                        return expected == "*" || expected == actual;
+                      });
   };
-  known = false;
+  path_exists = false;
   for (const auto& entry : entries) {
-    if (!fits(entry.pattern)) continue;
-    known = true;
+    if (!matches(entry.pattern)) continue;
+    path_exists = true;
     if (entry.method == method) return entry.resource;
   }
   return nullptr;
@@ -157,23 +159,23 @@
 
 Awaitable<HttpResponse> OperatorApi::handle(HttpRequest request, runtime::HttpConnectionId /*connection*/) {
   auto target = http::parse_request_target(request.target);
-  if (!target) co_return refuse(invalid("target: not a path"));
+  if (!target) co_return refuse(invalid("target: must be a path"));
   const std::string timeout = target->parameter("timeout");
   if (!timeout.empty() && !config::parse_milliseconds(timeout)) {
     co_return refuse(invalid("timeout: must be a duration, e.g. 500ms or 10s"));
   }
-  bool known = false;
-  const Resource resource = find_resource(request.method, *target, known);
+  bool path_exists = false;
+  const Resource resource = find_resource(request.method, *target, path_exists);
   if (resource != nullptr) {
     HttpResponse response = co_await (this->*resource)(std::move(request), std::move(*target));
     co_return response;
   }
   http::Problem problem;
-  problem.reason = Reason{known ? ReasonCode::kUnsupported : ReasonCode::kNotFound, "find_resource", "",
-                          known ? "the method is not offered there" : "there is no such resource"};
+  problem.reason = Reason{path_exists ? ReasonCode::kUnsupported : ReasonCode::kNotFound, "find_resource", "",
+                          path_exists ? "the resource does not support this method" : "no such resource"};
   constexpr unsigned kNotFoundStatus = 404;
   constexpr unsigned kMethodNotAllowedStatus = 405;
-  co_return http::make_problem_response(known ? kMethodNotAllowedStatus : kNotFoundStatus, problem);
+  co_return http::make_problem_response(path_exists ? kMethodNotAllowedStatus : kNotFoundStatus, problem);
 }
 
 HttpResponse OperatorApi::refuse(const Reason& reason) const {
@@ -202,9 +204,9 @@
   return response;
 }
 
-TimePoint OperatorApi::deadline_of(const RequestTarget& target, Duration otherwise) const {
+TimePoint OperatorApi::deadline_of(const RequestTarget& target, Duration fallback) const {
   const auto asked = config::parse_milliseconds(target.parameter("timeout"));
-  if (!asked) return runtime_.now() + otherwise;
+  if (!asked) return runtime_.now() + fallback;
   return runtime_.now() + std::chrono::milliseconds(std::min(*asked, kMaximumTimeoutMilliseconds));
 }
 
@@ -246,7 +248,7 @@
   const std::string kind_text = target.parameter("kind");
   query.kind = config::parse_kind(kind_text);
   if (!query.kind && !kind_text.empty()) {
-    reason = invalid(fmt::format("kind: '{}' is no kind", kind_text));
+    reason = invalid(fmt::format("kind: unknown kind '{}'", kind_text));
     return std::nullopt;
   }
   const std::string names = target.parameter("names");
@@ -269,7 +271,7 @@
 Awaitable<HttpResponse> OperatorApi::get_object(HttpRequest /*request*/, RequestTarget target) {
   Reason reason;
   const auto kind = config::parse_kind(target.segments[2]);
-  if (!kind) co_return refuse(invalid(fmt::format("kind: '{}' is no kind", target.segments[2])));
+  if (!kind) co_return refuse(invalid(fmt::format("kind: unknown kind '{}'", target.segments[2])));
   const config::ObjectKey key{*kind, target.segments[3]};
   const TimePoint deadline = deadline_of(target, kDefaultDeadline);
   const auto stored = co_await service_.find(key, deadline, reason);
@@ -293,7 +295,7 @@
       limit_text.empty() ? std::optional<std::uint64_t>(kDefaultEventLimit) : parse_number(limit_text);
   if (!since || !limit) co_return refuse(invalid("since, limit: must be whole numbers"));
   const auto bounded = static_cast<std::uint32_t>(std::min<std::uint64_t>(*limit, kMaximumEventLimit));
-  // With a number to go on from, the next ones; without, the latest.
+  // With `since`: the first `limit` events after it. Without: the last `limit` events.
   const bool latest = since_text.empty();
   const std::uint32_t asked = latest ? std::numeric_limits<std::uint32_t>::max() : bounded;
   const TimePoint deadline = deadline_of(target, kDefaultDeadline);
@@ -316,7 +318,7 @@
   if (!member) co_return refuse(reason);
   const TimePoint deadline = deadline_of(target, kLongDeadline);
   const bool added = co_await service_.add_member(std::move(*member), deadline, reason);
-  co_return done(added, "added", reason);
+  co_return confirmation(added, "added", reason);
 }
 
 Awaitable<HttpResponse> OperatorApi::delete_member(HttpRequest /*request*/, RequestTarget target) {
@@ -324,7 +326,7 @@
   const NodeName node{target.segments[2]};
   const TimePoint deadline = deadline_of(target, kLongDeadline);
   const bool removed = co_await service_.remove_member(node, deadline, reason);
-  co_return done(removed, "removed", reason);
+  co_return confirmation(removed, "removed", reason);
 }
 
 Awaitable<HttpResponse> OperatorApi::replace_member(HttpRequest request, RequestTarget target) {
@@ -334,7 +336,7 @@
   const NodeName lost{target.segments[2]};
   const TimePoint deadline = deadline_of(target, kLongDeadline);
   const bool replaced = co_await service_.replace_member(lost, std::move(*member), deadline, reason);
-  co_return done(replaced, "replaced", reason);
+  co_return confirmation(replaced, "replaced", reason);
 }
 
 Awaitable<HttpResponse> OperatorApi::post_switchover(HttpRequest request, RequestTarget target) {
--- a/src/declared/control/operator/operator_json_read.cpp
+++ b/src/declared/control/operator/operator_json_read.cpp
@@ -1,4 +1,4 @@
-// JSON to values (declared in operator_json.h).
+// JSON decoding (declared in operator_json.h).
 #include <fmt/format.h>
 
 #include "declared/config/document_reader.h"
@@ -27,7 +27,7 @@
   return std::nullopt;
 }
 
-/// Reads each item of an optional list by `read(reader) -> Item`.
+/// Reads each item of an optional list with `read(reader) -> Item`.
 template <class Read>
 auto read_list(MappingReader& parent, const std::string& key, Read read) {
   std::vector<decltype(read(parent))> items;
@@ -72,7 +72,7 @@
   if (!target) reader.faults().add(0, reader.path_of(key), "must be an IP address and port");
 }
 
-/// A stored object or manifest; empty with the fault recorded when it is none.
+/// Reads a stored object or manifest; on failure records the fault and returns std::nullopt.
 std::optional<config::Manifest> read_manifest(const boost::json::value& value, const std::string& field,
                                               FaultList& faults) {
   Reason fault;
@@ -96,7 +96,7 @@
   key_reader.finish();
   const auto kind = config::parse_kind(kind_text);
   if (!kind) {
-    reader.faults().add(0, key_reader.path_of("kind"), fmt::format("'{}' is no kind", kind_text));
+    reader.faults().add(0, key_reader.path_of("kind"), fmt::format("unknown kind '{}'", kind_text));
     return;
   }
   if (*kind == config::ObjectKind::kBackend) change.object.spec = config::BackendSpec{};
@@ -225,9 +225,9 @@
   return names;
 }
 
-/// Runs `read(reader, value)` over a whole JSON value; empty when it reported a fault.
+/// Runs `read(reader, value)` on a whole JSON value; std::nullopt with `reason` if it reported a fault.
 template <class Value, class Read>
-std::optional<Value> read_whole(const boost::json::value& json, Reason& reason, Read read) {
+std::optional<Value> read_document(const boost::json::value& json, Reason& reason, Read read) {
   FaultList faults("");
   const DocumentNode node = config::from_json(json);
   MappingReader reader(node, "", faults);
@@ -242,7 +242,7 @@
 
 std::optional<config::ChangeRequest> change_request_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<config::ChangeRequest>(value, reason, [](MappingReader& reader, auto& request) {
+  return read_document<config::ChangeRequest>(value, reason, [](MappingReader& reader, auto& request) {
     reader.read("changeId", kRequired, request.change_id);
     reader.read("atRevision", kRequired, request.at_revision);
     reader.read("operator", kOptional, request.operator_name);
@@ -254,7 +254,7 @@
 
 std::optional<SwitchoverRequest> switchover_request_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<SwitchoverRequest>(value, reason, [](MappingReader& reader, auto& request) {
+  return read_document<SwitchoverRequest>(value, reason, [](MappingReader& reader, auto& request) {
     reader.read("group", kRequired, request.group.value);
     std::string target;
     reader.read("target", kOptional, target);
@@ -269,7 +269,7 @@
 }
 
 std::optional<consensus::Member> member_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<consensus::Member>(value, reason, [](MappingReader& reader, auto& member) {
+  return read_document<consensus::Member>(value, reason, [](MappingReader& reader, auto& member) {
     member = read_member(reader);
     reader.finish();
   });
@@ -277,7 +277,7 @@
 
 std::optional<config::ChangeOutcome> change_outcome_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<config::ChangeOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
+  return read_document<config::ChangeOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
     reader.read("accepted", kRequired, outcome.accepted);
     reader.read("revision", kRequired, outcome.revision);
     read_reason(reader, "reason", outcome.reason);
@@ -289,7 +289,7 @@
 }
 
 std::optional<ObjectList> object_list_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<ObjectList>(value, reason, [](MappingReader& reader, auto& list) {
+  return read_document<ObjectList>(value, reason, [](MappingReader& reader, auto& list) {
     reader.read("revision", kRequired, list.revision);
     const DocumentNode* objects = reader.take("objects", kRequired);
     if (objects == nullptr) return;
@@ -301,7 +301,7 @@
 }
 
 std::optional<FleetStatus> fleet_status_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<FleetStatus>(value, reason, [](MappingReader& reader, auto& status) {
+  return read_document<FleetStatus>(value, reason, [](MappingReader& reader, auto& status) {
     reader.read("answeredBy", kRequired, status.answered_by.value);
     reader.read("leader", kOptional, status.leader.value);
     reader.read("consensusTerm", kOptional, status.consensus_term);
@@ -316,23 +316,23 @@
 }
 
 std::optional<std::vector<FleetEvent>> events_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<std::vector<FleetEvent>>(value, reason, [](MappingReader& reader, auto& events) {
+  return read_document<std::vector<FleetEvent>>(value, reason, [](MappingReader& reader, auto& events) {
     reader.take("events", kRequired);
     events = read_list(reader, "events", read_event);
   });
 }
 
 std::optional<InForceReport> in_force_report_from_json(const boost::json::value& value, Reason& reason) {
-  return read_whole<InForceReport>(value, reason, [](MappingReader& reader, auto& report) {
+  return read_document<InForceReport>(value, reason, [](MappingReader& reader, auto& report) {
     reader.read("revision", kRequired, report.revision);
-    reader.read("least", kRequired, report.least);
+    reader.read("least", kRequired, report.least_revision);
     report.behind = read_list(reader, "behind", read_proxy);
   });
 }
 
 std::optional<SwitchoverOutcome> switchover_outcome_from_json(const boost::json::value& value,
                                                               Reason& reason) {
-  return read_whole<SwitchoverOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
+  return read_document<SwitchoverOutcome>(value, reason, [](MappingReader& reader, auto& outcome) {
     reader.read("primary", kRequired, outcome.primary.value);
     reader.read("term", kRequired, outcome.term);
   });
--- a/src/declared/control/operator/operator_service_impl.cpp
+++ b/src/declared/control/operator/operator_service_impl.cpp
@@ -32,10 +32,12 @@
   if (!index) co_return std::nullopt;
   auto outcome = replica_.outcome_at(*index);
   if (!outcome) {
-    reason = Reason{ReasonCode::kOutcomeUnknown, "apply_change", "",
-                    fmt::format("the outcome at log index {} is no longer kept", *index)};
+    reason = Reason{
+        ReasonCode::kOutcomeUnknown, "apply_change", "",
+        fmt::format("the outcome of log index {} is no longer retained; resend with the same change id",
+                    *index)};
   }
-  // The outcome of a change that is sent again is an earlier revision: its events are recorded already.
+  // A resent change returns its original, earlier revision; its events have been recorded already.
   if (outcome && outcome->accepted && outcome->revision > revision_before) {
     for (auto& event : drains.at_revision(outcome->revision)) sources_.events.record(std::move(event));
   }
@@ -74,7 +76,7 @@
   status.commit_index = consensus.commit_index;
   status.revision = replica_.revision();
   status.members = member_status(consensus);
-  status.other_control_nodes = nodes_beside(consensus.members, sources_.followers.control_peers());
+  status.other_control_nodes = non_member_nodes(consensus.members, sources_.followers.control_peers());
   status.groups = sources_.groups.group_status();
   status.proxies = sources_.followers.followers();
   status.leaving = sources_.groups.leaving_machines();
@@ -122,10 +124,10 @@
 InForceReport OperatorServiceImpl::in_force_report() const {
   InForceReport report;
   report.revision = replica_.revision();
-  std::uint64_t least = report.revision;
+  std::uint64_t least_revision = report.revision;
   const auto record = [&](ProxyStatus proxy) {
     if (proxy.revision >= report.revision) return;
-    least = std::min(least, proxy.revision);
+    least_revision = std::min(least_revision, proxy.revision);
     report.behind.push_back(std::move(proxy));
   };
   for (auto& proxy : sources_.followers.followers()) {
@@ -138,11 +140,11 @@
     if (!peer.reachable) unnamed.revision = 0;
     record(std::move(unnamed));
   }
-  // Whatever the followers said: a lease that still runs was given after a quorum round that began when the
-  // proxy asked, together with everything accepted by then.
+  // Lower bound that does not depend on followers' reports: a lease still running was granted after a quorum
+  // round that began after the proxy's request, so the proxy has everything accepted by then.
   const std::uint64_t leased = replica_.revision_at(runtime_.now() - sources_.followers.longest_lease());
-  report.least = std::max(least, leased);
-  if (report.least >= report.revision) report.behind.clear();
+  report.least_revision = std::max(least_revision, leased);
+  if (report.least_revision >= report.revision) report.behind.clear();
   return report;
 }
 
@@ -150,13 +152,14 @@
                                                 Reason& reason) {
   const std::string node = member.node.value;
   const bool added = co_await consensus_.add_member(std::move(member), deadline, reason);
-  if (added) record("member_added", node, fmt::format("{} became a member", node));
+  if (added) record("member_added", node, fmt::format("{} was added to the consensus group", node));
   co_return added;
 }
 
 Awaitable<bool> OperatorServiceImpl::remove_member(NodeName node, TimePoint deadline, Reason& reason) {
   const bool removed = co_await consensus_.remove_member(node, deadline, reason);
-  if (removed) record("member_removed", node.value, fmt::format("{} is no member any more", node.value));
+  if (removed)
+    record("member_removed", node.value, fmt::format("{} was removed from the consensus group", node.value));
   co_return removed;
 }
 
@@ -166,7 +169,7 @@
   const std::string to = replacement.node.value;
   const bool replaced =
       co_await consensus_.replace_member(std::move(lost), std::move(replacement), deadline, reason);
-  if (replaced) record("member_replaced", to, fmt::format("{} became a member in place of {}", to, from));
+  if (replaced) record("member_replaced", to, fmt::format("{} replaced {} in the consensus group", to, from));
   co_return replaced;
 }
 
--- a/src/declared/follow/serving_configuration.cpp
+++ b/src/declared/follow/serving_configuration.cpp
@@ -52,7 +52,7 @@
   return true;
 }
 
-bool accept_answer(ServingConfiguration& current, const FollowAnswer& answer, TimePoint asked_at,
+bool accept_answer(ServingConfiguration& current, const FollowAnswer& answer, TimePoint sent_at,
                    AnswerEffect& effect, Reason& reason) {
   if (answer.refusal) {
     reason = *answer.refusal;
@@ -60,18 +60,19 @@
   }
   if (answer.revision < current.revision) {
     reason = Reason{ReasonCode::kConflict, "follow", "",
-                    fmt::format("answered with revision {} after {}", answer.revision, current.revision)};
+                    fmt::format("the control node answered with revision {}, but revision {} is already held",
+                                answer.revision, current.revision)};
     return false;
   }
   FollowUpdate update;
-  if (!answer.update.empty() && !current.reads_updates) {
+  if (!answer.update.empty() && !current.decodes_updates) {
     if (current.revision == 0) update.configuration = config::ConfigSnapshot{};
   } else if (!answer.update.empty()) {
     auto decoded = wire::decode<FollowUpdate>(answer.update, reason);
     if (!decoded) return false;
     update = std::move(*decoded);
   } else if (answer.revision != current.revision) {
-    reason = Reason{ReasonCode::kCorrupt, "follow", "", "a new revision came without its changes"};
+    reason = Reason{ReasonCode::kCorrupt, "follow", "", "the answer has a new revision but no changes"};
     return false;
   }
   effect.configuration = answer.revision > current.revision;
@@ -83,7 +84,7 @@
     current.revision = answer.revision;
   }
   if (update.has_news) apply_news(current, update, effect);
-  current.lease_deadline = std::max(current.lease_deadline, asked_at + answer.lease);
+  current.lease_deadline = std::max(current.lease_deadline, sent_at + answer.lease);
   return true;
 }
 
--- a/tests/declared/config/manifest_test.cpp
+++ b/tests/declared/config/manifest_test.cpp
@@ -1,4 +1,4 @@
-// Manifests: every field is read and written back; every fault is named by field and line.
+// Tests manifests: every field is read and written, and every fault is reported with field and line.
 #include "declared/config/manifest.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -54,18 +54,18 @@
 class ManifestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ManifestTest);
   CPPUNIT_TEST(every_field_is_read);
-  CPPUNIT_TEST(defaults_are_those_of_the_page);
-  CPPUNIT_TEST(what_is_written_is_read_back);
-  CPPUNIT_TEST(unknown_fields_are_named_with_their_line);
-  CPPUNIT_TEST(wrong_types_are_named_with_their_line);
-  CPPUNIT_TEST(bad_selectors_are_named_with_their_line);
-  CPPUNIT_TEST(missing_fields_are_named);
-  CPPUNIT_TEST(all_faults_are_named_at_once);
-  CPPUNIT_TEST(broken_yaml_is_named_with_its_line);
+  CPPUNIT_TEST(defaults_match_the_documentation);
+  CPPUNIT_TEST(written_manifests_are_read_back);
+  CPPUNIT_TEST(unknown_fields_are_reported_with_their_line);
+  CPPUNIT_TEST(wrong_types_are_reported_with_their_line);
+  CPPUNIT_TEST(invalid_selectors_are_reported_with_their_line);
+  CPPUNIT_TEST(missing_fields_are_reported);
+  CPPUNIT_TEST(all_faults_are_reported_at_once);
+  CPPUNIT_TEST(malformed_yaml_is_reported_with_its_line);
   CPPUNIT_TEST(repeated_keys_are_faults);
-  CPPUNIT_TEST(texts_that_look_like_numbers_stay_texts);
+  CPPUNIT_TEST(strings_that_look_like_numbers_stay_strings);
   CPPUNIT_TEST(deep_and_large_documents_are_refused);
-  CPPUNIT_TEST(stray_tokens_end_the_parse);
+  CPPUNIT_TEST(stray_tokens_are_refused);
   CPPUNIT_TEST(aliases_are_copies);
   CPPUNIT_TEST_SUITE_END();
 
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{75}, route_spec.replica_wait_milliseconds);
   }
 
-  void defaults_are_those_of_the_page() {
+  void defaults_match_the_documentation() {
     const auto group = parse("kind: DatabaseGroup\nmetadata: {name: g}\nspec: {backendSelector: {}}\n");
     const auto& group_spec = std::get<DatabaseGroupSpec>(group[0].object.spec);
     CPPUNIT_ASSERT((group_spec.hash_slots == HashSlotRange{0, 65535}));
@@ -111,7 +111,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{200}, route_spec.replica_wait_milliseconds);
   }
 
-  void what_is_written_is_read_back() {
+  void written_manifests_are_read_back() {
     std::vector<StoredObject> objects;
     for (const auto& manifest : parse(kEveryField)) objects.push_back({manifest.object, 4});
     const auto again = parse(to_yaml(objects));
@@ -126,8 +126,8 @@
     }
   }
 
-  void unknown_fields_are_named_with_their_line() {
-    CPPUNIT_ASSERT_EQUAL(std::string("f.yaml:6: spec.colour: unknown key; known here: drain, endpoint, zone"),
+  void unknown_fields_are_reported_with_their_line() {
+    CPPUNIT_ASSERT_EQUAL(std::string("f.yaml:6: spec.colour: unknown key; known keys: drain, endpoint, zone"),
                          fault_of("kind: Proxy\n"
                                   "metadata: {name: p}\n"
                                   "spec:\n"
@@ -139,7 +139,7 @@
                             "f.yaml:2: metadata.owner: unknown key"));
   }
 
-  void wrong_types_are_named_with_their_line() {
+  void wrong_types_are_reported_with_their_line() {
     const std::string faults = fault_of(
         "kind: DatabaseGroup\n"
         "metadata: {name: [a]}\n"
@@ -148,7 +148,7 @@
         "  hashSlots: {first: -1, last: many}\n"
         "  connectionsPerBackend: 4294967296\n"
         "  slotsPerBackend: \"5\"\n");
-    CPPUNIT_ASSERT(contains(faults, "f.yaml:2: metadata.name: must be a text"));
+    CPPUNIT_ASSERT(contains(faults, "f.yaml:2: metadata.name: must be a string"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:4: spec.backendSelector: must be a mapping"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:5: spec.hashSlots.first: must be a whole number"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:5: spec.hashSlots.last: must be a whole number"));
@@ -159,7 +159,7 @@
                             "f.yaml:6: spec.drain: must be true or false"));
   }
 
-  void bad_selectors_are_named_with_their_line() {
+  void invalid_selectors_are_reported_with_their_line() {
     const std::string faults = fault_of(
         "kind: Route\n"
         "metadata: {name: r}\n"
@@ -173,23 +173,25 @@
         "  maxStaleness: 5\n");
     CPPUNIT_ASSERT(contains(faults, "f.yaml:5: spec.statementSelector.matchLabels: must be a mapping"));
     CPPUNIT_ASSERT(contains(
-        faults, "f.yaml:8: spec.groupSelector.matchExpressions[0].operator: 'Equals' is none of In"));
+        faults,
+        "f.yaml:8: spec.groupSelector.matchExpressions[0].operator: unknown operator 'Equals'; must be In"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:9: spec.groupSelector.matchExpressions[1].key: is required"));
     CPPUNIT_ASSERT(
         contains(faults, "f.yaml:9: spec.groupSelector.matchExpressions[1].values: must be a list"));
     CPPUNIT_ASSERT(contains(faults, "f.yaml:10: spec.maxStaleness: must be a whole number with a unit"));
   }
 
-  void missing_fields_are_named() {
+  void missing_fields_are_reported() {
     CPPUNIT_ASSERT(contains(fault_of("metadata: {}\nspec: {}\n"), "kind: is required"));
     CPPUNIT_ASSERT(contains(fault_of("metadata: {}\nspec: {}\n"), "metadata.name: is required"));
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p}\n"), "spec: is required"));
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p}\nspec: {zone: a}\n"),
                             "spec.endpoint: is required"));
-    CPPUNIT_ASSERT(contains(fault_of("kind: Shard\nmetadata: {name: p}\nspec: {}\n"), "'Shard' is none of"));
+    CPPUNIT_ASSERT(contains(fault_of("kind: Shard\nmetadata: {name: p}\nspec: {}\n"),
+                            "kind: unknown kind 'Shard'; must be"));
   }
 
-  void all_faults_are_named_at_once() {
+  void all_faults_are_reported_at_once() {
     const std::string faults = fault_of(
         "kind: Proxy\nmetadata: {name: p}\nspec: {endpoint: x}\n"
         "---\n"
@@ -200,7 +202,7 @@
     CPPUNIT_ASSERT(contains(faults, "f.yaml:7: spec.size: unknown key"));
   }
 
-  void broken_yaml_is_named_with_its_line() {
+  void malformed_yaml_is_reported_with_its_line() {
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nmetadata: {name: p\nspec: {}\n"), "f.yaml"));
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\n  bad: : indent\n"), "line 2"));
   }
@@ -208,10 +210,10 @@
   void repeated_keys_are_faults() {
     CPPUNIT_ASSERT(contains(fault_of("kind: Proxy\nkind: Backend\nmetadata: {name: p}\n"
                                      "spec: {zone: a, endpoint: '127.0.0.1:1'}\n"),
-                            "kind: is given twice"));
+                            "kind: duplicate key"));
   }
 
-  void texts_that_look_like_numbers_stay_texts() {
+  void strings_that_look_like_numbers_stay_strings() {
     const Object object{"p", LabelSet{{{"a", "1"}, {"b", "true"}, {"c", "~"}, {"d", ""}, {"e", "1e3"}}},
                         ProxySpec{ZoneName("null"), {"127.0.0.1", 1}, false}};
     const auto again = parse(to_yaml({StoredObject{object, 1}}));
@@ -231,7 +233,7 @@
     CPPUNIT_ASSERT(!parse_manifests(bomb, "f.yaml", reason));
   }
 
-  void stray_tokens_end_the_parse() {
+  void stray_tokens_are_refused() {
     for (const char* text : {",", "!a,", "!-00',,", ",],( \"]b'\"", "a: 1\n,"}) {
       Reason reason;
       CPPUNIT_ASSERT_MESSAGE(text, !parse_manifests(text, "f.yaml", reason));
@@ -245,7 +247,8 @@
         "metadata: {name: &name orders-a, labels: &labels {app: *name}}\n"
         "spec: {zone: *name, endpoint: '127.0.0.1:1'}\n");
     CPPUNIT_ASSERT(manifests[0].object.labels.find("app") == "orders-a");
-    CPPUNIT_ASSERT(contains(fault_of("kind: &loop [*loop]\n"), "line 1: an alias stands inside"));
+    CPPUNIT_ASSERT(
+        contains(fault_of("kind: &loop [*loop]\n"), "line 1: an alias refers to a node that contains it"));
     CPPUNIT_ASSERT(contains(fault_of("kind: *unknown\n"), "line 1"));
   }
 
--- a/tests/declared/config/properties_test.cpp
+++ b/tests/declared/config/properties_test.cpp
@@ -1,4 +1,4 @@
-// Properties of selectors, manifests, the indexes and the state machine, over random objects.
+// Property tests of selectors, manifests, indexes and the state machine over random objects.
 #include <fmt/format.h>
 
 #include "declared/config/manifest.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The rules between objects, checked over all of them by comparing everything with everything.
+/// Reference implementation of the rules between objects, by exhaustive comparison.
 bool meets_all_rules(const std::vector<StoredObject>& objects) {
   const auto of_kind = [&](ObjectKind kind) {
     std::vector<const Object*> found;
@@ -49,7 +49,7 @@
   return true;
 }
 
-/// What a change would leave, by plain means.
+/// Reference model: the objects after a change.
 std::vector<StoredObject> model_after(const std::vector<StoredObject>& before,
                                       const std::vector<ObjectChange>& changes, std::uint64_t revision) {
   std::map<ObjectKey, StoredObject> table;
@@ -73,8 +73,8 @@
   CPPUNIT_TEST(index_finds_what_a_scan_finds);
   CPPUNIT_TEST(selector_index_finds_what_a_scan_finds);
   CPPUNIT_TEST(state_machine_accepts_exactly_what_meets_the_rules);
-  CPPUNIT_TEST(random_bytes_crash_no_parser);
-  CPPUNIT_TEST(damaged_manifests_give_objects_or_faults);
+  CPPUNIT_TEST(parsers_survive_random_bytes);
+  CPPUNIT_TEST(damaged_manifests_parse_or_report_faults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -172,7 +172,7 @@
     });
   }
 
-  void damaged_manifests_give_objects_or_faults() {
+  void damaged_manifests_parse_or_report_faults() {
     assert_property("damaged manifests", [] {
       std::string text = to_yaml({{*any_object(), 1}, {*any_object(), 2}});
       for (auto steps = *rc::gen::inRange(1, 5); steps > 0; --steps) {
@@ -189,7 +189,7 @@
     });
   }
 
-  void random_bytes_crash_no_parser() {
+  void parsers_survive_random_bytes() {
     assert_property(
         "parsers",
         [] {
--- a/tests/declared/follow/follow_client_test.cpp
+++ b/tests/declared/follow/follow_client_test.cpp
@@ -1,5 +1,5 @@
-// A follower that every control node refuses asks again after a pause, not at once; one that is told to come
-// back asks the same node again, on the same connection.
+// A follower pauses between attempts when every control node refuses it, and retries on the same connection
+// when a busy control node refuses it.
 #include "declared/follow/follow_client.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,7 +15,7 @@
 
 const Endpoint kControlEndpoint{"10.0.0.1", 4000};
 
-/// Answers every question with a refusal.
+/// A control node that refuses every request.
 class RefusingControlNode : public runtime::Role {
  public:
   explicit RefusingControlNode(runtime::Runtime& runtime) : runtime_(runtime) {}
@@ -29,7 +29,7 @@
   Awaitable<void> drain() override { co_return; }
   [[nodiscard]] std::uint64_t questions() const { return questions_; }
 
-  /// What it answers; kNone: it grants a lease at once.
+  /// Reason of the refusals; kNone grants a lease at once.
   ReasonCode refusal = ReasonCode::kNoQuorum;
 
  private:
@@ -67,9 +67,9 @@
 
 class FollowClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FollowClientTest);
-  CPPUNIT_TEST(test_refused_follower_pauses);
-  CPPUNIT_TEST(test_follower_told_to_come_back_stays);
-  CPPUNIT_TEST(test_follower_moves_on_from_a_node_that_stays_busy);
+  CPPUNIT_TEST(pauses_between_attempts_when_refused);
+  CPPUNIT_TEST(retries_a_busy_node_on_the_same_connection);
+  CPPUNIT_TEST(leaves_a_node_that_stays_busy);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -89,33 +89,33 @@
     world_.reset();
   }
 
-  void test_refused_follower_pauses() {
+  void pauses_between_attempts_when_refused() {
     client_->start();
     world_->run_for(std::chrono::seconds(2));
-    // Pauses of 50 ms and more add up to 2 s.
+    // Pauses of at least 50 ms limit the number of requests in 2 s.
     CPPUNIT_ASSERT(control().questions() >= 2);
     CPPUNIT_ASSERT(control().questions() <= 40);
   }
 
-  void test_follower_told_to_come_back_stays() {
+  void retries_a_busy_node_on_the_same_connection() {
     control().refusal = ReasonCode::kOverloaded;
     client_->start();
     world_->run_for(std::chrono::seconds(2));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().moves);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().node_switches);
     CPPUNIT_ASSERT(!client_->lease_valid(world_->runtime("proxy-1").now()));
     CPPUNIT_ASSERT(control().questions() >= 6);
     CPPUNIT_ASSERT(control().questions() <= 20);
     control().refusal = ReasonCode::kNone;
-    world_->run_for(3 * kBusyPause);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().moves);
+    world_->run_for(3 * kBusyRetryPause);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, client_->statistics().node_switches);
     CPPUNIT_ASSERT(client_->lease_valid(world_->runtime("proxy-1").now()));
   }
 
-  void test_follower_moves_on_from_a_node_that_stays_busy() {
+  void leaves_a_node_that_stays_busy() {
     control().refusal = ReasonCode::kOverloaded;
     client_->start();
-    world_->run_for(kBusyLimit + 4 * kBusyPause);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, client_->statistics().moves);
+    world_->run_for(kBusyTimeout + 4 * kBusyRetryPause);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, client_->statistics().node_switches);
   }
 
  private:
