--- a/src/declared/control/failover/failover_messages.h
+++ b/src/declared/control/failover/failover_messages.h
@@ -1,4 +1,4 @@
-// What the events of a failover say, phase by phase: found, fenced, promoted or failed.
+// Formats the event messages of a failover, one per phase: started, fenced, promoted or failed.
 #pragma once
 
 #include <string>
@@ -7,20 +7,21 @@
 
 namespace cairnhollow::declared::control {
 
-/// `held`: how long the cause had lasted before the failover was begun.
+/// `held` is the time for which the cause had persisted when the failover started.
 std::string failover_started_message(const GroupObservation& observation, FailoverCause cause, Duration held);
-/// Who granted the term, with the end of its log, and how many of those asked did not.
+/// Lists the members that granted the fence, with the last log position of each, and the number of members
+/// that were asked but did not grant it.
 std::string members_fenced_message(std::uint64_t term, const FenceResult& result);
-/// `replaced`: the primary before; empty when there was none.
+/// `replaced` is the previous primary; empty if there was none.
 std::string primary_promoted_message(const FailoverOutcome& outcome, const BackendName& replaced,
                                      FailoverCause cause);
 
-/// An attempt that put no primary in place.
+/// A failover attempt that did not promote a primary.
 struct FailedAttempt {
-  std::uint32_t failures_in_a_row = 1;  ///< this one included
+  std::uint32_t failures_in_a_row = 1;  ///< including this attempt
   Duration took{0};
-  Duration call_timeout{0};  ///< what each of its calls was given
-  Duration next_after{0};    ///< until the next attempt
+  Duration call_timeout{0};  ///< time limit of each call in the attempt
+  Duration next_after{0};    ///< delay before the next attempt
 };
 std::string failover_failed_message(const FailedAttempt& attempt, FailoverCause cause);
 
--- a/src/declared/control/failover/failover_rules.cpp
+++ b/src/declared/control/failover/failover_rules.cpp
@@ -23,14 +23,15 @@
   return member.answering && follows_known_primary(observation, member) && member.status->primary_heard;
 }
 
-/// Replicas that say themselves that they hear the primary.
+/// Counts the replicas that report contact with the primary.
 std::size_t replicas_hearing(const GroupObservation& observation) {
   return static_cast<std::size_t>(
       std::count_if(observation.members.begin(), observation.members.end(),
                     [&](const auto& member) { return hears_known_primary(observation, member); }));
 }
 
-/// Replicas that say themselves that they do not hear it; one that answers nobody says nothing.
+/// Counts the replicas that report no contact with the primary. A replica that does not answer probes is not
+/// counted.
 std::size_t replicas_not_hearing(const GroupObservation& observation) {
   return static_cast<std::size_t>(
       std::count_if(observation.members.begin(), observation.members.end(), [&](const auto& member) {
@@ -59,7 +60,7 @@
 
 FailoverDecision decide_silent(const GroupObservation& observation, const MemberObservation& primary,
                                const FailoverLimits& limits) {
-  // With the primary itself, those that hear it can still commit.
+  // The primary and the replicas in contact with it can still commit if they form a majority.
   const bool can_commit = 1 + replicas_hearing(observation) >= majority_of(voting_members(observation));
   if (!can_commit) return {FailoverCause::kPrimarySilent, primary.refused ? Duration(0) : limits.not_refused};
   if (observation.suspected && primary.silent_for >= limits.unreachable_to_all) {
@@ -166,7 +167,7 @@
     const auto count = preference.primaries_in_zone.find(zone);
     return count == preference.primaries_in_zone.end() ? std::size_t{0} : count->second;
   };
-  // Smaller is better in every part.
+  // Compared lexicographically; the smallest penalty wins.
   const auto penalty = [&](const FenceGrant& grant) {
     return std::make_tuple(grant.member.backend != preference.preferred, grant.member.leaving,
                            primaries_in(grant.member.zone), grant.member.backend);
--- a/src/declared/control/failover/failover_run.cpp
+++ b/src/declared/control/failover/failover_run.cpp
@@ -122,7 +122,7 @@
   const TimePoint limit = std::min(deadline, runtime_.now() + kCatchUpLimit);
   const bool near = co_await catch_up(target, plan_.target_position, limit, reason);
   if (!near) co_return false;
-  // The others refuse the old primary's entries from here on; the target goes on to take them.
+  // From here on, the fenced members reject entries from the old primary; the target still accepts them.
   for (const auto& participant : participants_) {
     const BackendName& backend = participant->member.backend;
     if (backend != plan_.replaced && backend != *plan_.target) ask_fence(participant);
@@ -161,7 +161,7 @@
 
 Awaitable<void> FailoverRun::redirect(std::shared_ptr<FailoverRun> /*self*/, ParticipantPointer participant,
                                       GroupMember primary) {
-  // A member that is still being asked for its fence uses its connection; the monitor redirects it later.
+  // A fence request is still using this member's connection; the group monitor redirects the member later.
   if (participant->asked && !participant->answered) co_return;
   const TimePoint deadline = runtime_.now() + plan_.call_timeout;
   Reason reason;
--- a/src/declared/control/failover/failover_run.h
+++ b/src/declared/control/failover/failover_run.h
@@ -1,6 +1,6 @@
-// One attempt to give a database group a primary at a new term: fence a majority, promote the member with the
-// highest position among them, tell the others to follow (docs/BACKEND_CONTRACT.md says why that is safe).
-// Two attempts at once, or one that was frozen in between, can only waste a term.
+// Runs one failover attempt: fences a majority of the group at a new term, promotes the fenced member with
+// the highest log position, and redirects the others to it (docs/BACKEND_CONTRACT.md explains why this is
+// safe). Concurrent or frozen attempts are harmless: they can only use up a term.
 #pragma once
 
 #include <functional>
@@ -19,57 +19,63 @@
 
 struct FailoverPlan {
   GroupDefinition definition;
-  std::size_t voting_members = 0;  ///< as the database counts them
-  std::uint64_t term = 0;          ///< higher than any seen
-  std::string owner;               ///< used for this attempt only
-  /// A primary that is to be replaced: it is not fenced, so that its tail that no other member has can't make
-  /// it the candidate again. It may go on until the others refuse its term.
+  std::size_t voting_members = 0;  ///< as reported by the database
+  std::uint64_t term = 0;          ///< higher than any observed term
+  std::string owner;               ///< unique to this attempt
+  /// The primary being replaced, if any. It is not fenced, so that log entries that only it holds cannot make
+  /// it the candidate again. It may keep running until the other members reject its term.
   BackendName replaced;
   CandidatePreference preference;
-  /// Planned: only this member may be promoted; the others are fenced first, and it catches up meanwhile.
+  /// Switchover only: the only member that may be promoted. The other members are fenced first, and the
+  /// target catches up meanwhile.
   std::optional<BackendName> target;
-  Position target_position;  ///< planned: nothing is fenced before the target's log reaches this
-  Duration call_timeout = kFailoverCallTimeout;  ///< each call ends by then
+  /// Switchover only: nothing is fenced until the target's log reaches this position.
+  Position target_position;
+  Duration call_timeout = kFailoverCallTimeout;  ///< time limit of each call
 };
 
 struct FailoverOutcome {
   GroupMember primary;
   std::uint64_t term = 0;
-  std::size_t fenced = 0;  ///< members that had granted the fence when the candidate was chosen
-  Duration fencing{0};     ///< until a candidate could be chosen; planned: with its catching up
-  Duration promoting{0};   ///< from there on
+  std::size_t fenced = 0;  ///< number of members that had granted the fence when the candidate was chosen
+  /// Time until a candidate could be chosen. For a switchover, this includes the target's catch-up.
+  Duration fencing{0};
+  Duration promoting{0};  ///< time from then until the promotion succeeded
 };
 
-/// How the members answered the fence, when the candidate is chosen.
+/// Fence responses at the time when the candidate is chosen.
 struct FenceResult {
   std::vector<FenceGrant> granted;
-  std::vector<Reason> refused;  ///< why others did not grant it, with the member as peer
+  std::vector<Reason> refused;  ///< why members did not grant the fence; `peer` names the member
 };
 
-/// Use once. `runtime` and `connector` outlive it; it is kept alive by its own coroutines.
+/// Single use. `runtime` and `connector` must outlive this object; its coroutines keep it alive.
 class FailoverRun : public std::enable_shared_from_this<FailoverRun> {
  public:
   FailoverRun(runtime::Runtime& runtime, backend::BackendConnector& connector, FailoverPlan plan);
 
-  /// Called as soon as a majority is fenced, before anything is promoted.
+  /// `listener` is called once a majority is fenced, before anything is promoted.
   void on_fenced(std::function<void(const FenceResult&)> listener) { on_fenced_ = std::move(listener); }
 
-  /// kNoQuorum: too few granted the fence; kFenced: a member knows a higher term, see highest_term();
-  /// kDeadlineExceeded: the target did not catch up. A failed promotion passes its own reason on: it may
-  /// still have been carried out, which the probes will show.
+  /// Returns std::nullopt and sets `reason` on failure. kNoQuorum: too few members granted the fence.
+  /// kFenced: a member knows a higher term, see highest_term(). kDeadlineExceeded: the target did not catch
+  /// up. kConflict: another member has a higher log position than the target. kNotFound: the target is not a
+  /// member of the group. If the promotion itself fails, `reason` is that of the call; the promotion may
+  /// still have taken effect, which later probes will show.
   Awaitable<std::optional<FailoverOutcome>> run(TimePoint deadline, Reason& reason);
 
-  /// The highest term that any member named; the next attempt needs a higher one.
+  /// The highest term reported by any member, at least the term of the plan. The next attempt must use a
+  /// higher one.
   [[nodiscard]] std::uint64_t highest_term() const { return highest_term_; }
 
  private:
   struct Participant {
     GroupMember member;
     std::shared_ptr<backend::BackendConnection> connection;
-    std::optional<Position> granted;  ///< end of its log when it granted the fence
+    std::optional<Position> granted;  ///< last log position when it granted the fence
     bool asked = false;
-    bool answered = false;  ///< granted, refused or failed
-    Reason reason;          ///< why not granted
+    bool answered = false;  ///< the request was granted, refused or failed
+    Reason reason;          ///< why the fence was not granted
   };
   using ParticipantPointer = std::shared_ptr<Participant>;
 
--- a/src/declared/control/failover/group_definition.h
+++ b/src/declared/control/failover/group_definition.h
@@ -1,4 +1,4 @@
-// Database groups as the configuration declares them, with the members that their selectors select.
+// Derives the database groups and their members from the configuration objects.
 #pragma once
 
 #include <set>
@@ -14,21 +14,22 @@
   Endpoint endpoint;
   ZoneName zone;
   LabelSet labels;
-  bool leaving = false;  ///< drained by an operator or listed as leaving by the platform
+  bool leaving = false;  ///< drained by an operator or reported as leaving by the platform
   auto operator<=>(const GroupMember&) const = default;
 };
 
 struct GroupDefinition {
   GroupName group;
-  std::vector<GroupMember> members;  ///< by name
+  std::vector<GroupMember> members;  ///< sorted by name
   auto operator<=>(const GroupDefinition&) const = default;
 };
 
-/// The groups, by name. `leaving` holds names of machines that the platform lists as leaving.
+/// Returns the groups sorted by name. `leaving` holds the names of the machines that the platform reports as
+/// leaving.
 std::vector<GroupDefinition> group_definitions(const std::vector<config::StoredObject>& objects,
                                                const std::set<std::string>& leaving);
 
-/// More than half of `members`.
+/// Returns the smallest number of members that is more than half of `members`.
 constexpr std::size_t majority_of(std::size_t members) { return members / 2 + 1; }
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Whether the old primary must not become the candidate again.
+/// Returns true if the old primary must not become the candidate again.
 bool replaces_primary(FailoverCause cause) {
   switch (cause) {
     case FailoverCause::kPrimarySilent:
@@ -109,8 +109,8 @@
 }
 
 bool GroupMonitor::reaches_majority() const {
-  // While an attempt is under way the loop does not look; the attempt itself needs a majority. A group
-  // without members has none that could be out of reach.
+  // The monitor loop does not run during an attempt, and the attempt itself needs a majority. A group without
+  // members is never considered unreachable.
   if (acting_ || definition_.members.empty()) return true;
   return services_.runtime.now() < majority_answered_at_ + kUnreachableAfter;
 }
@@ -206,7 +206,7 @@
   });
   auto outcome = co_await failover->run(deadline, reason);
   acting_ = false;
-  // The attempt may have taken long: the loop was waiting for it, not stalled.
+  // The attempt may have taken long; do not treat that time as a stall of the loop.
   last_tick_ = services_.runtime.now();
   highest_term_ = std::max(highest_term_, failover->highest_term());
   if (outcome) {
@@ -285,7 +285,7 @@
     reason = Reason{ReasonCode::kConflict, "switchover", "", "another hand-over or failover is under way"};
     co_return std::nullopt;
   }
-  // A monitor that was made for this hand-over has yet to see the group.
+  // A monitor created for this switchover has not probed the group yet.
   while (!majority_answers(observe()) &&
          services_.runtime.now() < observed_since_ + services_.limits.first_look) {
     co_await services_.runtime.sleep_for(kCatchUpPause);
@@ -327,7 +327,7 @@
     const auto probe = probes_.find(backend);
     if (probe == probes_.end()) co_return false;
     const MemberObservation seen = probe->second->observe();
-    // It serves once an entry of its own term is committed.
+    // A new primary serves once an entry of its own term is committed.
     const bool serves = seen.answering && seen.status && seen.status->term == term &&
                         seen.status->role == backend::BackendRole::kPrimary &&
                         seen.status->committed.term == term;
@@ -363,7 +363,7 @@
     const std::string message = fmt::format("it follows {} in term {}", known.primary.value, known.term);
     services_.events.record("member_redirected", member.backend.value, message);
   }
-  // The next probe must see the effect before another try.
+  // Keep the member marked until the next probe can show the result, so that it is not redirected twice.
   co_await services_.runtime.sleep_for(services_.probe_interval);
   redirecting_.erase(member.backend);
 }
--- a/src/declared/control/failover/group_monitor.h
+++ b/src/declared/control/failover/group_monitor.h
@@ -1,5 +1,5 @@
-// Watches one database group by probing its members and, while this node supervises the group, gives it a
-// primary when it has lost its own or when a planned hand-over is due.
+// Monitors one database group by probing its members. While this node is the group's supervisor, it also runs
+// failovers when the primary is lost and planned switchovers.
 #pragma once
 
 #include <functional>
@@ -16,28 +16,28 @@
 
 namespace cairnhollow::declared::control {
 
-/// What all monitors of a node share; outlives them.
+/// State and services shared by all monitors of a node. Must outlive the monitors.
 struct MonitorServices {
   runtime::Runtime& runtime;
   backend::BackendConnector& connector;
   NewsDirectory& directory;
   EventLog& events;
   NodeName node;
-  std::string owner_prefix;  ///< unique to this process: part of every fence's owner
+  std::string owner_prefix;  ///< unique to this process; prefix of the owner of every fence
   Duration probe_interval{0};
   Duration probe_timeout{0};
   FailoverLimits limits;
-  /// How many groups have their primary in each zone.
+  /// Returns the number of groups whose primary is in each zone.
   std::function<std::map<ZoneName, std::size_t>()> primaries_in_zone;
 };
 
-/// Counters since the start.
+/// Counters since the process started.
 struct MonitorStatistics {
   std::uint64_t failovers = 0;
   std::uint64_t failed_attempts = 0;
 };
 
-/// Kept alive by its own coroutine until stop().
+/// Its coroutine keeps it alive until stop().
 class GroupMonitor : public std::enable_shared_from_this<GroupMonitor> {
  public:
   GroupMonitor(MonitorServices& services, GroupDefinition definition);
@@ -45,20 +45,23 @@
   void start();
   void stop();
   void update(const GroupDefinition& definition);
-  /// Takes over the probe interval that the services name now.
+  /// Applies the current probe interval of MonitorServices to all probes.
   void update_interval();
-  /// Whether this node is the one to act; another one that watches keeps its observations warm.
+  /// Sets whether this node supervises the group and starts failovers. Other monitoring nodes only probe, so
+  /// that they can take over without delay.
   void set_supervising(bool supervising);
-  /// A proxy reported the primary of a term: the members are probed at once.
+  /// Handles a proxy's report that the primary of a term is unreachable: probes all members immediately.
+  /// Reports for a term older than the known one are ignored.
   void suspect(const follow::SuspectPrimary& suspect);
-  /// A planned hand-over to `target`, or to the member that is best caught up. Returns once the new primary
-  /// serves.
+  /// Runs a planned switchover to `target`, or to the member with the highest log position that answers and
+  /// is not leaving. Returns once the new primary serves. Returns std::nullopt and sets `reason` on failure;
+  /// kOutcomeUnknown means that the target was promoted but does not serve yet.
   Awaitable<std::optional<FailoverOutcome>> switch_over(std::optional<BackendName> target, TimePoint deadline,
                                                         Reason& reason);
 
   [[nodiscard]] const GroupDefinition& definition() const { return definition_; }
   [[nodiscard]] bool supervising() const { return supervising_; }
-  /// False once a majority of the members has not answered for a while.
+  /// Returns false once no majority of the members has answered for kUnreachableAfter.
   [[nodiscard]] bool reaches_majority() const;
   [[nodiscard]] GroupObservation observe() const;
   [[nodiscard]] std::vector<GroupMemberStatus> member_status() const;
@@ -76,14 +79,15 @@
   void learn_from_probes();
   void record_reachability(const GroupObservation& observation, TimePoint now);
   void redirect_members(const GroupObservation& observation);
-  /// The cause to act on now, once it has lasted as long as it must.
+  /// Returns the cause to act on now, or kNone if no cause has persisted long enough or the backoff after a
+  /// failed attempt has not elapsed.
   FailoverCause due_cause(const GroupObservation& observation, TimePoint now);
   [[nodiscard]] FailoverPlan make_plan(const GroupObservation& observation, FailoverCause cause,
                                        std::optional<BackendName> target);
   [[nodiscard]] std::optional<BackendName> best_target(const GroupObservation& observation) const;
-  /// The next tick, or before it the moment at which the pending cause is due.
+  /// Returns the next tick, or the time at which the pending cause is due if that is earlier.
   [[nodiscard]] TimePoint next_look(TimePoint now) const;
-  /// Tells operators what an attempt is made upon: how long detection took is read from it.
+  /// Records an event with the observations that triggered the attempt, including the detection time.
   void record_start(const GroupObservation& observation, FailoverCause cause);
   void succeeded(FailoverCause cause, const FailoverOutcome& outcome);
   void failed(FailoverCause cause, Duration took, Duration call_timeout, const Reason& reason);
@@ -98,17 +102,17 @@
   TimePoint suspected_until_{};
   std::uint64_t suspected_term_ = 0;
   FailoverCause pending_cause_ = FailoverCause::kNone;
-  Duration pending_after_{0};  ///< how long it must last
+  Duration pending_after_{0};  ///< how long pending_cause_ must persist
   TimePoint pending_since_{};
   TimePoint majority_answered_at_{};
-  TimePoint not_before_{};  ///< backing off until then
+  TimePoint not_before_{};  ///< end of the backoff after a failed attempt
   std::uint32_t failures_in_a_row_ = 0;
   std::uint64_t highest_term_ = 0;
   std::uint64_t attempts_ = 0;
-  std::set<BackendName> redirecting_;  ///< being told whom to follow
+  std::set<BackendName> redirecting_;  ///< members with a redirect in progress
   MonitorStatistics statistics_;
   bool supervising_ = false;
-  bool acting_ = false;  ///< an attempt is under way
+  bool acting_ = false;  ///< an attempt is in progress
   bool stopping_ = false;
 };
 
--- a/src/declared/control/failover/group_supervision.cpp
+++ b/src/declared/control/failover/group_supervision.cpp
@@ -45,7 +45,8 @@
     refresh_assignments();
     const TimePoint due = services_.runtime.now() + kSupervisionTick;
     co_await wake_.wait_until(due);
-    // Held up: what the others said meanwhile is read first, or all of them would look silent.
+    // After a stall of this loop, let pending messages of the peers be processed first; otherwise every peer
+    // would appear dead.
     const bool held_up = services_.runtime.now() > due + kMonitorStallLimit;
     if (held_up && !stopping_) co_await services_.runtime.sleep_for(kSupervisionTick);
   }
@@ -204,7 +205,7 @@
   std::optional<BackendName> selected;
   for (const auto& member : monitor.definition().members) {
     if (!selector.matches(member.labels)) continue;
-    // The primary itself, when it is selected, is where it should be already.
+    // If the selector matches the current primary, no switchover is needed.
     if (!selected || (known && known->primary == member.backend)) selected = member.backend;
   }
   if (!selected) {
@@ -250,7 +251,7 @@
   const Duration interval = std::max(base_probe_interval_, affordable);
   if (interval == services_.probe_interval) return;
   services_.probe_interval = interval;
-  // The primary must have missed the same number of probes as at the base interval.
+  // Keep the number of probes that the primary must miss the same as at the base interval.
   const Duration lengthened = interval - base_probe_interval_;
   services_.limits.primary_silence = base_limits_.primary_silence + kProbesMissed * lengthened;
   services_.limits.first_look = base_limits_.first_look + lengthened;
--- a/src/declared/control/failover/group_supervision.h
+++ b/src/declared/control/failover/group_supervision.h
@@ -1,5 +1,6 @@
-// All database groups of the configuration: which of them this node watches and supervises, spread over the
-// living control nodes by rendezvous hashing. Needs no configuration quorum: it goes by the last known one.
+// Assigns the database groups of the configuration to control nodes for monitoring and supervision, by
+// rendezvous hashing over the live nodes. Uses the last known configuration and needs no configuration
+// quorum.
 #pragma once
 
 #include <deque>
@@ -17,18 +18,18 @@
 
 namespace cairnhollow::declared::control {
 
-/// What it refers to outlives it; it lives until the process ends.
+/// Objects passed by reference must outlive this object, which must live until the process ends.
 class GroupSupervision : public GroupStatusSource, public SwitchoverExecutor {
  public:
   GroupSupervision(MonitorServices& services, ConfigView& configuration, const PeerDirectory& peers);
 
   void start();
   void stop();
-  /// A proxy reported a group's primary, here or at another control node.
+  /// Handles a proxy's report that a group's primary is unreachable, received here or by another control
+  /// node.
   void suspect(const follow::SuspectPrimary& suspect);
 
-  /// Groups watched here of which this node reaches no majority.
-  /// By name.
+  /// Groups monitored by this node of which no majority of the members answers, sorted by name.
   [[nodiscard]] std::vector<GroupName> unreachable_groups() const;
   [[nodiscard]] std::map<ZoneName, std::size_t> primaries_in_zone() const;
   [[nodiscard]] std::size_t watched() const { return monitors_.size(); }
@@ -37,7 +38,7 @@
 
   [[nodiscard]] std::vector<GroupStatus> group_status() const override;
   [[nodiscard]] std::vector<std::string> leaving_machines() const override;
-  /// Any node may carry it out: two that act at once can only waste a term.
+  /// May be called on any node. Two nodes that run a switchover at once can only use up a term.
   Awaitable<std::optional<SwitchoverOutcome>> switch_over(SwitchoverRequest request, TimePoint deadline,
                                                           Reason& reason) override;
 
@@ -48,13 +49,14 @@
   void refresh_assignments();
   void refresh_probe_interval();
   std::shared_ptr<GroupMonitor> monitor_for(const GroupDefinition& definition);
-  /// The nodes that can take part, this one among them; others as far as they know the configuration.
+  /// Returns the nodes eligible to supervise groups, each with the groups that are unreachable from it.
+  /// Includes this node; another node is eligible if it is live and has applied required_revision().
   [[nodiscard]] std::map<NodeName, std::vector<GroupName>> find_able() const;
-  /// Whether a change after `revision` may have changed a group's definition.
+  /// Returns true if a change after `revision` may have changed a group definition.
   [[nodiscard]] bool groups_changed_since(std::uint64_t revision) const;
   void record_revision();
-  /// The revision that a control node must have to take part: one that stays without newer objects (it was
-  /// wiped, or cut off from the log) is alive but does not know the groups.
+  /// The configuration revision that another control node must have applied to be eligible. A node without it
+  /// (wiped, or cut off from the log) may be live but does not know the groups.
   [[nodiscard]] std::uint64_t required_revision() const { return revisions_.front().revision; }
   void apply_assignment(const GroupDefinition& definition, const Assignment& assignment);
   [[nodiscard]] std::optional<BackendName> select_target(const GroupMonitor& monitor,
@@ -67,12 +69,13 @@
   ConfigView& configuration_;
   const PeerDirectory& peers_;
   runtime::Signal wake_;
-  /// A revision and when this node was first seen to have it.
+  /// A configuration revision and the time at which this node was first seen to have it.
   struct RevisionMark {
     std::uint64_t revision = 0;
     TimePoint since{};
   };
-  std::deque<RevisionMark> revisions_;  ///< the first one is at least kConfigurationLagLimit old
+  /// Oldest first. The first is the newest one that has been applied here for kConfigurationLagLimit.
+  std::deque<RevisionMark> revisions_;
   std::uint64_t defined_at_revision_ = 0;
   std::set<std::string> defined_with_leaving_;
   std::map<GroupName, GroupDefinition> definitions_;
@@ -80,7 +83,7 @@
   std::map<GroupName, std::shared_ptr<GroupMonitor>> monitors_;
   SupervisorTable supervisors_;
   bool assignments_outdated_ = true;
-  MonitorStatistics ended_;  ///< of monitors that are gone
+  MonitorStatistics ended_;  ///< statistics of monitors that have been removed
   bool stopping_ = false;
 };
 
--- a/src/declared/control/failover/member_probe.h
+++ b/src/declared/control/failover/member_probe.h
@@ -1,5 +1,5 @@
-// Probes one member of a database group over a connection of its own, apart from the statements', so that a
-// full or slow server is not taken for a dead one.
+// Probes one member of a database group on a dedicated connection, so that a server whose statement
+// connections are full or slow is not considered dead.
 #pragma once
 
 #include <functional>
@@ -14,30 +14,31 @@
 
 struct MemberProbeSettings {
   GroupName group;
-  Duration interval{0};  ///< between the beginnings of two probes
-  Duration timeout{0};   ///< of one probe, opening the connection included
+  Duration interval{0};  ///< between the starts of two consecutive probes
+  Duration timeout{0};   ///< of one probe, including opening the connection
 };
 
-/// Lives as long as its own coroutine; `runtime` and `connector` outlive it.
+/// Its coroutine keeps it alive until stop(). `runtime` and `connector` must outlive this object.
 class MemberProbe : public std::enable_shared_from_this<MemberProbe> {
  public:
-  /// `on_result` is called after each probe, until stop().
+  /// `on_result` is called after each probe until stop().
   MemberProbe(runtime::Runtime& runtime, backend::BackendConnector& connector, MemberProbeSettings settings,
               GroupMember member, std::function<void()> on_result);
 
   void start();
   void stop();
-  /// Takes over what an operator changed; another endpoint is probed anew.
+  /// Applies a changed member definition. If the endpoint changed, earlier results are discarded and the new
+  /// endpoint is probed immediately.
   void update(GroupMember member);
   void set_interval(Duration interval) { settings_.interval = interval; }
-  /// Probes at once and at kUrgentProbeInterval until `until`.
+  /// Probes immediately, then every kUrgentProbeInterval until `until`.
   void hurry(TimePoint until);
-  /// Forgets what was seen, which is too old or from before a change of primary.
+  /// Discards earlier results because they are too old or precede a change of primary.
   void forget();
 
   [[nodiscard]] MemberObservation observe() const;
   [[nodiscard]] const GroupMember& member() const { return member_; }
-  /// Why the last probe that failed did so; kNone when none did since the last one that was answered.
+  /// Why the most recent probe failed; kNone if it was answered or there was none.
   [[nodiscard]] const Reason& last_problem() const { return last_problem_; }
 
  private:
@@ -56,12 +57,12 @@
   std::shared_ptr<backend::BackendConnection> connection_;
   std::optional<backend::BackendStatus> status_;
   bool answering_ = false;
-  TimePoint silent_since_{};  ///< of the last answer, or when the probes began
+  TimePoint silent_since_{};  ///< time of the last answer, or when probing started
   std::uint32_t failures_in_a_row_ = 0;
   Reason last_problem_;
   TimePoint urgent_until_{};
   bool probe_now_ = false;
-  std::uint64_t generation_ = 0;  ///< a probe begun before forget() or update() tells nothing
+  std::uint64_t generation_ = 0;  ///< results of probes started before forget() or update() are ignored
   bool stopping_ = false;
 };
 
--- a/src/declared/control/failover/node_health.cpp
+++ b/src/declared/control/failover/node_health.cpp
@@ -26,7 +26,8 @@
 }
 
 std::string NodeHealth::metrics_text() const {
-  // Read from the parts at each scrape: they count anyway, and a control node has few series.
+  // Collected from the components at each scrape: they keep the counters anyway, and a control node has few
+  // series.
   runtime::Metrics metrics;
   const auto gauge = [&](const char* name, const char* help, std::uint64_t value) {
     metrics.gauge(name, help).Set(static_cast<double>(value));
--- a/src/declared/control/failover/node_health.h
+++ b/src/declared/control/failover/node_health.h
@@ -1,4 +1,4 @@
-// Readiness and metrics of a control node.
+// Provides the readiness state and the metrics of a control node.
 #pragma once
 
 #include <functional>
@@ -10,11 +10,11 @@
 
 namespace cairnhollow::declared::control {
 
-/// What it refers to outlives it.
+/// Objects passed by reference must outlive this object.
 class NodeHealth : public NodeHealthSource {
  public:
-  /// `connected` says whether the node has its part in a quorum, and why not; `add_metrics` adds what only
-  /// this kind of node has.
+  /// `connected` returns whether the node is connected to a quorum, and otherwise sets the reason;
+  /// `add_metrics` adds the metrics specific to this kind of node.
   NodeHealth(runtime::Runtime& runtime, const ConfigView& configuration, const FollowServer& followers,
              const GroupSupervision& groups, std::function<bool(Reason&)> connected,
              std::function<void(runtime::Metrics&)> add_metrics);
--- a/src/declared/control/failover/supervisor_choice.h
+++ b/src/declared/control/failover/supervisor_choice.h
@@ -1,5 +1,5 @@
-// Which control node supervises a group: rendezvous hashing (Thaler and Ravishankar, IEEE/ACM Transactions
-// on Networking 1998) over the nodes that are able to, so that a node lost moves only its own groups.
+// Orders the control nodes for a group by rendezvous hashing (Thaler and Ravishankar, IEEE/ACM Transactions
+// on Networking 1998), so that losing a node moves only the groups that it supervised.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace cairnhollow::declared::control {
 
-/// The nodes in the order in which they take a group; the first one supervises it.
+/// Returns `nodes` in order of preference for the group; the first one supervises it.
 std::vector<NodeName> supervisor_order(const GroupName& group, std::vector<NodeName> nodes);
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/supervisor_table.cpp
+++ b/src/declared/control/failover/supervisor_table.cpp
@@ -48,7 +48,8 @@
     if (unreachable_[node] == nullptr) continue;
     const bool reaches_group = reaches(node, group);
     if (able == 0 || (reaches_group && reaching == 0)) assignment.supervisor = nodes_[node];
-    // One that reaches no majority goes on watching, or it would never learn that it reaches one again.
+    // A node that reaches no majority keeps monitoring; otherwise it would not notice when it reaches one
+    // again.
     const bool among_first = able < kMonitorsPerGroup || (reaches_group && reaching < kMonitorsPerGroup);
     if (among_first && nodes_[node] == self_) assignment.watched_here = true;
     ++able;
--- a/src/declared/control/failover/supervisor_table.h
+++ b/src/declared/control/failover/supervisor_table.h
@@ -1,5 +1,5 @@
-// Which control node supervises a group and whether this one watches it, over the nodes that can take part
-// now.
+// Determines which control node supervises a group and whether this node monitors it, among the currently
+// eligible nodes.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +16,32 @@
   bool watched_here = false;
 };
 
-/// The order of the nodes for a group (supervisor_choice.h) is worked out once, over all nodes that ever took
-/// part; when some come and go, the orders are only followed. Nodes come and go most when all are overloaded,
-/// so that their assignments must not be dear then.
+/// Caches the node order of each group (supervisor_choice.h), computed over all nodes that were ever
+/// eligible. When nodes become eligible or ineligible, the cached orders are only filtered: that happens most
+/// often under overload, so reassignment must be cheap.
 class SupervisorTable {
  public:
   explicit SupervisorTable(NodeName self) : self_(std::move(self)) {}
 
-  /// The nodes that can take part, `self` among them, each with the groups, by name, of which it reaches no
-  /// majority. False when nothing has changed.
+  /// Sets the eligible nodes, which must include `self`, each with the sorted names of the groups of which it
+  /// reaches no majority. Returns false if nothing changed.
   bool set_able(std::map<NodeName, std::vector<GroupName>> able);
-  /// By the nodes set last.
+  /// Uses the nodes of the last set_able() call.
   [[nodiscard]] Assignment assign(const GroupName& group);
-  /// The group is gone.
+  /// Removes the cached order of a deleted group.
   void forget(const GroupName& group) { orders_.erase(group); }
 
  private:
-  using Order = std::vector<std::uint16_t>;  ///< places in nodes_
+  using Order = std::vector<std::uint16_t>;  ///< indexes into nodes_
 
   const Order& order_of(const GroupName& group);
   [[nodiscard]] bool reaches(std::uint16_t node, const GroupName& group) const;
 
   NodeName self_;
   std::map<NodeName, std::vector<GroupName>> able_;
-  std::vector<NodeName> nodes_;                             ///< that ever took part, by name
-  std::vector<const std::vector<GroupName>*> unreachable_;  ///< by node; null for one that can't take part
+  std::vector<NodeName> nodes_;  ///< every node that was ever eligible, sorted by name
+  /// Parallel to nodes_; points into able_, or null if the node is not eligible.
+  std::vector<const std::vector<GroupName>*> unreachable_;
   std::unordered_map<GroupName, Order> orders_;
 };
 
--- a/tests/declared/control/failover/failover_rules_test.cpp
+++ b/tests/declared/control/failover/failover_rules_test.cpp
@@ -1,4 +1,4 @@
-// When a primary is replaced, when it must not be, and by whom.
+// Tests the failover rules: when a primary is replaced, when it must not be, and by which member.
 #include "declared/control/failover/failover_rules.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -30,7 +30,7 @@
   return seen;
 }
 
-/// Three members that are well; backend-1 is the primary.
+/// Three healthy members; backend-1 is the primary.
 GroupObservation sound_group() {
   GroupObservation group;
   group.known = follow::GroupState{GroupName("decks"), kTerm, name(1)};
@@ -105,7 +105,7 @@
     auto group = sound_group();
     silence(group.members[0], seconds(2));
     CPPUNIT_ASSERT(cause_of(group) == FailoverCause::kNone);
-    // One replica that still hears it is enough to commit with.
+    // The primary and one replica in contact with it form a majority.
     group.members[1].status->primary_heard = false;
     CPPUNIT_ASSERT(cause_of(group) == FailoverCause::kNone);
   }
@@ -114,7 +114,7 @@
     auto group = sound_group();
     silence(group.members[0], milliseconds(400));
     stop_hearing_primary(group);
-    // Silence may be lost messages; it must last beyond their second retransmission.
+    // Silence may be packet loss; the delay must exceed the second TCP retransmission.
     CPPUNIT_ASSERT(decide_failover(group, {}).after >= milliseconds(300));
     group.members[0].refused = true;
     CPPUNIT_ASSERT(decide_failover(group, {}).cause == FailoverCause::kPrimarySilent);
@@ -175,7 +175,7 @@
     auto group = sound_group();
     group.members[1].status->primary_heard = false;
     CPPUNIT_ASSERT(cause_of(group) == FailoverCause::kNone);
-    // A replica that answers nobody says nothing about the primary.
+    // A replica that does not answer is no evidence against the primary.
     silence(group.members[2], seconds(10));
     CPPUNIT_ASSERT(cause_of(group) == FailoverCause::kNone);
   }
@@ -224,7 +224,7 @@
 
   void test_voting_members_come_from_the_database() {
     auto group = sound_group();
-    // Two of three declared ones are no majority of the five that the database counts.
+    // Two of the three declared members are not a majority of the five that the database reports.
     for (auto& member : group.members) member.status->members = {name(1), name(2), name(3), name(4), name(5)};
     silence(group.members[0], seconds(10));
     stop_hearing_primary(group);
@@ -244,7 +244,7 @@
     CandidatePreference preference;
     preference.preferred = name(1);
     const std::vector<FenceGrant> grants{grant(1, {3, 90}), grant(2, {4, 10}, "", true), grant(3, {3, 99})};
-    // A higher term wins over any index of a lower one.
+    // A higher term beats any index of a lower term.
     CPPUNIT_ASSERT(choose_candidate(grants, preference)->backend == name(2));
     CPPUNIT_ASSERT(!choose_candidate({}, preference));
   }
--- a/tests/declared/control/failover/failover_simulation_test.cpp
+++ b/tests/declared/control/failover/failover_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Failover of a database group on the virtual runtime: each way in which a primary is lost, with a few seeds.
+// Simulates failovers of a database group for each way in which a primary can be lost, with several seeds.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT(kinds == (std::vector<std::string>{"members_fenced", "primary_promoted"}));
   }
 
-  /// Where the time of a failover went is read from its events.
+  /// Operators read the detection time of a failover from its events.
   void test_each_attempt_is_announced_with_what_was_seen() {
     ControlFleet fleet(1);
     fleet.start();
@@ -119,7 +119,8 @@
         ++announced;
         CPPUNIT_ASSERT_EQUAL(std::string("decks"), event.subject);
         CPPUNIT_ASSERT(event.message.starts_with("cause: primary_silent, found "));
-        // It held for FailoverLimits::not_refused, and is acted on then, not at the tick that follows.
+        // The cause must persist for FailoverLimits::not_refused; the failover starts then, not at the next
+        // tick.
         const auto held =
             std::stoi(event.message.substr(std::string("cause: primary_silent, found ").size()));
         CPPUNIT_ASSERT(held >= 350 && held <= 355);
@@ -165,7 +166,7 @@
     });
   }
 
-  /// A fence syncs the term: here that takes longer than the first attempt waits for it.
+  /// A fence syncs the term to disk, which here takes longer than the call timeout of the first attempt.
   void test_replicas_whose_disks_sync_slowly_take_over() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
@@ -210,7 +211,7 @@
   }
 
   void test_second_primary_killed_right_after_the_first() {
-    // Five members, so that a majority is left after two are lost.
+    // With five members, a majority remains after two are lost.
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       ControlFleet fleet(seed, 5);
       fleet.start();
@@ -237,7 +238,7 @@
 
   void test_control_nodes_that_do_not_hear_each_other() {
     for_each_seed([](ControlFleet& fleet) {
-      // Each takes itself for the supervisor; the databases hear all of them.
+      // Each control node considers itself the supervisor; the databases are reachable from all of them.
       fleet.cut("control-1", "control-2");
       fleet.cut("control-2", "control-3");
       fleet.cut("control-1", "control-3");
@@ -284,9 +285,9 @@
   void test_control_node_cut_off_gives_no_lease() {
     ControlFleet fleet(1);
     fleet.start();
-    // Nothing is written meanwhile: ten minutes pass faster without databases.
+    // No writes are needed, and ten minutes simulate faster without databases.
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
-    // The writer reaches only control-1, which reaches no other control node and hears of nothing.
+    // The writer reaches only control-1, which is cut off from the other control nodes.
     for (const auto& name : {"control-2", "control-3"}) {
       fleet.cut("control-1", name);
       fleet.cut("writer", name);
@@ -314,7 +315,7 @@
     }
   }
 
-  /// The primary was lost just now.
+  /// Call immediately after the primary `lost` has failed.
   static void expect_replaced(ControlFleet& fleet, const std::string& lost, Duration gap_limit) {
     const std::uint64_t term = fleet.known().term;
     const TimePoint at = fleet.world().now();
@@ -325,7 +326,8 @@
     CPPUNIT_ASSERT_MESSAGE("gap of " + std::to_string(gap.count() / 1'000'000) + " ms", gap <= gap_limit);
   }
 
-  /// Within seconds every member that can is in the given term behind one primary, and it stays so.
+  /// Expects that after 4 s every running control node reports the same primary, that `members` members are
+  /// in `term`, and that the term has not changed.
   static void expect_settled(ControlFleet& fleet, std::uint64_t term, std::size_t members) {
     fleet.world().run_for(seconds(4));
     CPPUNIT_ASSERT_EQUAL(term, fleet.known().term);
--- a/tests/declared/control/failover/group_definition_test.cpp
+++ b/tests/declared/control/failover/group_definition_test.cpp
@@ -1,4 +1,5 @@
-// The members of each group, as its selector says; also for many groups at once.
+// Tests that the members of many groups at once follow from their selectors and that leaving members are
+// marked.
 #include "declared/control/failover/group_definition.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/control/failover/supervisor_choice_test.cpp
+++ b/tests/declared/control/failover/supervisor_choice_test.cpp
@@ -1,4 +1,4 @@
-// Rendezvous hashing of groups over control nodes.
+// Tests the rendezvous hashing of groups over control nodes and the supervisor table.
 #include "declared/control/failover/supervisor_choice.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -57,7 +57,7 @@
     for (int number = 0; number < kGroups; ++number) {
       const auto before = supervisor_order(group(number), nodes(kNodes));
       const auto after = supervisor_order(group(number), left);
-      // The one next in line takes over, and it has been watching the group.
+      // The next node in the order takes over; it has already been monitoring the group.
       CPPUNIT_ASSERT(after.front() == (before.front() == lost ? before[1] : before.front()));
     }
   }
@@ -65,7 +65,7 @@
   void test_table_follows_the_order_of_the_nodes_that_can_take_part() {
     const NodeName self = nodes(kNodes)[3];
     SupervisorTable table(self);
-    // Nodes come and go: some are new, some come back.
+    // Covers nodes that join, leave and return.
     for (const int absent : {7, 0, 5, 15}) {
       std::map<NodeName, std::vector<GroupName>> able;
       auto present = nodes(absent == 7 ? kNodes / 2 : kNodes);
@@ -90,7 +90,7 @@
       for (const auto& node : order) able[node];
       able[order[0]] = {group(0), group(1)};
       table.set_able(able);
-      // The first goes on watching; the two next that reach the group watch it too.
+      // The first node keeps monitoring; the next two that reach the group monitor it too.
       CPPUNIT_ASSERT(table.assign(group(1)).supervisor == order[1]);
       CPPUNIT_ASSERT_EQUAL(place <= 2, table.assign(group(1)).watched_here);
       for (const auto& node : order) able[node] = {group(0), group(1)};
