--- a/src/declared/control/control_core.h
+++ b/src/declared/control/control_core.h
@@ -1,5 +1,5 @@
-// The parts that every control node has, whether it votes or relays: follow server, news, group supervision,
-// platform poller, events, and the listener that hands connections to them.
+// Components shared by voting and relay control nodes: follow server, peer messages, group supervision,
+// platform poller, event log, and the listener that dispatches connections to them.
 #pragma once
 
 #include <memory>
@@ -15,19 +15,19 @@
 
 namespace cairnhollow::declared::control {
 
-/// What it refers to outlives it; it lives until the process ends.
+/// Objects passed by reference must outlive this object, which must live until the process ends.
 class ControlCore {
  public:
-  /// `describe` fills the sender's part of news messages.
+  /// `describe` fills in the fields of an outgoing news message that depend on the kind of node.
   ControlCore(runtime::Runtime& runtime, const ControlSettings& settings, ConfigView& configuration,
               RenewalBarrier& barrier, std::function<void(NewsMessage&)> describe);
 
-  /// Starts the loops; listen() accepts connections.
+  /// Starts the background loops. Connections are accepted only after listen().
   void start();
   bool listen(Reason& reason);
-  /// Takes no new connections and ends the loops, all but the news.
+  /// Stops accepting connections and ends all background loops except the news exchange.
   void stop();
-  /// The last part of a stop: the others are told until then.
+  /// Stops the news exchange. Call last, so that peers receive updates until then.
   void stop_news() { news_.stop(); }
 
   wire::ConnectionDispatcher& dispatcher() { return dispatcher_; }
--- a/src/declared/control/control_node.cpp
+++ b/src/declared/control/control_node.cpp
@@ -30,8 +30,8 @@
   return raft;
 }
 
-/// A member of the consensus group, or one that waits to become one. The parts' coroutines refer to it until
-/// the process ends.
+/// A member of the consensus group, or a standby waiting to become one. Must live until the process ends,
+/// because the coroutines of its components refer to it.
 class ControlNode : public runtime::Role {
  public:
   ControlNode(runtime::Runtime& runtime, ControlSettings settings)
@@ -82,7 +82,7 @@
   }
 
  private:
-  /// Talks news with every member of the consensus group and records changes of the leader.
+  /// Connects the news exchange to every member of the consensus group and records leader changes.
   Awaitable<void> watch_members() {
     NodeName leader;
     while (!stopping_) {
@@ -96,7 +96,8 @@
     }
   }
 
-  /// Who leads, and what this node knows of the leader before: the cause of the election.
+  /// Describes the current leader and the cause of the election, from what this node knows of the previous
+  /// leader.
   std::string election_message(const consensus::ConsensusStatus& status, const NodeName& before) {
     const std::string leads = fmt::format("it leads in term {}", status.term);
     if (before.empty()) return leads + "; cause: this node had heard of no leader since its start";
--- a/src/declared/control/control_node.h
+++ b/src/declared/control/control_node.h
@@ -1,4 +1,5 @@
-// The control node's role: consensus member, follow streams, group probes and failover, operator API.
+// Creates the control node role: consensus member, follow streams, group monitoring and failover, and
+// operator API.
 #pragma once
 
 #include <memory>
@@ -9,7 +10,7 @@
 
 namespace cairnhollow::declared::control {
 
-/// Creates a control node on `runtime`, which outlives it.
+/// Creates a voting control node, or a relay if `settings.relay` is set. `runtime` must outlive it.
 std::unique_ptr<runtime::Role> make_control_node(runtime::Runtime& runtime, ControlSettings settings);
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/knobs.h
+++ b/src/declared/control/knobs.h
@@ -1,4 +1,4 @@
-// Numbers that tune the control node and are not settings.
+// Compile-time limits and intervals of the control node that are not settings.
 #pragma once
 
 #include <cstddef>
@@ -9,106 +9,110 @@
 namespace cairnhollow::declared::control {
 
 // Follow server.
-/// Held questions are looked at this often, so that renewals share a quorum round.
+/// Interval at which held follow requests are checked, so that lease renewals share a quorum round.
 inline constexpr Duration kRenewalTick = std::chrono::milliseconds(20);
-/// A question is held at most this share of the serving lease.
+/// A follow request is held for at most the serving lease divided by this.
 inline constexpr int kHoldLeaseDivisor = 4;
-/// A quorum round for followers may take this long, then they are refused.
+/// Time limit of a quorum round for followers; after that, the waiting requests are refused.
 inline constexpr Duration kFollowBarrierTimeout = std::chrono::milliseconds(400);
-/// An update of at least this length, such as a first configuration, is a large one.
+/// Updates of at least this size, such as an initial configuration, count as large.
 inline constexpr std::size_t kLargeUpdateBytes = std::size_t{64} * 1024;
-/// Large updates on their way at once hold this many bytes together, one of any length excepted; who asks for
-/// more is told to come back. It bounds the memory, and how long the loop writes before it renews leases.
+/// Limit on the total size of the large updates in flight, except that a single update of any size is
+/// allowed. Further requesters are told to retry. Bounds the memory and the time for which the loop writes
+/// before it renews leases.
 inline constexpr std::size_t kLargeUpdateBytesAtOnce = std::size_t{8} * 1024 * 1024;
-/// A follower that has not taken a large update by then is dropped; one that gets nothing of it asks
-/// elsewhere long before.
+/// Time limit for a follower to receive a large update; it is disconnected after that. A follower that
+/// receives none of it tries another node long before.
 inline constexpr Duration kLargeUpdateLimit = std::chrono::seconds(5);
-/// Clock rates of two machines differ by less than one in this many (leases, Gray and Cheriton 1989).
+/// The clock rates of two machines differ by less than one part in this many (leases, Gray and Cheriton
+/// 1989).
 inline constexpr int kClockDriftDivisor = 50;
-/// A proxy is listed for this long after its lease has lapsed.
+/// How long a proxy stays listed after its lease expires.
 inline constexpr Duration kLapsedFollowerKept = std::chrono::seconds(60);
 
-// News between control nodes.
-/// A message is sent at least this often, so that the others know that this node lives.
+// Messages between control nodes.
+/// Longest interval between two messages to a peer; the messages also serve as heartbeats.
 inline constexpr Duration kNewsInterval = std::chrono::milliseconds(100);
-/// A node that refused the Hello is tried again after this time: one of the two must be upgraded first.
+/// Delay before reconnecting to a node that refused the Hello: one of the two must be upgraded first.
 inline constexpr Duration kRefusedNewsPause = std::chrono::seconds(5);
-/// A control node not heard for this long takes no part in supervising groups.
+/// A control node that has been silent for this long is not eligible to supervise groups.
 inline constexpr Duration kPeerSilenceLimit = std::chrono::milliseconds(450);
-/// A connection on which no message was acknowledged for this long is closed and opened anew.
+/// A connection without acknowledgements for this long is closed and reopened.
 inline constexpr Duration kNewsAcknowledgementLimit = std::chrono::seconds(1);
-/// A node that can't be reached for this long is talked to no more, unless it is named again.
+/// A node that has been unreachable for this long is dropped until it is named again.
 inline constexpr Duration kUnreachablePeerKept = std::chrono::minutes(10);
-/// A connection to another control node is given up on after this time, and tried again after as long.
+/// Time limit for connecting to another control node.
 inline constexpr Duration kNewsConnectTimeout = std::chrono::milliseconds(300);
 
 // Group monitor.
-/// How many control nodes probe a group: its supervisor and the ones that would take over.
+/// Number of control nodes that probe a group: its supervisor and those next in line.
 inline constexpr std::size_t kMonitorsPerGroup = 2;
-/// The probes of one member may take this much time of the node's probing each interval: with more than 50
-/// members watched, the interval is longer than 100 ms, so that the cost of a node does not grow with the
-/// number of databases. A proxy's suspicion still starts a probe at once.
+/// Lower bound of the probe interval per monitored member of the node, so that the cost of a node does not
+/// grow with the number of databases. A suspicion reported by a proxy still triggers a probe immediately.
 inline constexpr Duration kProbeCost = std::chrono::milliseconds(2);
-/// Probes that a primary misses before it counts as silent.
+/// Number of probes that a primary must miss before it counts as silent.
 inline constexpr int kProbesMissed = 3;
-/// A monitor looks at its observations after each probe and at least this often.
+/// Longest interval between two evaluations of a group; each probe result also triggers one.
 inline constexpr Duration kMonitorTick = std::chrono::milliseconds(100);
-/// The monitor's own loop was frozen when a tick comes later than this: what it saw before is too old.
+/// A tick later than this means that the loop was stalled; earlier observations are discarded as too old.
 inline constexpr Duration kMonitorStallLimit = std::chrono::milliseconds(250);
-/// A control node that lacks a revision for this long after it was applied here supervises no group.
+/// A control node that still lacks a revision this long after this node applied it is not eligible to
+/// supervise groups.
 inline constexpr Duration kConfigurationLagLimit = std::chrono::milliseconds(500);
-/// Which node supervises which group is looked at this often, and at once when the configuration changes.
+/// Longest interval between two assignments of groups to supervisors; a configuration change also triggers
+/// one.
 inline constexpr Duration kSupervisionTick = std::chrono::milliseconds(100);
 
-/// A group is reported as unreachable when no majority of its members has answered for this long.
+/// A group is reported as unreachable after no majority of its members has answered for this long.
 inline constexpr Duration kUnreachableAfter = std::chrono::seconds(1);
-/// While a primary is suspected, members are probed this often.
+/// Probe interval while a primary is suspected to have failed.
 inline constexpr Duration kUrgentProbeInterval = std::chrono::milliseconds(25);
-/// A suspicion that no failed probe confirms is dropped after this time.
+/// A suspicion expires after this time unless a failed probe confirms it.
 inline constexpr Duration kSuspicionLimit = std::chrono::seconds(1);
 
 // Failover.
-/// Once a majority has granted a fence, the others' answers are awaited this long.
+/// How long to wait for the remaining fence responses once a majority has granted the fence.
 inline constexpr Duration kFenceSettleTime = std::chrono::milliseconds(15);
-/// Each call of a failover's first attempt ends by then. For each failure in a row it is doubled up to the
-/// limit, so that members whose disks or connections are slower than that are waited for, not asked anew for
-/// ever.
+/// Time limit of each call in the first attempt of a failover. Doubled for each consecutive failure up to the
+/// limit, so that members with slow disks or connections can complete a call instead of being asked again
+/// forever.
 inline constexpr Duration kFailoverCallTimeout = std::chrono::milliseconds(400);
 inline constexpr Duration kFailoverCallTimeoutLimit = std::chrono::milliseconds(3200);
-/// Before another attempt, jittered to 1-2 times; doubled for each failure in a row up to the limit.
+/// Base delay before another attempt, multiplied by a random factor from 1 to 2. Doubled for each consecutive
+/// failure up to the limit.
 inline constexpr Duration kFailoverBackoff = std::chrono::milliseconds(100);
 inline constexpr Duration kFailoverBackoffLimit = std::chrono::seconds(2);
 inline constexpr std::uint32_t kBackoffDoublings = 8;
-/// A planned hand-over that the node starts by itself ends by then.
+/// Time limit of a switchover that the node starts by itself.
 inline constexpr Duration kPlannedLimit = std::chrono::seconds(5);
-/// How long the target of a planned hand-over may take to catch up.
+/// Time limit for the target of a planned switchover to catch up.
 inline constexpr Duration kCatchUpLimit = std::chrono::seconds(3);
-/// Between two looks at how far it is.
+/// Interval at which the progress of the target is polled.
 inline constexpr Duration kCatchUpPause = std::chrono::milliseconds(2);
 
 // Configuration.
-/// Outcomes of applied changes kept for the coroutine that proposed them.
+/// Number of outcomes of applied changes kept for the coroutines that proposed them.
 inline constexpr std::size_t kOutcomesKept = 4096;
-/// Times at which revisions were applied here, kept for the in-force report.
+/// Number of revisions whose application time is kept for the in-force report.
 inline constexpr std::size_t kRevisionTimesKept = 4096;
 
 // Repair of the consensus group.
-/// Voters are looked at this often.
+/// Interval at which the voters are checked.
 inline constexpr Duration kRepairTick = std::chrono::seconds(1);
-/// A voter not heard for this long is replaced by a standby.
+/// A voter that has been silent for this long is replaced by a standby.
 inline constexpr Duration kVoterLostAfter = std::chrono::seconds(30);
-/// A voter whose node answers under another identity has lost its disk, and won't come back with the old one.
-/// The node itself takes its place after this time, in which it could still be started on another data
-/// folder.
+/// A voter whose node answers under another identity has lost its disk and cannot return under the old
+/// identity. After this time, which allows a restart on another data folder, the node itself takes the place
+/// of the voter.
 inline constexpr Duration kVoterWipedAfter = std::chrono::seconds(2);
-/// How long a standby may take to catch up.
+/// Time limit for a standby to catch up and become a voter.
 inline constexpr Duration kRepairLimit = std::chrono::seconds(60);
 
 // Platform.
-/// One question for the list of machines ends by then.
+/// Time limit of one request for the list of machines.
 inline constexpr Duration kPlatformTimeout = std::chrono::milliseconds(800);
-/// The pause between questions is lengthened by up to one part in this many, so that nodes don't ask
-/// together.
+/// The interval between requests is lengthened by up to one part in this many, so that the nodes do not send
+/// them at the same time.
 inline constexpr int kPollJitterDivisor = 4;
 
 // Events.
--- a/src/declared/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -18,7 +18,7 @@
   return follow;
 }
 
-/// The parts' coroutines refer to it until the process ends.
+/// Must live until the process ends, because the coroutines of its components refer to it.
 class RelayNode : public runtime::Role {
  public:
   RelayNode(runtime::Runtime& runtime, ControlSettings settings)
--- a/src/declared/control/relay_node.h
+++ b/src/declared/control/relay_node.h
@@ -1,6 +1,7 @@
-// A control node without a vote: it follows a voter (or another relay) as a proxy does, and serves followers
-// of its own from what it was told. One question of its own, so one quorum round, stands for all of its
-// followers that wait; so the voters' work grows with the relays, not with the proxies.
+// Creates a relay: a non-voting control node that follows a voter or another relay as a proxy does, and
+// serves its own followers from the data it received. One request upstream, and so one quorum round, renews
+// the leases of all followers waiting at the relay; the load of the voters thus grows with the number of
+// relays, not proxies.
 #pragma once
 
 #include <memory>
@@ -11,8 +12,9 @@
 
 namespace cairnhollow::declared::control {
 
-/// Keeps no files. It watches and supervises database groups like any control node. Operators' calls that
-/// need the log are refused with kNotLeader and the endpoint of a node that has it.
+/// Keeps no files. Monitors and supervises database groups like any control node. Operator calls that need
+/// the log are refused with kNotLeader and the endpoint of a node that can serve them. `runtime` must outlive
+/// it.
 std::unique_ptr<runtime::Role> make_relay_node(runtime::Runtime& runtime, ControlSettings settings);
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/settings.h
+++ b/src/declared/control/settings.h
@@ -1,5 +1,5 @@
-// Settings of one control node. Read from a YAML file and flags by programs; built directly by the
-// simulator.
+// Settings of a control node. Programs read them from a YAML file and flags; the simulator builds them
+// directly.
 #pragma once
 
 #include <string>
@@ -14,15 +14,15 @@
 struct ControlSettings {
   NodeName node;
   ZoneName zone;
-  Endpoint peer_endpoint;                          ///< frames: control nodes and followers
-  Endpoint operator_endpoint;                      ///< HTTP: operators, health, metrics
-  std::vector<consensus::Member> initial_members;  ///< used once, with an empty data folder
-  bool join = false;                               ///< start empty and wait to be added as a member
-  /// No member of the consensus group: follows the nodes at `control_endpoints` and serves followers of its
-  /// own.
+  Endpoint peer_endpoint;                          ///< frame protocol, for control nodes and followers
+  Endpoint operator_endpoint;                      ///< HTTP, for the operator API, health checks and metrics
+  std::vector<consensus::Member> initial_members;  ///< used only on a start with an empty data folder
+  bool join = false;  ///< start without members and wait to be added to the consensus group
+  /// Run as a relay: not a member of the consensus group; follows the nodes at `control_endpoints` and serves
+  /// its own followers.
   bool relay = false;
-  std::vector<Endpoint> control_endpoints;  ///< peer endpoints of other nodes, for one that joins or relays
-  Endpoint platform_endpoint;               ///< the platform's list; port 0: none
+  std::vector<Endpoint> control_endpoints;  ///< peer endpoints of other nodes; used with `join` or `relay`
+  Endpoint platform_endpoint;               ///< serves the list of machines; none if the port is 0
   Duration serving_lease = std::chrono::seconds(2);
   Duration probe_interval = std::chrono::milliseconds(100);
   Duration probe_timeout = std::chrono::milliseconds(300);
@@ -30,7 +30,7 @@
   Duration heartbeat_interval = std::chrono::milliseconds(50);
   Duration platform_poll_interval = std::chrono::seconds(1);
   std::uint64_t snapshot_after_entries = 1000;
-  /// The format in which the configuration is written; raised once every node of the fleet reads it.
+  /// Format in which the configuration is written. Raise it only once every node of the fleet can read it.
   wire::Format feature_level = wire::kWrittenFormat;
 };
 
--- a/src/declared/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -38,7 +38,7 @@
 
 std::optional<consensus::Member> VoterRepair::find_lost(TimePoint now) {
   const consensus::ConsensusStatus status = consensus_.status();
-  // After a freeze of this node, or before it led, it does not know for how long a voter has been silent.
+  // If this node was frozen or was not the leader, it does not know how long a voter has been silent.
   const bool looked_lately = now - last_look_ < 2 * kRepairTick;
   last_look_ = now;
   if (status.state != consensus::ServerState::kLeader || !looked_lately) heard_at_.clear();
@@ -48,7 +48,7 @@
     if (member.role != consensus::MemberRole::kVoter || member.node == status.leader) continue;
     auto& heard_at = heard_at_.try_emplace(member.node, now).first->second;
     const auto peer = peers_.find(member.node);
-    // A node that came back with a new disk is another one: the voter that the group counts on is lost.
+    // A node that restarted with a new disk has a new identity: the voter known to the group is lost.
     const bool heard = peer && peer->alive(now) && peer->last_message.sender.identity == member.identity;
     if (heard) heard_at = now;
     const Duration limit = is_wiped(member, now) ? kVoterWipedAfter : kVoterLostAfter;
--- a/src/declared/control/voter_repair.h
+++ b/src/declared/control/voter_repair.h
@@ -1,5 +1,5 @@
-// Puts a standby in the place of a voter that stays lost, or the node itself when it came back with an empty
-// disk, so that the quorum does not wear down.
+// Replaces a lost voter of the consensus group by a standby, or by the node itself if it restarted with an
+// empty disk, so that successive losses do not cost the quorum.
 #pragma once
 
 #include <map>
@@ -12,8 +12,8 @@
 
 namespace cairnhollow::declared::control {
 
-/// Acts on the leader only, one voter at a time. What it refers to outlives it; it lives until the process
-/// ends.
+/// Acts only on the leader, and replaces one voter at a time. Objects passed by reference must outlive this
+/// object, which must live until the process ends.
 class VoterRepair {
  public:
   VoterRepair(runtime::Runtime& runtime, consensus::Consensus& consensus, const PeerDirectory& peers,
@@ -24,9 +24,10 @@
 
  private:
   Awaitable<void> run();
-  /// Notes who is heard. Empty while this node does not lead or nobody is lost.
+  /// Updates heard_at_ and returns a lost voter; std::nullopt if this node is not the leader or no voter is
+  /// lost.
   std::optional<consensus::Member> find_lost(TimePoint now);
-  /// The voter's node lives, on an empty disk under a new identity.
+  /// Returns true if the node of this voter is live under a new identity, that is, with an empty disk.
   [[nodiscard]] bool is_wiped(const consensus::Member& voter, TimePoint now) const;
   [[nodiscard]] std::optional<consensus::Member> find_standby(const consensus::Member& lost,
                                                               TimePoint now) const;
@@ -37,7 +38,8 @@
   const PeerDirectory& peers_;
   EventLog& events_;
   runtime::Signal wake_;
-  std::map<NodeName, TimePoint> heard_at_;  ///< voters, as long as this node leads
+  /// When each voter was last heard from. Cleared when this node is not the leader or after it was stalled.
+  std::map<NodeName, TimePoint> heard_at_;
   TimePoint last_look_{};
   bool stopping_ = false;
 };
--- a/tests/declared/control/control_fleet.h
+++ b/tests/declared/control/control_fleet.h
@@ -1,5 +1,5 @@
-// A small simulated deployment for tests of the control node: three control nodes, one database group with a
-// member in each zone, and a writer that follows control and writes to the primary that it is told of.
+// A simulated deployment for tests of the control node: by default three control nodes, one database group
+// with a member in each zone, and a writer that follows the control nodes and writes to the group's primary.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace cairnhollow::declared::control::testing {
 
-/// Writes one record after another and keeps the times at which writes were acknowledged.
+/// Writes continuously to the primary and records the time of each acknowledgement.
 class Writer : public runtime::Role {
  public:
   Writer(runtime::Runtime& runtime, std::vector<Endpoint> control_endpoints, ZoneName zone);
@@ -23,7 +23,8 @@
   Awaitable<void> drain() override;
 
   [[nodiscard]] const std::vector<TimePoint>& acknowledged() const { return acknowledged_; }
-  /// The longest time between two acknowledgements of which the later one came after `from`.
+  /// Returns the longest time between two consecutive acknowledgements of which the later one came after
+  /// `from`.
   [[nodiscard]] Duration longest_gap_after(TimePoint from) const;
   follow::FollowClient& follower() { return follower_; }
 
@@ -44,35 +45,37 @@
  public:
   explicit ControlFleet(std::uint64_t seed, std::size_t zones = 3);
 
-  /// Starts everything, applies the configuration and waits until writes are acknowledged.
+  /// Starts all processes, applies the configuration and waits until writes are acknowledged.
   void start();
-  /// Applies objects; the outcome once it is known.
+  /// Applies objects. Returns std::nullopt if the outcome is not known within 15 s.
   std::optional<config::ChangeOutcome> apply(std::vector<config::Object> objects);
   std::optional<FleetStatus> status(const std::string& control_node);
   std::vector<FleetEvent> events(const std::string& control_node);
-  /// Asks the control nodes one after the other until the supervisor answers.
+  /// Requests a switchover from the control nodes in turn until one does not answer kNotLeader.
   std::optional<SwitchoverOutcome> switch_over(const config::Selector& target, Reason& reason);
 
   simulation::World& world() { return *world_; }
   Writer& writer() { return *writer_; }
   [[nodiscard]] follow::GroupState known() const;
-  /// The primary that the writer was told of, and its machine's address.
+  /// The name of the primary as known to the writer.
   [[nodiscard]] std::string primary() const { return known().primary.value; }
   [[nodiscard]] std::string address_of(const std::string& process) const;
   [[nodiscard]] std::vector<std::string> databases() const;
   [[nodiscard]] std::vector<std::string> controls() const;
-  /// Cuts both ways between two processes.
+  /// Cuts the network between two processes in both directions.
   void cut(const std::string& one, const std::string& other);
-  /// Events of one kind that any control node recorded.
+  /// Returns the number of events of one kind recorded by all running control nodes.
   std::size_t count_events(const std::string& kind);
   [[nodiscard]] config::Object backend_object(std::size_t zone, bool drain) const;
   ControlSettings control_settings(std::size_t zone) const;
-  /// Starts one more control node with an empty disk that waits to be taken in, "control-<number>".
+  /// Starts an additional control node "control-<number>" with an empty disk, which waits to be added as a
+  /// voter.
   void start_standby(std::size_t number);
-  /// Tells the platform's list a machine's state, after start_platform().
+  /// Sets the state of a machine in the platform's list. Requires start_platform().
   void set_machine(const std::string& machine, const std::string& state);
   void start_platform();
-  /// Runs until the writer has `count` more acknowledgements.
+  /// Runs until the writer has received `count` more acknowledgements. Returns false if `limit` is reached
+  /// first.
   bool run_until_acknowledged(std::size_t count, Duration limit);
 
  private:
--- a/tests/declared/control/hello_test.cpp
+++ b/tests/declared/control/hello_test.cpp
@@ -1,4 +1,5 @@
-// Which protocol is spoken: both sides learn why they can't talk, and builds without a range are still met.
+// Tests protocol negotiation: both sides learn why they are incompatible, and peers built before version
+// ranges existed are still supported.
 #include "wire/hello.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,7 +19,7 @@
 const Endpoint kServer{"10.0.1.1", 7000};
 const Endpoint kClient{"10.0.1.2", 7000};
 
-/// A control node that serves followers with leases and nothing else.
+/// A control node that accepts follow connections and records who connected.
 class ServerRole : public runtime::Role {
  public:
   explicit ServerRole(runtime::Runtime& runtime) : dispatcher_(runtime) {}
@@ -73,7 +74,7 @@
   int with_range = 0;
 };
 
-/// What a server of another build does with the first frame of a connection.
+/// Protocol behavior of a server from another build on the first frame of a connection.
 enum class OtherBuild { kBeforeTheRange, kLater };
 
 Awaitable<void> answer_as(std::shared_ptr<runtime::FrameConnection> connection, OtherBuild build,
@@ -112,7 +113,7 @@
   }
 }
 
-/// Sends one frame and keeps what comes back until the server closes.
+/// Sends one frame and collects the answers until the server closes the connection.
 Awaitable<void> greet(runtime::Runtime* runtime, std::string frame, std::vector<std::string>* received,
                       bool* closed) {
   Reason reason;
--- a/tests/declared/control/leaving_simulation_test.cpp
+++ b/tests/declared/control/leaving_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Planned changes of a primary: an operator's hand-over, and backends that leave.
+// Simulates planned changes of a primary: operator switchovers, and backends that are drained or reclaimed.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/declared/control/control_fleet.h"
@@ -10,7 +10,7 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t kSeeds = 4;
-/// A planned hand-over stops writes for a few round trips only.
+/// A planned switchover blocks writes for only a few round trips.
 constexpr Duration kPlannedGap = milliseconds(150);
 
 class LeavingSimulationTest : public CppUnit::TestFixture {
@@ -67,7 +67,7 @@
       CPPUNIT_ASSERT(fleet.world().run_until([&] { return fleet.primary() != leaving; }, seconds(3)));
       CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(5)));
       CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
-      // It is not handed back.
+      // The primary role is not handed back.
       const auto known = fleet.known();
       fleet.world().run_for(seconds(5));
       CPPUNIT_ASSERT_EQUAL(known.term, fleet.known().term);
@@ -81,19 +81,20 @@
     fleet.world().run_for(seconds(3));
     const std::string leaving = fleet.primary();
     const auto term = fleet.known().term;
-    // A list that names it as live changes nothing.
+    // A list that reports the machine as live changes nothing.
     fleet.set_machine(leaving, "live");
     fleet.world().run_for(seconds(4));
     CPPUNIT_ASSERT_EQUAL(term, fleet.known().term);
     const TimePoint at = fleet.world().now();
     fleet.set_machine(leaving, "leaving");
     CPPUNIT_ASSERT(fleet.world().run_until([&] { return fleet.primary() != leaving; }, seconds(5)));
-    // Each control node asks the platform itself: the one that the writer follows may be told a little later.
+    // Each control node polls the platform itself, so the one that the writer follows may learn it a little
+    // later.
     const auto& leaving_now = fleet.writer().follower().current().leaving;
     CPPUNIT_ASSERT(fleet.world().run_until([&] { return leaving_now.contains(leaving); }, seconds(2)));
     CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(5)));
     CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
-    // Once it is gone from the list it still is not taken for a live one.
+    // A machine that disappears from the list is still considered leaving.
     fleet.set_machine(leaving, "gone");
     fleet.world().run_for(seconds(4));
     CPPUNIT_ASSERT(leaving_now.contains(leaving));
@@ -116,7 +117,7 @@
     CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
   }
 
-  /// Too few members are left to fence a majority besides the primary: it keeps the role.
+  /// Too few members remain to fence a majority without the primary, so the primary must keep its role.
   void test_drain_with_a_member_lost_stops_no_writes() {
     ControlFleet fleet(2);
     fleet.start();
--- a/tests/declared/control/voter_repair_simulation_test.cpp
+++ b/tests/declared/control/voter_repair_simulation_test.cpp
@@ -1,4 +1,4 @@
-// A voter that stays lost is replaced by a standby; then a second one may be lost.
+// Simulates the replacement of lost voters by standbys, followed by the loss of a second voter.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -32,7 +32,7 @@
         fleet.world().run_until([&] { return is_voter(fleet, "control-4"); }, seconds(60), seconds(1)));
     CPPUNIT_ASSERT(!is_voter(fleet, "control-3"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.count_events("voter_replaced"));
-    // The second loss, right after the repair: two of the three voters now are enough.
+    // After the repair, a second voter may fail: two of the three current voters form a quorum.
     fleet.world().vanish("control-2");
     fleet.world().run_for(seconds(5));
     const auto outcome = fleet.apply({fleet.backend_object(1, false)});
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(fleet.world().run_until([&] { return fleet.count_events("voter_replaced") > 0; },
                                            seconds(20), seconds(1)));
     CPPUNIT_ASSERT(is_voter(fleet, "control-3"));
-    // The new disk counts: another voter may be lost now.
+    // The replaced voter counts towards the quorum, so another voter may fail.
     fleet.world().vanish("control-2");
     fleet.world().run_for(seconds(5));
     const auto outcome = fleet.apply({fleet.backend_object(1, false)});
@@ -70,7 +70,8 @@
     CPPUNIT_ASSERT(fleet.world().faults().empty());
   }
 
-  /// It lives, but knows no configuration: a group that counted on it had nobody who replaces its primary.
+  /// A wiped voter is live but has no configuration. If it kept its groups, nobody would replace their
+  /// primaries.
   void test_wiped_voter_leaves_its_groups_to_others() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       ControlFleet fleet(seed);
