--- a/src/declared/control/machines/machine_list.h
+++ b/src/declared/control/machines/machine_list.h
@@ -1,5 +1,5 @@
-// The platform's list of machines: how it is read, and what is taken from it. The list lags and may be wrong,
-// so it may take machines out and never proves that one lives.
+// Parses the platform's list of machines and derives which machines are leaving. The list may be late or
+// wrong: it can take machines out of service, but never proves that a machine is live.
 #pragma once
 
 #include <map>
@@ -13,14 +13,15 @@
 
 enum class MachineState : std::uint8_t { kLive = 1, kLeaving = 2 };
 
-/// State by machine name.
+/// Machine states keyed by machine name.
 using MachineStates = std::map<std::string, MachineState>;
 
-/// Reads `{"machines":[{"name":N,"state":"live"|"leaving"},...]}`. kInvalidArgument names the field.
+/// Parses `{"machines":[{"name":N,"state":"live"|"leaving"},...]}`. On invalid input, returns std::nullopt
+/// and sets `reason` to kInvalidArgument, naming the invalid field.
 std::optional<MachineStates> parse_machine_list(const std::string& body, Reason& reason);
 
-/// The machines that are leaving now. One that was leaving and is listed no more is still leaving: it is
-/// being reclaimed. Only a list that names it as live takes it back.
+/// Returns the machines that are leaving. A machine that was leaving and has disappeared from the list is
+/// still leaving, because it is being reclaimed; only a list that reports it as live clears the state.
 std::set<std::string> leaving_machines(const std::set<std::string>& leaving_before,
                                        const MachineStates& listed);
 
--- a/src/declared/control/machines/platform_poller.h
+++ b/src/declared/control/machines/platform_poller.h
@@ -1,4 +1,4 @@
-// Asks the platform for its list of machines again and again and passes on which of them are leaving.
+// Polls the platform for its list of machines and publishes which of them are leaving.
 #pragma once
 
 #include <memory>
@@ -11,14 +11,14 @@
 
 namespace cairnhollow::declared::control {
 
-/// While the platform does not answer, the last list holds. What it refers to outlives it; it lives until the
-/// process ends.
+/// While the platform is unreachable, the last list remains in effect. Objects passed by reference must
+/// outlive this object, which must live until the process ends.
 class PlatformPoller {
  public:
   PlatformPoller(runtime::Runtime& runtime, Endpoint platform, Duration interval, NewsDirectory& directory,
                  EventLog& events);
 
-  /// Without a platform endpoint (port 0) nothing is done.
+  /// Does nothing without a platform endpoint (port 0).
   void start();
   void stop();
 
--- a/tests/declared/control/machines/machine_list_test.cpp
+++ b/tests/declared/control/machines/machine_list_test.cpp
@@ -1,4 +1,5 @@
-// The platform's list: bad input, and that a machine is taken out but never declared alive.
+// Tests that invalid machine lists are rejected and that a leaving machine is not considered live again just
+// because it is no longer listed.
 #include "declared/control/machines/machine_list.h"
 
 #include <cppunit/extensions/HelperMacros.h>
