--- a/src/declared/control/news/news_exchange.cpp
+++ b/src/declared/control/news/news_exchange.cpp
@@ -101,7 +101,7 @@
   while (!stopping_) {
     const bool sent = co_await send_message(outgoing);
     if (!sent) co_return;
-    // A cut without a word keeps a TCP connection open for minutes: give it up and connect anew.
+    // A network partition can leave a TCP connection open for minutes: close it and reconnect.
     if (runtime_.now() > outgoing->acknowledged_at + kNewsAcknowledgementLimit) co_return;
     const TimePoint next = runtime_.now() + kNewsInterval;
     while (!stopping_ && outgoing->suspects.empty() && outgoing->directory_version == directory_.version()) {
--- a/src/declared/control/news/news_exchange.h
+++ b/src/declared/control/news/news_exchange.h
@@ -1,4 +1,4 @@
-// Sends this node's news to every other control node and takes theirs in.
+// Exchanges status messages with all other control nodes.
 #pragma once
 
 #include <functional>
@@ -15,42 +15,43 @@
 
 namespace cairnhollow::declared::control {
 
-/// Keeps one outgoing connection to each other control node that it is told of, and opens it again when
-/// it breaks. What it refers to outlives it; it lives until the process ends.
+/// Keeps one outgoing connection to each known control node and reconnects when it breaks. Objects passed by
+/// reference must outlive this object, which must live until the process ends.
 class NewsExchange {
  public:
-  /// `describe` fills everything in a message but groups and suspects.
+  /// `describe` returns a message with all fields set except `groups`, `suspects` and `known_nodes`.
   NewsExchange(runtime::Runtime& runtime, wire::Hello hello, Endpoint self, NewsDirectory& directory,
                std::function<NewsMessage()> describe);
 
-  /// Talks to the node at `endpoint` from now on (repeats are ignored). One that can't be reached for
-  /// kUnreachablePeerKept is dropped until it is named again.
+  /// Adds the node at `endpoint` as a peer; no effect if it is already known or is this node. A peer that is
+  /// unreachable for kUnreachablePeerKept is dropped until it is added again.
   void talk_to(const Endpoint& endpoint);
-  /// Closes all connections and ends the loops.
+  /// Closes all connections and ends the coroutines.
   void stop();
-  /// Takes in the messages of one incoming connection until it ends.
+  /// Processes the messages of an incoming connection until it closes. Closes it if a message names a sender
+  /// other than the node in `hello`.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
-  /// Tells all other control nodes at once of a proxy's suspicion.
+  /// Forwards a suspicion reported by a proxy to all connected peers immediately.
   void spread_suspect(const follow::SuspectPrimary& suspect);
 
-  /// Called for each suspicion that another control node passes on.
+  /// `callback` is called for each suspicion received from another control node.
   void on_suspect(std::function<void(const follow::SuspectPrimary&)> callback) {
     on_suspect_ = std::move(callback);
   }
   [[nodiscard]] const PeerDirectory& peers() const { return peers_; }
 
  private:
-  /// One other control node.
+  /// State of the outgoing connection to one peer.
   struct Outgoing {
     Endpoint endpoint;
-    std::shared_ptr<runtime::FrameConnection> connection;  ///< null while there is none
-    std::uint64_t directory_version = 0;                   ///< sent up to here on this connection
-    TimePoint acknowledged_at{};                           ///< when the other side last answered
-    std::vector<follow::SuspectPrimary> suspects;          ///< to be sent
-    std::vector<Endpoint> known_nodes_sent;                ///< on this connection
-    TimePoint connected_at{};                              ///< when it was last connected, or named first
+    std::shared_ptr<runtime::FrameConnection> connection;  ///< null while disconnected
+    std::uint64_t directory_version = 0;                   ///< directory version sent on this connection
+    TimePoint acknowledged_at{};                   ///< time of the last acknowledgement on this connection
+    std::vector<follow::SuspectPrimary> suspects;  ///< suspicions waiting to be sent
+    std::vector<Endpoint> known_nodes_sent;        ///< known nodes last sent on this connection
+    TimePoint connected_at{};  ///< time of the last connection, or when the peer was added
     wire::Greeting greeting;
-    bool refused = false;  ///< the other side speaks no protocol version that this node speaks
+    bool refused = false;  ///< the peer supports no protocol version of this node
   };
 
   Awaitable<void> run(std::shared_ptr<Outgoing> outgoing);
@@ -70,7 +71,7 @@
   std::function<void(const follow::SuspectPrimary&)> on_suspect_;
   PeerDirectory peers_;
   std::map<Endpoint, std::shared_ptr<Outgoing>> outgoing_;
-  std::map<std::uint64_t, std::shared_ptr<runtime::FrameConnection>> incoming_;  ///< by order of arrival
+  std::map<std::uint64_t, std::shared_ptr<runtime::FrameConnection>> incoming_;  ///< by order of acceptance
   std::uint64_t next_incoming_ = 1;
   runtime::Signal wake_;
   bool forwarding_ = false;
--- a/src/declared/control/news/news_messages.h
+++ b/src/declared/control/news/news_messages.h
@@ -1,5 +1,5 @@
-// What control nodes tell each other outside the consensus log: that they live, who is primary, which
-// primaries proxies suspect, and how far the configuration has spread among their followers.
+// Messages that control nodes exchange outside the consensus log: liveness, known primaries, primaries
+// suspected by proxies, and how far the configuration has reached their followers.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,20 @@
 
 namespace cairnhollow::declared::control {
 
-/// Sent at every interval and at once on news, in one direction: each node opens a connection to each
-/// other one. The first message on a connection names every group known, later ones what changed.
+/// Sent periodically and immediately after a change, in one direction: each node opens a connection to every
+/// other node. The first message on a connection lists all known groups, later ones only the changes.
 struct NewsMessage {
   consensus::Member sender;    ///< as it would join the consensus group
-  Endpoint operator_endpoint;  ///< where operators reach the sender
-  bool standby = false;        ///< has a disk and no vote, and waits to be taken in
+  Endpoint operator_endpoint;  ///< operator API endpoint of the sender
+  bool standby = false;        ///< non-voter with a disk, waiting to be added as a voter
   std::vector<follow::GroupState> groups;
-  std::vector<follow::SuspectPrimary> suspects;  ///< reported by the sender's followers
-  std::vector<GroupName> unreachable_groups;     ///< by name; the sender reaches no majority of their members
-  std::uint64_t followers_serving = 0;           ///< proxies with a lease given by the sender
-  std::uint64_t followers_least_revision = 0;    ///< over those proxies
-  std::uint64_t revision = 0;                    ///< applied at the sender
-  std::vector<Endpoint> known_nodes;             ///< control nodes that the sender hears, when that changed
+  std::vector<follow::SuspectPrimary> suspects;  ///< reported by followers of the sender
+  /// Groups of which the sender reaches no majority of the members, sorted by name.
+  std::vector<GroupName> unreachable_groups;
+  std::uint64_t followers_serving = 0;         ///< number of proxies with a lease granted by the sender
+  std::uint64_t followers_least_revision = 0;  ///< lowest revision among those proxies
+  std::uint64_t revision = 0;                  ///< configuration revision applied by the sender
+  std::vector<Endpoint> known_nodes;  ///< live control nodes known to the sender; only set when changed
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/declared/control/news/peer_directory.h
+++ b/src/declared/control/news/peer_directory.h
@@ -1,4 +1,4 @@
-// The other control nodes as their news messages tell of them.
+// Stores the last message of each other control node and the time at which it was received.
 #pragma once
 
 #include <map>
@@ -10,12 +10,12 @@
 namespace cairnhollow::declared::control {
 
 struct Peer {
-  NewsMessage last_message;  ///< its `groups`, `suspects` and `known_nodes` are taken out
+  NewsMessage last_message;  ///< without its `groups`, `suspects` and `known_nodes`
   TimePoint heard_at{};
   [[nodiscard]] bool alive(TimePoint now) const;
 };
 
-/// Knows a node from its first message on; forgets none, since they are few.
+/// Keeps every node that has ever sent a message; their number is small.
 class PeerDirectory {
  public:
   void record_message(NewsMessage message, TimePoint now);
@@ -23,7 +23,7 @@
   [[nodiscard]] std::optional<Peer> find(const NodeName& node) const;
   [[nodiscard]] const std::map<NodeName, Peer>& peers() const { return peers_; }
   [[nodiscard]] bool alive(const NodeName& node, TimePoint now) const;
-  /// Peers heard lately that say they reach a majority of the group's members.
+  /// Returns the live peers that reach a majority of the group's members, by their last message.
   [[nodiscard]] std::vector<NodeName> able_to_monitor(const GroupName& group, TimePoint now) const;
 
  private:
