--- a/src/declared/control/control_node.cpp
+++ b/src/declared/control/control_node.cpp
@@ -66,12 +66,12 @@
     operator_server_ = runtime_.http().serve(settings_.operator_endpoint, *operator_api_, reason);
     if (!operator_server_) co_return false;
     health_.set_started();
-    core_.events().record("control_node_started", settings_.node.value, "the control node has started");
+    core_.events().record("control_node_started", settings_.node.value, "control node started");
     co_return true;
   }
 
   Awaitable<void> drain() override {
-    core_.events().record("control_node_stopping", settings_.node.value, "a planned stop has begun");
+    core_.events().record("control_node_stopping", settings_.node.value, "planned shutdown started");
     stopping_ = true;
     health_.set_stopping();
     voter_repair_.stop();
@@ -99,14 +99,16 @@
   /// Describes the current leader and the cause of the election, from what this node knows of the previous
   /// leader.
   std::string election_message(const consensus::ConsensusStatus& status, const NodeName& before) {
-    const std::string leads = fmt::format("it leads in term {}", status.term);
-    if (before.empty()) return leads + "; cause: this node had heard of no leader since its start";
+    const std::string leads = fmt::format("became leader in term {}", status.term);
+    if (before.empty()) return leads + "; cause: this node has known no leader since it started";
     if (before == settings_.node)
-      return fmt::format("{}; cause: {} gave up or lost the role", leads, before.value);
+      return fmt::format("{}; cause: {} gave up or lost leadership", leads, before.value);
     const auto peer = core_.news().peers().find(before);
-    if (!peer) return fmt::format("{}; cause: {} is not heard", leads, before.value);
+    if (!peer)
+      return fmt::format("{}; cause: no messages received from previous leader {}", leads, before.value);
     const std::int64_t silent = in_ms(runtime_.now() - peer->heard_at);
-    return fmt::format("{}; cause: {} led before and was last heard {} ms ago", leads, before.value, silent);
+    return fmt::format("{}; cause: previous leader {} last heard from {} ms ago", leads, before.value,
+                       silent);
   }
 
   void describe(NewsMessage& message) const {
@@ -123,7 +125,7 @@
 
   bool knows_leader(Reason& reason) const {
     if (!raft_->status().leader.empty()) return true;
-    reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no leader of the control nodes is known"};
+    reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no leader of the consensus group is known"};
     return false;
   }
 
--- a/src/declared/control/failover/failover_messages.cpp
+++ b/src/declared/control/failover/failover_messages.cpp
@@ -10,9 +10,9 @@
   for (const auto& member : observation.members) {
     if (member.member.backend != observation.known.primary) continue;
     seen = fmt::format("{} last answered {} ms ago{}", member.member.backend.value, in_ms(member.silent_for),
-                       member.refused ? ", it refuses connections" : "");
+                       member.refused ? ", connections refused" : "");
   }
-  const auto reported = observation.suspected ? "; reported by a proxy" : "";
+  const auto reported = observation.suspected ? "; suspected by a proxy" : "";
   return fmt::format("cause: {}, found {} ms ago; {}{}", failover_cause_name(cause), in_ms(held), seen,
                      reported);
 }
@@ -25,7 +25,7 @@
   }
   std::string message = fmt::format("term {} granted by {}", term, granted);
   if (!result.refused.empty())
-    message += fmt::format("; not by {} more that were asked", result.refused.size());
+    message += fmt::format("; not granted by {} other members", result.refused.size());
   return message;
 }
 
@@ -39,8 +39,8 @@
 
 std::string failover_failed_message(const FailedAttempt& attempt, FailoverCause cause) {
   return fmt::format(
-      "attempt {} in a row failed; cause: {}; it took {} ms, each call was given {} ms; the next one in {} "
-      "ms",
+      "consecutive failures: {}; cause: {}; attempt took {} ms, with a limit of {} ms per call; next attempt "
+      "in {} ms",
       attempt.failures_in_a_row, failover_cause_name(cause), in_ms(attempt.took), in_ms(attempt.call_timeout),
       in_ms(attempt.next_after));
 }
--- a/src/declared/control/failover/failover_run.cpp
+++ b/src/declared/control/failover/failover_run.cpp
@@ -34,7 +34,7 @@
   const auto chosen = choose_candidate(granted, plan_.preference);
   if (plan_.target && chosen->backend != *plan_.target) {
     reason = Reason{ReasonCode::kConflict, "choose_candidate", plan_.target->value,
-                    chosen->backend.value + " holds a higher position"};
+                    chosen->backend.value + " has a higher log position than the target"};
     co_return std::nullopt;
   }
   const TimePoint fenced_at = runtime_.now();
@@ -75,7 +75,7 @@
     participant->granted = answer->last;
   } else if (answer) {
     participant->reason = Reason{ReasonCode::kFenced, "fence", participant->member.backend.value,
-                                 fmt::format("it knows term {}", answer->term)};
+                                 fmt::format("the member is at term {}", answer->term)};
   } else {
     participant->reason = reason;
   }
@@ -116,7 +116,8 @@
 Awaitable<bool> FailoverRun::prepare_target(TimePoint deadline, Reason& reason) {
   const ParticipantPointer target = find(*plan_.target);
   if (target == nullptr) {
-    reason = Reason{ReasonCode::kNotFound, "choose_candidate", plan_.target->value, "it is no member"};
+    reason = Reason{ReasonCode::kNotFound, "choose_candidate", plan_.target->value,
+                    "the target is not a member of the group"};
     co_return false;
   }
   const TimePoint limit = std::min(deadline, runtime_.now() + kCatchUpLimit);
@@ -146,8 +147,9 @@
     if (runtime_.now() + kCatchUpPause >= deadline) break;
     co_await runtime_.sleep_for(kCatchUpPause);
   }
-  reason = Reason{ReasonCode::kDeadlineExceeded, "catch_up", target->member.backend.value,
-                  fmt::format("its log did not reach index {} in time", position.index)};
+  reason = Reason{
+      ReasonCode::kDeadlineExceeded, "catch_up", target->member.backend.value,
+      fmt::format("the log of the target did not reach index {} within the time limit", position.index)};
   co_return false;
 }
 
--- a/src/declared/control/failover/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -282,7 +282,8 @@
 Awaitable<std::optional<FailoverOutcome>> GroupMonitor::switch_over(std::optional<BackendName> target,
                                                                     TimePoint deadline, Reason& reason) {
   if (acting_) {
-    reason = Reason{ReasonCode::kConflict, "switchover", "", "another hand-over or failover is under way"};
+    reason = Reason{ReasonCode::kConflict, "switchover", "",
+                    "another switchover or failover of the group is in progress"};
     co_return std::nullopt;
   }
   // A monitor created for this switchover has not probed the group yet.
@@ -293,7 +294,7 @@
   const GroupObservation observation = observe();
   if (!target) target = best_target(observation);
   if (!target) {
-    reason = Reason{ReasonCode::kNoBackend, "switchover", "", "no other member answers"};
+    reason = Reason{ReasonCode::kNoBackend, "switchover", "", "no other member answers and is not leaving"};
     co_return std::nullopt;
   }
   const auto probe = probes_.find(*target);
@@ -305,11 +306,11 @@
   }
   if (!can_hand_over(observation)) {
     reason = Reason{ReasonCode::kNoBackend, "switchover", observation.known.primary.value,
-                    "a hand-over needs a majority of the members to answer besides the primary"};
+                    "a switchover requires answers from a majority of the members, not counting the primary"};
     co_return std::nullopt;
   }
   if (probe == probes_.end() || !probe->second->observe().answering) {
-    reason = Reason{ReasonCode::kNoBackend, "switchover", target->value, "it does not answer"};
+    reason = Reason{ReasonCode::kNoBackend, "switchover", target->value, "the target does not answer"};
     co_return std::nullopt;
   }
   auto outcome = co_await attempt(FailoverCause::kOperator, std::move(target), deadline, reason);
@@ -317,7 +318,7 @@
   const bool serves = co_await wait_until_serving(outcome->primary.backend, outcome->term, deadline);
   if (serves) co_return outcome;
   reason = Reason{ReasonCode::kOutcomeUnknown, "switchover", outcome->primary.backend.value,
-                  "it was promoted, but does not serve yet"};
+                  "the target was promoted but does not serve yet"};
   co_return std::nullopt;
 }
 
@@ -360,7 +361,7 @@
     connection->close();
   }
   if (follows) {
-    const std::string message = fmt::format("it follows {} in term {}", known.primary.value, known.term);
+    const std::string message = fmt::format("now follows {} in term {}", known.primary.value, known.term);
     services_.events.record("member_redirected", member.backend.value, message);
   }
   // Keep the member marked until the next probe can show the result, so that it is not redirected twice.
--- a/src/declared/control/failover/group_supervision.cpp
+++ b/src/declared/control/failover/group_supervision.cpp
@@ -209,7 +209,7 @@
     if (!selected || (known && known->primary == member.backend)) selected = member.backend;
   }
   if (!selected) {
-    reason = Reason{ReasonCode::kNotFound, "switchover", "", "the selector selects no member of the group"};
+    reason = Reason{ReasonCode::kNotFound, "switchover", "", "the selector matches no member of the group"};
   }
   return selected;
 }
@@ -219,7 +219,8 @@
                                                                           Reason& reason) {
   const auto definition = definitions_.find(request.group);
   if (definition == definitions_.end()) {
-    reason = Reason{ReasonCode::kNotFound, "switchover", "", "there is no group " + request.group.value};
+    reason =
+        Reason{ReasonCode::kNotFound, "switchover", "", "no such database group: " + request.group.value};
     co_return std::nullopt;
   }
   const std::shared_ptr<GroupMonitor> monitor = monitor_for(definition->second);
--- a/src/declared/control/failover/member_probe.cpp
+++ b/src/declared/control/failover/member_probe.cpp
@@ -98,7 +98,7 @@
 bool MemberProbe::is_expected(const backend::BackendStatus& status, Reason& reason) const {
   if (status.backend == member_.backend && status.group == settings_.group) return true;
   reason = Reason{ReasonCode::kConflict, "probe", member_.endpoint.to_string(),
-                  "it is " + status.backend.value + " of group " + status.group.value};
+                  "the endpoint answers as " + status.backend.value + " of group " + status.group.value};
   return false;
 }
 
--- a/src/declared/control/machines/machine_list.cpp
+++ b/src/declared/control/machines/machine_list.cpp
@@ -43,7 +43,8 @@
     const std::string name(text_of(entry, "name"));
     const auto state = parse_state(text_of(entry, "state"));
     if (name.empty() || !state) {
-      reason = invalid(fmt::format("machines[{}]: needs a name and a state, live or leaving", states.size()));
+      reason = invalid(
+          fmt::format("machines[{}]: requires a name and a state, which is live or leaving", states.size()));
       return std::nullopt;
     }
     states[name] = *state;
--- a/src/declared/control/machines/platform_poller.cpp
+++ b/src/declared/control/machines/platform_poller.cpp
@@ -61,7 +61,7 @@
   if (!response) co_return std::nullopt;
   if (response->status != kStatusOk) {
     reason = Reason{ReasonCode::kUnreachable, "read_machine_list", platform_.to_string(),
-                    fmt::format("it answered with status {}", response->status)};
+                    fmt::format("the platform answered with HTTP status {}", response->status)};
     co_return std::nullopt;
   }
   co_return parse_machine_list(response->body, reason);
@@ -73,16 +73,19 @@
   const auto leaving = leaving_machines(before, listed);
   if (!directory_.set_leaving(leaving)) return;
   for (const auto& name : leaving) {
-    if (!before.contains(name)) events_.record("machine_leaving", name, "the platform lists it as leaving");
+    if (!before.contains(name))
+      events_.record("machine_leaving", name, "reported as leaving by the platform");
   }
   for (const auto& name : before) {
-    if (!leaving.contains(name)) events_.record("machine_stays", name, "the platform lists it as live again");
+    if (!leaving.contains(name))
+      events_.record("machine_stays", name, "reported as live again by the platform");
   }
 }
 
 void PlatformPoller::record_failure(const Reason& reason) {
   if (answering_) {
-    events_.record("platform_unreachable", platform_.to_string(), "the last list of machines holds", reason);
+    events_.record("platform_unreachable", platform_.to_string(),
+                   "cannot read the list of machines; the last one remains in effect", reason);
   }
   answering_ = false;
 }
--- a/src/declared/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -43,12 +43,12 @@
     operator_server_ = runtime_.http().serve(settings_.operator_endpoint, *operator_api_, reason);
     if (!operator_server_) co_return false;
     health_.set_started();
-    core_.events().record("relay_started", settings_.node.value, "the relay has started");
+    core_.events().record("relay_started", settings_.node.value, "relay started");
     co_return true;
   }
 
   Awaitable<void> drain() override {
-    core_.events().record("relay_stopping", settings_.node.value, "a planned stop has begun");
+    core_.events().record("relay_stopping", settings_.node.value, "planned shutdown started");
     health_.set_stopping();
     operator_server_->stop_accepting();
     core_.stop();
@@ -69,7 +69,8 @@
   bool follows(Reason& reason) const {
     if (client_.lease_valid(runtime_.now())) return true;
     reason = client_.last_failure();
-    if (!reason.failed()) reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no control node answered yet"};
+    if (!reason.failed())
+      reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no control node has answered yet"};
     return false;
   }
 
--- a/src/declared/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -81,18 +81,18 @@
   const std::string subject = lost.node.value;
   const std::string replacement = standby.node.value;
   const bool same_node = lost.node == standby.node;
-  const std::string loss = same_node ? std::string("it came back with an empty disk")
-                                     : fmt::format("not heard for {} s", in_seconds(kVoterLostAfter));
-  events_.record("voter_lost", subject, fmt::format("{}; {} takes its place", loss, replacement));
+  const std::string loss = same_node ? std::string("restarted with an empty disk")
+                                     : fmt::format("no messages for {} s", in_seconds(kVoterLostAfter));
+  events_.record("voter_lost", subject, fmt::format("{}; replacing it with {}", loss, replacement));
   standby.role = consensus::MemberRole::kVoter;
   Reason reason;
   const TimePoint deadline = runtime_.now() + kRepairLimit;
   const NodeName node = lost.node;
   const bool replaced = co_await consensus_.replace_member(node, standby, deadline, reason);
   if (replaced) {
-    events_.record("voter_replaced", subject, replacement + " is a voter in its place");
+    events_.record("voter_replaced", subject, replacement + " replaced it as a voter");
   } else {
-    events_.record("voter_not_replaced", subject, replacement + " did not become a voter", reason);
+    events_.record("voter_not_replaced", subject, replacement + " could not be added as a voter", reason);
   }
 }
 
--- a/tests/declared/control/failover/failover_simulation_test.cpp
+++ b/tests/declared/control/failover/failover_simulation_test.cpp
@@ -179,7 +179,7 @@
       const std::size_t failed = fleet.count_events("failover_failed");
       for (const auto& name : fleet.databases()) fleet.world().disk(name).sync_delay = milliseconds(2);
       fleet.world().heal();
-      CPPUNIT_ASSERT_MESSAGE(std::to_string(failed) + " attempts failed", replaced);
+      CPPUNIT_ASSERT_MESSAGE(std::to_string(failed) + " failed failover attempts", replaced);
       CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(10)));
     });
   }
@@ -323,7 +323,8 @@
     CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(10)));
     CPPUNIT_ASSERT(fleet.known().term > term);
     const Duration gap = fleet.writer().longest_gap_after(at);
-    CPPUNIT_ASSERT_MESSAGE("gap of " + std::to_string(gap.count() / 1'000'000) + " ms", gap <= gap_limit);
+    CPPUNIT_ASSERT_MESSAGE("write gap of " + std::to_string(gap.count() / 1'000'000) + " ms",
+                           gap <= gap_limit);
   }
 
   /// Expects that after 4 s every running control node reports the same primary, that `members` members are
--- a/tests/declared/control/leaving_simulation_test.cpp
+++ b/tests/declared/control/leaving_simulation_test.cpp
@@ -37,7 +37,7 @@
         CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(5)));
         CPPUNIT_ASSERT_EQUAL("decks-" + zone, fleet.primary());
         const Duration gap = fleet.writer().longest_gap_after(at);
-        CPPUNIT_ASSERT_MESSAGE("gap of " + std::to_string(gap.count() / 1'000'000) + " ms",
+        CPPUNIT_ASSERT_MESSAGE("write gap of " + std::to_string(gap.count() / 1'000'000) + " ms",
                                gap <= kPlannedGap);
       }
       CPPUNIT_ASSERT(fleet.world().faults().empty());
