--- a/src/declared/control/control_core.cpp
+++ b/src/declared/control/control_core.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-wire::Hello news_hello(const ControlSettings& settings) {
+wire::Hello peer_hello(const ControlSettings& settings) {
   wire::Hello hello;
   hello.conversation = wire::Conversation::kNews;
   hello.node = settings.node;
@@ -20,7 +20,7 @@
 
 ControlCore::ControlCore(runtime::Runtime& runtime, const ControlSettings& settings,
                          ConfigView& configuration, RenewalBarrier& barrier,
-                         std::function<void(NewsMessage&)> describe)
+                         std::function<void(PeerStatusMessage&)> describe)
     : runtime_(runtime),
       settings_(settings),
       configuration_(configuration),
@@ -28,10 +28,10 @@
       directory_(runtime),
       events_(runtime, settings.node),
       connector_(backend::make_http_backend_connector(runtime, backend::ConnectionPurpose::kControl)),
-      news_(runtime, news_hello(settings), settings.peer_endpoint, directory_,
-            [this] { return this->describe(); }),
+      peer_exchange_(runtime, peer_hello(settings), settings.peer_endpoint, directory_,
+                     [this] { return this->describe(); }),
       monitor_services_(make_monitor_services()),
-      groups_(monitor_services_, configuration, news_.peers()),
+      groups_(monitor_services_, configuration, peer_exchange_.peers()),
       follow_server_(runtime, settings.serving_lease, barrier, configuration, directory_),
       platform_(runtime, settings.platform_endpoint, settings.platform_poll_interval, directory_, events_),
       dispatcher_(runtime) {}
@@ -56,14 +56,15 @@
     return follow_server_.serve(std::move(connection), std::move(hello));
   });
   dispatcher_.route(wire::Conversation::kNews, [this](Connection connection, wire::Hello hello) {
-    return news_.serve(std::move(connection), std::move(hello));
+    return peer_exchange_.serve(std::move(connection), std::move(hello));
   });
   follow_server_.on_suspect([this](const follow::SuspectPrimary& suspect) {
-    groups_.suspect(suspect);
-    news_.spread_suspect(suspect);
+    groups_.handle_suspicion(suspect);
+    peer_exchange_.forward_suspicion(suspect);
   });
-  news_.on_suspect([this](const follow::SuspectPrimary& suspect) { groups_.suspect(suspect); });
-  for (const auto& endpoint : settings_.control_endpoints) news_.talk_to(endpoint);
+  peer_exchange_.on_suspect(
+      [this](const follow::SuspectPrimary& suspect) { groups_.handle_suspicion(suspect); });
+  for (const auto& endpoint : settings_.control_endpoints) peer_exchange_.add_peer(endpoint);
   follow_server_.start();
   groups_.start();
   platform_.start();
@@ -78,8 +79,8 @@
   follow_server_.stop();
 }
 
-NewsMessage ControlCore::describe() const {
-  NewsMessage message;
+PeerStatusMessage ControlCore::describe() const {
+  PeerStatusMessage message;
   message.sender.node = settings_.node;
   message.sender.endpoint = settings_.peer_endpoint;
   message.sender.zone = settings_.zone;
--- a/src/declared/control/control_node.cpp
+++ b/src/declared/control/control_node.cpp
@@ -40,9 +40,10 @@
         replica_(runtime, settings_.feature_level),
         raft_(consensus::make_raft_node(runtime, replica_, raft_settings(settings_))),
         barrier_(*raft_),
-        core_(runtime, settings_, replica_, barrier_, [this](NewsMessage& message) { describe(message); }),
-        fleet_(runtime, settings_.node, settings_.serving_lease, core_.follow_server(), core_.news().peers(),
-               *raft_),
+        core_(runtime, settings_, replica_, barrier_,
+              [this](PeerStatusMessage& message) { describe(message); }),
+        fleet_(runtime, settings_.node, settings_.serving_lease, core_.follow_server(),
+               core_.peer_exchange().peers(), *raft_),
         health_(
             runtime, replica_, core_.follow_server(), core_.groups(),
             [this](Reason& reason) { return knows_leader(reason); },
@@ -50,7 +51,7 @@
         operator_service_(runtime, settings_.node, settings_.operator_endpoint, *raft_, replica_,
                           OperatorSources{core_.groups(), fleet_, core_.events(), core_.groups(), health_}),
         operator_api_(make_operator_api(runtime, operator_service_)),
-        voter_repair_(runtime, *raft_, core_.news().peers(), core_.events()) {}
+        voter_repair_(runtime, *raft_, core_.peer_exchange().peers(), core_.events()) {}
 
   Awaitable<bool> start(Reason& reason) override {
     const bool recovered = co_await raft_->start(reason);
@@ -78,21 +79,21 @@
     operator_server_->stop_accepting();
     core_.stop();
     co_await raft_->stop();
-    core_.stop_news();
+    core_.stop_peer_exchange();
   }
 
  private:
-  /// Connects the news exchange to every member of the consensus group and records leader changes.
+  /// Adds every member of the consensus group as a peer and records leader changes.
   Awaitable<void> watch_members() {
     NodeName leader;
     while (!stopping_) {
       const consensus::ConsensusStatus status = raft_->status();
-      for (const auto& member : status.members) core_.news().talk_to(member.endpoint);
+      for (const auto& member : status.members) core_.peer_exchange().add_peer(member.endpoint);
       if (!status.leader.empty() && status.leader != leader) {
         core_.events().record("leader_elected", status.leader.value, election_message(status, leader));
         leader = status.leader;
       }
-      co_await runtime_.sleep_for(kNewsInterval);
+      co_await runtime_.sleep_for(kPeerMessageInterval);
     }
   }
 
@@ -103,7 +104,7 @@
     if (before.empty()) return leads + "; cause: this node has known no leader since it started";
     if (before == settings_.node)
       return fmt::format("{}; cause: {} gave up or lost leadership", leads, before.value);
-    const auto peer = core_.news().peers().find(before);
+    const auto peer = core_.peer_exchange().peers().find(before);
     if (!peer)
       return fmt::format("{}; cause: no messages received from previous leader {}", leads, before.value);
     const std::int64_t silent = in_ms(runtime_.now() - peer->heard_at);
@@ -111,7 +112,7 @@
                        silent);
   }
 
-  void describe(NewsMessage& message) const {
+  void describe(PeerStatusMessage& message) const {
     message.sender.identity = raft_->identity();
     message.standby = settings_.join && !is_voter();
   }
--- a/src/declared/control/failover/failover_messages.cpp
+++ b/src/declared/control/failover/failover_messages.cpp
@@ -34,7 +34,7 @@
   return fmt::format(
       "{} is primary of term {} in place of {}; {} members fenced; cause: {}; fence {} ms, promotion {} ms",
       outcome.primary.backend.value, outcome.term, replaced.empty() ? "none" : replaced.value, outcome.fenced,
-      failover_cause_name(cause), in_ms(outcome.fencing), in_ms(outcome.promoting));
+      failover_cause_name(cause), in_ms(outcome.fencing_time), in_ms(outcome.promotion_time));
 }
 
 std::string failover_failed_message(const FailedAttempt& attempt, FailoverCause cause) {
@@ -42,7 +42,7 @@
       "consecutive failures: {}; cause: {}; attempt took {} ms, with a limit of {} ms per call; next attempt "
       "in {} ms",
       attempt.failures_in_a_row, failover_cause_name(cause), in_ms(attempt.took), in_ms(attempt.call_timeout),
-      in_ms(attempt.next_after));
+      in_ms(attempt.retry_delay));
 }
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_messages.h
+++ b/src/declared/control/failover/failover_messages.h
@@ -21,7 +21,7 @@
   std::uint32_t failures_in_a_row = 1;  ///< including this attempt
   Duration took{0};
   Duration call_timeout{0};  ///< time limit of each call in the attempt
-  Duration next_after{0};    ///< delay before the next attempt
+  Duration retry_delay{0};   ///< delay before the next attempt
 };
 std::string failover_failed_message(const FailedAttempt& attempt, FailoverCause cause);
 
--- a/src/declared/control/failover/failover_rules.cpp
+++ b/src/declared/control/failover/failover_rules.cpp
@@ -19,67 +19,70 @@
          member.status->term == observation.known.term && member.status->primary == observation.known.primary;
 }
 
-bool hears_known_primary(const GroupObservation& observation, const MemberObservation& member) {
+bool is_in_contact_with_primary(const GroupObservation& observation, const MemberObservation& member) {
   return member.answering && follows_known_primary(observation, member) && member.status->primary_heard;
 }
 
 /// Counts the replicas that report contact with the primary.
-std::size_t replicas_hearing(const GroupObservation& observation) {
+std::size_t count_replicas_in_contact(const GroupObservation& observation) {
   return static_cast<std::size_t>(
       std::count_if(observation.members.begin(), observation.members.end(),
-                    [&](const auto& member) { return hears_known_primary(observation, member); }));
+                    [&](const auto& member) { return is_in_contact_with_primary(observation, member); }));
 }
 
 /// Counts the replicas that report no contact with the primary. A replica that does not answer probes is not
 /// counted.
-std::size_t replicas_not_hearing(const GroupObservation& observation) {
+std::size_t count_replicas_out_of_contact(const GroupObservation& observation) {
   return static_cast<std::size_t>(
       std::count_if(observation.members.begin(), observation.members.end(), [&](const auto& member) {
         return member.member.backend != observation.known.primary && member.answering &&
-               !hears_known_primary(observation, member);
+               !is_in_contact_with_primary(observation, member);
       }));
 }
 
-bool all_answered_once(const GroupObservation& observation) {
+bool all_members_have_answered(const GroupObservation& observation) {
   return std::all_of(observation.members.begin(), observation.members.end(),
                      [](const auto& member) { return member.status.has_value(); });
 }
 
-bool any_member_ahead(const GroupObservation& observation) {
+bool any_member_at_higher_term(const GroupObservation& observation) {
   return std::any_of(observation.members.begin(), observation.members.end(), [&](const auto& member) {
     return member.answering && member.status && member.status->term > observation.known.term;
   });
 }
 
-bool another_can_take_over(const GroupObservation& observation) {
+bool another_member_can_take_over(const GroupObservation& observation) {
   return std::any_of(observation.members.begin(), observation.members.end(), [&](const auto& member) {
     return member.member.backend != observation.known.primary && !member.member.leaving &&
-           hears_known_primary(observation, member);
+           is_in_contact_with_primary(observation, member);
   });
 }
 
-FailoverDecision decide_silent(const GroupObservation& observation, const MemberObservation& primary,
-                               const FailoverLimits& limits) {
+FailoverDecision decide_for_silent_primary(const GroupObservation& observation,
+                                           const MemberObservation& primary, const FailoverLimits& limits) {
   // The primary and the replicas in contact with it can still commit if they form a majority.
-  const bool can_commit = 1 + replicas_hearing(observation) >= majority_of(voting_members(observation));
-  if (!can_commit) return {FailoverCause::kPrimarySilent, primary.refused ? Duration(0) : limits.not_refused};
+  const bool can_commit =
+      1 + count_replicas_in_contact(observation) >= majority_of(voting_members(observation));
+  if (!can_commit)
+    return {FailoverCause::kPrimarySilent, primary.refused ? Duration(0) : limits.unresponsive_primary};
   if (observation.suspected && primary.silent_for >= limits.unreachable_to_all) {
     return {FailoverCause::kPrimaryUnreachable, Duration(0)};
   }
   return {};
 }
 
-FailoverDecision decide_answering(const GroupObservation& observation, const MemberObservation& primary,
-                                  const FailoverLimits& limits) {
+FailoverDecision decide_for_answering_primary(const GroupObservation& observation,
+                                              const MemberObservation& primary,
+                                              const FailoverLimits& limits) {
   const auto& status = *primary.status;
   if (status.role != backend::BackendRole::kPrimary || status.term != observation.known.term) {
     return {FailoverCause::kPrimaryLostRole, limits.lost_role};
   }
   const std::size_t voting = voting_members(observation);
-  const std::size_t not_hearing = std::min(replicas_not_hearing(observation), voting);
+  const std::size_t not_hearing = std::min(count_replicas_out_of_contact(observation), voting);
   if (voting - not_hearing < majority_of(voting)) return {FailoverCause::kPrimaryUnheard, limits.unheard};
-  if (any_member_ahead(observation)) return {FailoverCause::kMemberAhead, limits.member_ahead};
-  if (primary.member.leaving && another_can_take_over(observation) && can_hand_over(observation)) {
+  if (any_member_at_higher_term(observation)) return {FailoverCause::kMemberAhead, limits.member_ahead};
+  if (primary.member.leaving && another_member_can_take_over(observation) && can_switch_over(observation)) {
     return {FailoverCause::kPrimaryLeaving, Duration(0)};
   }
   return {};
@@ -120,7 +123,7 @@
   return best != nullptr ? best->status->members.size() : observation.members.size();
 }
 
-bool can_hand_over(const GroupObservation& observation) {
+bool can_switch_over(const GroupObservation& observation) {
   const auto others = static_cast<std::size_t>(
       std::count_if(observation.members.begin(), observation.members.end(), [&](const auto& member) {
         return member.answering && member.member.backend != observation.known.primary;
@@ -139,13 +142,16 @@
   if (!majority_answers(observation)) return {};
   const MemberObservation* primary = find_primary(observation);
   if (observation.known.term == 0 || primary == nullptr) {
-    const bool looked = all_answered_once(observation) || observation.observed_for >= limits.first_look;
-    return looked ? FailoverDecision{FailoverCause::kNoPrimary, limits.lost_role} : FailoverDecision{};
+    const bool observed_enough =
+        all_members_have_answered(observation) || observation.observed_for >= limits.initial_observation;
+    return observed_enough ? FailoverDecision{FailoverCause::kNoPrimary, limits.lost_role}
+                           : FailoverDecision{};
   }
   const bool silent = primary->silent_for >= limits.primary_silence;
   const bool suspicion_confirmed = observation.suspected && primary->failures_in_a_row > 0;
-  if (silent || suspicion_confirmed) return decide_silent(observation, *primary, limits);
-  if (primary->answering && primary->status) return decide_answering(observation, *primary, limits);
+  if (silent || suspicion_confirmed) return decide_for_silent_primary(observation, *primary, limits);
+  if (primary->answering && primary->status)
+    return decide_for_answering_primary(observation, *primary, limits);
   return {};
 }
 
--- a/src/declared/control/failover/failover_rules.h
+++ b/src/declared/control/failover/failover_rules.h
@@ -16,12 +16,13 @@
 /// How long each condition must persist before it triggers a failover.
 struct FailoverLimits {
   Duration primary_silence = std::chrono::milliseconds(350);  ///< no probe of the primary has been answered
-  Duration first_look = std::chrono::milliseconds(500);       ///< wait for members that have never answered
-  Duration lost_role = std::chrono::milliseconds(100);        ///< the primary reports that it is not primary
+  /// How long to wait for members that have never answered.
+  Duration initial_observation = std::chrono::milliseconds(500);
+  Duration lost_role = std::chrono::milliseconds(100);  ///< the primary reports that it is not primary
   /// The primary's machine sends no response at all, not even a refusal. A few lost packets look the same:
   /// TCP retransmits after about 200 and 600 ms (RFC 6298), and a replica reports after 300 ms that it has
   /// lost contact with the primary.
-  Duration not_refused = std::chrono::milliseconds(350);
+  Duration unresponsive_primary = std::chrono::milliseconds(350);
   Duration unheard = std::chrono::milliseconds(600);  ///< too few replicas are in contact with the primary
   Duration member_ahead = std::chrono::seconds(1);    ///< a member was fenced above the primary's term
   Duration unreachable_to_all = std::chrono::seconds(3);  ///< unreachable from proxies and control nodes only
@@ -60,7 +61,7 @@
 /// The cause found and how long it must persist unchanged before a failover starts.
 struct FailoverDecision {
   FailoverCause cause = FailoverCause::kNone;
-  Duration after{0};
+  Duration delay{0};
 };
 
 /// Decides whether the group needs a failover. Returns kNone unless a majority of the members answers:
@@ -79,7 +80,7 @@
 std::size_t voting_members(const GroupObservation& observation);
 /// Returns true if a majority of the voting members answers, not counting the primary. A planned switchover
 /// fences a majority without the primary; if it started with fewer, it would only stop the primary's writes.
-bool can_hand_over(const GroupObservation& observation);
+bool can_switch_over(const GroupObservation& observation);
 
 /// A fence granted by one member.
 struct FenceGrant {
--- a/src/declared/control/failover/failover_run.cpp
+++ b/src/declared/control/failover/failover_run.cpp
@@ -22,7 +22,7 @@
 }
 
 Awaitable<std::optional<FailoverOutcome>> FailoverRun::run(TimePoint deadline, Reason& reason) {
-  const TimePoint begun = runtime_.now();
+  const TimePoint started_at = runtime_.now();
   if (plan_.target) {
     const bool prepared = co_await prepare_target(deadline, reason);
     if (!prepared) co_return std::nullopt;
@@ -44,7 +44,7 @@
     if (participant->member.backend == chosen->backend) continue;
     runtime_.spawn("failover_redirect", redirect(shared_from_this(), participant, *chosen));
   }
-  co_return FailoverOutcome{*chosen, plan_.term, granted.size(), fenced_at - begun,
+  co_return FailoverOutcome{*chosen, plan_.term, granted.size(), fenced_at - started_at,
                             runtime_.now() - fenced_at};
 }
 
@@ -58,9 +58,9 @@
   co_return connection;
 }
 
-void FailoverRun::ask_fence(const ParticipantPointer& participant) {
-  if (participant->asked) return;
-  participant->asked = true;
+void FailoverRun::request_fence(const ParticipantPointer& participant) {
+  if (participant->fence_requested) return;
+  participant->fence_requested = true;
   runtime_.spawn("failover_fence", fence(shared_from_this(), participant));
 }
 
@@ -85,21 +85,21 @@
 
 Awaitable<bool> FailoverRun::fence_majority(Reason& reason) {
   for (const auto& participant : participants_) {
-    if (participant->member.backend != plan_.replaced) ask_fence(participant);
+    if (participant->member.backend != plan_.replaced) request_fence(participant);
   }
   const std::size_t needed = majority_of(plan_.voting_members);
   while (grants().size() < needed && !all_answered()) co_await answered_.wait();
   if (grants().size() < needed) {
-    reason = missing_majority();
+    reason = missing_majority_reason();
     co_return false;
   }
-  const TimePoint settled = runtime_.now() + kFenceSettleTime;
+  const TimePoint settle_deadline = runtime_.now() + kFenceSettleTime;
   bool in_time = true;
-  while (in_time && !all_answered()) in_time = co_await answered_.wait_until(settled);
+  while (in_time && !all_answered()) in_time = co_await answered_.wait_until(settle_deadline);
   co_return true;
 }
 
-Reason FailoverRun::missing_majority() const {
+Reason FailoverRun::missing_majority_reason() const {
   Reason missing{ReasonCode::kNoQuorum, "fence", "", ""};
   std::string refusals;
   for (const auto& participant : participants_) {
@@ -120,13 +120,13 @@
                     "the target is not a member of the group"};
     co_return false;
   }
-  const TimePoint limit = std::min(deadline, runtime_.now() + kCatchUpLimit);
-  const bool near = co_await catch_up(target, plan_.target_position, limit, reason);
-  if (!near) co_return false;
+  const TimePoint limit = std::min(deadline, runtime_.now() + kCatchUpTimeout);
+  const bool close_enough = co_await catch_up(target, plan_.target_position, limit, reason);
+  if (!close_enough) co_return false;
   // From here on, the fenced members reject entries from the old primary; the target still accepts them.
   for (const auto& participant : participants_) {
     const BackendName& backend = participant->member.backend;
-    if (backend != plan_.replaced && backend != *plan_.target) ask_fence(participant);
+    if (backend != plan_.replaced && backend != *plan_.target) request_fence(participant);
   }
   while (!all_answered()) co_await answered_.wait();
   Position highest;
@@ -144,8 +144,8 @@
     const auto status = co_await connection->status(call_deadline, reason);
     if (!status) co_return false;
     if (status->last >= position) co_return true;
-    if (runtime_.now() + kCatchUpPause >= deadline) break;
-    co_await runtime_.sleep_for(kCatchUpPause);
+    if (runtime_.now() + kCatchUpPollInterval >= deadline) break;
+    co_await runtime_.sleep_for(kCatchUpPollInterval);
   }
   reason = Reason{
       ReasonCode::kDeadlineExceeded, "catch_up", target->member.backend.value,
@@ -164,7 +164,7 @@
 Awaitable<void> FailoverRun::redirect(std::shared_ptr<FailoverRun> /*self*/, ParticipantPointer participant,
                                       GroupMember primary) {
   // A fence request is still using this member's connection; the group monitor redirects the member later.
-  if (participant->asked && !participant->answered) co_return;
+  if (participant->fence_requested && !participant->answered) co_return;
   const TimePoint deadline = runtime_.now() + plan_.call_timeout;
   Reason reason;
   const auto connection = co_await connect(participant, deadline, reason);
@@ -201,7 +201,7 @@
 
 bool FailoverRun::all_answered() const {
   return std::all_of(participants_.begin(), participants_.end(),
-                     [](const auto& each) { return !each->asked || each->answered; });
+                     [](const auto& each) { return !each->fence_requested || each->answered; });
 }
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/failover/failover_run.h
+++ b/src/declared/control/failover/failover_run.h
@@ -39,8 +39,8 @@
   std::uint64_t term = 0;
   std::size_t fenced = 0;  ///< number of members that had granted the fence when the candidate was chosen
   /// Time until a candidate could be chosen. For a switchover, this includes the target's catch-up.
-  Duration fencing{0};
-  Duration promoting{0};  ///< time from then until the promotion succeeded
+  Duration fencing_time{0};
+  Duration promotion_time{0};  ///< time from then until the promotion succeeded
 };
 
 /// Fence responses at the time when the candidate is chosen.
@@ -73,7 +73,7 @@
     GroupMember member;
     std::shared_ptr<backend::BackendConnection> connection;
     std::optional<Position> granted;  ///< last log position when it granted the fence
-    bool asked = false;
+    bool fence_requested = false;
     bool answered = false;  ///< the request was granted, refused or failed
     Reason reason;          ///< why the fence was not granted
   };
@@ -88,12 +88,12 @@
                            GroupMember primary);
   Awaitable<std::shared_ptr<backend::BackendConnection>> connect(ParticipantPointer participant,
                                                                  TimePoint deadline, Reason& reason);
-  void ask_fence(const ParticipantPointer& participant);
+  void request_fence(const ParticipantPointer& participant);
   [[nodiscard]] ParticipantPointer find(const BackendName& backend) const;
   [[nodiscard]] std::vector<FenceGrant> grants() const;
   [[nodiscard]] std::vector<Reason> refusals() const;
   [[nodiscard]] bool all_answered() const;
-  [[nodiscard]] Reason missing_majority() const;
+  [[nodiscard]] Reason missing_majority_reason() const;
 
   runtime::Runtime& runtime_;
   backend::BackendConnector& connector_;
--- a/src/declared/control/failover/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -86,15 +86,15 @@
   wake_.notify_all();
 }
 
-void GroupMonitor::suspect(const follow::SuspectPrimary& suspect) {
+void GroupMonitor::handle_suspicion(const follow::SuspectPrimary& suspect) {
   const auto known = services_.directory.find(definition_.group);
   if (known && suspect.term < known->term) return;
   const TimePoint now = services_.runtime.now();
   const bool repeated = suspected_until_ > now && suspected_term_ == suspect.term;
-  suspected_until_ = now + kSuspicionLimit;
+  suspected_until_ = now + kSuspicionTimeout;
   suspected_term_ = suspect.term;
   if (repeated) return;
-  for (const auto& [backend, probe] : probes_) probe->hurry(suspected_until_);
+  for (const auto& [backend, probe] : probes_) probe->probe_urgently(suspected_until_);
 }
 
 GroupObservation GroupMonitor::observe() const {
@@ -111,52 +111,52 @@
 bool GroupMonitor::reaches_majority() const {
   // The monitor loop does not run during an attempt, and the attempt itself needs a majority. A group without
   // members is never considered unreachable.
-  if (acting_ || definition_.members.empty()) return true;
+  if (attempt_in_progress_ || definition_.members.empty()) return true;
   return services_.runtime.now() < majority_answered_at_ + kUnreachableAfter;
 }
 
 Awaitable<void> GroupMonitor::run(std::shared_ptr<GroupMonitor> /*self*/) {
   while (!stopping_) {
     const TimePoint now = services_.runtime.now();
-    record_stall(now);
-    learn_from_probes();
+    detect_stall(now);
+    publish_probe_results();
     const GroupObservation observation = observe();
     record_reachability(observation, now);
-    if (supervising_ && !acting_) {
+    if (supervising_ && !attempt_in_progress_) {
       const FailoverCause cause = due_cause(observation, now);
       if (cause != FailoverCause::kNone) {
-        co_await act(cause);
+        co_await handle_cause(cause);
         continue;
       }
       redirect_members(observation);
     }
-    co_await wake_.wait_until(next_look(now));
+    co_await wake_.wait_until(next_evaluation(now));
   }
 }
 
-TimePoint GroupMonitor::next_look(TimePoint now) const {
+TimePoint GroupMonitor::next_evaluation(TimePoint now) const {
   const TimePoint tick = now + kMonitorTick;
   if (!supervising_ || pending_cause_ == FailoverCause::kNone) return tick;
-  const TimePoint due = std::max(pending_since_ + pending_after_, not_before_);
+  const TimePoint due = std::max(pending_since_ + pending_delay_, backoff_until_);
   return due > now ? std::min(tick, due) : tick;
 }
 
-void GroupMonitor::record_stall(TimePoint now) {
+void GroupMonitor::detect_stall(TimePoint now) {
   const bool stalled = now - last_tick_ > kMonitorStallLimit;
   last_tick_ = now;
-  if (stalled) forget_observations();
+  if (stalled) discard_observations();
 }
 
-void GroupMonitor::forget_observations() {
+void GroupMonitor::discard_observations() {
   for (const auto& [backend, probe] : probes_) {
-    probe->forget();
-    probe->hurry(services_.runtime.now() + kSuspicionLimit);
+    probe->discard_results();
+    probe->probe_urgently(services_.runtime.now() + kSuspicionTimeout);
   }
   pending_cause_ = FailoverCause::kNone;
   observed_since_ = services_.runtime.now();
 }
 
-void GroupMonitor::learn_from_probes() {
+void GroupMonitor::publish_probe_results() {
   for (const auto& [backend, probe] : probes_) {
     const MemberObservation seen = probe->observe();
     if (!seen.answering || !seen.status) continue;
@@ -178,26 +178,26 @@
     pending_cause_ = decision.cause;
     pending_since_ = now;
   }
-  pending_after_ = decision.after;
-  const bool lasted = now - pending_since_ >= decision.after;
-  return lasted && now >= not_before_ ? decision.cause : FailoverCause::kNone;
+  pending_delay_ = decision.delay;
+  const bool lasted = now - pending_since_ >= decision.delay;
+  return lasted && now >= backoff_until_ ? decision.cause : FailoverCause::kNone;
 }
 
-Awaitable<void> GroupMonitor::act(FailoverCause cause) {
+Awaitable<void> GroupMonitor::handle_cause(FailoverCause cause) {
   std::optional<BackendName> target;
   if (cause == FailoverCause::kPrimaryLeaving) target = best_target(observe());
   Reason reason;
-  const TimePoint deadline = services_.runtime.now() + kPlannedLimit;
+  const TimePoint deadline = services_.runtime.now() + kSwitchoverTimeout;
   co_await attempt(cause, target, deadline, reason);
 }
 
 Awaitable<std::optional<FailoverOutcome>> GroupMonitor::attempt(FailoverCause cause,
                                                                 std::optional<BackendName> target,
                                                                 TimePoint deadline, Reason& reason) {
-  acting_ = true;
-  const TimePoint begun = services_.runtime.now();
+  attempt_in_progress_ = true;
+  const TimePoint started_at = services_.runtime.now();
   const GroupObservation observation = observe();
-  record_start(observation, cause);
+  record_attempt_start(observation, cause);
   const FailoverPlan plan = make_plan(observation, cause, target);
   const auto failover = std::make_shared<FailoverRun>(services_.runtime, services_.connector, plan);
   failover->on_fenced([this, term = plan.term](const FenceResult& result) {
@@ -205,19 +205,19 @@
                             result.refused.empty() ? Reason{} : result.refused.front());
   });
   auto outcome = co_await failover->run(deadline, reason);
-  acting_ = false;
+  attempt_in_progress_ = false;
   // The attempt may have taken long; do not treat that time as a stall of the loop.
   last_tick_ = services_.runtime.now();
   highest_term_ = std::max(highest_term_, failover->highest_term());
   if (outcome) {
-    succeeded(cause, *outcome);
+    record_success(cause, *outcome);
   } else {
-    failed(cause, services_.runtime.now() - begun, plan.call_timeout, reason);
+    record_failure(cause, services_.runtime.now() - started_at, plan.call_timeout, reason);
   }
   co_return outcome;
 }
 
-void GroupMonitor::record_start(const GroupObservation& observation, FailoverCause cause) {
+void GroupMonitor::record_attempt_start(const GroupObservation& observation, FailoverCause cause) {
   const bool waited = cause == pending_cause_;
   const Duration held = waited ? services_.runtime.now() - pending_since_ : Duration::zero();
   services_.events.record("failover_started", definition_.group.value,
@@ -257,7 +257,7 @@
   return best->member.backend;
 }
 
-void GroupMonitor::succeeded(FailoverCause cause, const FailoverOutcome& outcome) {
+void GroupMonitor::record_success(FailoverCause cause, const FailoverOutcome& outcome) {
   const auto before = services_.directory.find(definition_.group);
   services_.directory.learn(follow::GroupState{definition_.group, outcome.term, outcome.primary.backend});
   ++statistics_.failovers;
@@ -266,30 +266,32 @@
   const std::string message =
       primary_promoted_message(outcome, before ? before->primary : BackendName{}, cause);
   services_.events.record("primary_promoted", definition_.group.value, message);
-  forget_observations();
+  discard_observations();
 }
 
-void GroupMonitor::failed(FailoverCause cause, Duration took, Duration call_timeout, const Reason& reason) {
+void GroupMonitor::record_failure(FailoverCause cause, Duration took, Duration call_timeout,
+                                  const Reason& reason) {
   ++statistics_.failed_attempts;
   ++failures_in_a_row_;
   const Duration backoff = doubled(kFailoverBackoff, failures_in_a_row_ - 1, kFailoverBackoffLimit);
-  not_before_ = services_.runtime.now() + services_.runtime.random().between(backoff, 2 * backoff);
-  const FailedAttempt attempt{failures_in_a_row_, took, call_timeout, not_before_ - services_.runtime.now()};
+  backoff_until_ = services_.runtime.now() + services_.runtime.random().between(backoff, 2 * backoff);
+  const FailedAttempt attempt{failures_in_a_row_, took, call_timeout,
+                              backoff_until_ - services_.runtime.now()};
   services_.events.record("failover_failed", definition_.group.value, failover_failed_message(attempt, cause),
                           reason);
 }
 
 Awaitable<std::optional<FailoverOutcome>> GroupMonitor::switch_over(std::optional<BackendName> target,
                                                                     TimePoint deadline, Reason& reason) {
-  if (acting_) {
+  if (attempt_in_progress_) {
     reason = Reason{ReasonCode::kConflict, "switchover", "",
                     "another switchover or failover of the group is in progress"};
     co_return std::nullopt;
   }
   // A monitor created for this switchover has not probed the group yet.
   while (!majority_answers(observe()) &&
-         services_.runtime.now() < observed_since_ + services_.limits.first_look) {
-    co_await services_.runtime.sleep_for(kCatchUpPause);
+         services_.runtime.now() < observed_since_ + services_.limits.initial_observation) {
+    co_await services_.runtime.sleep_for(kCatchUpPollInterval);
   }
   const GroupObservation observation = observe();
   if (!target) target = best_target(observation);
@@ -304,7 +306,7 @@
     unchanged.term = observation.known.term;
     co_return unchanged;
   }
-  if (!can_hand_over(observation)) {
+  if (!can_switch_over(observation)) {
     reason = Reason{ReasonCode::kNoBackend, "switchover", observation.known.primary.value,
                     "a switchover requires answers from a majority of the members, not counting the primary"};
     co_return std::nullopt;
@@ -333,7 +335,7 @@
                         seen.status->role == backend::BackendRole::kPrimary &&
                         seen.status->committed.term == term;
     if (serves) co_return true;
-    co_await services_.runtime.sleep_for(kCatchUpPause);
+    co_await services_.runtime.sleep_for(kCatchUpPollInterval);
   }
   co_return false;
 }
--- a/src/declared/control/failover/group_monitor.h
+++ b/src/declared/control/failover/group_monitor.h
@@ -11,7 +11,7 @@
 #include "declared/control/failover/failover_rules.h"
 #include "declared/control/failover/failover_run.h"
 #include "declared/control/failover/member_probe.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 #include "declared/control/operator/event_log.h"
 
 namespace cairnhollow::declared::control {
@@ -20,7 +20,7 @@
 struct MonitorServices {
   runtime::Runtime& runtime;
   backend::BackendConnector& connector;
-  NewsDirectory& directory;
+  ClusterStateDirectory& directory;
   EventLog& events;
   NodeName node;
   std::string owner_prefix;  ///< unique to this process; prefix of the owner of every fence
@@ -52,7 +52,7 @@
   void set_supervising(bool supervising);
   /// Handles a proxy's report that the primary of a term is unreachable: probes all members immediately.
   /// Reports for a term older than the known one are ignored.
-  void suspect(const follow::SuspectPrimary& suspect);
+  void handle_suspicion(const follow::SuspectPrimary& suspect);
   /// Runs a planned switchover to `target`, or to the member with the highest log position that answers and
   /// is not leaving. Returns once the new primary serves. Returns std::nullopt and sets `reason` on failure;
   /// kOutcomeUnknown means that the target was promoted but does not serve yet.
@@ -69,14 +69,14 @@
 
  private:
   Awaitable<void> run(std::shared_ptr<GroupMonitor> self);
-  Awaitable<void> act(FailoverCause cause);
+  Awaitable<void> handle_cause(FailoverCause cause);
   Awaitable<std::optional<FailoverOutcome>> attempt(FailoverCause cause, std::optional<BackendName> target,
                                                     TimePoint deadline, Reason& reason);
   Awaitable<void> redirect(std::shared_ptr<GroupMonitor> self, GroupMember member, follow::GroupState known,
                            Endpoint primary_endpoint);
   Awaitable<bool> wait_until_serving(BackendName backend, std::uint64_t term, TimePoint deadline);
-  void record_stall(TimePoint now);
-  void learn_from_probes();
+  void detect_stall(TimePoint now);
+  void publish_probe_results();
   void record_reachability(const GroupObservation& observation, TimePoint now);
   void redirect_members(const GroupObservation& observation);
   /// Returns the cause to act on now, or kNone if no cause has persisted long enough or the backoff after a
@@ -86,12 +86,12 @@
                                        std::optional<BackendName> target);
   [[nodiscard]] std::optional<BackendName> best_target(const GroupObservation& observation) const;
   /// Returns the next tick, or the time at which the pending cause is due if that is earlier.
-  [[nodiscard]] TimePoint next_look(TimePoint now) const;
+  [[nodiscard]] TimePoint next_evaluation(TimePoint now) const;
   /// Records an event with the observations that triggered the attempt, including the detection time.
-  void record_start(const GroupObservation& observation, FailoverCause cause);
-  void succeeded(FailoverCause cause, const FailoverOutcome& outcome);
-  void failed(FailoverCause cause, Duration took, Duration call_timeout, const Reason& reason);
-  void forget_observations();
+  void record_attempt_start(const GroupObservation& observation, FailoverCause cause);
+  void record_success(FailoverCause cause, const FailoverOutcome& outcome);
+  void record_failure(FailoverCause cause, Duration took, Duration call_timeout, const Reason& reason);
+  void discard_observations();
 
   MonitorServices& services_;
   GroupDefinition definition_;
@@ -102,17 +102,17 @@
   TimePoint suspected_until_{};
   std::uint64_t suspected_term_ = 0;
   FailoverCause pending_cause_ = FailoverCause::kNone;
-  Duration pending_after_{0};  ///< how long pending_cause_ must persist
+  Duration pending_delay_{0};  ///< how long pending_cause_ must persist
   TimePoint pending_since_{};
   TimePoint majority_answered_at_{};
-  TimePoint not_before_{};  ///< end of the backoff after a failed attempt
+  TimePoint backoff_until_{};  ///< end of the backoff after a failed attempt
   std::uint32_t failures_in_a_row_ = 0;
   std::uint64_t highest_term_ = 0;
   std::uint64_t attempts_ = 0;
   std::set<BackendName> redirecting_;  ///< members with a redirect in progress
   MonitorStatistics statistics_;
   bool supervising_ = false;
-  bool acting_ = false;  ///< an attempt is in progress
+  bool attempt_in_progress_ = false;
   bool stopping_ = false;
 };
 
--- a/src/declared/control/failover/group_supervision.cpp
+++ b/src/declared/control/failover/group_supervision.cpp
@@ -47,8 +47,8 @@
     co_await wake_.wait_until(due);
     // After a stall of this loop, let pending messages of the peers be processed first; otherwise every peer
     // would appear dead.
-    const bool held_up = services_.runtime.now() > due + kMonitorStallLimit;
-    if (held_up && !stopping_) co_await services_.runtime.sleep_for(kSupervisionTick);
+    const bool stalled = services_.runtime.now() > due + kMonitorStallLimit;
+    if (stalled && !stopping_) co_await services_.runtime.sleep_for(kSupervisionTick);
   }
 }
 
@@ -68,9 +68,9 @@
   const std::uint64_t revision = configuration_.revision();
   const auto& leaving = services_.directory.leaving();
   if (revision == defined_at_revision_ && leaving == defined_with_leaving_) return;
-  const bool same = leaving == defined_with_leaving_ && !groups_changed_since(defined_at_revision_);
+  const bool unchanged = leaving == defined_with_leaving_ && !groups_changed_since(defined_at_revision_);
   defined_at_revision_ = revision;
-  if (same) return;
+  if (unchanged) return;
   defined_with_leaving_ = leaving;
   const auto before = std::exchange(definitions_, {});
   for (auto& definition : group_definitions(configuration_.objects(), leaving)) {
@@ -78,7 +78,7 @@
     definitions_.emplace(group, std::move(definition));
   }
   for (const auto& [group, definition] : before) {
-    if (!definitions_.contains(group)) supervisors_.forget(group);
+    if (!definitions_.contains(group)) supervisors_.remove_group(group);
   }
   assignments_outdated_ = true;
 }
@@ -90,20 +90,20 @@
   while (revisions_.size() > 1 && now >= revisions_[1].since + kConfigurationLagLimit) revisions_.pop_front();
 }
 
-std::map<NodeName, std::vector<GroupName>> GroupSupervision::find_able() const {
-  std::map<NodeName, std::vector<GroupName>> able;
+std::map<NodeName, std::vector<GroupName>> GroupSupervision::find_eligible_nodes() const {
+  std::map<NodeName, std::vector<GroupName>> eligible;
   const TimePoint now = services_.runtime.now();
-  able[services_.node] = unreachable_groups();
+  eligible[services_.node] = unreachable_groups();
   for (const auto& [node, peer] : peers_.peers()) {
     if (!peer.alive(now) || peer.last_message.revision < required_revision()) continue;
-    able[node] = peer.last_message.unreachable_groups;
+    eligible[node] = peer.last_message.unreachable_groups;
   }
-  return able;
+  return eligible;
 }
 
 void GroupSupervision::refresh_assignments() {
-  const bool others = supervisors_.set_able(find_able());
-  if (!assignments_outdated_ && !others) return;
+  const bool nodes_changed = supervisors_.set_eligible_nodes(find_eligible_nodes());
+  if (!assignments_outdated_ && !nodes_changed) return;
   assignments_outdated_ = false;
   assignments_.clear();
   for (const auto& [group, definition] : definitions_) {
@@ -111,12 +111,12 @@
   }
   for (auto entry = monitors_.begin(); entry != monitors_.end();) {
     const auto assignment = assignments_.find(entry->first);
-    if (assignment != assignments_.end() && assignment->second.watched_here) {
+    if (assignment != assignments_.end() && assignment->second.monitored_here) {
       ++entry;
       continue;
     }
-    ended_.failovers += entry->second->statistics().failovers;
-    ended_.failed_attempts += entry->second->statistics().failed_attempts;
+    removed_monitor_statistics_.failovers += entry->second->statistics().failovers;
+    removed_monitor_statistics_.failed_attempts += entry->second->statistics().failed_attempts;
     entry->second->stop();
     entry = monitors_.erase(entry);
   }
@@ -124,7 +124,7 @@
 }
 
 void GroupSupervision::apply_assignment(const GroupDefinition& definition, const Assignment& assignment) {
-  if (!assignment.watched_here) return;
+  if (!assignment.monitored_here) return;
   auto& monitor = monitors_[definition.group];
   if (!monitor) {
     monitor = std::make_shared<GroupMonitor>(services_, definition);
@@ -135,9 +135,9 @@
   monitor->set_supervising(assignment.supervisor == services_.node);
 }
 
-void GroupSupervision::suspect(const follow::SuspectPrimary& suspect) {
+void GroupSupervision::handle_suspicion(const follow::SuspectPrimary& suspect) {
   const auto monitor = monitors_.find(suspect.group);
-  if (monitor != monitors_.end()) monitor->second->suspect(suspect);
+  if (monitor != monitors_.end()) monitor->second->handle_suspicion(suspect);
 }
 
 std::vector<GroupName> GroupSupervision::unreachable_groups() const {
@@ -166,7 +166,7 @@
 }
 
 MonitorStatistics GroupSupervision::statistics() const {
-  MonitorStatistics all = ended_;
+  MonitorStatistics all = removed_monitor_statistics_;
   for (const auto& [group, monitor] : monitors_) {
     all.failovers += monitor->statistics().failovers;
     all.failed_attempts += monitor->statistics().failed_attempts;
@@ -223,7 +223,7 @@
         Reason{ReasonCode::kNotFound, "switchover", "", "no such database group: " + request.group.value};
     co_return std::nullopt;
   }
-  const std::shared_ptr<GroupMonitor> monitor = monitor_for(definition->second);
+  const std::shared_ptr<GroupMonitor> monitor = find_or_create_monitor(definition->second);
   std::optional<BackendName> target;
   bool selected = true;
   if (request.target != config::Selector{}) {
@@ -237,7 +237,7 @@
   co_return SwitchoverOutcome{outcome->primary.backend, outcome->term};
 }
 
-std::shared_ptr<GroupMonitor> GroupSupervision::monitor_for(const GroupDefinition& definition) {
+std::shared_ptr<GroupMonitor> GroupSupervision::find_or_create_monitor(const GroupDefinition& definition) {
   const auto found = monitors_.find(definition.group);
   if (found != monitors_.end()) return found->second;
   auto monitor = std::make_shared<GroupMonitor>(services_, definition);
@@ -248,15 +248,15 @@
 void GroupSupervision::refresh_probe_interval() {
   std::size_t members = 0;
   for (const auto& [group, monitor] : monitors_) members += monitor->definition().members.size();
-  const Duration affordable = kProbeCost * static_cast<std::int64_t>(members);
-  const Duration interval = std::max(base_probe_interval_, affordable);
+  const Duration minimum_interval = kProbeIntervalPerMember * static_cast<std::int64_t>(members);
+  const Duration interval = std::max(base_probe_interval_, minimum_interval);
   if (interval == services_.probe_interval) return;
   services_.probe_interval = interval;
   // Keep the number of probes that the primary must miss the same as at the base interval.
-  const Duration lengthened = interval - base_probe_interval_;
-  services_.limits.primary_silence = base_limits_.primary_silence + kProbesMissed * lengthened;
-  services_.limits.first_look = base_limits_.first_look + lengthened;
-  services_.limits.lost_role = base_limits_.lost_role + lengthened;
+  const Duration extension = interval - base_probe_interval_;
+  services_.limits.primary_silence = base_limits_.primary_silence + kMissedProbesUntilSilent * extension;
+  services_.limits.initial_observation = base_limits_.initial_observation + extension;
+  services_.limits.lost_role = base_limits_.lost_role + extension;
   for (const auto& [group, monitor] : monitors_) monitor->update_interval();
 }
 
--- a/src/declared/control/failover/group_supervision.h
+++ b/src/declared/control/failover/group_supervision.h
@@ -27,7 +27,7 @@
   void stop();
   /// Handles a proxy's report that a group's primary is unreachable, received here or by another control
   /// node.
-  void suspect(const follow::SuspectPrimary& suspect);
+  void handle_suspicion(const follow::SuspectPrimary& suspect);
 
   /// Groups monitored by this node of which no majority of the members answers, sorted by name.
   [[nodiscard]] std::vector<GroupName> unreachable_groups() const;
@@ -48,10 +48,10 @@
   void refresh_definitions();
   void refresh_assignments();
   void refresh_probe_interval();
-  std::shared_ptr<GroupMonitor> monitor_for(const GroupDefinition& definition);
+  std::shared_ptr<GroupMonitor> find_or_create_monitor(const GroupDefinition& definition);
   /// Returns the nodes eligible to supervise groups, each with the groups that are unreachable from it.
   /// Includes this node; another node is eligible if it is live and has applied required_revision().
-  [[nodiscard]] std::map<NodeName, std::vector<GroupName>> find_able() const;
+  [[nodiscard]] std::map<NodeName, std::vector<GroupName>> find_eligible_nodes() const;
   /// Returns true if a change after `revision` may have changed a group definition.
   [[nodiscard]] bool groups_changed_since(std::uint64_t revision) const;
   void record_revision();
@@ -83,7 +83,7 @@
   std::map<GroupName, std::shared_ptr<GroupMonitor>> monitors_;
   SupervisorTable supervisors_;
   bool assignments_outdated_ = true;
-  MonitorStatistics ended_;  ///< statistics of monitors that have been removed
+  MonitorStatistics removed_monitor_statistics_;
   bool stopping_ = false;
 };
 
--- a/src/declared/control/failover/member_probe.cpp
+++ b/src/declared/control/failover/member_probe.cpp
@@ -29,18 +29,18 @@
   member_ = std::move(member);
   if (!moved) return;
   if (connection_) connection_->close();
-  forget();
+  discard_results();
   probe_now_ = true;
   wake_.notify_all();
 }
 
-void MemberProbe::hurry(TimePoint until) {
+void MemberProbe::probe_urgently(TimePoint until) {
   urgent_until_ = std::max(urgent_until_, until);
   probe_now_ = true;
   wake_.notify_all();
 }
 
-void MemberProbe::forget() {
+void MemberProbe::discard_results() {
   ++generation_;
   status_.reset();
   answering_ = false;
@@ -60,23 +60,23 @@
   return observation;
 }
 
-TimePoint MemberProbe::next_probe(TimePoint begun) const {
+TimePoint MemberProbe::next_probe(TimePoint started_at) const {
   const Duration interval =
-      begun < urgent_until_ ? std::min(settings_.interval, kUrgentProbeInterval) : settings_.interval;
-  return begun + interval;
+      started_at < urgent_until_ ? std::min(settings_.interval, kUrgentProbeInterval) : settings_.interval;
+  return started_at + interval;
 }
 
 Awaitable<void> MemberProbe::run(std::shared_ptr<MemberProbe> /*self*/) {
   while (!stopping_) {
     probe_now_ = false;
-    const TimePoint begun = runtime_.now();
+    const TimePoint started_at = runtime_.now();
     const std::uint64_t generation = generation_;
     Reason reason;
     auto status = co_await probe(reason);
     if (stopping_) break;
-    if (generation == generation_) take_result(std::move(status), reason);
+    if (generation == generation_) record_result(std::move(status), reason);
     while (!stopping_ && !probe_now_) {
-      const bool notified = co_await wake_.wait_until(next_probe(begun));
+      const bool notified = co_await wake_.wait_until(next_probe(started_at));
       if (!notified) break;
     }
   }
@@ -102,7 +102,7 @@
   return false;
 }
 
-void MemberProbe::take_result(std::optional<backend::BackendStatus> status, Reason reason) {
+void MemberProbe::record_result(std::optional<backend::BackendStatus> status, Reason reason) {
   answering_ = status.has_value();
   if (status) {
     status_ = std::move(status);
--- a/src/declared/control/failover/member_probe.h
+++ b/src/declared/control/failover/member_probe.h
@@ -32,9 +32,9 @@
   void update(GroupMember member);
   void set_interval(Duration interval) { settings_.interval = interval; }
   /// Probes immediately, then every kUrgentProbeInterval until `until`.
-  void hurry(TimePoint until);
+  void probe_urgently(TimePoint until);
   /// Discards earlier results because they are too old or precede a change of primary.
-  void forget();
+  void discard_results();
 
   [[nodiscard]] MemberObservation observe() const;
   [[nodiscard]] const GroupMember& member() const { return member_; }
@@ -44,9 +44,9 @@
  private:
   Awaitable<void> run(std::shared_ptr<MemberProbe> self);
   Awaitable<std::optional<backend::BackendStatus>> probe(Reason& reason);
-  void take_result(std::optional<backend::BackendStatus> status, Reason reason);
+  void record_result(std::optional<backend::BackendStatus> status, Reason reason);
   [[nodiscard]] bool is_expected(const backend::BackendStatus& status, Reason& reason) const;
-  [[nodiscard]] TimePoint next_probe(TimePoint begun) const;
+  [[nodiscard]] TimePoint next_probe(TimePoint started_at) const;
 
   runtime::Runtime& runtime_;
   backend::BackendConnector& connector_;
@@ -62,7 +62,8 @@
   Reason last_problem_;
   TimePoint urgent_until_{};
   bool probe_now_ = false;
-  std::uint64_t generation_ = 0;  ///< results of probes started before forget() or update() are ignored
+  /// Incremented to ignore the results of probes started before discard_results() or update().
+  std::uint64_t generation_ = 0;
   bool stopping_ = false;
 };
 
--- a/src/declared/control/failover/supervisor_table.h
+++ b/src/declared/control/failover/supervisor_table.h
@@ -13,7 +13,7 @@
 
 struct Assignment {
   NodeName supervisor;
-  bool watched_here = false;
+  bool monitored_here = false;
 };
 
 /// Caches the node order of each group (supervisor_choice.h), computed over all nodes that were ever
@@ -25,11 +25,11 @@
 
   /// Sets the eligible nodes, which must include `self`, each with the sorted names of the groups of which it
   /// reaches no majority. Returns false if nothing changed.
-  bool set_able(std::map<NodeName, std::vector<GroupName>> able);
-  /// Uses the nodes of the last set_able() call.
+  bool set_eligible_nodes(std::map<NodeName, std::vector<GroupName>> eligible);
+  /// Uses the nodes of the last set_eligible_nodes() call.
   [[nodiscard]] Assignment assign(const GroupName& group);
   /// Removes the cached order of a deleted group.
-  void forget(const GroupName& group) { orders_.erase(group); }
+  void remove_group(const GroupName& group) { orders_.erase(group); }
 
  private:
   using Order = std::vector<std::uint16_t>;  ///< indexes into nodes_
@@ -38,9 +38,9 @@
   [[nodiscard]] bool reaches(std::uint16_t node, const GroupName& group) const;
 
   NodeName self_;
-  std::map<NodeName, std::vector<GroupName>> able_;
+  std::map<NodeName, std::vector<GroupName>> eligible_;
   std::vector<NodeName> nodes_;  ///< every node that was ever eligible, sorted by name
-  /// Parallel to nodes_; points into able_, or null if the node is not eligible.
+  /// Parallel to nodes_; points into eligible_, or null if the node is not eligible.
   std::vector<const std::vector<GroupName>*> unreachable_;
   std::unordered_map<GroupName, Order> orders_;
 };
--- a/src/declared/control/follow/config_replica.cpp
+++ b/src/declared/control/follow/config_replica.cpp
@@ -18,7 +18,7 @@
     runtime_.logger().log(runtime::LogLevel::kError, "change_not_readable", reason, {});
   }
   outcomes_.insert_or_assign(index, std::move(outcome));
-  if (outcomes_.size() > kOutcomesKept) outcomes_.erase(outcomes_.begin());
+  if (outcomes_.size() > kMaxRetainedOutcomes) outcomes_.erase(outcomes_.begin());
   record_revision();
 }
 
@@ -31,7 +31,7 @@
 void ConfigReplica::record_revision() {
   if (!revision_times_.empty() && revision_times_.back().revision >= machine_.revision()) return;
   revision_times_.push_back({machine_.revision(), runtime_.now()});
-  if (revision_times_.size() > kRevisionTimesKept) revision_times_.pop_front();
+  if (revision_times_.size() > kMaxRetainedRevisionTimes) revision_times_.pop_front();
   changed_.notify_all();
 }
 
--- a/src/declared/control/follow/config_replica.h
+++ b/src/declared/control/follow/config_replica.h
@@ -32,7 +32,7 @@
   [[nodiscard]] std::optional<config::ConfigChanges> changes_since(std::uint64_t revision) const override {
     return machine_.changes_since(revision);
   }
-  /// The outcome of the change committed at a log index; kept for the last kOutcomesKept changes.
+  /// The outcome of the change committed at a log index; kept for the last kMaxRetainedOutcomes changes.
   [[nodiscard]] std::optional<config::ChangeOutcome> outcome_at(std::uint64_t index) const;
   /// The highest revision that this node had applied by `time`; 0 when none of those kept.
   [[nodiscard]] std::uint64_t revision_at(TimePoint time) const;
--- a/src/declared/control/follow/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -8,7 +8,7 @@
 namespace cairnhollow::declared::control {
 
 FollowServer::FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
-                           ConfigView& configuration, NewsDirectory& directory)
+                           ConfigView& configuration, ClusterStateDirectory& directory)
     : runtime_(runtime),
       serving_lease_(serving_lease),
       barrier_(barrier),
@@ -224,7 +224,7 @@
 
 bool FollowServer::has_room(std::size_t update_bytes) const {
   return update_bytes < kLargeUpdateBytes || large_bytes_ == 0 ||
-         large_bytes_ + update_bytes <= kLargeUpdateBytesAtOnce;
+         large_bytes_ + update_bytes <= kMaxLargeUpdateBytesInFlight;
 }
 
 void FollowServer::send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer) {
@@ -260,7 +260,7 @@
 
 Awaitable<void> FollowServer::limit_large_update(std::shared_ptr<Follower> follower,
                                                  std::uint64_t large_number) {
-  co_await runtime_.sleep_for(kLargeUpdateLimit);
+  co_await runtime_.sleep_for(kLargeUpdateTimeout);
   for (const auto& outgoing : follower->outgoing) {
     if (outgoing.large_number == large_number) follower->connection->close();
   }
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -15,7 +15,7 @@
 #include "declared/control/follow/follower_registry.h"
 #include "declared/control/follow/renewal_barrier.h"
 #include "declared/control/follow/update_encoder.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 #include "runtime/runtime.h"
 #include "wire/hello.h"
 
@@ -34,13 +34,13 @@
 /// read barrier. A newer question on a connection replaces an open one. When a barrier fails, all
 /// questions due are refused at once. Of those that it confirms, renewals are answered before first
 /// configurations, which then follow one in each turn of the event loop. Large updates on their way are
-/// bounded (kLargeUpdateBytesAtOnce), so that many first configurations neither fill the memory nor hold up
-/// the renewals of those who serve; who asks for one more gets kOverloaded at once and comes back. What it
+/// bounded (kMaxLargeUpdateBytesInFlight), so that many first configurations neither fill the memory nor hold
+/// up the renewals of those who serve; who asks for one more gets kOverloaded at once and comes back. What it
 /// refers to outlives it; it lives until the process ends.
 class FollowServer {
  public:
   FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
-               ConfigView& configuration, NewsDirectory& directory);
+               ConfigView& configuration, ClusterStateDirectory& directory);
 
   void start();
   /// Refuses every open question with kDraining and closes the connections.
@@ -65,7 +65,7 @@
   };
   struct Outgoing {
     std::string frame;               ///< an encoded answer
-    std::size_t large_bytes = 0;     ///< what it takes of kLargeUpdateBytesAtOnce
+    std::size_t large_bytes = 0;     ///< what it takes of kMaxLargeUpdateBytesInFlight
     std::uint64_t large_number = 0;  ///< of a large one, counted up from 1
   };
   struct Follower {
@@ -103,14 +103,14 @@
   [[nodiscard]] bool has_room(std::size_t update_bytes) const;
   void send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer);
   void release(const Outgoing& outgoing);
-  /// Closes the connection when the large update is still not sent after kLargeUpdateLimit.
+  /// Closes the connection when the large update is still not sent after kLargeUpdateTimeout.
   Awaitable<void> limit_large_update(std::shared_ptr<Follower> follower, std::uint64_t large_number);
 
   runtime::Runtime& runtime_;
   Duration serving_lease_;
   RenewalBarrier& barrier_;
   ConfigView& configuration_;
-  NewsDirectory& directory_;
+  ClusterStateDirectory& directory_;
   UpdateEncoder encoder_;
   FollowerRegistry registry_;
   FollowServerStatistics statistics_;
--- a/src/declared/control/follow/follower_registry.cpp
+++ b/src/declared/control/follow/follower_registry.cpp
@@ -27,8 +27,9 @@
 }
 
 void FollowerRegistry::forget_lapsed(TimePoint now) {
-  std::erase_if(followers_,
-                [&](const auto& entry) { return entry.second.lease_until + kLapsedFollowerKept < now; });
+  std::erase_if(followers_, [&](const auto& entry) {
+    return entry.second.lease_until + kExpiredFollowerRetention < now;
+  });
 }
 
 std::vector<FollowerStatus> FollowerRegistry::list() const {
--- a/src/declared/control/follow/update_encoder.h
+++ b/src/declared/control/follow/update_encoder.h
@@ -7,14 +7,14 @@
 #include <string>
 
 #include "declared/control/follow/config_view.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 
 namespace cairnhollow::declared::control {
 
 /// `configuration` and `directory` outlive it.
 class UpdateEncoder {
  public:
-  UpdateEncoder(const ConfigView& configuration, const NewsDirectory& directory)
+  UpdateEncoder(const ConfigView& configuration, const ClusterStateDirectory& directory)
       : configuration_(configuration), directory_(directory) {}
 
   /// An encoded FollowUpdate that brings a follower from (revision, news version) to the present; empty
@@ -34,7 +34,7 @@
   std::string encode_since(const Place& from);
 
   const ConfigView& configuration_;
-  const NewsDirectory& directory_;
+  const ClusterStateDirectory& directory_;
   Place present_;
   std::map<Place, std::string> updates_;  ///< from each place to `present_`
   std::uint64_t encoded_ = 0;
--- a/src/declared/control/knobs.h
+++ b/src/declared/control/knobs.h
@@ -20,38 +20,38 @@
 /// Limit on the total size of the large updates in flight, except that a single update of any size is
 /// allowed. Further requesters are told to retry. Bounds the memory and the time for which the loop writes
 /// before it renews leases.
-inline constexpr std::size_t kLargeUpdateBytesAtOnce = std::size_t{8} * 1024 * 1024;
+inline constexpr std::size_t kMaxLargeUpdateBytesInFlight = std::size_t{8} * 1024 * 1024;
 /// Time limit for a follower to receive a large update; it is disconnected after that. A follower that
 /// receives none of it tries another node long before.
-inline constexpr Duration kLargeUpdateLimit = std::chrono::seconds(5);
+inline constexpr Duration kLargeUpdateTimeout = std::chrono::seconds(5);
 /// The clock rates of two machines differ by less than one part in this many (leases, Gray and Cheriton
 /// 1989).
 inline constexpr int kClockDriftDivisor = 50;
 /// How long a proxy stays listed after its lease expires.
-inline constexpr Duration kLapsedFollowerKept = std::chrono::seconds(60);
+inline constexpr Duration kExpiredFollowerRetention = std::chrono::seconds(60);
 
 // Messages between control nodes.
 /// Longest interval between two messages to a peer; the messages also serve as heartbeats.
-inline constexpr Duration kNewsInterval = std::chrono::milliseconds(100);
+inline constexpr Duration kPeerMessageInterval = std::chrono::milliseconds(100);
 /// Delay before reconnecting to a node that refused the Hello: one of the two must be upgraded first.
-inline constexpr Duration kRefusedNewsPause = std::chrono::seconds(5);
+inline constexpr Duration kRefusedPeerRetryDelay = std::chrono::seconds(5);
 /// A control node that has been silent for this long is not eligible to supervise groups.
 inline constexpr Duration kPeerSilenceLimit = std::chrono::milliseconds(450);
 /// A connection without acknowledgements for this long is closed and reopened.
-inline constexpr Duration kNewsAcknowledgementLimit = std::chrono::seconds(1);
+inline constexpr Duration kPeerAcknowledgementTimeout = std::chrono::seconds(1);
 /// A node that has been unreachable for this long is dropped until it is named again.
-inline constexpr Duration kUnreachablePeerKept = std::chrono::minutes(10);
+inline constexpr Duration kUnreachablePeerRetention = std::chrono::minutes(10);
 /// Time limit for connecting to another control node.
-inline constexpr Duration kNewsConnectTimeout = std::chrono::milliseconds(300);
+inline constexpr Duration kPeerConnectTimeout = std::chrono::milliseconds(300);
 
 // Group monitor.
 /// Number of control nodes that probe a group: its supervisor and those next in line.
 inline constexpr std::size_t kMonitorsPerGroup = 2;
 /// Lower bound of the probe interval per monitored member of the node, so that the cost of a node does not
 /// grow with the number of databases. A suspicion reported by a proxy still triggers a probe immediately.
-inline constexpr Duration kProbeCost = std::chrono::milliseconds(2);
+inline constexpr Duration kProbeIntervalPerMember = std::chrono::milliseconds(2);
 /// Number of probes that a primary must miss before it counts as silent.
-inline constexpr int kProbesMissed = 3;
+inline constexpr int kMissedProbesUntilSilent = 3;
 /// Longest interval between two evaluations of a group; each probe result also triggers one.
 inline constexpr Duration kMonitorTick = std::chrono::milliseconds(100);
 /// A tick later than this means that the loop was stalled; earlier observations are discarded as too old.
@@ -68,7 +68,7 @@
 /// Probe interval while a primary is suspected to have failed.
 inline constexpr Duration kUrgentProbeInterval = std::chrono::milliseconds(25);
 /// A suspicion expires after this time unless a failed probe confirms it.
-inline constexpr Duration kSuspicionLimit = std::chrono::seconds(1);
+inline constexpr Duration kSuspicionTimeout = std::chrono::seconds(1);
 
 // Failover.
 /// How long to wait for the remaining fence responses once a majority has granted the fence.
@@ -84,17 +84,17 @@
 inline constexpr Duration kFailoverBackoffLimit = std::chrono::seconds(2);
 inline constexpr std::uint32_t kBackoffDoublings = 8;
 /// Time limit of a switchover that the node starts by itself.
-inline constexpr Duration kPlannedLimit = std::chrono::seconds(5);
+inline constexpr Duration kSwitchoverTimeout = std::chrono::seconds(5);
 /// Time limit for the target of a planned switchover to catch up.
-inline constexpr Duration kCatchUpLimit = std::chrono::seconds(3);
+inline constexpr Duration kCatchUpTimeout = std::chrono::seconds(3);
 /// Interval at which the progress of the target is polled.
-inline constexpr Duration kCatchUpPause = std::chrono::milliseconds(2);
+inline constexpr Duration kCatchUpPollInterval = std::chrono::milliseconds(2);
 
 // Configuration.
 /// Number of outcomes of applied changes kept for the coroutines that proposed them.
-inline constexpr std::size_t kOutcomesKept = 4096;
+inline constexpr std::size_t kMaxRetainedOutcomes = 4096;
 /// Number of revisions whose application time is kept for the in-force report.
-inline constexpr std::size_t kRevisionTimesKept = 4096;
+inline constexpr std::size_t kMaxRetainedRevisionTimes = 4096;
 
 // Repair of the consensus group.
 /// Interval at which the voters are checked.
@@ -106,7 +106,7 @@
 /// of the voter.
 inline constexpr Duration kVoterWipedAfter = std::chrono::seconds(2);
 /// Time limit for a standby to catch up and become a voter.
-inline constexpr Duration kRepairLimit = std::chrono::seconds(60);
+inline constexpr Duration kRepairTimeout = std::chrono::seconds(60);
 
 // Platform.
 /// Time limit of one request for the list of machines.
@@ -116,6 +116,6 @@
 inline constexpr int kPollJitterDivisor = 4;
 
 // Events.
-inline constexpr std::size_t kEventsKept = 2000;
+inline constexpr std::size_t kMaxRetainedEvents = 2000;
 
 }  // namespace cairnhollow::declared::control
--- a/src/declared/control/machines/platform_poller.cpp
+++ b/src/declared/control/machines/platform_poller.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 PlatformPoller::PlatformPoller(runtime::Runtime& runtime, Endpoint platform, Duration interval,
-                               NewsDirectory& directory, EventLog& events)
+                               ClusterStateDirectory& directory, EventLog& events)
     : runtime_(runtime),
       platform_(std::move(platform)),
       interval_(interval),
@@ -38,7 +38,7 @@
     const auto listed = co_await fetch(reason);
     if (stopping_) co_return;
     if (listed) {
-      take_list(*listed);
+      apply_list(*listed);
     } else {
       record_failure(reason);
     }
@@ -67,7 +67,7 @@
   co_return parse_machine_list(response->body, reason);
 }
 
-void PlatformPoller::take_list(const MachineStates& listed) {
+void PlatformPoller::apply_list(const MachineStates& listed) {
   answering_ = true;
   const auto before = directory_.leaving();
   const auto leaving = leaving_machines(before, listed);
--- a/src/declared/control/machines/platform_poller.h
+++ b/src/declared/control/machines/platform_poller.h
@@ -4,7 +4,7 @@
 #include <memory>
 
 #include "declared/control/machines/machine_list.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 #include "declared/control/operator/event_log.h"
 #include "runtime/runtime.h"
 #include "runtime/signal.h"
@@ -15,8 +15,8 @@
 /// outlive this object, which must live until the process ends.
 class PlatformPoller {
  public:
-  PlatformPoller(runtime::Runtime& runtime, Endpoint platform, Duration interval, NewsDirectory& directory,
-                 EventLog& events);
+  PlatformPoller(runtime::Runtime& runtime, Endpoint platform, Duration interval,
+                 ClusterStateDirectory& directory, EventLog& events);
 
   /// Does nothing without a platform endpoint (port 0).
   void start();
@@ -25,13 +25,13 @@
  private:
   Awaitable<void> run();
   Awaitable<std::optional<MachineStates>> fetch(Reason& reason);
-  void take_list(const MachineStates& listed);
+  void apply_list(const MachineStates& listed);
   void record_failure(const Reason& reason);
 
   runtime::Runtime& runtime_;
   Endpoint platform_;
   Duration interval_;
-  NewsDirectory& directory_;
+  ClusterStateDirectory& directory_;
   EventLog& events_;
   runtime::Signal wake_;
   std::shared_ptr<runtime::HttpConnection> connection_;
--- a/src/declared/control/news/news_directory.h
+++ b/src/declared/control/news/cluster_state_directory.h
@@ -16,9 +16,9 @@
 
 /// Each change increments a version number that is local to this process; followers request the changes since
 /// their version.
-class NewsDirectory {
+class ClusterStateDirectory {
  public:
-  explicit NewsDirectory(runtime::Runtime& runtime) : changed_(runtime) {}
+  explicit ClusterStateDirectory(runtime::Runtime& runtime) : changed_(runtime) {}
 
   /// Stores a group state if it is newer: a higher term, or the primary of a term known without one. Returns
   /// false if it was ignored.
--- a/src/declared/control/news/news_messages.h
+++ b/src/declared/control/news/news_messages.h
@@ -14,7 +14,7 @@
 
 /// Sent periodically and immediately after a change, in one direction: each node opens a connection to every
 /// other node. The first message on a connection lists all known groups, later ones only the changes.
-struct NewsMessage {
+struct PeerStatusMessage {
   consensus::Member sender;    ///< as it would join the consensus group
   Endpoint operator_endpoint;  ///< operator API endpoint of the sender
   bool standby = false;        ///< non-voter with a disk, waiting to be added as a voter
--- a/src/declared/control/news/peer_directory.cpp
+++ b/src/declared/control/news/peer_directory.cpp
@@ -8,7 +8,7 @@
 
 bool Peer::alive(TimePoint now) const { return now < heard_at + kPeerSilenceLimit; }
 
-void PeerDirectory::record_message(NewsMessage message, TimePoint now) {
+void PeerDirectory::record_message(PeerStatusMessage message, TimePoint now) {
   auto& peer = peers_[message.sender.node];
   message.groups.clear();
   message.suspects.clear();
--- a/src/declared/control/news/peer_directory.h
+++ b/src/declared/control/news/peer_directory.h
@@ -10,7 +10,7 @@
 namespace cairnhollow::declared::control {
 
 struct Peer {
-  NewsMessage last_message;  ///< without its `groups`, `suspects` and `known_nodes`
+  PeerStatusMessage last_message;  ///< without its `groups`, `suspects` and `known_nodes`
   TimePoint heard_at{};
   [[nodiscard]] bool alive(TimePoint now) const;
 };
@@ -18,7 +18,7 @@
 /// Keeps every node that has ever sent a message; their number is small.
 class PeerDirectory {
  public:
-  void record_message(NewsMessage message, TimePoint now);
+  void record_message(PeerStatusMessage message, TimePoint now);
 
   [[nodiscard]] std::optional<Peer> find(const NodeName& node) const;
   [[nodiscard]] const std::map<NodeName, Peer>& peers() const { return peers_; }
--- a/src/declared/control/news/news_exchange.cpp
+++ b/src/declared/control/news/peer_exchange.cpp
@@ -1,4 +1,4 @@
-#include "declared/control/news/news_exchange.h"
+#include "declared/control/news/peer_exchange.h"
 
 #include <utility>
 
@@ -7,8 +7,8 @@
 
 namespace cairnhollow::declared::control {
 
-NewsExchange::NewsExchange(runtime::Runtime& runtime, wire::Hello hello, Endpoint self,
-                           NewsDirectory& directory, std::function<NewsMessage()> describe)
+PeerExchange::PeerExchange(runtime::Runtime& runtime, wire::Hello hello, Endpoint self,
+                           ClusterStateDirectory& directory, std::function<PeerStatusMessage()> describe)
     : runtime_(runtime),
       hello_(std::move(hello)),
       self_(std::move(self)),
@@ -18,7 +18,7 @@
   hello_.conversation = wire::Conversation::kNews;
 }
 
-void NewsExchange::talk_to(const Endpoint& endpoint) {
+void PeerExchange::add_peer(const Endpoint& endpoint) {
   if (stopping_ || endpoint == self_ || outgoing_.contains(endpoint)) return;
   auto outgoing = std::make_shared<Outgoing>();
   outgoing->endpoint = endpoint;
@@ -30,7 +30,7 @@
   runtime_.spawn("news_forwarder", forward_directory_changes());
 }
 
-void NewsExchange::stop() {
+void PeerExchange::stop() {
   stopping_ = true;
   for (const auto& [endpoint, outgoing] : outgoing_) {
     if (outgoing->connection) outgoing->connection->close();
@@ -40,44 +40,44 @@
   directory_.changed().notify_all();
 }
 
-Awaitable<void> NewsExchange::forward_directory_changes() {
+Awaitable<void> PeerExchange::forward_directory_changes() {
   while (!stopping_) {
     co_await directory_.changed().wait();
     wake_.notify_all();
   }
 }
 
-void NewsExchange::spread_suspect(const follow::SuspectPrimary& suspect) {
+void PeerExchange::forward_suspicion(const follow::SuspectPrimary& suspect) {
   for (const auto& [endpoint, outgoing] : outgoing_) {
     if (outgoing->connection) outgoing->suspects.push_back(suspect);
   }
   wake_.notify_all();
 }
 
-Awaitable<void> NewsExchange::run(std::shared_ptr<Outgoing> outgoing) {
+Awaitable<void> PeerExchange::run(std::shared_ptr<Outgoing> outgoing) {
   while (!stopping_) {
     Reason reason;
-    const TimePoint deadline = runtime_.now() + kNewsConnectTimeout;
+    const TimePoint deadline = runtime_.now() + kPeerConnectTimeout;
     outgoing->connection = co_await runtime_.network().connect(outgoing->endpoint, deadline, reason);
     if (outgoing->connection) {
       outgoing->directory_version = 0;
       outgoing->known_nodes_sent.clear();
       outgoing->acknowledged_at = runtime_.now();
       runtime_.spawn("news_acknowledgements", read_acknowledgements(outgoing, outgoing->connection));
-      co_await talk(outgoing);
+      co_await send_messages(outgoing);
       outgoing->connection->close();
       outgoing->connection.reset();
       outgoing->suspects.clear();
       outgoing->connected_at = runtime_.now();
     }
-    if (runtime_.now() > outgoing->connected_at + kUnreachablePeerKept) break;
-    const Duration pause = outgoing->refused ? kRefusedNewsPause : kNewsInterval;
+    if (runtime_.now() > outgoing->connected_at + kUnreachablePeerRetention) break;
+    const Duration pause = outgoing->refused ? kRefusedPeerRetryDelay : kPeerMessageInterval;
     if (!stopping_) co_await runtime_.sleep_for(pause);
   }
   outgoing_.erase(outgoing->endpoint);
 }
 
-Awaitable<void> NewsExchange::read_acknowledgements(std::shared_ptr<Outgoing> outgoing,
+Awaitable<void> PeerExchange::read_acknowledgements(std::shared_ptr<Outgoing> outgoing,
                                                     std::shared_ptr<runtime::FrameConnection> connection) {
   while (true) {
     Reason reason;
@@ -94,7 +94,7 @@
   connection->close();
 }
 
-Awaitable<void> NewsExchange::talk(std::shared_ptr<Outgoing> outgoing) {
+Awaitable<void> PeerExchange::send_messages(std::shared_ptr<Outgoing> outgoing) {
   Reason reason;
   const bool greeted = co_await outgoing->connection->send(outgoing->greeting.next_frame(hello_), reason);
   if (!greeted) co_return;
@@ -102,8 +102,8 @@
     const bool sent = co_await send_message(outgoing);
     if (!sent) co_return;
     // A network partition can leave a TCP connection open for minutes: close it and reconnect.
-    if (runtime_.now() > outgoing->acknowledged_at + kNewsAcknowledgementLimit) co_return;
-    const TimePoint next = runtime_.now() + kNewsInterval;
+    if (runtime_.now() > outgoing->acknowledged_at + kPeerAcknowledgementTimeout) co_return;
+    const TimePoint next = runtime_.now() + kPeerMessageInterval;
     while (!stopping_ && outgoing->suspects.empty() && outgoing->directory_version == directory_.version()) {
       const bool notified = co_await wake_.wait_until(next);
       if (!notified) break;
@@ -111,8 +111,8 @@
   }
 }
 
-Awaitable<bool> NewsExchange::send_message(std::shared_ptr<Outgoing> outgoing) {
-  NewsMessage message = describe_();
+Awaitable<bool> PeerExchange::send_message(std::shared_ptr<Outgoing> outgoing) {
+  PeerStatusMessage message = describe_();
   message.groups = directory_.changed_since(outgoing->directory_version);
   message.suspects = std::exchange(outgoing->suspects, {});
   outgoing->directory_version = directory_.version();
@@ -126,16 +126,16 @@
   co_return sent;
 }
 
-Awaitable<void> NewsExchange::serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello) {
+Awaitable<void> PeerExchange::serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello) {
   const std::uint64_t order = next_incoming_++;
   incoming_.emplace(order, connection);
   while (!stopping_) {
     Reason reason;
     const auto frame = co_await connection->receive(reason);
     if (!frame) break;
-    auto message = wire::decode<NewsMessage>(*frame, reason);
+    auto message = wire::decode<PeerStatusMessage>(*frame, reason);
     if (!message || message->sender.node != hello.node) break;
-    take_message(std::move(*message));
+    handle_message(std::move(*message));
     const bool acknowledged = co_await connection->send(std::string(), reason);
     if (!acknowledged) break;
   }
@@ -143,7 +143,7 @@
   connection->close();
 }
 
-std::vector<Endpoint> NewsExchange::known_nodes() const {
+std::vector<Endpoint> PeerExchange::known_nodes() const {
   std::vector<Endpoint> known;
   for (const auto& [node, peer] : peers_.peers()) {
     if (peer.alive(runtime_.now())) known.push_back(peer.last_message.sender.endpoint);
@@ -151,9 +151,9 @@
   return known;
 }
 
-void NewsExchange::take_message(NewsMessage message) {
-  talk_to(message.sender.endpoint);
-  for (const auto& endpoint : message.known_nodes) talk_to(endpoint);
+void PeerExchange::handle_message(PeerStatusMessage message) {
+  add_peer(message.sender.endpoint);
+  for (const auto& endpoint : message.known_nodes) add_peer(endpoint);
   for (const auto& state : message.groups) directory_.learn(state);
   if (on_suspect_) {
     for (const auto& suspect : message.suspects) on_suspect_(suspect);
--- a/src/declared/control/news/news_exchange.h
+++ b/src/declared/control/news/peer_exchange.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 #include "declared/control/news/news_messages.h"
 #include "declared/control/news/peer_directory.h"
 #include "runtime/runtime.h"
@@ -17,22 +17,22 @@
 
 /// Keeps one outgoing connection to each known control node and reconnects when it breaks. Objects passed by
 /// reference must outlive this object, which must live until the process ends.
-class NewsExchange {
+class PeerExchange {
  public:
   /// `describe` returns a message with all fields set except `groups`, `suspects` and `known_nodes`.
-  NewsExchange(runtime::Runtime& runtime, wire::Hello hello, Endpoint self, NewsDirectory& directory,
-               std::function<NewsMessage()> describe);
+  PeerExchange(runtime::Runtime& runtime, wire::Hello hello, Endpoint self, ClusterStateDirectory& directory,
+               std::function<PeerStatusMessage()> describe);
 
   /// Adds the node at `endpoint` as a peer; no effect if it is already known or is this node. A peer that is
-  /// unreachable for kUnreachablePeerKept is dropped until it is added again.
-  void talk_to(const Endpoint& endpoint);
+  /// unreachable for kUnreachablePeerRetention is dropped until it is added again.
+  void add_peer(const Endpoint& endpoint);
   /// Closes all connections and ends the coroutines.
   void stop();
   /// Processes the messages of an incoming connection until it closes. Closes it if a message names a sender
   /// other than the node in `hello`.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
   /// Forwards a suspicion reported by a proxy to all connected peers immediately.
-  void spread_suspect(const follow::SuspectPrimary& suspect);
+  void forward_suspicion(const follow::SuspectPrimary& suspect);
 
   /// `callback` is called for each suspicion received from another control node.
   void on_suspect(std::function<void(const follow::SuspectPrimary&)> callback) {
@@ -55,19 +55,19 @@
   };
 
   Awaitable<void> run(std::shared_ptr<Outgoing> outgoing);
-  Awaitable<void> talk(std::shared_ptr<Outgoing> outgoing);
+  Awaitable<void> send_messages(std::shared_ptr<Outgoing> outgoing);
   Awaitable<bool> send_message(std::shared_ptr<Outgoing> outgoing);
   Awaitable<void> read_acknowledgements(std::shared_ptr<Outgoing> outgoing,
                                         std::shared_ptr<runtime::FrameConnection> connection);
   Awaitable<void> forward_directory_changes();
-  void take_message(NewsMessage message);
+  void handle_message(PeerStatusMessage message);
   [[nodiscard]] std::vector<Endpoint> known_nodes() const;
 
   runtime::Runtime& runtime_;
   wire::Hello hello_;
   Endpoint self_;
-  NewsDirectory& directory_;
-  std::function<NewsMessage()> describe_;
+  ClusterStateDirectory& directory_;
+  std::function<PeerStatusMessage()> describe_;
   std::function<void(const follow::SuspectPrimary&)> on_suspect_;
   PeerDirectory peers_;
   std::map<Endpoint, std::shared_ptr<Outgoing>> outgoing_;
--- a/src/declared/control/operator/event_log.cpp
+++ b/src/declared/control/operator/event_log.cpp
@@ -26,7 +26,7 @@
                           {{"subject", event.subject}, {"message", event.message}});
   }
   events_.push_back(std::move(event));
-  if (events_.size() > kEventsKept) events_.pop_front();
+  if (events_.size() > kMaxRetainedEvents) events_.pop_front();
 }
 
 void EventLog::record(std::string kind, std::string subject, std::string message, Reason cause) {
--- a/src/declared/control/operator/event_log.h
+++ b/src/declared/control/operator/event_log.h
@@ -10,7 +10,7 @@
 
 namespace cairnhollow::declared::control {
 
-/// Keeps the last kEventsKept events. `runtime` outlives it.
+/// Keeps the last kMaxRetainedEvents events. `runtime` outlives it.
 class EventLog : public EventSource {
  public:
   EventLog(runtime::Runtime& runtime, NodeName node) : runtime_(runtime), node_(std::move(node)) {}
--- a/src/declared/control/operator/fleet_status.h
+++ b/src/declared/control/operator/fleet_status.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "declared/control/follow/follow_server.h"
-#include "declared/control/news/news_exchange.h"
+#include "declared/control/news/peer_exchange.h"
 #include "declared/control/operator/operator_sources.h"
 
 namespace cairnhollow::declared::control {
--- a/src/declared/control/operator/relay_operator_service.cpp
+++ b/src/declared/control/operator/relay_operator_service.cpp
@@ -13,8 +13,8 @@
   status.revision = configuration_.revision();
   status.groups = core_.groups().group_status();
   status.proxies =
-      proxy_status(core_.follow_server().registry(), core_.news().peers(), node(), runtime_.now());
-  status.other_control_nodes = nodes_beside({}, peer_status(core_.news().peers(), runtime_.now()));
+      proxy_status(core_.follow_server().registry(), core_.peer_exchange().peers(), node(), runtime_.now());
+  status.other_control_nodes = nodes_beside({}, peer_status(core_.peer_exchange().peers(), runtime_.now()));
   status.leaving = core_.groups().leaving_machines();
   co_return status;
 }
@@ -34,7 +34,7 @@
 }
 
 std::optional<Endpoint> RelayOperatorService::leader_operator_endpoint() const {
-  for (const auto& [peer_node, peer] : core_.news().peers().peers()) {
+  for (const auto& [peer_node, peer] : core_.peer_exchange().peers().peers()) {
     const auto& message = peer.last_message;
     const bool has_log = !message.sender.identity.empty() && !message.standby;
     if (has_log && peer.alive(runtime_.now())) return message.operator_endpoint;
--- a/src/declared/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -28,15 +28,15 @@
         configuration_(runtime, client_, settings_.feature_level),
         barrier_(client_),
         core_(runtime, settings_, configuration_, barrier_,
-              [](NewsMessage& message) { message.sender.role = consensus::MemberRole::kLearner; }),
+              [](PeerStatusMessage& message) { message.sender.role = consensus::MemberRole::kLearner; }),
         health_(
             runtime, configuration_, core_.follow_server(), core_.groups(),
-            [this](Reason& reason) { return follows(reason); }, [](runtime::Metrics& /*metrics*/) {}),
+            [this](Reason& reason) { return has_valid_lease(reason); }, [](runtime::Metrics& /*metrics*/) {}),
         operator_service_(runtime, settings_.node, core_, configuration_, health_),
         operator_api_(make_operator_api(runtime, operator_service_)) {}
 
   Awaitable<bool> start(Reason& reason) override {
-    client_.on_change([this](const follow::AnswerEffect& effect) { take_change(effect); });
+    client_.on_change([this](const follow::AnswerEffect& effect) { apply_change(effect); });
     client_.start();
     core_.start();
     if (!core_.listen(reason)) co_return false;
@@ -53,12 +53,12 @@
     operator_server_->stop_accepting();
     core_.stop();
     client_.stop();
-    core_.stop_news();
+    core_.stop_peer_exchange();
     co_return;
   }
 
  private:
-  void take_change(const follow::AnswerEffect& effect) {
+  void apply_change(const follow::AnswerEffect& effect) {
     configuration_.record_answer(effect);
     if (effect.groups) {
       for (const auto& [group, state] : client_.current().groups) core_.directory().learn(state);
@@ -66,7 +66,7 @@
     if (effect.leaving) core_.directory().set_leaving(client_.current().leaving);
   }
 
-  bool follows(Reason& reason) const {
+  bool has_valid_lease(Reason& reason) const {
     if (client_.lease_valid(runtime_.now())) return true;
     reason = client_.last_failure();
     if (!reason.failed())
--- a/src/declared/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -28,7 +28,7 @@
 Awaitable<void> VoterRepair::run() {
   while (!stopping_) {
     const TimePoint now = runtime_.now();
-    const auto lost = find_lost(now);
+    const auto lost = find_lost_voter(now);
     std::optional<consensus::Member> standby;
     if (lost) standby = find_standby(*lost, now);
     if (standby) co_await replace(*lost, *standby);
@@ -36,12 +36,12 @@
   }
 }
 
-std::optional<consensus::Member> VoterRepair::find_lost(TimePoint now) {
+std::optional<consensus::Member> VoterRepair::find_lost_voter(TimePoint now) {
   const consensus::ConsensusStatus status = consensus_.status();
   // If this node was frozen or was not the leader, it does not know how long a voter has been silent.
-  const bool looked_lately = now - last_look_ < 2 * kRepairTick;
-  last_look_ = now;
-  if (status.state != consensus::ServerState::kLeader || !looked_lately) heard_at_.clear();
+  const bool checked_recently = now - last_check_at_ < 2 * kRepairTick;
+  last_check_at_ = now;
+  if (status.state != consensus::ServerState::kLeader || !checked_recently) heard_at_.clear();
   if (status.state != consensus::ServerState::kLeader) return std::nullopt;
   std::optional<consensus::Member> lost;
   for (const auto& member : status.members) {
@@ -86,7 +86,7 @@
   events_.record("voter_lost", subject, fmt::format("{}; replacing it with {}", loss, replacement));
   standby.role = consensus::MemberRole::kVoter;
   Reason reason;
-  const TimePoint deadline = runtime_.now() + kRepairLimit;
+  const TimePoint deadline = runtime_.now() + kRepairTimeout;
   const NodeName node = lost.node;
   const bool replaced = co_await consensus_.replace_member(node, standby, deadline, reason);
   if (replaced) {
--- a/src/declared/control/voter_repair.h
+++ b/src/declared/control/voter_repair.h
@@ -26,7 +26,7 @@
   Awaitable<void> run();
   /// Updates heard_at_ and returns a lost voter; std::nullopt if this node is not the leader or no voter is
   /// lost.
-  std::optional<consensus::Member> find_lost(TimePoint now);
+  std::optional<consensus::Member> find_lost_voter(TimePoint now);
   /// Returns true if the node of this voter is live under a new identity, that is, with an empty disk.
   [[nodiscard]] bool is_wiped(const consensus::Member& voter, TimePoint now) const;
   [[nodiscard]] std::optional<consensus::Member> find_standby(const consensus::Member& lost,
@@ -40,7 +40,7 @@
   runtime::Signal wake_;
   /// When each voter was last heard from. Cleared when this node is not the leader or after it was stalled.
   std::map<NodeName, TimePoint> heard_at_;
-  TimePoint last_look_{};
+  TimePoint last_check_at_{};
   bool stopping_ = false;
 };
 
--- a/tests/declared/control/control_fleet.cpp
+++ b/tests/declared/control/control_fleet.cpp
@@ -138,7 +138,7 @@
     connected_to_ = state;
   }
   if (!connection_) {
-    suspect(state);
+    report_suspicion(state);
     co_return false;
   }
   backend::Statement statement;
@@ -152,11 +152,11 @@
   const auto connection = connection_;
   const auto answer = co_await connection->execute(statement, requirements, reason);
   if (std::holds_alternative<backend::Written>(answer)) co_return true;
-  if (!std::holds_alternative<backend::Busy>(answer)) suspect(state);
+  if (!std::holds_alternative<backend::Busy>(answer)) report_suspicion(state);
   co_return false;
 }
 
-void Writer::suspect(const follow::GroupState& state) {
+void Writer::report_suspicion(const follow::GroupState& state) {
   follower_.report_suspect(follow::SuspectPrimary{state.group, state.primary, state.term});
 }
 
--- a/tests/declared/control/control_fleet.h
+++ b/tests/declared/control/control_fleet.h
@@ -31,7 +31,7 @@
  private:
   Awaitable<void> run();
   Awaitable<bool> write_once();
-  void suspect(const follow::GroupState& state);
+  void report_suspicion(const follow::GroupState& state);
 
   runtime::Runtime& runtime_;
   follow::FollowClient follower_;
--- a/tests/declared/control/failover/failover_simulation_test.cpp
+++ b/tests/declared/control/failover/failover_simulation_test.cpp
@@ -12,33 +12,33 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t kSeeds = 4;
-constexpr Duration kKilledGap = seconds(1);
-constexpr Duration kCutGap = milliseconds(1500);
-constexpr Duration kSlowSync = milliseconds(450);
+constexpr Duration kMaxGapAfterKill = seconds(1);
+constexpr Duration kMaxGapAfterPartition = milliseconds(1500);
+constexpr Duration kSlowSyncDelay = milliseconds(450);
 
 class FailoverSimulationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FailoverSimulationTest);
-  CPPUNIT_TEST(test_first_primary_is_elected);
-  CPPUNIT_TEST(test_killed_primary);
-  CPPUNIT_TEST(test_events_name_subject_and_cause);
-  CPPUNIT_TEST(test_each_attempt_is_announced_with_what_was_seen);
-  CPPUNIT_TEST(test_phases_stand_in_order_with_who_granted_and_why_elections_were_held);
-  CPPUNIT_TEST(test_frozen_primary_is_replaced_and_comes_back_as_replica);
-  CPPUNIT_TEST(test_primary_cut_from_everyone);
-  CPPUNIT_TEST(test_primary_cut_from_its_replicas_only);
-  CPPUNIT_TEST(test_replicas_whose_disks_sync_slowly_take_over);
-  CPPUNIT_TEST(test_restarted_primary_gives_up_the_role);
-  CPPUNIT_TEST(test_primary_and_supervisor_killed_together);
-  CPPUNIT_TEST(test_second_primary_killed_right_after_the_first);
-  CPPUNIT_TEST(test_message_loss_replaces_nobody);
-  CPPUNIT_TEST(test_control_nodes_that_do_not_hear_each_other);
-  CPPUNIT_TEST(test_thawed_control_node_replaces_nobody);
-  CPPUNIT_TEST(test_failover_without_a_configuration_quorum);
-  CPPUNIT_TEST(test_control_node_cut_off_gives_no_lease);
+  CPPUNIT_TEST(elects_first_primary);
+  CPPUNIT_TEST(replaces_killed_primary);
+  CPPUNIT_TEST(events_name_subject_and_cause);
+  CPPUNIT_TEST(records_observations_of_each_attempt);
+  CPPUNIT_TEST(records_phases_in_order_with_grants_and_election_causes);
+  CPPUNIT_TEST(replaces_frozen_primary_which_returns_as_replica);
+  CPPUNIT_TEST(replaces_isolated_primary);
+  CPPUNIT_TEST(replaces_primary_cut_off_from_replicas_only);
+  CPPUNIT_TEST(fails_over_to_replicas_with_slow_disk_sync);
+  CPPUNIT_TEST(restarted_primary_gives_up_its_role);
+  CPPUNIT_TEST(fails_over_when_primary_and_supervisor_are_killed);
+  CPPUNIT_TEST(replaces_second_primary_killed_after_first);
+  CPPUNIT_TEST(keeps_primary_under_message_loss);
+  CPPUNIT_TEST(fails_over_while_control_nodes_are_partitioned);
+  CPPUNIT_TEST(thawed_control_node_keeps_primary);
+  CPPUNIT_TEST(fails_over_without_configuration_quorum);
+  CPPUNIT_TEST(isolated_control_node_grants_no_lease);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_first_primary_is_elected() {
+  void elects_first_primary() {
     ControlFleet fleet(1);
     fleet.start();
     CPPUNIT_ASSERT(fleet.writer().acknowledged().size() >= 20);
@@ -46,20 +46,20 @@
     CPPUNIT_ASSERT(fleet.world().faults().empty());
   }
 
-  void test_killed_primary() {
+  void replaces_killed_primary() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       fleet.world().kill(primary);
-      expect_replaced(fleet, primary, kKilledGap);
+      expect_replaced(fleet, primary, kMaxGapAfterKill);
     });
   }
 
-  void test_events_name_subject_and_cause() {
+  void events_name_subject_and_cause() {
     ControlFleet fleet(1);
     fleet.start();
     const std::string primary = fleet.primary();
     fleet.world().kill(primary);
-    expect_replaced(fleet, primary, kKilledGap);
+    expect_replaced(fleet, primary, kMaxGapAfterKill);
     std::vector<FleetEvent> promotions;
     for (const auto& name : fleet.controls()) {
       std::uint64_t last_number = 0;
@@ -80,12 +80,12 @@
     CPPUNIT_ASSERT(failover->message.find("; fence ") != std::string::npos);
   }
 
-  void test_phases_stand_in_order_with_who_granted_and_why_elections_were_held() {
+  void records_phases_in_order_with_grants_and_election_causes() {
     ControlFleet fleet(1);
     fleet.start();
     const std::string primary = fleet.primary();
     fleet.world().kill(primary);
-    expect_replaced(fleet, primary, kKilledGap);
+    expect_replaced(fleet, primary, kMaxGapAfterKill);
     std::vector<std::string> kinds;
     for (const auto& name : fleet.controls()) {
       for (const auto& event : fleet.events(name)) {
@@ -105,12 +105,12 @@
   }
 
   /// Operators read the detection time of a failover from its events.
-  void test_each_attempt_is_announced_with_what_was_seen() {
+  void records_observations_of_each_attempt() {
     ControlFleet fleet(1);
     fleet.start();
     const std::string primary = fleet.primary();
     fleet.world().vanish(primary);
-    expect_replaced(fleet, primary, kCutGap);
+    expect_replaced(fleet, primary, kMaxGapAfterPartition);
     const std::string seen = primary + " last answered ";
     std::size_t announced = 0;
     for (const auto& name : fleet.controls()) {
@@ -119,8 +119,8 @@
         ++announced;
         CPPUNIT_ASSERT_EQUAL(std::string("decks"), event.subject);
         CPPUNIT_ASSERT(event.message.starts_with("cause: primary_silent, found "));
-        // The cause must persist for FailoverLimits::not_refused; the failover starts then, not at the next
-        // tick.
+        // The cause must persist for FailoverLimits::unresponsive_primary; the failover starts then, not at
+        // the next tick.
         const auto held =
             std::stoi(event.message.substr(std::string("cause: primary_silent, found ").size()));
         CPPUNIT_ASSERT(held >= 350 && held <= 355);
@@ -129,18 +129,18 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, announced);
   }
 
-  void test_frozen_primary_is_replaced_and_comes_back_as_replica() {
+  void replaces_frozen_primary_which_returns_as_replica() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       fleet.world().freeze(primary);
-      expect_replaced(fleet, primary, kCutGap);
+      expect_replaced(fleet, primary, kMaxGapAfterPartition);
       fleet.world().thaw(primary);
       const std::uint64_t term = fleet.known().term;
       expect_settled(fleet, term, 3);
     });
   }
 
-  void test_primary_cut_from_everyone() {
+  void replaces_isolated_primary() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       for (const auto& name : fleet.controls()) fleet.cut(primary, name);
@@ -148,32 +148,32 @@
         if (name != primary) fleet.cut(primary, name);
       }
       fleet.cut(primary, "writer");
-      expect_replaced(fleet, primary, kCutGap);
+      expect_replaced(fleet, primary, kMaxGapAfterPartition);
       fleet.world().heal();
       expect_settled(fleet, fleet.known().term, 3);
     });
   }
 
-  void test_primary_cut_from_its_replicas_only() {
+  void replaces_primary_cut_off_from_replicas_only() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       for (const auto& name : fleet.databases()) {
         if (name != primary) fleet.cut(primary, name);
       }
-      expect_replaced(fleet, primary, kCutGap);
+      expect_replaced(fleet, primary, kMaxGapAfterPartition);
       fleet.world().heal();
       expect_settled(fleet, fleet.known().term, 3);
     });
   }
 
   /// A fence syncs the term to disk, which here takes longer than the call timeout of the first attempt.
-  void test_replicas_whose_disks_sync_slowly_take_over() {
+  void fails_over_to_replicas_with_slow_disk_sync() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       for (const auto& name : fleet.databases()) {
         if (name == primary) continue;
         fleet.cut(primary, name);
-        fleet.world().disk(name).sync_delay = kSlowSync;
+        fleet.world().disk(name).sync_delay = kSlowSyncDelay;
       }
       const bool replaced = fleet.world().run_until([&] { return fleet.primary() != primary; }, seconds(6));
       const std::size_t failed = fleet.count_events("failover_failed");
@@ -184,7 +184,7 @@
     });
   }
 
-  void test_restarted_primary_gives_up_the_role() {
+  void restarted_primary_gives_up_its_role() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       const std::uint64_t term = fleet.known().term;
@@ -194,12 +194,12 @@
       fleet.world().restart(primary);
       CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(10)));
       CPPUNIT_ASSERT(fleet.known().term > term);
-      CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kKilledGap);
+      CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kMaxGapAfterKill);
       expect_settled(fleet, fleet.known().term, 3);
     });
   }
 
-  void test_primary_and_supervisor_killed_together() {
+  void fails_over_when_primary_and_supervisor_are_killed() {
     for_each_seed([](ControlFleet& fleet) {
       const std::string primary = fleet.primary();
       const auto status = fleet.status("control-1");
@@ -210,7 +210,7 @@
     });
   }
 
-  void test_second_primary_killed_right_after_the_first() {
+  void replaces_second_primary_killed_after_first() {
     // With five members, a majority remains after two are lost.
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       ControlFleet fleet(seed, 5);
@@ -225,7 +225,7 @@
     }
   }
 
-  void test_message_loss_replaces_nobody() {
+  void keeps_primary_under_message_loss() {
     for_each_seed([](ControlFleet& fleet) {
       const auto known = fleet.known();
       fleet.world().network().faults().set_loss(0.05);
@@ -236,7 +236,7 @@
     });
   }
 
-  void test_control_nodes_that_do_not_hear_each_other() {
+  void fails_over_while_control_nodes_are_partitioned() {
     for_each_seed([](ControlFleet& fleet) {
       // Each control node considers itself the supervisor; the databases are reachable from all of them.
       fleet.cut("control-1", "control-2");
@@ -253,7 +253,7 @@
     });
   }
 
-  void test_thawed_control_node_replaces_nobody() {
+  void thawed_control_node_keeps_primary() {
     for_each_seed([](ControlFleet& fleet) {
       const auto known = fleet.known();
       for (const auto& name : fleet.controls()) {
@@ -267,7 +267,7 @@
     });
   }
 
-  void test_failover_without_a_configuration_quorum() {
+  void fails_over_without_configuration_quorum() {
     for_each_seed([](ControlFleet& fleet) {
       fleet.world().kill("control-2");
       fleet.world().kill("control-3");
@@ -282,7 +282,7 @@
     });
   }
 
-  void test_control_node_cut_off_gives_no_lease() {
+  void isolated_control_node_grants_no_lease() {
     ControlFleet fleet(1);
     fleet.start();
     // No writes are needed, and ten minutes simulate faster without databases.
--- a/tests/declared/control/failover/group_definition_test.cpp
+++ b/tests/declared/control/failover/group_definition_test.cpp
@@ -38,8 +38,8 @@
 
 class GroupDefinitionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GroupDefinitionTest);
-  CPPUNIT_TEST(test_members_are_those_that_the_selector_matches);
-  CPPUNIT_TEST(test_leaving_members_are_marked);
+  CPPUNIT_TEST(selects_members_by_selector);
+  CPPUNIT_TEST(marks_leaving_members);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -48,7 +48,7 @@
     for (int number = 29; number >= 0; --number) objects_.push_back(backend(number));
   }
 
-  void test_members_are_those_that_the_selector_matches() {
+  void selects_members_by_selector() {
     config::Selector by_label;
     by_label.match_labels.entries["group"] = "g2";
     config::Selector two_labels = by_label;
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, definitions[0].members.size());
   }
 
-  void test_leaving_members_are_marked() {
+  void marks_leaving_members() {
     objects_.push_back(group("all", config::Selector{}));
     const auto definitions = group_definitions(objects_, {"backend-007"});
     for (const auto& member : definitions.front().members) {
--- a/tests/declared/control/failover/supervisor_choice_test.cpp
+++ b/tests/declared/control/failover/supervisor_choice_test.cpp
@@ -25,22 +25,22 @@
 
 class SupervisorChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SupervisorChoiceTest);
-  CPPUNIT_TEST(test_order_does_not_depend_on_the_input_order);
-  CPPUNIT_TEST(test_groups_spread_evenly);
-  CPPUNIT_TEST(test_lost_node_moves_only_its_groups);
-  CPPUNIT_TEST(test_table_follows_the_order_of_the_nodes_that_can_take_part);
-  CPPUNIT_TEST(test_group_out_of_reach_goes_to_the_next_that_reaches_it);
+  CPPUNIT_TEST(order_is_independent_of_input_order);
+  CPPUNIT_TEST(spreads_groups_evenly);
+  CPPUNIT_TEST(lost_node_moves_only_its_groups);
+  CPPUNIT_TEST(table_follows_order_of_eligible_nodes);
+  CPPUNIT_TEST(unreachable_group_moves_to_next_node_that_reaches_it);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_order_does_not_depend_on_the_input_order() {
+  void order_is_independent_of_input_order() {
     auto reversed = nodes(kNodes);
     std::reverse(reversed.begin(), reversed.end());
     CPPUNIT_ASSERT(supervisor_order(group(1), nodes(kNodes)) == supervisor_order(group(1), reversed));
     CPPUNIT_ASSERT(supervisor_order(group(1), {}).empty());
   }
 
-  void test_groups_spread_evenly() {
+  void spreads_groups_evenly() {
     std::map<NodeName, int> supervised;
     for (int number = 0; number < kGroups; ++number) {
       ++supervised[supervisor_order(group(number), nodes(kNodes)).front()];
@@ -50,7 +50,7 @@
     for (const auto& [node, count] : supervised) CPPUNIT_ASSERT(count > fair / 2 && count < fair * 2);
   }
 
-  void test_lost_node_moves_only_its_groups() {
+  void lost_node_moves_only_its_groups() {
     const NodeName lost = nodes(kNodes).front();
     auto left = nodes(kNodes);
     left.erase(left.begin());
@@ -62,41 +62,41 @@
     }
   }
 
-  void test_table_follows_the_order_of_the_nodes_that_can_take_part() {
+  void table_follows_order_of_eligible_nodes() {
     const NodeName self = nodes(kNodes)[3];
     SupervisorTable table(self);
     // Covers nodes that join, leave and return.
     for (const int absent : {7, 0, 5, 15}) {
-      std::map<NodeName, std::vector<GroupName>> able;
+      std::map<NodeName, std::vector<GroupName>> eligible;
       auto present = nodes(absent == 7 ? kNodes / 2 : kNodes);
       present.erase(present.begin() + absent);
-      for (const auto& node : present) able[node];
-      CPPUNIT_ASSERT(table.set_able(able));
-      CPPUNIT_ASSERT(!table.set_able(able));
+      for (const auto& node : present) eligible[node];
+      CPPUNIT_ASSERT(table.set_eligible_nodes(eligible));
+      CPPUNIT_ASSERT(!table.set_eligible_nodes(eligible));
       for (int number = 0; number < kGroups; ++number) {
         const auto order = supervisor_order(group(number), present);
         const Assignment assignment = table.assign(group(number));
         CPPUNIT_ASSERT(assignment.supervisor == order[0]);
-        CPPUNIT_ASSERT_EQUAL(order[0] == self || order[1] == self, assignment.watched_here);
+        CPPUNIT_ASSERT_EQUAL(order[0] == self || order[1] == self, assignment.monitored_here);
       }
     }
   }
 
-  void test_group_out_of_reach_goes_to_the_next_that_reaches_it() {
+  void unreachable_group_moves_to_next_node_that_reaches_it() {
     const auto order = supervisor_order(group(1), nodes(kNodes));
     for (const int place : {0, 1, 2, 3}) {
       SupervisorTable table(order[static_cast<std::size_t>(place)]);
-      std::map<NodeName, std::vector<GroupName>> able;
-      for (const auto& node : order) able[node];
-      able[order[0]] = {group(0), group(1)};
-      table.set_able(able);
+      std::map<NodeName, std::vector<GroupName>> eligible;
+      for (const auto& node : order) eligible[node];
+      eligible[order[0]] = {group(0), group(1)};
+      table.set_eligible_nodes(eligible);
       // The first node keeps monitoring; the next two that reach the group monitor it too.
       CPPUNIT_ASSERT(table.assign(group(1)).supervisor == order[1]);
-      CPPUNIT_ASSERT_EQUAL(place <= 2, table.assign(group(1)).watched_here);
-      for (const auto& node : order) able[node] = {group(0), group(1)};
-      table.set_able(able);
+      CPPUNIT_ASSERT_EQUAL(place <= 2, table.assign(group(1)).monitored_here);
+      for (const auto& node : order) eligible[node] = {group(0), group(1)};
+      table.set_eligible_nodes(eligible);
       CPPUNIT_ASSERT(table.assign(group(1)).supervisor == order[0]);
-      CPPUNIT_ASSERT_EQUAL(place <= 1, table.assign(group(1)).watched_here);
+      CPPUNIT_ASSERT_EQUAL(place <= 1, table.assign(group(1)).monitored_here);
     }
   }
 };
--- a/tests/declared/control/follow/first_configurations_test.cpp
+++ b/tests/declared/control/follow/first_configurations_test.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kObjects = 2000;
 constexpr std::size_t kLabelBytes = 1000;
 /// How many configurations of this size may be on their way at once.
-constexpr std::size_t kFit = kLargeUpdateBytesAtOnce / (kObjects * (kLabelBytes + 100));
+constexpr std::size_t kFit = kMaxLargeUpdateBytesInFlight / (kObjects * (kLabelBytes + 100));
 constexpr std::uint64_t kRevision = 7;
 
 class OpenBarrier : public RenewalBarrier {
@@ -113,7 +113,7 @@
     world_ = std::make_unique<simulation::World>(simulation::WorldSettings{});
     auto& runtime = world_->start_bare({"server", "10.0.1.1", ZoneName("zone-1")});
     configuration_ = std::make_unique<LargeConfig>(runtime);
-    directory_ = std::make_unique<NewsDirectory>(runtime);
+    directory_ = std::make_unique<ClusterStateDirectory>(runtime);
     server_ = std::make_unique<FollowServer>(runtime, seconds(2), barrier_, *configuration_, *directory_);
     server_->start();
     for (std::size_t number = 0; number < kFollowers; ++number) {
@@ -162,7 +162,7 @@
 
   void test_follower_that_takes_nothing_is_dropped() {
     ask_all();
-    world_->run_for(kLargeUpdateLimit + milliseconds(50));
+    world_->run_for(kLargeUpdateTimeout + milliseconds(50));
     std::size_t closed = 0;
     for (const auto& follower : followers_) closed += follower->closed ? 1 : 0;
     CPPUNIT_ASSERT_EQUAL(kFit, closed);
@@ -190,7 +190,7 @@
   std::unique_ptr<simulation::World> world_;
   OpenBarrier barrier_;
   std::unique_ptr<LargeConfig> configuration_;
-  std::unique_ptr<NewsDirectory> directory_;
+  std::unique_ptr<ClusterStateDirectory> directory_;
   std::unique_ptr<FollowServer> server_;
   std::vector<std::shared_ptr<SlowConnection>> followers_;
 };
--- a/tests/declared/control/follow/follow_roles.h
+++ b/tests/declared/control/follow/follow_roles.h
@@ -8,7 +8,7 @@
 
 #include "declared/control/follow/config_replica.h"
 #include "declared/control/follow/follow_server.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 #include "declared/follow/follow_client.h"
 #include "wire/codec.h"
 #include "wire/connection_dispatcher.h"
@@ -79,7 +79,7 @@
   FakeConsensus consensus;
   ConsensusBarrier barrier;
   ConfigReplica replica;
-  NewsDirectory directory;
+  ClusterStateDirectory directory;
   FollowServer server;
 
  private:
--- a/tests/declared/control/hello_test.cpp
+++ b/tests/declared/control/hello_test.cpp
@@ -5,7 +5,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "consensus/peer_channel.h"
-#include "declared/control/news/news_exchange.h"
+#include "declared/control/news/peer_exchange.h"
 #include "declared/follow/follow_client.h"
 #include "simulation/world.h"
 #include "wire/connection_dispatcher.h"
@@ -53,44 +53,44 @@
   declared::follow::FollowClient client;
 };
 
-class NewsRole : public runtime::Role {
+class PeerExchangeRole : public runtime::Role {
  public:
-  NewsRole(runtime::Runtime& runtime, wire::Hello hello)
+  PeerExchangeRole(runtime::Runtime& runtime, wire::Hello hello)
       : directory_(runtime),
-        news_(runtime, std::move(hello), kClient, directory_, [] { return NewsMessage{}; }) {}
+        exchange_(runtime, std::move(hello), kClient, directory_, [] { return PeerStatusMessage{}; }) {}
   Awaitable<bool> start(Reason&) override {
-    news_.talk_to(kServer);
+    exchange_.add_peer(kServer);
     co_return true;
   }
   Awaitable<void> drain() override { co_return; }
 
  private:
-  NewsDirectory directory_;
-  NewsExchange news_;
+  ClusterStateDirectory directory_;
+  PeerExchange exchange_;
 };
 
-struct Visits {
+struct ConnectionCounts {
   int accepted = 0;
   int with_range = 0;
 };
 
 /// Protocol behavior of a server from another build on the first frame of a connection.
-enum class OtherBuild { kBeforeTheRange, kLater };
+enum class ServerBuild { kWithoutVersionRange, kNewerVersions };
 
-Awaitable<void> answer_as(std::shared_ptr<runtime::FrameConnection> connection, OtherBuild build,
-                          Visits* visits) {
+Awaitable<void> answer_as(std::shared_ptr<runtime::FrameConnection> connection, ServerBuild build,
+                          ConnectionCounts* connection_counts) {
   Reason reason;
   const auto hello = co_await connection->receive(reason);
   const bool with_range = hello && wire::marked_format(*hello);
-  visits->with_range += with_range ? 1 : 0;
-  if (hello && build == OtherBuild::kLater) {
+  connection_counts->with_range += with_range ? 1 : 0;
+  if (hello && build == ServerBuild::kNewerVersions) {
     wire::HelloAnswer answer;
     answer.spoken = {7, 9};
     answer.refusal = Reason{ReasonCode::kUnsupported, "hello", "", "the control node speaks 7 to 9"};
     std::string frame = wire::encode_hello_answer(answer);
     co_await connection->send(std::move(frame), reason);
   }
-  while (hello && !with_range && build == OtherBuild::kBeforeTheRange) {
+  while (hello && !with_range && build == ServerBuild::kWithoutVersionRange) {
     const auto question = co_await connection->receive(reason);
     const auto request =
         question ? wire::decode<declared::follow::FollowRequest>(*question, reason) : std::nullopt;
@@ -104,12 +104,12 @@
   connection->close();
 }
 
-Awaitable<void> serve_as(runtime::Runtime* runtime, runtime::FrameListener* listener, OtherBuild build,
-                         Visits* visits) {
+Awaitable<void> serve_as(runtime::Runtime* runtime, runtime::FrameListener* listener, ServerBuild build,
+                         ConnectionCounts* connection_counts) {
   Reason reason;
   while (auto connection = co_await listener->accept(reason)) {
-    ++visits->accepted;
-    runtime->spawn("answer", answer_as(std::move(connection), build, visits));
+    ++connection_counts->accepted;
+    runtime->spawn("answer", answer_as(std::move(connection), build, connection_counts));
   }
 }
 
@@ -127,13 +127,13 @@
 
 class HelloTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HelloTest);
-  CPPUNIT_TEST(a_range_is_answered);
-  CPPUNIT_TEST(a_hello_without_a_range_gets_no_answer);
-  CPPUNIT_TEST(ranges_that_do_not_meet_are_refused_on_both_sides);
-  CPPUNIT_TEST(a_build_before_the_range_is_met_in_its_way);
-  CPPUNIT_TEST(a_follower_that_is_refused_knows_why_and_comes_seldom);
-  CPPUNIT_TEST(a_voter_that_is_refused_comes_seldom);
-  CPPUNIT_TEST(a_teller_of_news_that_is_refused_comes_seldom);
+  CPPUNIT_TEST(answers_hello_with_version_range);
+  CPPUNIT_TEST(sends_no_answer_to_hello_without_version_range);
+  CPPUNIT_TEST(refuses_disjoint_version_ranges_on_both_sides);
+  CPPUNIT_TEST(follower_falls_back_for_server_without_version_range);
+  CPPUNIT_TEST(refused_follower_reports_reason_and_backs_off);
+  CPPUNIT_TEST(refused_voter_backs_off);
+  CPPUNIT_TEST(refused_peer_exchange_backs_off);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -142,7 +142,7 @@
     client_ = &world_->start_bare({"client", "10.0.1.2", ZoneName("zone-1")});
     received_.clear();
     closed_ = false;
-    visits_ = Visits{};
+    connection_counts_ = ConnectionCounts{};
   }
 
   void tearDown() override {
@@ -150,7 +150,7 @@
     world_.reset();
   }
 
-  void a_range_is_answered() {
+  void answers_hello_with_version_range() {
     start_server();
     send(wire::encode(hello({1, 9}), wire::kMarkedFormat));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, received_.size());
@@ -161,14 +161,14 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server().served.size());
   }
 
-  void a_hello_without_a_range_gets_no_answer() {
+  void sends_no_answer_to_hello_without_version_range() {
     start_server();
     send(wire::encode(hello({1, 1})));
     CPPUNIT_ASSERT(received_.empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server().served.size());
   }
 
-  void ranges_that_do_not_meet_are_refused_on_both_sides() {
+  void refuses_disjoint_version_ranges_on_both_sides() {
     start_server();
     send(wire::encode(hello({3, 4}), wire::kMarkedFormat));
     CPPUNIT_ASSERT(server().served.empty());
@@ -186,45 +186,47 @@
     CPPUNIT_ASSERT_MESSAGE(reason.detail, names_both);
   }
 
-  void a_build_before_the_range_is_met_in_its_way() {
-    start_other(OtherBuild::kBeforeTheRange);
+  void follower_falls_back_for_server_without_version_range() {
+    start_server_of_build(ServerBuild::kWithoutVersionRange);
     auto& client = start_follower();
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT(client.lease_valid(world_->runtime("role").now()));
-    CPPUNIT_ASSERT_EQUAL(2, visits_.accepted);
-    CPPUNIT_ASSERT_EQUAL(1, visits_.with_range);
+    CPPUNIT_ASSERT_EQUAL(2, connection_counts_.accepted);
+    CPPUNIT_ASSERT_EQUAL(1, connection_counts_.with_range);
   }
 
-  void a_follower_that_is_refused_knows_why_and_comes_seldom() {
-    start_other(OtherBuild::kLater);
+  void refused_follower_reports_reason_and_backs_off() {
+    start_server_of_build(ServerBuild::kNewerVersions);
     auto& client = start_follower();
     world_->run_for(seconds(60));
     CPPUNIT_ASSERT(!client.lease_valid(world_->runtime("role").now()));
     CPPUNIT_ASSERT(client.last_failure().code == ReasonCode::kUnsupported);
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), client.last_failure().step);
     CPPUNIT_ASSERT(!client.last_failure().peer.empty());
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(visits_.accepted), visits_.accepted < 60);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(connection_counts_.accepted), connection_counts_.accepted < 60);
   }
 
-  void a_voter_that_is_refused_comes_seldom() {
+  void refused_voter_backs_off() {
     consensus::PeerChannelSettings settings;
     settings.peer = NodeName("server");
     settings.endpoint = kServer;
     settings.stall_limit = seconds(1);
     const auto channel = std::make_shared<consensus::PeerChannel>(*client_, settings);
-    start_other(OtherBuild::kLater);
+    start_server_of_build(ServerBuild::kNewerVersions);
     client_->spawn("channel", channel->run(channel));
     world_->run_for(seconds(60));
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(visits_.accepted), visits_.accepted > 5 && visits_.accepted < 30);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(connection_counts_.accepted),
+                           connection_counts_.accepted > 5 && connection_counts_.accepted < 30);
   }
 
-  void a_teller_of_news_that_is_refused_comes_seldom() {
-    start_other(OtherBuild::kLater);
+  void refused_peer_exchange_backs_off() {
+    start_server_of_build(ServerBuild::kNewerVersions);
     world_->start({"role", "10.0.1.3", ZoneName("zone-1")}, [](runtime::Runtime& runtime) {
-      return std::make_unique<NewsRole>(runtime, hello({1, 2}));
+      return std::make_unique<PeerExchangeRole>(runtime, hello({1, 2}));
     });
     world_->run_for(seconds(60));
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(visits_.accepted), visits_.accepted > 5 && visits_.accepted < 30);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(connection_counts_.accepted),
+                           connection_counts_.accepted > 5 && connection_counts_.accepted < 30);
   }
 
  private:
@@ -253,12 +255,12 @@
     world_->run_for(milliseconds(10));
   }
   ServerRole& server() { return dynamic_cast<ServerRole&>(world_->role("server")); }
-  void start_other(OtherBuild build) {
+  void start_server_of_build(ServerBuild build) {
     auto& runtime = world_->start_bare({"server", kServer.address, ZoneName("zone-1")});
     Reason reason;
     listener_ = runtime.network().listen(kServer, reason);
     CPPUNIT_ASSERT_MESSAGE(reason.to_string(), listener_);
-    runtime.spawn("serve", serve_as(&runtime, listener_.get(), build, &visits_));
+    runtime.spawn("serve", serve_as(&runtime, listener_.get(), build, &connection_counts_));
   }
   void send(std::string frame) {
     client_->spawn("greet", greet(client_, std::move(frame), &received_, &closed_));
@@ -270,7 +272,7 @@
   std::unique_ptr<runtime::FrameListener> listener_;
   std::vector<std::string> received_;
   bool closed_ = false;
-  Visits visits_;
+  ConnectionCounts connection_counts_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(HelloTest);
--- a/tests/declared/control/leaving_simulation_test.cpp
+++ b/tests/declared/control/leaving_simulation_test.cpp
@@ -11,20 +11,20 @@
 
 constexpr std::uint64_t kSeeds = 4;
 /// A planned switchover blocks writes for only a few round trips.
-constexpr Duration kPlannedGap = milliseconds(150);
+constexpr Duration kMaxSwitchoverGap = milliseconds(150);
 
 class LeavingSimulationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeavingSimulationTest);
-  CPPUNIT_TEST(test_operator_hands_over_by_selector);
-  CPPUNIT_TEST(test_hand_over_to_nobody_is_refused);
-  CPPUNIT_TEST(test_drained_primary_hands_over);
-  CPPUNIT_TEST(test_machine_that_the_platform_reclaims_hands_over);
-  CPPUNIT_TEST(test_hand_over_to_a_dead_member_leaves_the_primary);
-  CPPUNIT_TEST(test_drain_with_a_member_lost_stops_no_writes);
+  CPPUNIT_TEST(switches_over_to_selected_member);
+  CPPUNIT_TEST(refuses_switchover_if_selector_matches_no_member);
+  CPPUNIT_TEST(drained_primary_hands_over);
+  CPPUNIT_TEST(primary_on_reclaimed_machine_hands_over);
+  CPPUNIT_TEST(switchover_to_dead_member_keeps_primary);
+  CPPUNIT_TEST(drain_with_lost_member_blocks_no_writes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_operator_hands_over_by_selector() {
+  void switches_over_to_selected_member() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       ControlFleet fleet(seed);
       fleet.start();
@@ -38,13 +38,13 @@
         CPPUNIT_ASSERT_EQUAL("decks-" + zone, fleet.primary());
         const Duration gap = fleet.writer().longest_gap_after(at);
         CPPUNIT_ASSERT_MESSAGE("write gap of " + std::to_string(gap.count() / 1'000'000) + " ms",
-                               gap <= kPlannedGap);
+                               gap <= kMaxSwitchoverGap);
       }
       CPPUNIT_ASSERT(fleet.world().faults().empty());
     }
   }
 
-  void test_hand_over_to_nobody_is_refused() {
+  void refuses_switchover_if_selector_matches_no_member() {
     ControlFleet fleet(1);
     fleet.start();
     const auto before = fleet.known();
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(before.term, fleet.known().term);
   }
 
-  void test_drained_primary_hands_over() {
+  void drained_primary_hands_over() {
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       ControlFleet fleet(seed);
       fleet.start();
@@ -66,7 +66,7 @@
       CPPUNIT_ASSERT(outcome && outcome->accepted);
       CPPUNIT_ASSERT(fleet.world().run_until([&] { return fleet.primary() != leaving; }, seconds(3)));
       CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(5)));
-      CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
+      CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kMaxSwitchoverGap);
       // The primary role is not handed back.
       const auto known = fleet.known();
       fleet.world().run_for(seconds(5));
@@ -74,7 +74,7 @@
     }
   }
 
-  void test_machine_that_the_platform_reclaims_hands_over() {
+  void primary_on_reclaimed_machine_hands_over() {
     ControlFleet fleet(3);
     fleet.start();
     fleet.start_platform();
@@ -93,14 +93,14 @@
     const auto& leaving_now = fleet.writer().follower().current().leaving;
     CPPUNIT_ASSERT(fleet.world().run_until([&] { return leaving_now.contains(leaving); }, seconds(2)));
     CPPUNIT_ASSERT(fleet.run_until_acknowledged(20, seconds(5)));
-    CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
+    CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kMaxSwitchoverGap);
     // A machine that disappears from the list is still considered leaving.
     fleet.set_machine(leaving, "gone");
     fleet.world().run_for(seconds(4));
     CPPUNIT_ASSERT(leaving_now.contains(leaving));
   }
 
-  void test_hand_over_to_a_dead_member_leaves_the_primary() {
+  void switchover_to_dead_member_keeps_primary() {
     ControlFleet fleet(2);
     fleet.start();
     const std::string primary = fleet.primary();
@@ -114,11 +114,11 @@
     CPPUNIT_ASSERT(reason.failed());
     fleet.world().run_for(seconds(3));
     CPPUNIT_ASSERT_EQUAL(before.primary.value, fleet.primary());
-    CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
+    CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kMaxSwitchoverGap);
   }
 
   /// Too few members remain to fence a majority without the primary, so the primary must keep its role.
-  void test_drain_with_a_member_lost_stops_no_writes() {
+  void drain_with_lost_member_blocks_no_writes() {
     ControlFleet fleet(2);
     fleet.start();
     const std::string primary = fleet.primary();
@@ -137,7 +137,7 @@
     CPPUNIT_ASSERT_MESSAGE(reason.to_string(), reason.code == ReasonCode::kNoBackend);
     fleet.world().run_for(seconds(3));
     CPPUNIT_ASSERT_EQUAL(before.term, fleet.known().term);
-    CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kPlannedGap);
+    CPPUNIT_ASSERT(fleet.writer().longest_gap_after(at) <= kMaxSwitchoverGap);
   }
 
  private:
--- a/tests/declared/control/machines/machine_list_test.cpp
+++ b/tests/declared/control/machines/machine_list_test.cpp
@@ -9,13 +9,13 @@
 
 class MachineListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MachineListTest);
-  CPPUNIT_TEST(test_reads_a_list);
-  CPPUNIT_TEST(test_bad_input_names_the_entry);
-  CPPUNIT_TEST(test_leaving_machine_that_is_listed_no_more_stays_leaving);
+  CPPUNIT_TEST(parses_machine_list);
+  CPPUNIT_TEST(rejects_invalid_lists_with_detail);
+  CPPUNIT_TEST(unlisted_leaving_machine_stays_leaving);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_reads_a_list() {
+  void parses_machine_list() {
     Reason reason;
     const auto states = parse_machine_list(
         R"({"machines":[{"name":"a","state":"live"},{"name":"b","state":"leaving"}]})", reason);
@@ -24,7 +24,7 @@
     CPPUNIT_ASSERT(states->at("b") == MachineState::kLeaving);
   }
 
-  void test_bad_input_names_the_entry() {
+  void rejects_invalid_lists_with_detail() {
     for (const std::string body :
          {"", "[]", "{}", R"({"machines":3})", R"({"machines":[3]})", R"({"machines":[{"name":"a"}]})",
           R"({"machines":[{"name":"","state":"live"}]})", R"({"machines":[{"name":"a","state":"dead"}]})"}) {
@@ -35,7 +35,7 @@
     }
   }
 
-  void test_leaving_machine_that_is_listed_no_more_stays_leaving() {
+  void unlisted_leaving_machine_stays_leaving() {
     const std::set<std::string> before{"a", "b"};
     const MachineStates listed{{"b", MachineState::kLive}, {"c", MachineState::kLeaving}};
     const std::set<std::string> expected{"a", "c"};
--- a/tests/declared/control/voter_repair_simulation_test.cpp
+++ b/tests/declared/control/voter_repair_simulation_test.cpp
@@ -13,14 +13,14 @@
 
 class VoterRepairSimulationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(VoterRepairSimulationTest);
-  CPPUNIT_TEST(test_standby_takes_the_place_of_a_lost_voter);
-  CPPUNIT_TEST(test_voter_away_for_a_moment_keeps_its_place);
-  CPPUNIT_TEST(test_wiped_voter_is_taken_in_again_under_its_old_name);
-  CPPUNIT_TEST(test_wiped_voter_leaves_its_groups_to_others);
+  CPPUNIT_TEST(standby_replaces_lost_voter);
+  CPPUNIT_TEST(briefly_lost_voter_keeps_its_place);
+  CPPUNIT_TEST(wiped_voter_rejoins_under_its_old_name);
+  CPPUNIT_TEST(groups_of_wiped_voter_get_another_supervisor);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_standby_takes_the_place_of_a_lost_voter() {
+  void standby_replaces_lost_voter() {
     ControlFleet fleet(1);
     fleet.start();
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT(fleet.world().faults().empty());
   }
 
-  void test_voter_away_for_a_moment_keeps_its_place() {
+  void briefly_lost_voter_keeps_its_place() {
     ControlFleet fleet(2);
     fleet.start();
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(!is_voter(fleet, "control-4"));
   }
 
-  void test_wiped_voter_is_taken_in_again_under_its_old_name() {
+  void wiped_voter_rejoins_under_its_old_name() {
     ControlFleet fleet(3);
     fleet.start();
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
@@ -72,7 +72,7 @@
 
   /// A wiped voter is live but has no configuration. If it kept its groups, nobody would replace their
   /// primaries.
-  void test_wiped_voter_leaves_its_groups_to_others() {
+  void groups_of_wiped_voter_get_another_supervisor() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       ControlFleet fleet(seed);
       fleet.start();
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -192,7 +192,7 @@
                         decode<declared::follow::FollowRequest>(bytes, reason) ||
                         decode<consensus::PeerRequest>(bytes, reason) ||
                         decode<consensus::PeerAnswer>(bytes, reason) ||
-                        decode<declared::control::NewsMessage>(bytes, reason);
+                        decode<declared::control::PeerStatusMessage>(bytes, reason);
       RC_ASSERT(good || reason.code == ReasonCode::kCorrupt);
     }));
   }
@@ -203,14 +203,14 @@
     append.entries.front().payload = "entry";
     consensus::PeerRequest request;
     request.body = append;
-    declared::control::NewsMessage news;
+    declared::control::PeerStatusMessage news;
     news.groups.resize(2);
     news.known_nodes.resize(2);
     const std::string request_bytes = encode(request);
     const std::string news_bytes = encode(news);
     CPPUNIT_ASSERT(rc::check("damaged messages give a message or a fault", [&] {
       assert_survives_damage<consensus::PeerRequest>(request_bytes);
-      assert_survives_damage<declared::control::NewsMessage>(news_bytes);
+      assert_survives_damage<declared::control::PeerStatusMessage>(news_bytes);
     }));
   }
 };
--- a/tests/wire/format_samples.cpp
+++ b/tests/wire/format_samples.cpp
@@ -118,7 +118,7 @@
 }
 
 void add_news(Samples& samples) {
-  declared::control::NewsMessage news;
+  declared::control::PeerStatusMessage news;
   news.sender = member("control-1");
   news.operator_endpoint = {"10.0.0.4", 4003};
   news.standby = true;
