--- a/src/declared/control/control_node.cpp
+++ b/src/declared/control/control_node.cpp
@@ -30,8 +30,8 @@
   return raft;
 }
 
-/// A member of the consensus group, or one that waits to become one. The parts' coroutines refer to it until
-/// the process ends.
+/// A member of the consensus group, or a standby waiting to become one. Must live until the process ends,
+/// because the coroutines of its components refer to it.
 class ControlNode : public runtime::Role {
  public:
   ControlNode(runtime::Runtime& runtime, ControlSettings settings)
@@ -40,9 +40,10 @@
         replica_(runtime, settings_.feature_level),
         raft_(consensus::make_raft_node(runtime, replica_, raft_settings(settings_))),
         barrier_(*raft_),
-        core_(runtime, settings_, replica_, barrier_, [this](NewsMessage& message) { describe(message); }),
-        fleet_(runtime, settings_.node, settings_.serving_lease, core_.follow_server(), core_.news().peers(),
-               *raft_),
+        core_(runtime, settings_, replica_, barrier_,
+              [this](PeerStatusMessage& message) { describe(message); }),
+        fleet_(runtime, settings_.node, settings_.serving_lease, core_.follow_server(),
+               core_.peer_exchange().peers(), *raft_),
         health_(
             runtime, replica_, core_.follow_server(), core_.groups(),
             [this](Reason& reason) { return knows_leader(reason); },
@@ -50,7 +51,7 @@
         operator_service_(runtime, settings_.node, settings_.operator_endpoint, *raft_, replica_,
                           OperatorSources{core_.groups(), fleet_, core_.events(), core_.groups(), health_}),
         operator_api_(make_operator_api(runtime, operator_service_)),
-        voter_repair_(runtime, *raft_, core_.news().peers(), core_.events()) {}
+        voter_repair_(runtime, *raft_, core_.peer_exchange().peers(), core_.events()) {}
 
   Awaitable<bool> start(Reason& reason) override {
     const bool recovered = co_await raft_->start(reason);
@@ -66,49 +67,52 @@
     operator_server_ = runtime_.http().serve(settings_.operator_endpoint, *operator_api_, reason);
     if (!operator_server_) co_return false;
     health_.set_started();
-    core_.events().record("control_node_started", settings_.node.value, "the control node has started");
+    core_.events().record("control_node_started", settings_.node.value, "control node started");
     co_return true;
   }
 
   Awaitable<void> drain() override {
-    core_.events().record("control_node_stopping", settings_.node.value, "a planned stop has begun");
+    core_.events().record("control_node_stopping", settings_.node.value, "planned shutdown started");
     stopping_ = true;
     health_.set_stopping();
     voter_repair_.stop();
     operator_server_->stop_accepting();
     core_.stop();
     co_await raft_->stop();
-    core_.stop_news();
+    core_.stop_peer_exchange();
   }
 
  private:
-  /// Talks news with every member of the consensus group and records changes of the leader.
+  /// Adds every member of the consensus group as a peer and records leader changes.
   Awaitable<void> watch_members() {
     NodeName leader;
     while (!stopping_) {
       const consensus::ConsensusStatus status = raft_->status();
-      for (const auto& member : status.members) core_.news().talk_to(member.endpoint);
+      for (const auto& member : status.members) core_.peer_exchange().add_peer(member.endpoint);
       if (!status.leader.empty() && status.leader != leader) {
         core_.events().record("leader_elected", status.leader.value, election_message(status, leader));
         leader = status.leader;
       }
-      co_await runtime_.sleep_for(kNewsInterval);
+      co_await runtime_.sleep_for(kPeerMessageInterval);
     }
   }
 
-  /// Who leads, and what this node knows of the leader before: the cause of the election.
+  /// Describes the current leader and the cause of the election, from what this node knows of the previous
+  /// leader.
   std::string election_message(const consensus::ConsensusStatus& status, const NodeName& before) {
-    const std::string leads = fmt::format("it leads in term {}", status.term);
-    if (before.empty()) return leads + "; cause: this node had heard of no leader since its start";
+    const std::string leads = fmt::format("became leader in term {}", status.term);
+    if (before.empty()) return leads + "; cause: this node has known no leader since it started";
     if (before == settings_.node)
-      return fmt::format("{}; cause: {} gave up or lost the role", leads, before.value);
-    const auto peer = core_.news().peers().find(before);
-    if (!peer) return fmt::format("{}; cause: {} is not heard", leads, before.value);
+      return fmt::format("{}; cause: {} gave up or lost leadership", leads, before.value);
+    const auto peer = core_.peer_exchange().peers().find(before);
+    if (!peer)
+      return fmt::format("{}; cause: no messages received from previous leader {}", leads, before.value);
     const std::int64_t silent = in_ms(runtime_.now() - peer->heard_at);
-    return fmt::format("{}; cause: {} led before and was last heard {} ms ago", leads, before.value, silent);
+    return fmt::format("{}; cause: previous leader {} last heard from {} ms ago", leads, before.value,
+                       silent);
   }
 
-  void describe(NewsMessage& message) const {
+  void describe(PeerStatusMessage& message) const {
     message.sender.identity = raft_->identity();
     message.standby = settings_.join && !is_voter();
   }
@@ -122,7 +126,7 @@
 
   bool knows_leader(Reason& reason) const {
     if (!raft_->status().leader.empty()) return true;
-    reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no leader of the control nodes is known"};
+    reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no leader of the consensus group is known"};
     return false;
   }
 
--- a/src/declared/control/follow/follow_server.cpp
+++ b/src/declared/control/follow/follow_server.cpp
@@ -8,7 +8,7 @@
 namespace cairnhollow::declared::control {
 
 FollowServer::FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
-                           ConfigView& configuration, NewsDirectory& directory)
+                           ConfigView& configuration, ClusterStateDirectory& directory)
     : runtime_(runtime),
       serving_lease_(serving_lease),
       barrier_(barrier),
@@ -226,7 +226,7 @@
 
 bool FollowServer::may_send_update(std::size_t update_bytes) const {
   return update_bytes < kLargeUpdateBytes || large_bytes_ == 0 ||
-         large_bytes_ + update_bytes <= kLargeUpdateBytesAtOnce;
+         large_bytes_ + update_bytes <= kMaxLargeUpdateBytesInFlight;
 }
 
 void FollowServer::send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer) {
@@ -262,7 +262,7 @@
 
 Awaitable<void> FollowServer::enforce_send_timeout(std::shared_ptr<Follower> follower,
                                                    std::uint64_t large_update_id) {
-  co_await runtime_.sleep_for(kLargeUpdateLimit);
+  co_await runtime_.sleep_for(kLargeUpdateTimeout);
   for (const auto& outgoing : follower->outgoing) {
     if (outgoing.large_update_id == large_update_id) follower->connection->close();
   }
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -15,7 +15,7 @@
 #include "declared/control/follow/follower_registry.h"
 #include "declared/control/follow/renewal_barrier.h"
 #include "declared/control/follow/update_encoder.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 #include "runtime/runtime.h"
 #include "wire/hello.h"
 
@@ -39,7 +39,7 @@
 class FollowServer {
  public:
   FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
-               ConfigView& configuration, NewsDirectory& directory);
+               ConfigView& configuration, ClusterStateDirectory& directory);
 
   void start();
   /// Refuses every open request with kDraining and closes the connections.
@@ -110,7 +110,7 @@
   Duration serving_lease_;
   RenewalBarrier& barrier_;
   ConfigView& configuration_;
-  NewsDirectory& directory_;
+  ClusterStateDirectory& directory_;
   UpdateEncoder encoder_;
   FollowerRegistry registry_;
   FollowServerStatistics statistics_;
--- a/src/declared/control/follow/update_encoder.h
+++ b/src/declared/control/follow/update_encoder.h
@@ -7,14 +7,14 @@
 #include <string>
 
 #include "declared/control/follow/config_view.h"
-#include "declared/control/news/news_directory.h"
+#include "declared/control/news/cluster_state_directory.h"
 
 namespace cairnhollow::declared::control {
 
 /// `configuration` and `directory` are not owned and must outlive this object.
 class UpdateEncoder {
  public:
-  UpdateEncoder(const ConfigView& configuration, const NewsDirectory& directory)
+  UpdateEncoder(const ConfigView& configuration, const ClusterStateDirectory& directory)
       : configuration_(configuration), directory_(directory) {}
 
   /// Returns an encoded FollowUpdate that brings a follower from (revision, news version) to the current
@@ -34,7 +34,7 @@
   std::string encode_since(const StateVersion& from);
 
   const ConfigView& configuration_;
-  const NewsDirectory& directory_;
+  const ClusterStateDirectory& directory_;
   StateVersion current_;
   std::map<StateVersion, std::string> updates_;  ///< keyed by start; each leads to `current_`
   std::uint64_t encoded_ = 0;
--- a/src/declared/control/machines/platform_poller.cpp
+++ b/src/declared/control/machines/platform_poller.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 PlatformPoller::PlatformPoller(runtime::Runtime& runtime, Endpoint platform, Duration interval,
-                               NewsDirectory& directory, EventLog& events)
+                               ClusterStateDirectory& directory, EventLog& events)
     : runtime_(runtime),
       platform_(std::move(platform)),
       interval_(interval),
@@ -38,7 +38,7 @@
     const auto listed = co_await fetch(reason);
     if (stopping_) co_return;
     if (listed) {
-      take_list(*listed);
+      apply_list(*listed);
     } else {
       record_failure(reason);
     }
@@ -61,28 +61,31 @@
   if (!response) co_return std::nullopt;
   if (response->status != kStatusOk) {
     reason = Reason{ReasonCode::kUnreachable, "read_machine_list", platform_.to_string(),
-                    fmt::format("it answered with status {}", response->status)};
+                    fmt::format("the platform answered with HTTP status {}", response->status)};
     co_return std::nullopt;
   }
   co_return parse_machine_list(response->body, reason);
 }
 
-void PlatformPoller::take_list(const MachineStates& listed) {
+void PlatformPoller::apply_list(const MachineStates& listed) {
   answering_ = true;
   const auto before = directory_.leaving();
   const auto leaving = leaving_machines(before, listed);
   if (!directory_.set_leaving(leaving)) return;
   for (const auto& name : leaving) {
-    if (!before.contains(name)) events_.record("machine_leaving", name, "the platform lists it as leaving");
+    if (!before.contains(name))
+      events_.record("machine_leaving", name, "reported as leaving by the platform");
   }
   for (const auto& name : before) {
-    if (!leaving.contains(name)) events_.record("machine_stays", name, "the platform lists it as live again");
+    if (!leaving.contains(name))
+      events_.record("machine_stays", name, "reported as live again by the platform");
   }
 }
 
 void PlatformPoller::record_failure(const Reason& reason) {
   if (answering_) {
-    events_.record("platform_unreachable", platform_.to_string(), "the last list of machines holds", reason);
+    events_.record("platform_unreachable", platform_.to_string(),
+                   "cannot read the list of machines; the last one remains in effect", reason);
   }
   answering_ = false;
 }
--- a/src/declared/control/relay_node.cpp
+++ b/src/declared/control/relay_node.cpp
@@ -18,7 +18,7 @@
   return follow;
 }
 
-/// The parts' coroutines refer to it until the process ends.
+/// Must live until the process ends, because the coroutines of its components refer to it.
 class RelayNode : public runtime::Role {
  public:
   RelayNode(runtime::Runtime& runtime, ControlSettings settings)
@@ -28,37 +28,37 @@
         configuration_(runtime, client_, settings_.feature_level),
         barrier_(client_),
         core_(runtime, settings_, configuration_, barrier_,
-              [](NewsMessage& message) { message.sender.role = consensus::MemberRole::kLearner; }),
+              [](PeerStatusMessage& message) { message.sender.role = consensus::MemberRole::kLearner; }),
         health_(
             runtime, configuration_, core_.follow_server(), core_.groups(),
-            [this](Reason& reason) { return follows(reason); }, [](runtime::Metrics& /*metrics*/) {}),
+            [this](Reason& reason) { return has_valid_lease(reason); }, [](runtime::Metrics& /*metrics*/) {}),
         operator_service_(runtime, settings_.node, core_, configuration_, health_),
         operator_api_(make_operator_api(runtime, operator_service_)) {}
 
   Awaitable<bool> start(Reason& reason) override {
-    client_.on_change([this](const follow::AnswerEffect& effect) { take_change(effect); });
+    client_.on_change([this](const follow::AnswerEffect& effect) { apply_change(effect); });
     client_.start();
     core_.start();
     if (!core_.listen(reason)) co_return false;
     operator_server_ = runtime_.http().serve(settings_.operator_endpoint, *operator_api_, reason);
     if (!operator_server_) co_return false;
     health_.set_started();
-    core_.events().record("relay_started", settings_.node.value, "the relay has started");
+    core_.events().record("relay_started", settings_.node.value, "relay started");
     co_return true;
   }
 
   Awaitable<void> drain() override {
-    core_.events().record("relay_stopping", settings_.node.value, "a planned stop has begun");
+    core_.events().record("relay_stopping", settings_.node.value, "planned shutdown started");
     health_.set_stopping();
     operator_server_->stop_accepting();
     core_.stop();
     client_.stop();
-    core_.stop_news();
+    core_.stop_peer_exchange();
     co_return;
   }
 
  private:
-  void take_change(const follow::AnswerEffect& effect) {
+  void apply_change(const follow::AnswerEffect& effect) {
     configuration_.record_answer(effect);
     if (effect.groups) {
       for (const auto& [group, state] : client_.current().groups) core_.directory().learn(state);
@@ -66,10 +66,11 @@
     if (effect.leaving) core_.directory().set_leaving(client_.current().leaving);
   }
 
-  bool follows(Reason& reason) const {
+  bool has_valid_lease(Reason& reason) const {
     if (client_.lease_valid(runtime_.now())) return true;
     reason = client_.last_failure();
-    if (!reason.failed()) reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no control node answered yet"};
+    if (!reason.failed())
+      reason = Reason{ReasonCode::kNoQuorum, "ready", "", "no control node has answered yet"};
     return false;
   }
 
--- a/src/declared/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -28,7 +28,7 @@
 Awaitable<void> VoterRepair::run() {
   while (!stopping_) {
     const TimePoint now = runtime_.now();
-    const auto lost = find_lost(now);
+    const auto lost = find_lost_voter(now);
     std::optional<consensus::Member> standby;
     if (lost) standby = find_standby(*lost, now);
     if (standby) co_await replace(*lost, *standby);
@@ -36,19 +36,19 @@
   }
 }
 
-std::optional<consensus::Member> VoterRepair::find_lost(TimePoint now) {
+std::optional<consensus::Member> VoterRepair::find_lost_voter(TimePoint now) {
   const consensus::ConsensusStatus status = consensus_.status();
-  // After a freeze of this node, or before it led, it does not know for how long a voter has been silent.
-  const bool looked_lately = now - last_look_ < 2 * kRepairTick;
-  last_look_ = now;
-  if (status.state != consensus::ServerState::kLeader || !looked_lately) heard_at_.clear();
+  // If this node was frozen or was not the leader, it does not know how long a voter has been silent.
+  const bool checked_recently = now - last_check_at_ < 2 * kRepairTick;
+  last_check_at_ = now;
+  if (status.state != consensus::ServerState::kLeader || !checked_recently) heard_at_.clear();
   if (status.state != consensus::ServerState::kLeader) return std::nullopt;
   std::optional<consensus::Member> lost;
   for (const auto& member : status.members) {
     if (member.role != consensus::MemberRole::kVoter || member.node == status.leader) continue;
     auto& heard_at = heard_at_.try_emplace(member.node, now).first->second;
     const auto peer = peers_.find(member.node);
-    // A node that came back with a new disk is another one: the voter that the group counts on is lost.
+    // A node that restarted with a new disk has a new identity: the voter known to the group is lost.
     const bool heard = peer && peer->alive(now) && peer->last_message.sender.identity == member.identity;
     if (heard) heard_at = now;
     const Duration limit = is_wiped(member, now) ? kVoterWipedAfter : kVoterLostAfter;
@@ -81,18 +81,18 @@
   const std::string subject = lost.node.value;
   const std::string replacement = standby.node.value;
   const bool same_node = lost.node == standby.node;
-  const std::string loss = same_node ? std::string("it came back with an empty disk")
-                                     : fmt::format("not heard for {} s", in_seconds(kVoterLostAfter));
-  events_.record("voter_lost", subject, fmt::format("{}; {} takes its place", loss, replacement));
+  const std::string loss = same_node ? std::string("restarted with an empty disk")
+                                     : fmt::format("no messages for {} s", in_seconds(kVoterLostAfter));
+  events_.record("voter_lost", subject, fmt::format("{}; replacing it with {}", loss, replacement));
   standby.role = consensus::MemberRole::kVoter;
   Reason reason;
-  const TimePoint deadline = runtime_.now() + kRepairLimit;
+  const TimePoint deadline = runtime_.now() + kRepairTimeout;
   const NodeName node = lost.node;
   const bool replaced = co_await consensus_.replace_member(node, standby, deadline, reason);
   if (replaced) {
-    events_.record("voter_replaced", subject, replacement + " is a voter in its place");
+    events_.record("voter_replaced", subject, replacement + " replaced it as a voter");
   } else {
-    events_.record("voter_not_replaced", subject, replacement + " did not become a voter", reason);
+    events_.record("voter_not_replaced", subject, replacement + " could not be added as a voter", reason);
   }
 }
 
--- a/tests/declared/control/voter_repair_simulation_test.cpp
+++ b/tests/declared/control/voter_repair_simulation_test.cpp
@@ -1,4 +1,4 @@
-// A voter that stays lost is replaced by a standby; then a second one may be lost.
+// Simulates the replacement of lost voters by standbys, followed by the loss of a second voter.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -13,14 +13,14 @@
 
 class VoterRepairSimulationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(VoterRepairSimulationTest);
-  CPPUNIT_TEST(test_standby_takes_the_place_of_a_lost_voter);
-  CPPUNIT_TEST(test_voter_away_for_a_moment_keeps_its_place);
-  CPPUNIT_TEST(test_wiped_voter_is_taken_in_again_under_its_old_name);
-  CPPUNIT_TEST(test_wiped_voter_leaves_its_groups_to_others);
+  CPPUNIT_TEST(standby_replaces_lost_voter);
+  CPPUNIT_TEST(briefly_lost_voter_keeps_its_place);
+  CPPUNIT_TEST(wiped_voter_rejoins_under_its_old_name);
+  CPPUNIT_TEST(groups_of_wiped_voter_get_another_supervisor);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_standby_takes_the_place_of_a_lost_voter() {
+  void standby_replaces_lost_voter() {
     ControlFleet fleet(1);
     fleet.start();
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
@@ -32,7 +32,7 @@
         fleet.world().run_until([&] { return is_voter(fleet, "control-4"); }, seconds(60), seconds(1)));
     CPPUNIT_ASSERT(!is_voter(fleet, "control-3"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.count_events("voter_replaced"));
-    // The second loss, right after the repair: two of the three voters now are enough.
+    // After the repair, a second voter may fail: two of the three current voters form a quorum.
     fleet.world().vanish("control-2");
     fleet.world().run_for(seconds(5));
     const auto outcome = fleet.apply({fleet.backend_object(1, false)});
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT(fleet.world().faults().empty());
   }
 
-  void test_voter_away_for_a_moment_keeps_its_place() {
+  void briefly_lost_voter_keeps_its_place() {
     ControlFleet fleet(2);
     fleet.start();
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(!is_voter(fleet, "control-4"));
   }
 
-  void test_wiped_voter_is_taken_in_again_under_its_old_name() {
+  void wiped_voter_rejoins_under_its_old_name() {
     ControlFleet fleet(3);
     fleet.start();
     for (const auto& name : fleet.databases()) fleet.world().kill(name);
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(fleet.world().run_until([&] { return fleet.count_events("voter_replaced") > 0; },
                                            seconds(20), seconds(1)));
     CPPUNIT_ASSERT(is_voter(fleet, "control-3"));
-    // The new disk counts: another voter may be lost now.
+    // The replaced voter counts towards the quorum, so another voter may fail.
     fleet.world().vanish("control-2");
     fleet.world().run_for(seconds(5));
     const auto outcome = fleet.apply({fleet.backend_object(1, false)});
@@ -70,8 +70,9 @@
     CPPUNIT_ASSERT(fleet.world().faults().empty());
   }
 
-  /// It lives, but knows no configuration: a group that counted on it had nobody who replaces its primary.
-  void test_wiped_voter_leaves_its_groups_to_others() {
+  /// A wiped voter is live but has no configuration. If it kept its groups, nobody would replace their
+  /// primaries.
+  void groups_of_wiped_voter_get_another_supervisor() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       ControlFleet fleet(seed);
       fleet.start();
