--- a/src/declared/backend/admitted_connection.h
+++ b/src/declared/backend/admitted_connection.h
@@ -1,14 +1,15 @@
-// A connection that was admitted to a backend. It measures each statement for the concurrency limit, and
-// gives its permit back while a transaction idles between two statements.
+// A pooled backend connection together with an admission permit. Measures each statement for the concurrency
+// limit and returns the permit while a transaction is idle between statements.
 #pragma once
 
 #include "declared/backend/backend_admission.h"
 
 namespace cairnhollow::declared::backend {
 
-/// Holds a permit until its first statement is answered. In a transaction each further statement takes one
-/// again, and is answered Busy when it gets none in time; one that the backend was too busy for did not run,
-/// and waits for a permit as before it was sent. Destroying it returns the connection to the pool.
+/// Holds a permit until its first statement is answered. In a transaction each further statement acquires a
+/// permit again and is answered Busy if it gets none before its deadline. A statement of a transaction that
+/// the backend answers with Busy did not run; it waits for a permit and is sent again. Destroying this object
+/// returns the connection to the pool.
 class AdmittedConnection final : public BackendConnection {
  public:
   AdmittedConnection(BackendAdmission& admission, std::shared_ptr<BackendConnection> connection,
@@ -39,15 +40,15 @@
   [[nodiscard]] std::string peer() const override { return connection_->peer(); }
 
  private:
-  /// One statement under way.
+  /// A statement in progress.
   struct Measurement {
     TimePoint began;
     std::uint32_t in_flight = 0;
-    bool borrowed = false;  ///< it went beyond the concurrency limit
+    bool borrowed = false;  ///< sent beyond the concurrency limit
   };
   Awaitable<bool> take_permit(TimePoint deadline, Reason& reason);
   void return_permit();
-  /// Returns the permit, and has a connection opened for a statement that now lacks only that.
+  /// Returns the permit and opens a connection if a queued statement now lacks only that.
   void statement_ended();
   [[nodiscard]] Measurement begin_measurement() const;
   void end_measurement(const Measurement& measurement);
--- a/src/declared/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -48,7 +48,7 @@
 Awaitable<bool> BackendAdmission::enter(AdmissionRequest request,
                                         std::shared_ptr<BackendConnection>* connection, Reason& reason) {
   if (enter_at_once(connection)) {
-    if (connection != nullptr) maintain();  // keeps a spare one ready
+    if (connection != nullptr) maintain();  // keeps a spare connection open
     co_return true;
   }
   if (!may_wait(request, reason)) co_return false;
@@ -60,7 +60,8 @@
   if (request.cancellation != nullptr) {
     request.cancellation->set([this, key, waiter] { cancel(key, waiter); });
   }
-  // A statement of an open transaction has its connection: it need not wait behind those that have none.
+  // Statements of open transactions already have a connection, so they can be admitted ahead of statements
+  // that wait for one.
   dispatch();
   maintain();
   while (!waiter->decided) {
@@ -96,7 +97,8 @@
   if (request.deadline <= now) {
     return refuse(ReasonCode::kDeadlineExceeded, "the deadline has passed", reason);
   }
-  // Only statements that run tell how long one takes now: without them nobody is refused on an estimate.
+  // The latency estimate is current only while statements run: below the limit nothing is refused because of
+  // it.
   if (running_ < limit_.limit()) return true;
   const admission::AdmissionKey key{request.priority_class, request.deadline, 0};
   const auto needed = expected_wait(queue_.ahead_of(key), limit_for(key)) + limit_.expected_latency();
@@ -172,7 +174,7 @@
     if (running_ >= (pressed ? limit_for(key) : limit_.limit())) break;
     const auto waiter = entry->second;
     ++entry;
-    if (latest_start(key.deadline) <= runtime_.now()) continue;  // its own timer is about to end its wait
+    if (latest_start(key.deadline) <= runtime_.now()) continue;  // its own timer is about to end the wait
     if (waiter->needs_connection) {
       waiter->connection = pool_.take();
       if (!waiter->connection) continue;
@@ -184,12 +186,12 @@
 }
 
 void BackendAdmission::refuse_all_without_connection(const Reason& reason) {
-  const auto waiting = queue_.entries();  // decide() changes the queue
+  const auto waiting = queue_.entries();  // copied because decide() changes the queue
   for (const auto& [key, waiter] : waiting) {
     if (!waiter->needs_connection) continue;
     ++statistics_.unreachable;
     waiter->refusal = reason;
-    // Whatever kept the connection from opening, the backend can't be reached now.
+    // Reported as unreachable, whatever prevented the connection from opening.
     if (reason.code != ReasonCode::kOverloaded) waiter->refusal->code = ReasonCode::kUnreachable;
     decide(key, waiter);
   }
--- a/src/declared/backend/connection_pool.cpp
+++ b/src/declared/backend/connection_pool.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMostDoublings = 5;  ///< of kReopenPause
+constexpr std::uint32_t kMostDoublings = 5;  ///< limit on doublings of kReopenPause
 
 }  // namespace
 
@@ -46,7 +46,7 @@
   if (!connection->is_open()) {
     ++statistics_.broken;
     if (++broken_in_a_row_ < kBrokenInARow) return;
-    // The backend is gone or was restarted: the idle connections go the same way when they are used.
+    // The backend is gone or was restarted: the idle connections would fail as well.
     drop_idle();
     return;
   }
@@ -96,7 +96,7 @@
   if (now >= open_ahead_not_before_) {
     wanted = std::max(wanted + spare, warm_);
   } else if (waiting > 0) {
-    // The last attempts failed: one more at a time finds out whether the backend is back.
+    // Recent attempts failed: opens one connection at a time to detect that the backend has recovered.
     wanted = std::min(wanted, in_use + statistics_.idle + 1);
   }
   return std::min(wanted, share_);
--- a/src/declared/backend/connection_pool.h
+++ b/src/declared/backend/connection_pool.h
@@ -1,5 +1,5 @@
-// Connections to one backend that are kept to be used again. Connections are opened ahead of need, so that
-// the opening delay is not on a statement's way as long as the pool keeps up.
+// Pool of reusable connections to one backend. Opens connections ahead of need, so that statements do not
+// wait for the opening delay while the pool keeps up.
 #pragma once
 
 #include <cstdint>
@@ -13,43 +13,44 @@
 
 namespace cairnhollow::declared::backend {
 
-/// Counters since the start, and what is held now.
+/// Counters since the start, and current values.
 struct PoolStatistics {
   std::uint32_t in_use = 0;
   std::uint32_t idle = 0;
   std::uint32_t opening = 0;
   std::uint64_t opened = 0;
   std::uint64_t open_failures = 0;
-  std::uint64_t refused_by_backend = 0;  ///< openings refused because the backend's limit was reached
-  std::uint64_t broken = 0;              ///< connections that came back closed
+  std::uint64_t refused_by_backend = 0;  ///< not opened: the backend's connection limit was reached
+  std::uint64_t broken = 0;              ///< connections returned closed
   std::uint64_t closed_idle = 0;
 };
 
-/// Holds (in use, idle and being opened) no more than the share. `runtime` and `connector` outlive it, and
-/// it lives until the process ends.
+/// Holds at most the proxy's share of connections (in use, idle and being opened). `runtime` and `connector`
+/// are not owned and must outlive this object, which lives until the process ends.
 class ConnectionPool {
  public:
   ConnectionPool(runtime::Runtime& runtime, BackendConnector& connector, BackendName backend);
 
-  /// Where the backend is and what it offers. Idle connections to another endpoint are closed.
+  /// Sets the backend's endpoint and capacity. Closes idle connections if the endpoint changed.
   void set_backend(const Endpoint& endpoint, const BackendCapacity& capacity);
-  /// Closes the idle connections: they may be dead without a sign of it.
+  /// Closes the idle connections, which may be broken although they look open.
   void drop_idle();
-  /// No connection is kept or opened ahead of need any more (the backend leaves).
+  /// Stops keeping connections open ahead of need, because the backend is leaving.
   void retire() { warm_ = 0; }
-  /// Other proxies need the connections: idle ones are closed at once.
+  /// Same as retire(), and closes idle connections at once so that other proxies can open theirs.
   void release();
 
-  /// An idle connection, the one used last; null when there is none.
+  /// Takes the most recently used idle connection. Returns null if there is none.
   std::shared_ptr<BackendConnection> take();
-  /// Returns what take() gave. A closed one is forgotten, one too many is closed.
+  /// Returns a connection obtained from take(). A closed one is discarded, one beyond the share is closed.
   void give_back(std::shared_ptr<BackendConnection> connection);
-  /// Opens what `waiting` statements and the coming ones need; closes what is idle for too long.
+  /// Opens connections for the `waiting` statements and for expected ones; closes connections that have been
+  /// idle for too long.
   void maintain(std::size_t waiting);
 
-  /// Called when an idle connection has become available.
+  /// Called when a new connection has become available.
   void on_available(std::function<void()> callback) { on_available_ = std::move(callback); }
-  /// Called when an opening failed and the pool holds no connection that could come back.
+  /// Called when opening failed and the pool holds no other connection that could become available.
   void on_unreachable(std::function<void(const Reason&)> callback) { on_unreachable_ = std::move(callback); }
 
   [[nodiscard]] std::uint32_t share() const { return share_; }
@@ -75,12 +76,12 @@
   Endpoint endpoint_;
   std::uint32_t share_ = 0;
   std::uint32_t warm_ = 0;
-  std::vector<IdleConnection> idle_;  ///< the one used last at the end
+  std::vector<IdleConnection> idle_;  ///< the most recently used at the end
   PoolStatistics statistics_;
   std::uint32_t broken_in_a_row_ = 0;
   std::uint32_t failures_in_a_row_ = 0;
-  TimePoint open_not_before_{};        ///< after the backend refused one more
-  TimePoint open_ahead_not_before_{};  ///< after failures; a waiting statement tries all the same
+  TimePoint open_not_before_{};        ///< after the backend refused a connection
+  TimePoint open_ahead_not_before_{};  ///< after failures; does not apply to waiting statements
   std::uint64_t endpoint_generation_ = 0;
   std::function<void()> on_available_;
   std::function<void(const Reason&)> on_unreachable_;
--- a/src/declared/backend/contract_codec.h
+++ b/src/declared/backend/contract_codec.h
@@ -1,5 +1,5 @@
-// The JSON bodies of docs/BACKEND_CONTRACT.md, for the driver and for servers that implement it.
-// Deadlines travel as the time that is left, so that the two clocks need not agree.
+// JSON bodies of docs/BACKEND_CONTRACT.md, for the driver and for servers that implement the contract.
+// Deadlines are sent as the remaining time, so that the clocks of the two sides need not agree.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::declared::backend {
 
-/// Header that carries the exchange's number; an answer must echo it.
+/// Header with the exchange id, which the answer must echo.
 inline constexpr const char* kExchangeHeader = "x-exchange-id";
 
 namespace target {
@@ -28,7 +28,7 @@
 inline constexpr const char* kResolve = "/v1/resolve";
 }  // namespace target
 
-/// execute and execute_in; `transaction` is empty outside a transaction.
+/// Body of execute and execute_in; `transaction` is empty outside a transaction.
 struct StatementCall {
   TransactionId transaction;
   Statement statement;
@@ -38,12 +38,12 @@
   DatabaseName database;
   Requirements requirements;
 };
-/// commit and rollback.
+/// Body of commit and rollback.
 struct FinishCall {
   TransactionId transaction;
   Requirements requirements;
 };
-/// fence and promote.
+/// Body of fence and promote.
 struct TermCall {
   std::uint64_t term = 0;
   std::string owner;
@@ -59,7 +59,7 @@
   TimePoint deadline;
 };
 
-/// `now` turns deadlines into the time that is left.
+/// `now` is used to convert deadlines to remaining time.
 std::string encode_call(const StatementCall& call, TimePoint now);
 std::string encode_call(const BeginCall& call, TimePoint now);
 std::string encode_call(const FinishCall& call, TimePoint now);
@@ -67,18 +67,18 @@
 std::string encode_call(const FollowCall& call, TimePoint now);
 std::string encode_call(const ResolveCall& call, TimePoint now);
 
-/// Empty with kInvalidArgument when the body is not a whole call of this type.
+/// Returns std::nullopt with kInvalidArgument if the body is not a complete call of this type.
 template <class Call>
 std::optional<Call> decode_call(const std::string& body, TimePoint now, Reason& reason);
 
-/// A call without a value of its own was carried out ("opened", "promoted", "following", "rolled_back").
+/// Answer to a successful call that returns no value ("opened", "promoted", "following", "rolled_back").
 struct Done {};
 struct Begun {
   TransactionId transaction;
 };
-/// A call other than a statement was not carried out.
+/// Answer to a call other than a statement that was not carried out.
 struct Refused {
-  Duration retry_after{0};  ///< 0: no time can be named
+  Duration retry_after{0};  ///< 0: unknown
 };
 
 using StatusAnswer = std::variant<BackendStatus, Refused>;
@@ -87,7 +87,7 @@
 using ResolveReply = std::variant<ResolveAnswer, Refused>;
 using DoneAnswer = std::variant<Done, Refused>;
 
-/// `reason` is sent along when it holds a failure; `request` is echoed when it is set.
+/// Includes `reason` if it holds a failure and echoes `request` if it is set.
 std::string encode_answer(const ExecuteAnswer& answer, const Reason& reason,
                           const std::optional<RequestId>& request);
 std::string encode_answer(const StatusAnswer& answer, const Reason& reason);
@@ -97,8 +97,8 @@
                           const std::optional<RequestId>& request);
 std::string encode_answer(const DoneAnswer& answer, const Reason& reason);
 
-/// Empty with kCorrupt when the body is not a whole answer of this type, or echoes another request than
-/// `request`. Otherwise `reason` is the server's: kNone when it sent none.
+/// Returns std::nullopt with kCorrupt if the body is not a complete answer of this type or echoes a request
+/// other than `request`. Otherwise `reason` is the server's, kNone if it sent none.
 template <class Answer>
 std::optional<Answer> decode_answer(const std::string& body, const std::optional<RequestId>& request,
                                     Reason& reason);
--- a/src/declared/backend/http_backend.cpp
+++ b/src/declared/backend/http_backend.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-/// The server is told a little less than the time that is left, so that its last word still arrives.
+/// The server is given slightly less than the remaining time, so that its answer still arrives before the
+/// deadline.
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
-constexpr int kAnswerMarginShare = 5;  ///< and at most this part (one in five) of the time that is left
+constexpr int kAnswerMarginShare = 5;  ///< at most one part in this many of the remaining time
 
 class HttpBackendConnection final : public BackendConnection {
  public:
@@ -155,7 +156,7 @@
     co_return answer;
   }
 
-  /// One HTTP exchange; the body of the answer, if it is this exchange's own.
+  /// Performs one HTTP exchange. Returns the body of the answer if it belongs to this exchange.
   Awaitable<std::optional<std::string>> exchange(std::string target, std::string body, std::string step,
                                                  TimePoint deadline, runtime::SendState& sent,
                                                  Reason& reason) {
@@ -188,7 +189,7 @@
     co_return std::move(response->body);
   }
 
-  /// The peer broke the contract: nothing that still comes on this connection can be trusted.
+  /// The peer violated the contract, so later data on this connection cannot be trusted either.
   void break_off(const std::string& step, Reason& reason) {
     reason.code = ReasonCode::kConnectionLost;
     reason.step = step;
@@ -203,7 +204,7 @@
   runtime::Runtime& runtime_;
   BackendName backend_;
   std::shared_ptr<runtime::HttpConnection> http_;
-  std::uint64_t connection_key_;  ///< tells this connection's exchanges from those of any other
+  std::uint64_t connection_key_;  ///< distinguishes this connection's exchange ids from those of others
   std::uint64_t exchanges_ = 0;
   bool exchanging_ = false;
   bool broken_ = false;
--- a/src/declared/backend/http_backend.h
+++ b/src/declared/backend/http_backend.h
@@ -1,4 +1,4 @@
-// The HTTP/JSON driver of BackendConnection; docs/BACKEND_CONTRACT.md describes the calls.
+// HTTP/JSON driver that implements BackendConnection; docs/BACKEND_CONTRACT.md specifies the calls.
 #pragma once
 
 #include <memory>
@@ -8,15 +8,16 @@
 
 namespace cairnhollow::declared::backend {
 
-/// What a connection is for. A database counts only statement connections against its connection limit,
-/// so that a full primary still answers probes and failover calls.
+/// What a connection is used for. A database counts only statement connections against its connection limit,
+/// so that a primary at its limit still answers probes and failover calls.
 enum class ConnectionPurpose : std::uint8_t {
-  kStatements,  ///< every call; takes one of the database's connections, opening it costs its opening delay
-  kControl,     ///< status, fence, promote, follow and resolve only
+  kStatements,  ///< all calls; counts against the connection limit and incurs the opening delay
+  kControl,     ///< only status, fence, promote, follow and resolve
 };
 
-/// `runtime` outlives the connector and its connections. A connection whose answer is late, short, not
-/// parsable or another exchange's is closed for good, and the call counts as Failed{kMaybeSent}.
+/// `runtime` is not owned and must outlive the connector and its connections. A connection is closed
+/// permanently if an answer is late, truncated, malformed or belongs to another exchange; the call then
+/// returns Failed{kMaybeSent}.
 std::unique_ptr<BackendConnector> make_http_backend_connector(
     runtime::Runtime& runtime, ConnectionPurpose purpose = ConnectionPurpose::kStatements);
 
--- a/src/declared/backend/json_values.cpp
+++ b/src/declared/backend/json_values.cpp
@@ -88,7 +88,7 @@
 }
 
 Duration read_duration(const json::object& object, const char* field) {
-  // A day bounds what arithmetic on time points has to bear.
+  // At most one day, so that arithmetic on time points cannot overflow.
   constexpr std::int64_t kLongest = std::chrono::microseconds(std::chrono::hours(24)).count();
   return std::chrono::microseconds(
       std::clamp<std::int64_t>(to_number<std::int64_t>(require(object, field), field), 0, kLongest));
--- a/src/declared/backend/pool_knobs.h
+++ b/src/declared/backend/pool_knobs.h
@@ -1,4 +1,4 @@
-// Numbers that tune admission to backends and the connection pools.
+// Tuning constants of admission to backends and of the connection pools.
 #pragma once
 
 #include <cstddef>
@@ -9,33 +9,35 @@
 namespace cairnhollow::declared::backend {
 
 // Admission.
-/// Statements that wait for one backend at most; beyond it the least urgent one is refused.
+/// Maximum number of statements that wait for one backend; when it is exceeded the least urgent one is
+/// refused.
 inline constexpr std::size_t kQueueLimit = 512;
-/// Shortest pause suggested to a statement that was refused for lack of capacity.
+/// Shortest pause suggested to a caller whose statement was refused for lack of capacity.
 inline constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(5);
-/// A backend that said that its slots are taken is sent nothing for at most this long.
+/// Longest time for which nothing is sent to a backend that reported all its slots in use.
 inline constexpr Duration kLongestBusyPause = std::chrono::milliseconds(10);
-/// An urgent statement that has less time than this many times what it is expected to wait may go beyond the
-/// concurrency limit.
+/// An urgent statement may exceed the concurrency limit if the time until its latest start is less than this
+/// multiple of its expected wait.
 inline constexpr int kPressedWaits = 2;
 
 // Connections.
-/// Opened ahead of need to every backend of a served group, replicas included: they are the next primaries.
+/// Minimum number of connections opened ahead of need to every backend of a served group, including replicas,
+/// each of which may become the next primary.
 inline constexpr std::uint32_t kWarmConnections = 2;
-/// Idle connections kept besides those in use: one, and one more for this many in use.
+/// Idle connections kept besides those in use: one, plus one for every this many in use.
 inline constexpr std::uint32_t kInUsePerSpare = 4;
-/// A connection that was not used for this long is closed, unless it belongs to the warm ones.
+/// A connection unused for this long is closed unless the pool is at its warm minimum.
 inline constexpr Duration kIdleLimit = std::chrono::seconds(30);
-/// Opening one connection may take this long.
+/// Time limit for opening one connection.
 inline constexpr Duration kOpenTimeout = std::chrono::milliseconds(400);
-/// Pause before connections are opened ahead of need again, after a failure; doubled up to the limit.
+/// Pause after a failure before connections are opened ahead of need again; doubled up to the limit.
 inline constexpr Duration kReopenPause = std::chrono::milliseconds(100);
 inline constexpr Duration kReopenPauseLimit = std::chrono::seconds(2);
-/// After the backend refused one more connection none is opened for this long.
+/// Pause before the next attempt after the backend refused a connection.
 inline constexpr Duration kRefusedPause = std::chrono::milliseconds(200);
-/// Exchanges in a row on which a connection broke, before the idle connections count as broken too.
+/// Number of consecutive connections returned broken after which the idle connections are dropped as well.
 inline constexpr std::uint32_t kBrokenInARow = 2;
-/// Pools are looked after this often, besides when something happens.
+/// Interval between periodic checks of the pools, in addition to checks triggered by events.
 inline constexpr Duration kPoolCheckInterval = std::chrono::milliseconds(500);
 
 }  // namespace cairnhollow::declared::backend
--- a/src/declared/backend/urgent_allowance.h
+++ b/src/declared/backend/urgent_allowance.h
@@ -1,7 +1,8 @@
-// How many urgent statements a proxy may have under way at a backend beyond its concurrency limit. The limit
-// is a proxy's part of the slots; parts of others may be idle or taken by less urgent work, and who needs
-// them is told by nobody. So they are tried: the backend's busy answer is the hard stop, and costs the caller
-// no more than a pause. Additive increase and a fall to one, as in TCP's congestion window after a timeout.
+// Limits how many urgent statements a proxy may have in flight at a backend beyond its concurrency limit.
+// That limit is the proxy's share of the slots; slots of other proxies may be idle, and no message tells
+// which. They are therefore probed: the backend's busy answer is the hard limit and costs the caller only a
+// pause. The allowance grows additively and falls to one on a busy answer, as the congestion window does
+// after a timeout in TCP.
 #pragma once
 
 #include <algorithm>
@@ -11,17 +12,18 @@
 
 class UrgentAllowance {
  public:
-  /// At most this many statements under way, borrowed ones included: the backend's slots and what there are
-  /// connections for.
+  /// Sets the maximum number of statements in flight, borrowed slots included: the smaller of the backend's
+  /// slots and this proxy's connections.
   void set_bound(std::uint32_t most_under_way) { most_under_way_ = most_under_way; }
 
-  /// The statements that may be under way when urgent ones need it; `limit` at least.
+  /// The number of statements that may be in flight while urgent statements are under deadline pressure; at
+  /// least `limit`.
   [[nodiscard]] std::uint32_t raise(std::uint32_t limit) const {
     return std::max(limit, std::min(most_under_way_, limit + allowance_));
   }
-  /// A borrowed slot was there: one more may be tried.
+  /// A statement in a borrowed slot was answered: one more may be tried.
   void answered() { allowance_ = std::min(allowance_ + 1, std::max(1U, most_under_way_)); }
-  /// The backend had none: one at a time is tried from now on.
+  /// A borrowed slot was not available: one at a time is tried from now on.
   void busy() { allowance_ = 1; }
 
  private:
--- a/src/declared/backend/wait_cancellation.h
+++ b/src/declared/backend/wait_cancellation.h
@@ -1,4 +1,4 @@
-// Ends one wait early, from outside of it.
+// Ends a wait early on behalf of another coroutine.
 #pragma once
 
 #include <functional>
@@ -6,14 +6,14 @@
 
 namespace cairnhollow::declared::backend {
 
-/// Belongs to one request and outlives its wait. Used on one thread, as the wait itself.
+/// Belongs to one request and must outlive its wait. Must be used on the thread of the wait.
 class WaitCancellation {
  public:
-  /// Ends the wait under way; without one, nothing happens.
+  /// Ends the current wait; does nothing if there is none.
   void cancel() {
     if (end_wait_) std::exchange(end_wait_, nullptr)();
   }
-  /// The one that waits says how its wait is ended; called after the wait it must do nothing.
+  /// Sets the callback that ends the wait. It must do nothing if it is called after the wait.
   void set(std::function<void()> end_wait) { end_wait_ = std::move(end_wait); }
 
  private:
--- a/tests/declared/backend/admission_fixture.h
+++ b/tests/declared/backend/admission_fixture.h
@@ -1,4 +1,4 @@
-// Admission to one scripted backend, in a world that holds nothing but the proxy's runtime.
+// Fixture for admission to one scripted backend, in a simulated world with only the proxy's runtime.
 #pragma once
 
 #include <cppunit/TestFixture.h>
@@ -12,7 +12,7 @@
 
 namespace cairnhollow::declared::backend {
 
-/// What became of the callers is kept by the tests, as `CallResult`.
+/// `CallResult` is the test's record of one call's outcome.
 template <class CallResult>
 class AdmissionFixture : public CppUnit::TestFixture {
  public:
@@ -26,7 +26,7 @@
   }
   void tearDown() override {
     CPPUNIT_ASSERT(world_->faults().empty());
-    // Coroutines that refer to the admission end before it does.
+    // Lets coroutines that refer to the admission end before it is destroyed.
     world_->run_for(std::chrono::seconds(20));
     world_.reset();
     admission_.reset();
--- a/tests/declared/backend/backend_admission_test.cpp
+++ b/tests/declared/backend/backend_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission to one backend: order of the queue, early refusal, opening ahead of need, what failures do.
+// Tests admission to one backend: queue order, early refusal, opening ahead of need, failure handling.
 #include "declared/backend/backend_admission.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What became of one caller's statement.
+/// Outcome of one caller's statement.
 struct CallResult {
   std::string text;
   bool admitted = false;
@@ -47,7 +47,7 @@
   results.push_back(std::move(result));
 }
 
-/// Begins a transaction and keeps it open for `idle`, then runs one statement in it and commits.
+/// Begins a transaction, keeps it idle for `idle`, then runs one statement in it and commits.
 Awaitable<void> run_transaction(runtime::Runtime& runtime, BackendAdmission& admission,
                                 AdmissionRequest request, Duration idle, CallResults& results) {
   CallResult result;
@@ -112,7 +112,7 @@
   void test_growing_load_finds_connections_open() {
     admission_->maintain();
     world_->run_for(milliseconds(20));
-    // The limit grows by one every 200 ms; each new statement at once needs one more connection.
+    // The limit grows by one every 200 ms; each concurrent statement needs one more connection.
     for (int round = 0; round < 500; ++round) {
       while (admission_->statistics().running < admission_->statistics().limit) start("s");
       world_->run_for(milliseconds(5));
@@ -155,7 +155,7 @@
     warm_up_one();
     for (int statement = 0; statement < 6; ++statement) start("s", 1, seconds(2));
     start("hopeless", 1, milliseconds(150));
-    // It was refused without waiting; it would have had to wait for 100 ms at least and run as long.
+    // Refused without waiting: it would have waited at least 100 ms and then run for 100 ms.
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, results_.size());
     CPPUNIT_ASSERT_EQUAL(std::string("hopeless"), results_.front().text);
@@ -253,7 +253,7 @@
     script_->break_connections = true;
     start("a");
     start("b");
-    world_->run_for(milliseconds(8));  // a spare one is still being opened
+    world_->run_for(milliseconds(8));  // a spare connection is still being opened
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, admission_->pool_statistics().broken);
     CPPUNIT_ASSERT_EQUAL(0U, admission_->pool_statistics().idle);
     script_->break_connections = false;
@@ -348,7 +348,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, admission_->statistics().busy_answers);
   }
 
-  /// What was refused comes back through the queue, by its priority, when the pause is over.
+  /// After the pause statements are admitted by priority.
   void test_busy_backend_is_sent_nothing_for_a_pause() {
     warm_up_one();
     script_->busy = true;
@@ -373,7 +373,7 @@
     runtime().spawn("call", call(runtime(), *admission_, text, request(priority_class, time), results_));
     world_->run_for(Duration(0));
   }
-  /// One statement, so that a connection is open and the latency is known; its traces are wiped.
+  /// Runs one statement so that a connection is open and the latency is known, then clears the records.
   void warm_up_one() {
     start("warm up");
     world_->run_for(seconds(2));
--- a/tests/declared/backend/contract_codec_test.cpp
+++ b/tests/declared/backend/contract_codec_test.cpp
@@ -1,4 +1,4 @@
-// Bodies that are no calls of the contract are refused with the field that is wrong.
+// Checks that malformed bodies are refused with an error that names the invalid field.
 #include "declared/backend/contract_codec.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/backend/http_backend_test.cpp
+++ b/tests/declared/backend/http_backend_test.cpp
@@ -1,5 +1,5 @@
-// The HTTP driver against a server that delays, crosses, repeats and cuts its answers: every caller gets its
-// own answer whole or a failure, and a connection that went wrong is never used again.
+// Tests the HTTP driver against a server that delays, crosses, repeats and truncates answers: every call gets
+// its own complete answer or a failure, and a connection on which one failed is never used again.
 #include "declared/backend/http_backend.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,7 +15,7 @@
 
 constexpr int kCalls = 60;
 
-/// What the calls on one connection at a time came to.
+/// Outcomes of the calls.
 struct CallCounts {
   int answered = 0;
   int failed = 0;
@@ -108,7 +108,7 @@
   }
 
  private:
-  /// Appends the number, whose place in the record the answer names.
+  /// Appends the number; the answer holds its position in the record.
   ExecuteAnswer write(BackendConnection& connection, std::uint64_t number) {
     const RequestId request{SessionName("s"), number};
     auto wanted = group_->requirements(1, request);
@@ -118,8 +118,8 @@
         connection.execute(DatabaseGroup::append_statement(std::to_string(number)), wanted, reason_));
   }
 
-  /// Two connections take turns, so that crossing has whom to cross with. An answer is the call's own when
-  /// the ledger names the same position for the request.
+  /// Alternates between two connections, so that answers can be crossed. An answer is the call's own if the
+  /// ledger has the same position for the request.
   CallCounts run_calls() {
     CallCounts counts;
     std::vector<std::shared_ptr<BackendConnection>> connections(2);
--- a/tests/declared/backend/pool_share_test.cpp
+++ b/tests/declared/backend/pool_share_test.cpp
@@ -1,4 +1,4 @@
-// Shares of connections and slots, over all sizes that matter.
+// Shares of connections and slots, for all numbers of connections and proxies up to the limits below.
 #include "declared/backend/pool_share.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/declared/backend/scripted_backend.h
+++ b/tests/declared/backend/scripted_backend.h
@@ -1,4 +1,4 @@
-// A backend whose connections do what the test says, without a server.
+// Test double of a backend whose connections follow a script, without a server.
 #pragma once
 
 #include <memory>
@@ -14,15 +14,15 @@
   Duration opening_delay = std::chrono::milliseconds(10);
   Duration statement_duration = std::chrono::milliseconds(4);
   std::optional<Reason> opening_failure;
-  bool busy = false;               ///< every statement is answered Busy
-  std::uint32_t slots = 1000;      ///< a statement that finds them taken is answered Busy
+  bool busy = false;               ///< every statement is answered with Busy
+  std::uint32_t slots = 1000;      ///< beyond these statements are answered with Busy
   bool break_connections = false;  ///< every statement fails and closes its connection
-  std::uint32_t limit = 1000;      ///< connections beyond it are refused
-  std::uint32_t open = 0;          ///< connections open now
-  std::uint32_t running = 0;       ///< statements running now
+  std::uint32_t limit = 1000;      ///< connections beyond this are refused
+  std::uint32_t open = 0;          ///< currently open connections
+  std::uint32_t running = 0;       ///< currently running statements
   std::uint32_t most_running = 0;
-  std::uint32_t openings = 0;           ///< attempts
-  std::vector<std::string> statements;  ///< texts in the order in which they began
+  std::uint32_t openings = 0;           ///< attempts to open a connection
+  std::vector<std::string> statements;  ///< texts in the order of their start
 };
 
 class ScriptedConnection final : public BackendConnection {
--- a/tests/declared/backend/urgent_allowance_test.cpp
+++ b/tests/declared/backend/urgent_allowance_test.cpp
@@ -1,4 +1,5 @@
-// Urgent statements that go beyond a proxy's concurrency limit when they would be late within it.
+// Tests urgent statements that exceed the proxy's concurrency limit when they would miss their deadlines
+// within it.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "declared/backend/admitted_connection.h"
@@ -10,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What became of one caller's statement.
+/// Outcome of one caller's statement.
 struct CallResult {
   std::string text;
   Reason reason;
@@ -18,7 +19,7 @@
 };
 using CallResults = std::vector<CallResult>;
 
-/// As a write's executor does: what the backend was too busy for is admitted anew.
+/// Requests admission again after each Busy answer, as the executor of writes does.
 Awaitable<void> call(BackendAdmission& admission, std::string text, AdmissionRequest request,
                      CallResults& results) {
   CallResult result;
@@ -47,7 +48,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// One slot is this proxy's share, and alone would run nine of them in time.
+  /// With the proxy's share of one slot only nine of the statements would meet their deadlines.
   void test_urgent_statements_borrow_slots_that_others_leave_idle() {
     have_share_of_four_slots(1);
     start_in_turn(14, 0, seconds(1));
@@ -59,8 +60,8 @@
     CPPUNIT_ASSERT(script_->most_running <= 4);
   }
 
-  /// The others' slots are all taken: what was tried there is answered busy, at most once a pause of 5 ms
-  /// and once an answer, and does not take the limit below the share.
+  /// All slots of other proxies are in use: attempts to borrow one are answered with Busy, at most once per
+  /// pause of 5 ms and once per answer, and do not lower the limit below the share.
   void test_borrowing_ends_at_the_slots_and_leaves_the_share() {
     have_share_of_four_slots(2);
     script_->slots = 2;
@@ -103,7 +104,7 @@
   }
 
  private:
-  /// Statements of 100 ms, and connections for more than the share.
+  /// Statements take 100 ms; there are more connections than slots in the share.
   void have_share_of_four_slots(std::uint32_t share) {
     script_->statement_duration = milliseconds(100);
     script_->slots = 4;
@@ -114,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(share, admission_->statistics().limit);
     script_->most_running = 0;
   }
-  /// Each has its deadline a little after the one before.
+  /// Starts statements with strictly increasing deadlines.
   void start_in_turn(int count, std::uint8_t priority_class, Duration time) {
     for (int statement = 0; statement < count; ++statement) {
       start("s", priority_class, time + std::chrono::microseconds(statement));
