--- a/src/declared/proxy/knobs.h
+++ b/src/declared/proxy/knobs.h
@@ -1,4 +1,4 @@
-// Numbers that tune the proxy and that no deployment has needed to change yet.
+// Tuning constants of the proxy that are not configurable.
 #pragma once
 
 #include <cstddef>
@@ -8,8 +8,8 @@
 
 namespace cairnhollow::declared::proxy {
 
-// Limits on what a caller may send.
-inline constexpr std::size_t kMaximumBodyLength = std::size_t{512} * 1024;  ///< bytes of a request's body
+// Limits on caller input.
+inline constexpr std::size_t kMaximumBodyLength = std::size_t{512} * 1024;  ///< bytes of a request body
 inline constexpr std::size_t kMaximumTextLength = std::size_t{256} * 1024;  ///< bytes of a statement's text
 inline constexpr std::size_t kMaximumDatabaseLength = 128;
 inline constexpr std::size_t kMaximumPartitionKeyLength = 512;
@@ -18,90 +18,96 @@
 inline constexpr std::size_t kMaximumLabelLength = 128;
 inline constexpr std::uint64_t kMaximumDeadlineMilliseconds = 60000;
 inline constexpr std::size_t kMaximumTransactionIdLength = 256;
-/// Numbers must survive JSON readers that hold them as doubles (RFC 8259, section 6).
+/// Numbers must survive JSON readers that store them as doubles (RFC 8259, section 6).
 inline constexpr std::uint64_t kMaximumRequestNumber = (std::uint64_t{1} << 53U) - 1;
 
-/// An answer leaves this long (at most a quarter of the time given) before the caller's deadline, so that
-/// it can still arrive.
+/// An answer is sent this long (at most a quarter of the time limit) before the caller's deadline, so that it
+/// can arrive in time.
 inline constexpr Duration kAnswerMargin = std::chrono::milliseconds(20);
-/// A write waits this long for a new primary before it is refused.
+/// A write waits at most this long for a new primary before it is refused.
 inline constexpr Duration kPrimaryWaitLimit = std::chrono::milliseconds(1500);
-/// Pause between two attempts of one write at the same primary, doubled each time up to the limit.
+/// Pause between two attempts of one write at the same primary; doubled each time up to the limit.
 inline constexpr Duration kPrimaryRetryPause = std::chrono::milliseconds(25);
 inline constexpr Duration kPrimaryRetryPauseLimit = std::chrono::milliseconds(400);
-/// A backend that does not accept a connection within this time counts as unreachable.
+/// A backend that does not accept a connection within this time is treated as unreachable.
 inline constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
-/// A read that one backend has not answered within this time is tried elsewhere.
+/// A read that a backend has not answered within this time is retried at another backend.
 inline constexpr Duration kReadAttemptLimit = std::chrono::milliseconds(1000);
-/// A read that another backend may serve too is ended when its own has owed an answer to a probe, and
-/// answered nobody, for this long. Looked at this often, while any such read is under way.
+/// A read that another backend could also serve is cancelled when its backend has had a probe unanswered, and
+/// has answered no other call, for this long. Checked at this interval while any such read is in flight.
 inline constexpr Duration kReadSilenceLimit = std::chrono::milliseconds(100);
 inline constexpr Duration kReadWatchInterval = std::chrono::milliseconds(25);
-/// A read is chosen for anew so often at most, when the primary that it waited for was replaced.
+/// Maximum number of times that a backend is selected for one read because the primary that it waited for was
+/// replaced.
 inline constexpr int kReadChoices = 3;
-/// A read is held for a replica for at most this part (one in so many) of the time that it is given.
+/// A read is held for a replica for at most one part in this many of its time limit.
 inline constexpr int kHoldDeadlineShare = 4;
-/// A write that its primary has not answered within this time is resolved, not waited for.
+/// A write that its primary has not answered within this time is resolved instead of awaited.
 inline constexpr Duration kWriteAttemptLimit = std::chrono::milliseconds(1500);
-/// A primary that was replaced has this long to answer what it was sent; then its attempts are resolved. One
-/// that lives and was fenced answers at once that it is primary no more, which is cheaper to go on from.
+/// Time that a replaced primary has to answer statements already sent to it, before they are resolved. A
+/// running primary that was fenced answers at once that it is no longer primary, which is cheaper than
+/// resolving.
 inline constexpr Duration kReplacedPrimaryGrace = std::chrono::milliseconds(50);
-/// An unanswered write is resolved for this long, waiting for a new primary, before it is `unknown`.
+/// An unanswered write is resolved for at most this long, including the wait for a new primary, before its
+/// outcome is reported as `unknown`.
 inline constexpr Duration kResolveLimit = std::chrono::milliseconds(3000);
-/// One question to the ledger.
+/// Time limit for one ledger query.
 inline constexpr Duration kResolveAttemptLimit = std::chrono::milliseconds(500);
-/// Connections to one backend on which outcomes are asked for.
+/// Maximum number of connections to one backend for ledger queries.
 inline constexpr std::size_t kResolveConnections = 8;
-/// Between two questions to the ledger when no news of a primary comes earlier.
+/// Pause between two ledger queries unless a change of primary is learned earlier.
 inline constexpr Duration kResolvePause = std::chrono::milliseconds(50);
-/// An abandoned transaction's rollback is waited for this long; then its connection is closed.
+/// Time limit for rolling back an abandoned transaction; then its connection is closed.
 inline constexpr Duration kRollbackLimit = std::chrono::milliseconds(1000);
-/// A statement that ran out of time sooner than this says nothing against the backend.
+/// A statement that ran out of time sooner than this is not counted as a failure of the backend.
 inline constexpr Duration kFailureEvidenceTime = std::chrono::milliseconds(250);
-/// A backend that does not tell its positions within this time is asked again in the next round.
+/// A backend that does not report its positions within this time is probed again in the next round.
 inline constexpr Duration kFreshnessProbeLimit = std::chrono::milliseconds(1000);
-/// A proxy before at most this many groups probes them all, so that its first read of a group finds a replica
-/// too. Before more it probes the groups that it serves only: with 1,500 proxies and 3,300 groups all would
-/// be 59 million probes a second.
+/// With at most this many groups a proxy probes all of them, so that its first read of a group can already
+/// use a replica. With more groups it probes only those it serves, because the probes of all proxies would
+/// grow with the product of proxies and groups.
 inline constexpr std::size_t kAlwaysProbedGroups = 24;
 /// A group counts as served by this proxy for this long after its last read.
 inline constexpr Duration kGroupActivityTime = std::chrono::seconds(30);
-/// What one freshness probe costs the proxy of a core's time (cairnhollow-bench, freshness_probes, and a
-/// proxy's process: docs/CAPACITY.md), and the probes' share of a core, one part in so many:
-/// 166 probes a second. Up to 13 groups of three are probed each interval; with more the period stretches.
+/// CPU time that one freshness probe costs the proxy, and the probes' share of one core (one part in this
+/// many). Together they limit the rate of probes; with more members than fit in one interval the period gets
+/// longer.
 inline constexpr Duration kFreshnessProbeCost = std::chrono::microseconds(60);
 inline constexpr int kFreshnessProbeShare = 100;
-/// Among groups read within about this time none goes before the other because it was read later.
+/// Added to the time since a group's last read, so that groups read within about this time have the same
+/// priority.
 inline constexpr Duration kReadOfLate = std::chrono::seconds(1);
-/// A member whose position was never learned is as urgent as one that was learned this long ago.
+/// A member with an unknown position is as urgent as one whose position was learned this long ago.
 inline constexpr Duration kUnknownPositionAge = std::chrono::minutes(1);
-/// Of a forwarded write's or commit's time this much (at most a quarter) is kept back, so that its outcome
-/// can be asked for elsewhere when no answer comes.
+/// Part of a forwarded write's or commit's time limit (at most a quarter) that is reserved for querying the
+/// outcome through another proxy if no answer arrives.
 inline constexpr Duration kHopReserve = std::chrono::milliseconds(1000);
-/// Connections to one other proxy that are in use at once, transactions included.
+/// Maximum number of connections in use to one other proxy, transactions included.
 inline constexpr std::size_t kHopConnections = 64;
-/// Connections to one other proxy that are kept while idle, and for how long.
+/// Maximum number of idle connections kept to one other proxy, how long they are kept, and how often this is
+/// checked.
 inline constexpr std::size_t kHopIdleConnections = 4;
 inline constexpr Duration kHopIdleTime = std::chrono::seconds(3);
 inline constexpr Duration kHopUpkeepInterval = std::chrono::seconds(1);
-/// A proxy that has owed an answer for this long is asked for its health, and is silent when it has not told
-/// it after the limit. Looked at this often, while any answer is owed.
+/// A proxy with an answer outstanding for this long is sent a health check, and is considered unresponsive if
+/// it does not answer within the limit. Checked at this interval while any answer is outstanding.
 inline constexpr Duration kHopSuspectTime = std::chrono::milliseconds(300);
 inline constexpr Duration kHopHealthLimit = std::chrono::milliseconds(500);
 inline constexpr Duration kHopWatchInterval = std::chrono::milliseconds(100);
-/// A proxy that could not be reached or did not answer is tried last for this long, doubled each time up to
-/// the limit.
+/// A proxy that was unreachable or did not answer is tried last for this long; doubled each time up to the
+/// limit.
 inline constexpr Duration kHopAvoidTime = std::chrono::milliseconds(500);
 inline constexpr Duration kHopAvoidTimeLimit = std::chrono::seconds(8);
-/// Answers to draining callers are given this long to leave before the last connections are closed.
+/// Time for answers to reach their callers while draining, before the last connections are closed.
 inline constexpr Duration kDrainLinger = std::chrono::milliseconds(500);
-/// How often a draining proxy looks whether anything is still in flight.
+/// How often a draining proxy checks for work in flight.
 inline constexpr Duration kDrainPollInterval = std::chrono::milliseconds(20);
-/// Suggested pause before a caller comes back, by what it waits for.
+/// Suggested pause before a caller retries, by what it waits for.
 inline constexpr Duration kRetryAfterFailover = std::chrono::milliseconds(250);
 inline constexpr Duration kRetryAfterOverload = std::chrono::milliseconds(50);
 inline constexpr Duration kRetryAfterElsewhere = std::chrono::milliseconds(0);
 inline constexpr Duration kRetryAfterNewRequest = std::chrono::milliseconds(0);  ///< under a new number
-inline constexpr Duration kRetryAfterOperator = std::chrono::seconds(1);         ///< a change may mend it
+inline constexpr Duration kRetryAfterOperator =
+    std::chrono::seconds(1);  ///< an operator may have to intervene
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/proxy_metrics.h
+++ b/src/declared/proxy/proxy_metrics.h
@@ -1,32 +1,32 @@
-// The proxy's metrics (docs/METRICS.md). Where domains are named, all but the statements, reads, refusals and
-// requests in flight carry the label `domain` too:
+// Metrics of the proxy (docs/METRICS.md). In a proxy with named domains all metrics except the statements,
+// reads, refusals and requests in flight also carry the label `domain`. All names begin with
+// `cairnhollow_proxy_`:
 //
-//   cairnhollow_proxy_statements_total{kind,outcome}     answered statements; outcome: done, not_run, unknown
-//   cairnhollow_proxy_refusals_total{code,outcome}       refusals by reason
-//   cairnhollow_proxy_reads_total{served_by}             reads done; served_by: replica, primary
-//   cairnhollow_proxy_primary_reads_total{reason}        reads done on the primary, by why
-//   cairnhollow_proxy_statement_seconds{kind}            from the request's arrival to its answer
-//   cairnhollow_proxy_requests_in_flight                 caller requests being served
-//   cairnhollow_proxy_transactions_open                  transactions begun here and not ended
-//   cairnhollow_proxy_retries_left                       whole retries that the budget allows now
-//   cairnhollow_proxy_waiting_for_change                 requests that wait for news, e.g. of a new primary
-//   cairnhollow_proxy_reads_held                         reads held until a replica has their position
-//   cairnhollow_proxy_configuration_revision             revision of the routing view in force
-//   cairnhollow_proxy_lease_valid                        1 while new work may be taken
-//   cairnhollow_proxy_follow_moves_total                 times that another control node was tried
-//   cairnhollow_proxy_forwards_total{result}             hops to proxies that serve the group; result:
-//   answered,
-//                                                        declined, unreachable, unanswered, resolved,
-//                                                        unknown, refused
-//   cairnhollow_proxy_hop_connections                    connections to other proxies
-//   cairnhollow_proxy_backend_running{backend}           statements and transactions at the backend now
-//   cairnhollow_proxy_backend_limit{backend}             how many of them may run at once (adapts itself)
-//   cairnhollow_proxy_backend_connections{backend}       connections held to it, idle ones included
-//   cairnhollow_proxy_backend_waiting{backend}           statements that wait for admission to the backend
-//   cairnhollow_proxy_backend_admitted_total{backend}    statements and transactions admitted
-//   cairnhollow_proxy_backend_shed_total{backend,cause}  refused admission; cause: early, timed_out,
-//   unreachable cairnhollow_proxy_backend_busy_total{backend}        answers by which the backend said that
-//   it is busy
+//   statements_total{kind,outcome}     answered statements; outcome: done, not_run, unknown
+//   refusals_total{code,outcome}       refusals by reason
+//   reads_total{served_by}             completed reads; served_by: replica, primary
+//   primary_reads_total{reason}        reads served by the primary, by cause
+//   statement_seconds{kind}            time from a request's arrival to its answer
+//   requests_in_flight                 caller requests in progress
+//   transactions_open                  transactions begun at this proxy and not yet ended
+//   retries_left                       whole retries that the budget allows now
+//   waiting_for_change                 requests that wait for a change, e.g. a new primary
+//   reads_held                         reads held until a replica has their position
+//   configuration_revision             revision of the routing view in use
+//   lease_valid                        1 while new work may be accepted
+//   follow_moves_total                 times that another control node was tried
+//   forwards_total{result}             calls forwarded to serving proxies; result:
+//                                      answered, declined, unreachable, unanswered,
+//                                      resolved, unknown, refused
+//   hop_connections                    connections to other proxies, including idle ones
+//   backend_running{backend}           statements and transactions at the backend now
+//   backend_limit{backend}             adaptive limit on concurrent statements
+//   backend_connections{backend}       connections held, including idle ones
+//   backend_waiting{backend}           statements that wait for admission
+//   backend_admitted_total{backend}    statements and transactions admitted
+//   backend_shed_total{backend,cause}  refused admissions; cause: early, timed_out,
+//                                      unreachable
+//   backend_busy_total{backend}        answers that report the backend as busy
 #pragma once
 
 #include <array>
@@ -38,12 +38,12 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// What is counted by the kind of call.
+/// The kinds of call that statements are counted by.
 enum class CallKind : std::uint8_t { kRead, kWrite, kTransaction, kCommit, kResolve };
 inline constexpr std::size_t kCallKinds = 5;
 
-/// Values read when a scraper asks.
-/// Of one domain; where it has a name, they carry it as the label `domain`.
+/// Values sampled when metrics are rendered.
+/// Gauges of one domain; if the domain has a name, they carry it as the label `domain`.
 struct DomainGauges {
   DomainName domain;
   std::size_t transactions_open = 0;
@@ -69,7 +69,7 @@
 
   void answered(CallKind kind, Duration took, const Outcome& outcome);
   void refused(const Refused& refused);
-  /// Prometheus text format.
+  /// Renders the Prometheus text format.
   [[nodiscard]] std::string render(const ProxyGauges& gauges);
 
  private:
--- a/src/declared/proxy/proxy_server.cpp
+++ b/src/declared/proxy/proxy_server.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Owns and wires the parts; each member is used only by those below it.
+/// Owns and wires the components; each member is used only by members declared after it.
 class ProxyServer : public runtime::Role {
  public:
   ProxyServer(runtime::Runtime& runtime, ProxySettings settings)
@@ -33,20 +33,22 @@
     draining_ = true;
     api_.start_draining();
     report_load_once();
-    // Connections are still taken: who comes now is told to go elsewhere, and a connection whose transaction
-    // is open must not be closed by its next answer.
+    // Connections are still accepted: new callers are told to reconnect elsewhere, and a connection with an
+    // open transaction must not be closed by its next answer.
     const TimePoint give_up_at = runtime_.now() + settings_.drain_limit;
     while (busy() && runtime_.now() < give_up_at) co_await runtime_.sleep_for(kDrainPollInterval);
     domains_.abandon_transactions();
     const TimePoint rolled_back_by = runtime_.now() + kRollbackLimit;
     while (busy() && runtime_.now() < rolled_back_by) co_await runtime_.sleep_for(kDrainPollInterval);
-    // A caller that holds an idle connection may be sending its next request now. Closing the connection
-    // would leave that request without an answer: it is answered, and the connection ends with the answer.
+    // A caller with an idle connection may be sending its next request right now. Closing the connection
+    // would leave that request unanswered; instead it is answered, and the connection is closed with the
+    // answer.
     while (api_.caller_connections() > 0 && runtime_.now() < give_up_at) {
       co_await runtime_.sleep_for(kDrainPollInterval);
     }
     server_->stop_accepting();
-    // Who connected last and has sent nothing yet is told to go elsewhere; then the answers leave.
+    // Gives callers that have connected but sent nothing yet time to be told to reconnect elsewhere, and lets
+    // the last answers leave.
     co_await runtime_.sleep_for(kDrainLinger);
     server_->close();
     for (const auto& domain : domains_.all()) domain->stop();
@@ -59,7 +61,7 @@
     for (const auto& domain : domains_.all()) domain->report_load(api_.in_flight(), draining_);
   }
 
-  /// Tells control how busy this proxy is, with the next question.
+  /// Reports this proxy's load to control with the next follow request.
   Awaitable<void> report_load() {
     while (!draining_) {
       report_load_once();
--- a/src/declared/proxy/proxy_server.h
+++ b/src/declared/proxy/proxy_server.h
@@ -1,4 +1,4 @@
-// The proxy's role: wires admission, routing, pools and the follow stream together.
+// The proxy role: wires admission, routing, connection pools and the follow stream together.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Creates a proxy on `runtime`, which outlives it.
+/// Creates a proxy. `runtime` is not owned and must outlive it.
 std::unique_ptr<runtime::Role> make_proxy(runtime::Runtime& runtime, ProxySettings settings);
 
 }  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/control_stub.h
+++ b/tests/declared/proxy/control_stub.h
@@ -1,5 +1,5 @@
-// Stands in for a control node in the proxy's tests: serves one configuration and one list of primaries to
-// every follower, and gives leases for as long as it is let.
+// Stand-in for a control node in proxy tests: serves one configuration and one list of primaries to every
+// follower, and grants leases while it answers.
 #pragma once
 
 #include <map>
@@ -22,11 +22,11 @@
   Awaitable<bool> start(Reason& reason) override;
   Awaitable<void> drain() override;
 
-  /// Writes objects in one revision, and tells the followers.
+  /// Writes the objects in one revision and notifies the followers.
   void put(std::vector<config::Object> objects);
   void set_primary(const GroupName& group, std::uint64_t term, const BackendName& primary);
   void set_leaving(std::vector<std::string> names);
-  /// False: questions are left unanswered, so that leases run out.
+  /// False: requests are left unanswered, so that leases expire.
   void set_answering(bool answering) { answering_ = answering; }
 
   [[nodiscard]] const std::vector<follow::SuspectPrimary>& suspects() const { return suspects_; }
--- a/tests/declared/proxy/proxy_domains_test.cpp
+++ b/tests/declared/proxy/proxy_domains_test.cpp
@@ -1,5 +1,5 @@
-// A proxy before two domains: "north" decides on database "decks", "south" on "maps". Both declare objects of
-// the same names.
+// Tests a proxy with two domains: "north" owns database "decks", "south" owns "maps". Both declare objects
+// with the same names.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -61,7 +61,7 @@
     south.set_answering(true);
     deployment.world().run_for(kLeaseOver);
     assert_done(write_south(deployment, caller));
-    // As one domain each: the other way round.
+    // The reverse case, in which north's lease expires.
     deployment.control().set_answering(false);
     deployment.world().run_for(kLeaseOver);
     assert_refused(deployment.write(caller, "three"), CallOutcome::kNotRun, ReasonCode::kLeaseExpired);
@@ -110,7 +110,7 @@
     auto& south = start_south(deployment);
     auto& caller = deployment.add_caller(0);
     assert_done(deployment.write(caller, "one"));
-    // South's primary and its position say nothing of north's group of that name.
+    // South's primary and its position must not affect north's group of the same name.
     south.set_primary(ProxyWorld::group(), 9, BackendName("none"));
     deployment.world().run_for(seconds(1));
     assert_done(deployment.write(caller, "two"));
@@ -176,7 +176,7 @@
   }
 
  private:
-  /// South's control node, which declares the same databases and group, and these proxies.
+  /// Starts south's control node, which declares the same databases and group, and these proxies.
   static ControlStub& start_south(ProxyWorld& deployment,
                                   const std::vector<std::uint32_t>& proxies = {0, 1}) {
     deployment.world().start(
@@ -231,7 +231,7 @@
     CPPUNIT_ASSERT_MESSAGE(text, text.find(part) != std::string::npos);
   }
 
-  /// The value of the metric of that proxy; empty when there is none.
+  /// Value of the metric at that proxy; empty if there is none.
   static std::string metric(ProxyWorld& deployment, std::uint32_t proxy, const std::string& name) {
     const auto text = deployment.get(proxy, "/metrics").body;
     const std::string start = "\ncairnhollow_proxy_" + name + " ";
--- a/tests/declared/proxy/proxy_failures_test.cpp
+++ b/tests/declared/proxy/proxy_failures_test.cpp
@@ -1,4 +1,4 @@
-// What a proxy does when something breaks between it and the databases, the control nodes or its callers.
+// Tests a proxy's handling of failures of databases, control nodes, callers and the connections between them.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -91,7 +91,7 @@
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
     deployment.world().kill(ProxyWorld::database(0));
-    deployment.world().run_for(milliseconds(10));  // the proxy sees its connections end: nothing is sent
+    deployment.world().run_for(milliseconds(10));  // the proxy sees its connections close: nothing is sent
     auto request = deployment.next_request(caller, StatementKind::kWrite, append("two"));
     const auto call = deployment.start(caller.client.execute(std::move(request)));
     deployment.world().run_for(milliseconds(300));
@@ -120,21 +120,21 @@
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
-    deployment.world().kill(ProxyWorld::database(0));  // the write still leaves on an open connection
+    deployment.world().kill(ProxyWorld::database(0));  // the write is still sent on an open connection
     auto request = deployment.next_request(caller, StatementKind::kWrite, append("two"));
     const auto call = deployment.start(caller.client.execute(request));
     deployment.world().run_for(milliseconds(300));
     CPPUNIT_ASSERT(!call->has_value());
     deployment.promote(1, 2, {1, 2});
     assert_refused(deployment.finish(call), CallOutcome::kNotRun, ReasonCode::kAborted);
-    // The refusal holds for every later copy.
+    // The refusal applies to every later copy.
     assert_refused(deployment.run(caller.client.execute(request)), CallOutcome::kNotRun,
                    ReasonCode::kAborted);
     CPPUNIT_ASSERT(entries_of(deployment.read(caller)) == std::vector<std::string>{"one"});
   }
 
-  /// A replica's machine loses its power and comes back: nothing tells the proxy that its idle connections
-  /// are dead. When the replica becomes primary, no write may be lost on them.
+  /// After a power failure of a replica's machine nothing tells the proxy that its idle connections are
+  /// broken. When the replica becomes primary, no write may be lost on them.
   void test_connections_from_before_a_backend_was_away_are_not_used() {
     for (const auto away : {milliseconds(300), milliseconds(4000)}) {
       ProxyWorld deployment;
@@ -155,7 +155,7 @@
     }
   }
 
-  /// Its answer never comes: to wait for it up to kWriteAttemptLimit would lengthen every failover.
+  /// The answer never arrives. Waiting for it up to kWriteAttemptLimit would lengthen every failover.
   void test_write_at_a_lost_machine_is_decided_once_a_primary_is_known() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(1);
@@ -304,7 +304,7 @@
     CPPUNIT_ASSERT(deployment.world().now() - begun >= milliseconds(800));
   }
 
-  /// Without a session's position only the primary may serve it.
+  /// Without a session's position only the primary may serve the read.
   void test_read_at_a_lost_primary_goes_on_at_its_successor() {
     ProxyWorld deployment;
     assert_done(deployment.write(deployment.add_caller(0), "one"));
@@ -338,7 +338,7 @@
   }
 
  private:
-  /// A caller whose session's reads go to database(1).
+  /// Returns a caller whose session's reads go to database(1).
   static Caller& read_at_first_replica(ProxyWorld& deployment) {
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
--- a/tests/declared/proxy/proxy_overload_test.cpp
+++ b/tests/declared/proxy/proxy_overload_test.cpp
@@ -1,5 +1,5 @@
-// Three times the load that a group can bear: what is served meanwhile, who is refused, and what is left of
-// it afterwards.
+// Tests a proxy at three times the capacity of a group: what is served meanwhile, what is refused, and that
+// it recovers afterwards.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 constexpr std::uint32_t kSlots = 2;
 constexpr Duration kStatementDuration = milliseconds(10);
-/// What the three members run a second: 200 each.
+/// Statements per second of the three members, 200 each.
 constexpr double kCapacity = 600;
 constexpr Duration kTripEndLimit = seconds(1);
 constexpr Duration kReadLimit = milliseconds(500);
@@ -28,7 +28,7 @@
   int sent = 0;
   int done = 0;
   int refused = 0;
-  int late_refusals = 0;  ///< refused after the deadline they named
+  int late_refusals = 0;  ///< refused after their own deadline
   int without_retry_after = 0;
   Duration shortest_retry_after = Duration::max();
   Duration slowest{0};
@@ -94,7 +94,8 @@
     CPPUNIT_ASSERT_MESSAGE(later, later_reads.slowest < milliseconds(100));
   }
 
-  /// One slot, 100 ms a statement: whoever is refused while one runs had better not come back after 50 ms.
+  /// With one slot and statements of 100 ms, a caller refused while one runs must not be told to retry after
+  /// 50 ms.
   void test_refusals_name_when_the_queue_is_worked_off() {
     ProxyWorldSettings settings;
     settings.proxies = 1;
@@ -118,7 +119,7 @@
   }
 
  private:
-  /// Every `interval` one trip-end and `reads` map reads, whatever became of the earlier ones.
+  /// Sends one trip-end and `reads` map reads every `interval`, regardless of earlier answers.
   static void offer(ProxyWorld& deployment, Caller& caller, Duration how_long, Duration interval,
                     Tally& trip_ends, int reads, Tally& map_reads) {
     for (Duration passed{0}; passed < how_long; passed += interval) {
--- a/tests/declared/proxy/proxy_server_test.cpp
+++ b/tests/declared/proxy/proxy_server_test.cpp
@@ -1,4 +1,4 @@
-// A whole proxy on the virtual runtime, before real stand-in databases.
+// Tests a complete proxy on the virtual runtime with stand-in databases.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/declared/proxy/calls/call_assertions.h"
--- a/tests/declared/proxy/proxy_transactions_test.cpp
+++ b/tests/declared/proxy/proxy_transactions_test.cpp
@@ -1,4 +1,4 @@
-// Transactions through a proxy: what ends them, and that a planned stop cuts nothing.
+// Tests transactions through a proxy: what ends them, and that a planned stop interrupts none.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "declared/proxy/knobs.h"
@@ -83,7 +83,7 @@
     auto& caller = deployment.add_caller(0);
     auto request = deployment.next_request(caller, StatementKind::kWrite, "");
     deployment.start(caller.client.begin(std::move(request)));
-    deployment.world().run_for(milliseconds(2));  // on its way; opening a connection takes 10 ms
+    deployment.world().run_for(milliseconds(2));  // still beginning: opening a connection takes 10 ms
     caller.client.move_to(ProxyWorld::proxy_endpoint(0));
     deployment.world().run_for(milliseconds(500));
     CPPUNIT_ASSERT_EQUAL(std::string("0"), open_transactions(deployment, 0));
@@ -185,7 +185,7 @@
     assert_done(deployment.write(caller, "two"));
   }
 
-  /// Two transactions that are about to execute and to commit, and one that idles.
+  /// Two transactions about to execute and to commit, and an idle one.
   void test_calls_at_a_lost_machine_end_once_a_primary_is_known() {
     ProxyWorld deployment;
     auto& executing = deployment.add_caller(0);
@@ -211,10 +211,10 @@
     CPPUNIT_ASSERT(deployment.world().now() - replaced < kReplacedPrimaryGrace + milliseconds(50));
   }
 
-  /// They wait for a connection that nobody will accept, and nothing of them was sent.
+  /// They wait for a connection that will never be accepted, and nothing of them was sent.
   void test_work_that_waits_for_a_lost_machine_goes_to_its_successor() {
     ProxyWorldSettings settings;
-    settings.connections = 2;  // one a proxy
+    settings.connections = 2;  // one for each proxy
     ProxyWorld deployment(settings);
     auto& holder = deployment.add_caller(0);
     auto& beginning = deployment.add_caller(0);
--- a/tests/declared/proxy/proxy_world.h
+++ b/tests/declared/proxy/proxy_world.h
@@ -25,11 +25,11 @@
   std::uint32_t slots = 5;
   Duration statement_duration = std::chrono::milliseconds(2);
   Duration replication_lag{0};
-  std::optional<std::uint64_t> replica_wait_milliseconds;  ///< of the route; unset: its default
+  std::optional<std::uint64_t> replica_wait_milliseconds;  ///< of the route; unset: the default
   std::function<void(ProxySettings&)> adjust_proxy = [](ProxySettings&) {};
 };
 
-/// One caller: a session with a connection to one proxy.
+/// A caller: one session with a connection to one proxy.
 struct Caller {
   Caller(simulation::VirtualRuntime& caller_runtime, Endpoint proxy, std::string session_name)
       : runtime(caller_runtime), client(caller_runtime, std::move(proxy)), session(std::move(session_name)) {}
@@ -53,12 +53,12 @@
   static Endpoint database_endpoint(std::uint32_t index);
   static Endpoint proxy_endpoint(std::uint32_t index);
 
-  /// Fences a majority at `term`, promotes the member, lets the others follow it, and tells control.
+  /// Fences `members` at `term`, promotes the member, makes the others follow it, and informs control.
   void promote(std::uint32_t index, std::uint64_t term, const std::vector<std::uint32_t>& members);
-  /// A caller in zone 0 whose connection goes to the proxy.
+  /// Adds a caller in zone 0 that is connected to the proxy.
   Caller& add_caller(std::uint32_t proxy_index);
 
-  /// Runs one call to its end.
+  /// Runs one call to completion.
   standins::callers::CallAnswer write(Caller& caller, const std::string& value,
                                       Duration time_limit = std::chrono::seconds(5));
   standins::callers::CallAnswer read(Caller& caller, Duration time_limit = std::chrono::seconds(5));
@@ -67,14 +67,14 @@
                                            const std::string& value);
   standins::callers::CallAnswer commit(Caller& caller, const std::string& transaction);
   standins::callers::CallAnswer rollback(Caller& caller, const std::string& transaction);
-  /// Runs one exchange on a connection of its own, to the proxy.
+  /// Runs one exchange with the proxy on a separate connection.
   runtime::HttpResponse exchange(std::uint32_t proxy_index, runtime::HttpRequest request);
   runtime::HttpResponse get(std::uint32_t proxy_index, const std::string& target);
   runtime::HttpResponse post(std::uint32_t proxy_index, const std::string& target, const std::string& body);
-  /// Sets the stand-in database's fault knobs (its POST /admin/faults).
+  /// Sets the stand-in database's fault settings (POST /admin/faults).
   void set_faults(std::uint32_t database_index, const std::string& json);
 
-  /// Starts a call; the value is there once it has ended.
+  /// Starts a call; the value is set once the call has ended.
   template <class Value>
   std::shared_ptr<std::optional<Value>> start(Awaitable<Value> call) {
     auto result = std::make_shared<std::optional<Value>>();
@@ -82,7 +82,7 @@
     return result;
   }
 
-  /// Runs the world until the call has ended; throws when it does not within a simulated minute.
+  /// Runs the world until the call has ended; throws if it does not end within a simulated minute.
   template <class Value>
   Value run(Awaitable<Value> call) {
     return finish(start(std::move(call)));
@@ -95,7 +95,7 @@
     return std::move(**result);
   }
 
-  /// The statement of the next request of the caller.
+  /// Builds the caller's next request.
   standins::callers::StatementRequest next_request(Caller& caller, standins::callers::StatementKind kind,
                                                    const std::string& text) const;
   static standins::callers::RecordKey key() { return {"decks", "learner-1", "answers"}; }
--- a/tests/declared/proxy/replica_reads_test.cpp
+++ b/tests/declared/proxy/replica_reads_test.cpp
@@ -1,4 +1,4 @@
-// Reads right after a session's own write, before replicas that lag.
+// Tests reads right after a session's own write, with replicas that lag.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/declared/proxy/proxy_world.h"
@@ -61,7 +61,7 @@
     auto& caller = learn_lag(deployment);
     deployment.world().kill(ProxyWorld::database(1));
     deployment.world().run_for(seconds(2));
-    // The other replica is left and serves; a write needs it too.
+    // The other replica remains and serves reads; writes also need it.
     const auto with_one = read_after_write(deployment, caller, seconds(5));
     CPPUNIT_ASSERT_MESSAGE(with_one.answer.reason.to_string(), with_one.saw_own_write);
     CPPUNIT_ASSERT_EQUAL(ProxyWorld::database(2), with_one.answer.backend);
@@ -82,7 +82,7 @@
     return settings;
   }
 
-  /// A caller whose proxy has seen enough to know the replicas' lag.
+  /// Returns a caller whose proxy has observed enough to estimate the replicas' lag.
   static Caller& learn_lag(ProxyWorld& deployment) {
     auto& caller = deployment.add_caller(0);
     for (int round = 0; round < 40; ++round) {
