--- a/src/declared/proxy/domain/domain.h
+++ b/src/declared/proxy/domain/domain.h
@@ -1,6 +1,6 @@
-// One domain as the proxy serves it: its follow stream and lease, its routing view, and all that runs
-// statements by them. Two domains share no state, so that neither's routes, names, queues or budgets reach
-// the other's.
+// One domain as served by the proxy: its follow stream and lease, its routing view, and everything that runs
+// statements by them. Domains share no state, so the routes, names, queues and budgets of one cannot affect
+// another.
 #pragma once
 
 #include "declared/follow/follow_client.h"
@@ -18,7 +18,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// What the domains of one proxy use together; all outlive them.
+/// Services shared by the domains of one proxy. Not owned; all must outlive the domains.
 struct DomainContext {
   runtime::Runtime& runtime;
   const ProxySettings& settings;
@@ -27,20 +27,21 @@
   DecisionLog& decisions;
 };
 
-/// Owns and wires the parts; each member is used only by those below it. Lives until the process ends.
+/// Owns and wires the components; each member is used only by members declared after it. Lives until the
+/// process ends.
 class Domain {
  public:
   Domain(DomainContext context, DomainSettings settings);
 
-  /// Starts to follow and to keep connections; never gives up until stop().
+  /// Starts the follow stream and the background tasks, which run until stop().
   void start();
   void stop();
-  /// Told to control with the next question, or at once when `draining` has changed.
+  /// Reports the load to control with the next follow request, or at once if `draining` has changed.
   void report_load(std::uint64_t in_flight, bool draining) { follow_.set_load(in_flight, draining); }
-  /// Logs when the lease was gained or lost since the last call.
+  /// Logs whether the lease was gained or lost since the last call.
   void log_lease();
 
-  /// Empty: the only one.
+  /// Empty if this is the only domain.
   [[nodiscard]] const DomainName& name() const { return settings_.name; }
   [[nodiscard]] const std::vector<DatabaseName>& databases() const { return settings_.databases; }
   [[nodiscard]] bool lease_valid() const { return follow_.lease_valid(context_.runtime.now()); }
--- a/src/declared/proxy/domain/domain_table.h
+++ b/src/declared/proxy/domain/domain_table.h
@@ -1,5 +1,5 @@
-// The domains of one proxy, and which of them decides a statement: by the settings alone, so that a domain
-// not yet reached still owns its databases.
+// The domains of one proxy, and the mapping from databases to them. The mapping depends only on the settings,
+// so a domain that has not been reached yet still owns its databases.
 #pragma once
 
 #include <map>
@@ -12,20 +12,22 @@
 
 class DomainTable {
  public:
-  /// The settings' domains; without any, one without a name that owns every database.
+  /// Creates the domains of the settings; if there are none, one unnamed domain that owns every database.
   explicit DomainTable(const DomainContext& context);
 
-  /// The domain that owns the database. Null with kNoRoute when none does.
+  /// Returns the domain that owns the database, or null with kNoRoute if there is none.
   Domain* of_database(const DatabaseName& database, Reason& reason);
-  /// The domain that the transaction was begun in, here or through this proxy; any one when it is not known.
+  /// Returns the domain in which the transaction was begun, at this proxy or forwarded by it; an arbitrary
+  /// domain if the transaction is unknown.
   Domain& of_transaction(const TransactionId& id);
 
   [[nodiscard]] const std::vector<std::unique_ptr<Domain>>& all() const { return domains_; }
-  /// Whether the proxy takes callers' work for domains that do not name it: one names it, none drains it.
+  /// Whether the proxy accepts callers' work also for domains that do not list it: at least one domain lists
+  /// it and none drains it.
   [[nodiscard]] bool takes_callers() const;
-  /// Whether callers had better go to another proxy, by what the domains reached so far say.
+  /// Whether callers should be sent to another proxy, judging by the domains reached so far.
   [[nodiscard]] bool sends_callers_elsewhere() const;
-  /// Transactions begun here or through this proxy.
+  /// Open transactions, those begun at this proxy and those forwarded by it.
   [[nodiscard]] std::size_t open_transactions() const;
   [[nodiscard]] bool has_open_transaction(runtime::HttpConnectionId caller) const;
   void caller_gone(runtime::HttpConnectionId caller);
--- a/src/declared/proxy/domain/follow_feed.h
+++ b/src/declared/proxy/domain/follow_feed.h
@@ -1,4 +1,4 @@
-// The follow stream as the proxy's serving state sees it.
+// Adapts the follow client to the interface that the proxy's serving state uses.
 #pragma once
 
 #include "declared/follow/follow_client.h"
@@ -6,7 +6,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// `client` outlives it.
+/// `client` is not owned and must outlive this object.
 class FollowFeed : public FollowSource {
  public:
   explicit FollowFeed(follow::FollowClient& client) : client_(client) {}
--- a/src/declared/proxy/domain/freshness_prober.h
+++ b/src/declared/proxy/domain/freshness_prober.h
@@ -1,6 +1,6 @@
-// Asks the members of database groups for their positions, slowly, so that replicas that serve no reads by
-// now can still be judged. Before many groups only those that this proxy serves reads of are asked, and no
-// more of their members a second than a share of a core pays for (probe_schedule.h).
+// Probes the members of database groups for their positions at a low rate, so that the freshness of replicas
+// without current reads is known too. With many groups, probes only those this proxy serves reads of, and at
+// a rate limited to a share of one core (probe_schedule.h).
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
 
 class FreshnessProber {
  public:
-  /// All outlive the prober, and the prober lives until the process ends. `connector` opens connections that
-  /// do not count against a backend's statement connections.
+  /// The arguments are not owned and must outlive the prober, which lives until the process ends. `connector`
+  /// opens connections that do not count against a backend's statement connections.
   FreshnessProber(ProxyState& state, backend::BackendConnector& connector)
       : state_(state), connector_(connector), stopped_(state.runtime) {}
 
-  /// Probes until stop().
+  /// Runs probe rounds until stop().
   Awaitable<void> run();
   void stop();
-  /// Called when a backend answers a probe after one that it did not answer.
+  /// Called when a backend answers a probe after it failed to answer the previous one.
   void on_returned(std::function<void(const BackendName&)> callback) { on_returned_ = std::move(callback); }
 
  private:
@@ -30,13 +30,13 @@
     std::shared_ptr<backend::BackendConnection> connection;
     bool in_flight = false;
     bool missed = false;                ///< the last probe was not answered
-    std::uint64_t round = 0;            ///< the last one in which its group was active
-    std::optional<TimePoint> began_at;  ///< of the last probe
+    std::uint64_t round = 0;            ///< the last round in which its group was active
+    std::optional<TimePoint> began_at;  ///< start of the last probe
   };
   using ProbePointer = std::shared_ptr<Probe>;
 
   void start_round();
-  /// The members of the groups to be probed that no probe is in flight to.
+  /// The members that may be probed now: those of the groups to be probed without a probe in flight.
   std::vector<ProbeCandidate> candidates(const routing::RoutingView& view, TimePoint now);
   void add_members(const routing::GroupView& group, Duration since_read,
                    std::vector<ProbeCandidate>& candidates);
--- a/src/declared/proxy/domain/group_activity.h
+++ b/src/declared/proxy/domain/group_activity.h
@@ -1,5 +1,5 @@
-// Which database groups this proxy has served lately. What a proxy does on a schedule (freshness probes) is
-// done for these groups only, so that its cost grows with what the proxy serves and not with all databases.
+// Tracks which database groups this proxy has served recently. Periodic work (freshness probes) is done only
+// for these groups, so that its cost grows with what the proxy serves and not with all databases.
 #pragma once
 
 #include <map>
@@ -10,12 +10,12 @@
 
 class GroupActivity {
  public:
-  /// A statement of the group has arrived at `now`.
+  /// Records that a statement of the group arrived at `now`.
   void record(const GroupName& group, TimePoint now) { last_statement_[group] = now; }
-  /// Forgets groups whose last statement arrived more than kGroupActivityTime before `now`. Cost: one look at
-  /// each group that is remembered.
+  /// Removes groups whose last statement arrived more than kGroupActivityTime before `now`. Linear in the
+  /// number of recorded groups.
   void forget_inactive(TimePoint now);
-  /// The groups remembered, by name, with the time of their last statement.
+  /// The recorded groups by name, with the arrival time of their last statement.
   [[nodiscard]] const std::map<GroupName, TimePoint>& last_statements() const { return last_statement_; }
 
  private:
--- a/src/declared/proxy/domain/position_news.h
+++ b/src/declared/proxy/domain/position_news.h
@@ -1,4 +1,4 @@
-// Wakes reads that are held until a replica of their group may have the position that they require.
+// Wakes reads that are held until a replica of their group may have reached the position they require.
 #pragma once
 
 #include <map>
@@ -9,17 +9,17 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// Holds an entry for each group that reads are held for now, none for the others. `runtime` outlives it, and
-/// it lives until the process ends.
+/// Holds an entry only for groups with held reads. `runtime` is not owned and must outlive this object, which
+/// lives until the process ends.
 class PositionNews {
  public:
   explicit PositionNews(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// Returns at the next news of the group, or at `deadline`.
+  /// Returns at the next notification for the group, or at `deadline`.
   Awaitable<void> wait_until(GroupName group, TimePoint deadline);
-  /// A position of one of the group's members was learned, or that one failed.
+  /// Called when a position of a member of the group was learned, or when a member failed.
   void notify(const GroupName& group);
-  /// Reads held now.
+  /// Number of reads held.
   [[nodiscard]] std::size_t waiting() const { return waiting_; }
 
  private:
--- a/src/declared/proxy/domain/probe_schedule.cpp
+++ b/src/declared/proxy/domain/probe_schedule.cpp
@@ -13,7 +13,8 @@
                             : kUnknownPositionAge;
 }
 
-/// A group last read a while ago waits for its turn as many times longer.
+/// Age of the position relative to the time since the group's last read: the longer ago the read, the rarer
+/// its probes.
 double urgency_of(const ProbeCandidate& candidate, TimePoint now) {
   const Duration read = std::clamp<Duration>(candidate.since_read, Duration(0), kGroupActivityTime);
   return static_cast<double>(age_of(candidate, now).count()) /
--- a/src/declared/proxy/domain/probe_schedule.h
+++ b/src/declared/proxy/domain/probe_schedule.h
@@ -1,5 +1,4 @@
-// Which freshness probes a round makes when all that are wanted would cost more than a proxy may spend on
-// them.
+// Selects the freshness probes of a round when probing every candidate would exceed the proxy's budget.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +9,23 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// A member of an active group that could be probed now. The view that it comes from outlives it.
+/// A member of an active group that may be probed now. The view it points into must outlive it.
 struct ProbeCandidate {
   const routing::GroupView* group = nullptr;
   const routing::BackendView* member = nullptr;
-  /// When its position was last learned, by a probe or by a statement's answer, or a probe of it last began;
-  /// empty when neither ever happened.
+  /// The later of when its position was last learned (from a probe or a statement's answer) and when its last
+  /// probe began; empty if neither has happened.
   std::optional<TimePoint> known_at;
   Duration since_read{0};  ///< since the group's last read
 };
 
-/// Probes that a round of one domain may make when one begins each `interval`: what kFreshnessProbeShare of a
-/// core, divided by the proxy's `domains`, pays for, at least one.
+/// Number of probes that a domain may make in a round if a round begins every `interval`: the domain's part
+/// of one kFreshnessProbeShare-th of a core, divided equally among the proxy's `domains`; at least one.
 std::size_t probes_a_round(Duration interval, std::size_t domains);
 
-/// All candidates when they are at most `allowed`. Otherwise at most `allowed` of those whose position was
-/// not learned within `interval`: the longer ago it was learned and the more lately the group was read, the
-/// sooner. With many groups, each member's turn so comes more rarely than once an interval.
+/// Returns all candidates if there are at most `allowed`. Otherwise returns at most `allowed` of those whose
+/// position was not learned within `interval`, ordered by the age of the position and by how recently the
+/// group was read. With many groups each member is therefore probed less often than once per interval.
 std::vector<ProbeCandidate> pick_probes(std::vector<ProbeCandidate> candidates, std::size_t allowed,
                                         Duration interval, TimePoint now);
 
--- a/tests/declared/proxy/domain/group_activity_test.cpp
+++ b/tests/declared/proxy/domain/group_activity_test.cpp
@@ -1,4 +1,4 @@
-// A proxy probes the members of the groups that it serves, and no others.
+// Checks that a proxy probes only the members of groups that it serves.
 #include "declared/proxy/domain/group_activity.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -53,7 +53,7 @@
   }
 
  private:
-  /// More groups than a proxy probes unasked; the route selects the deployment's own group only.
+  /// Adds more groups than a proxy probes unconditionally; the route selects only the deployment's own group.
   static void add_unserved_groups(ProxyWorld& deployment) {
     const LabelSet served{{{"served", "yes"}}};
     config::DatabaseGroupSpec own;
--- a/tests/declared/proxy/domain/probe_schedule_test.cpp
+++ b/tests/declared/proxy/domain/probe_schedule_test.cpp
@@ -1,4 +1,4 @@
-// How many probes a proxy may make, and which go first when it wants more.
+// Tests how many probes a proxy may make and which have priority.
 #include "declared/proxy/domain/probe_schedule.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,7 +17,7 @@
 constexpr Duration kInterval = milliseconds(250);
 constexpr TimePoint kNow{seconds(1000)};
 
-/// Groups of three members; positions are learned as the test says.
+/// Groups of three members; the test sets when positions were learned.
 class ProbedGroups {
  public:
   explicit ProbedGroups(std::size_t count) : groups_(count) {
@@ -81,7 +81,7 @@
     for (const std::size_t count : {44, 100}) {
       ProbedGroups groups(count);
       const std::size_t allowed = probes_a_round(kInterval, 1);
-      // Nobody waits longer than it takes to go round once.
+      // No member waits longer than one full cycle.
       const auto turns = static_cast<std::int64_t>((3 * count + allowed - 1) / allowed);
       constexpr int kRounds = 120;
       for (int round = 0; round < kRounds; ++round) {
@@ -119,7 +119,7 @@
     for (std::size_t place = 1; place < 4; ++place) {
       CPPUNIT_ASSERT_EQUAL(std::string("group-1"), picked[place].group->name.value);
     }
-    // A group read a while ago has its turn all the same.
+    // A group that was not read recently is still probed eventually.
     for (std::uint32_t member = 3; member < 6; ++member) groups.known_at[member] = kNow - kInterval;
     groups.known_at[10] = kNow;
     groups.known_at[0] = kNow - seconds(10);
