--- a/src/declared/proxy/forwarding/forward_messages.h
+++ b/src/declared/proxy/forwarding/forward_messages.h
@@ -1,6 +1,6 @@
-// What crosses the hop between two proxies: the caller API's own requests and answers over HTTP, with two
-// header fields more. A marked request is served or refused where it arrives and never passed on, whoever
-// marked it.
+// Messages between two proxies: the caller API's requests and answers over HTTP with two additional header
+// fields. A request with the forwarding header is served or refused where it arrives and never forwarded
+// again, no matter who set the header.
 #pragma once
 
 #include <optional>
@@ -12,18 +12,20 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// The name of the proxy that forwards; its presence is the mark.
+/// Name of the forwarding proxy; its presence marks a request as forwarded.
 inline constexpr const char* kForwardedByHeader = "cairnhollow-forwarded-by";
-/// Milliseconds that the forwarder waits for the answer. Shortens the body's deadline_ms, never lengthens it.
+/// How many milliseconds the forwarding proxy waits for the answer. May shorten the body's deadline_ms, never
+/// extend it.
 inline constexpr const char* kTimeLeftHeader = "cairnhollow-time-left-ms";
 
 [[nodiscard]] bool is_forwarded(const runtime::HttpRequest& request);
 
-/// The caller's request as it crosses the hop: body and Idempotency-Key as they came, marked.
+/// Builds the forwarded request: the caller's body and Idempotency-Key unchanged, with the forwarding
+/// headers. `time_left` is sent in whole milliseconds, rounded down.
 runtime::HttpRequest forwarded_request(const runtime::HttpRequest& request, const NodeName& by,
                                        Duration time_left);
 
-/// What the request ledger is asked when an answer is missing.
+/// Identifies a request whose outcome is queried from the request ledger because its answer is missing.
 struct LedgerQuestion {
   RequestId request_id;
   DatabaseName database;
@@ -32,11 +34,11 @@
   std::optional<routing::SessionToken> token;
 };
 
-/// POST /v1/resolve, not yet marked.
+/// Builds the request POST /v1/resolve, without the forwarding headers.
 runtime::HttpRequest resolve_request(const LedgerQuestion& question);
 
-/// What an answer to resolve_request() says. Empty when it tells no outcome; `reason` then says why.
-/// A commit comes as the answer that the caller of the statement gets, an abort as its refusal.
+/// Parses the answer to resolve_request(). Returns std::nullopt and sets `reason` if it contains no outcome.
+/// A commit is returned as the answer for the statement's caller, an abort as the refusal.
 struct ResolvedAnswer {
   runtime::HttpResponse response;
   std::optional<Refused> aborted;
@@ -44,10 +46,11 @@
 std::optional<ResolvedAnswer> read_resolved(const runtime::HttpResponse& response, const std::string& peer,
                                             Reason& reason);
 
-/// The id in the answer to a begin; empty when there is none.
+/// The transaction id in the answer to a begin; std::nullopt if there is none.
 std::optional<TransactionId> read_begun(const runtime::HttpResponse& response);
 
-/// The far proxy's answer as the caller gets it: without what concerns the hop's connection.
+/// Prepares the remote proxy's answer for the caller: removes the headers that concern only the connection
+/// between proxies.
 runtime::HttpResponse passed_through(runtime::HttpResponse response);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forwarded_transactions.cpp
+++ b/src/declared/proxy/forwarding/forwarded_transactions.cpp
@@ -16,7 +16,7 @@
                 "rolled back: " + cause.to_string()};
 }
 
-/// Whether the transaction is still open at the far proxy after this answer.
+/// Whether the transaction is still open at the remote proxy after this answer.
 bool stays_open(const HttpResponse& response, TransactionStep step) {
   if (response.status == kOk) return step == TransactionStep::kStatement;
   const auto problem = http::parse_problem(response.body);
@@ -87,7 +87,7 @@
   if (!is_usable || (!ended_cleanly && !stays_open(response, step))) {
     drop(id, pinned);
   } else if (ended_cleanly) {
-    transactions_.erase(id);  // the hop is used again
+    transactions_.erase(id);  // the connection is reused
   }
 }
 
@@ -146,7 +146,7 @@
 void ForwardedTransactions::drop_idle() {
   const TimePoint now = state_.runtime.now();
   for (const auto& [id, pinned] : transactions_.snapshot()) {
-    // The far proxy ends an idle transaction itself; this is the second to know.
+    // The remote proxy also ends idle transactions; this is a second safeguard.
     const bool idle = !pinned->busy && pinned->idle_deadline <= now;
     if (idle || !pinned->hop->connection().is_open()) drop(id, pinned);
   }
--- a/src/declared/proxy/forwarding/forwarded_transactions.h
+++ b/src/declared/proxy/forwarding/forwarded_transactions.h
@@ -1,5 +1,5 @@
-// Transactions of callers for groups that other proxies serve. Each pins one hop connection from begin until
-// its commit or rollback is answered; when that connection closes, the far proxy rolls back.
+// Callers' transactions for groups that other proxies serve. Each pins one connection to another proxy from
+// begin until its commit or rollback is answered; if that connection closes, the remote proxy rolls back.
 #pragma once
 
 #include <memory>
@@ -14,24 +14,25 @@
 
 class ForwardedTransactions {
  public:
-  /// Both outlive it, and it lives until the process ends.
+  /// The arguments are not owned and must outlive this object, which lives until the process ends.
   ForwardedTransactions(ProxyState& state, Forwarder& forwarder)
       : state_(state), forwarder_(forwarder), stopped_(state.runtime) {}
 
-  /// Drops idle transactions and hops. Runs until stop().
+  /// Drops idle transactions and connections periodically. Runs until stop().
   Awaitable<void> run();
   void stop();
 
-  /// `call.question` is unset: a begin leaves no trace. `origin` is what was begun.
+  /// Begins a transaction at another proxy. `call.question` must be unset, because a begin has no lasting
+  /// effect; `origin` is the caller's begin call.
   Awaitable<HopAnswer> begin(HopCall call, StatementCall origin, runtime::HttpConnectionId caller);
-  /// Whether the transaction was begun through this proxy at another one.
+  /// Whether the transaction was begun at another proxy through this one.
   [[nodiscard]] bool knows(const TransactionId& id) const { return transactions_.contains(id); }
-  /// A statement or rollback of a known transaction; `request` as the caller sent it.
+  /// Executes a statement or rollback of a known transaction; `request` is as the caller sent it.
   Awaitable<HopAnswer> execute(TransactionId id, runtime::HttpRequest request, TimePoint deadline,
                                TransactionStep step);
   Awaitable<HopAnswer> commit(TransactionId id, runtime::HttpRequest request, CommitBody body);
 
-  /// Rolls back what this connection began, by closing its hops.
+  /// Rolls back the transactions that this caller connection began, by closing their pinned connections.
   void caller_gone(runtime::HttpConnectionId caller);
   void abandon_all();
   [[nodiscard]] std::size_t open() const { return transactions_.size(); }
@@ -55,12 +56,12 @@
   };
 
   Awaitable<Exchanged> exchange(PinnedPointer pinned, runtime::HttpRequest request, TimePoint answer_by);
-  /// After an answer: keeps the transaction, or forgets it when the answer says that it has ended.
+  /// After an answer: keeps the transaction, or removes it if the answer shows that it has ended.
   void leave(const TransactionId& id, const PinnedPointer& pinned, const runtime::HttpResponse& response,
              TransactionStep step);
-  /// Drops it now, or after the operation in flight.
+  /// Drops the transaction now, or after the operation in flight.
   void abandon(const TransactionId& id, const PinnedPointer& pinned);
-  /// Closes the hop: what is still open at the far proxy is rolled back.
+  /// Closes the pinned connection, so that the remote proxy rolls back if the transaction is still open.
   void drop(const TransactionId& id, const PinnedPointer& pinned);
   void drop_idle();
 
--- a/src/declared/proxy/forwarding/forwarder.h
+++ b/src/declared/proxy/forwarding/forwarder.h
@@ -1,6 +1,6 @@
-// Forwards calls for groups that this proxy does not serve to a proxy that does, one hop at most. What was
-// sent and not answered is never sent again, unless it leaves no trace: its outcome is asked for through
-// another proxy of the subset.
+// Forwards calls for groups that this proxy does not serve to a proxy that does, by at most one hop. A call
+// that was sent and not answered is never sent again unless it has no lasting effect: its outcome is queried
+// through another proxy of the subset.
 #pragma once
 
 #include <map>
@@ -18,33 +18,33 @@
 struct HopCall {
   runtime::HttpRequest request;  ///< as the caller sent it
   GroupName group;
-  TimePoint deadline;                      ///< by which the answer leaves
-  std::optional<LedgerQuestion> question;  ///< unset: it leaves no trace and may be sent to several proxies
-  std::optional<RequestId> request_id;     ///< under which `explain` finds where it went
-  bool resent = false;                     ///< refusals then say `unknown` of earlier copies
+  TimePoint deadline;                      ///< time by which the answer must be sent
+  std::optional<LedgerQuestion> question;  ///< unset: has no lasting effect, may be sent to several proxies
+  std::optional<RequestId> request_id;     ///< key under which `explain` reports where the call went
+  bool resent = false;                     ///< refusals then report `unknown` because of earlier copies
 };
 
-/// The far proxy's answer as the caller gets it, or this proxy's own refusal.
+/// The remote proxy's answer as returned to the caller, or this proxy's own refusal.
 using HopAnswer = std::variant<runtime::HttpResponse, Refused>;
 
-/// Counted since the start.
+/// Counters since the start.
 struct ForwardStatistics {
-  std::uint64_t answered = 0;     ///< with a result or a refusal, passed through
-  std::uint64_t declined = 0;     ///< the far proxy drains or has no lease: the next one was tried
-  std::uint64_t unreachable = 0;  ///< nothing was sent: the next one was tried
-  std::uint64_t unanswered = 0;   ///< sent, and no answer came
-  std::uint64_t resolved = 0;     ///< of these writes and commits, the ones whose outcome was learned
-  std::uint64_t unknown = 0;      ///< of these, the ones whose outcome was not learned in time
-  std::uint64_t refused = 0;      ///< no proxy of the subset took it
+  std::uint64_t answered = 0;     ///< with a result or a refusal, which was passed through
+  std::uint64_t declined = 0;     ///< the remote proxy drains or has no lease; the next one was tried
+  std::uint64_t unreachable = 0;  ///< nothing was sent; the next one was tried
+  std::uint64_t unanswered = 0;   ///< sent, but no answer arrived
+  std::uint64_t resolved = 0;     ///< unanswered writes and commits whose outcome was learned
+  std::uint64_t unknown = 0;      ///< unanswered ones whose outcome was not learned in time
+  std::uint64_t refused = 0;      ///< no proxy of the subset accepted the call
 };
 
-/// The proxies that serve the group, in the order in which this one forwards to them.
+/// The proxies that serve the group, in this proxy's forwarding order.
 std::vector<routing::ForwardTarget> forward_targets(const routing::GroupView& group,
                                                     const ProxySettings& settings);
 
 class Forwarder {
  public:
-  /// All outlive the forwarder, and it lives until the process ends.
+  /// The arguments are not owned and must outlive the forwarder, which lives until the process ends.
   Forwarder(ProxyState& state, RetryBudget& budget, DecisionLog& decisions)
       : state_(state),
         budget_(budget),
@@ -52,11 +52,11 @@
         pool_(state.runtime),
         watch_(state.runtime, pool_, [this](const routing::ForwardTarget& target) { avoid(target); }) {}
 
-  /// Watches for proxies that do not answer. Runs until stop().
+  /// Monitors outstanding answers for unresponsive proxies. Runs until stop().
   Awaitable<void> run() { return watch_.run(); }
   void stop() { watch_.stop(); }
 
-  /// An answered call with the hop that carried it, for who goes on using the same connection.
+  /// An answered call with the connection it used, for callers that continue on the same connection.
   struct Forwarded {
     HopAnswer answer;
     HopPool::HopPointer hop;
@@ -65,22 +65,26 @@
 
   Awaitable<HopAnswer> forward(HopCall call);
   Awaitable<Forwarded> forward_and_keep(HopCall call);
-  /// Asks the proxies of the subset, `silent` last, for the outcome of what was sent there and not answered.
+  /// Queries the proxies of the subset, `silent` last, for the outcome of a call that was sent there and not
+  /// answered.
   Awaitable<HopAnswer> resolve(LedgerQuestion question, GroupName group, TimePoint deadline,
                                routing::ForwardTarget silent, Reason cause);
-  /// One exchange on a hop, marked, that leaves time before `deadline` to ask for the outcome elsewhere.
+  /// Performs one exchange on a connection, with the forwarding headers, and waits for the answer until
+  /// `answer_by`.
   Awaitable<std::optional<runtime::HttpResponse>> exchange(HopPool::Hop& hop, routing::ForwardTarget target,
                                                            runtime::HttpRequest request, TimePoint answer_by,
                                                            runtime::SendState& sent, Reason& reason);
-  /// By when the far proxy must have answered.
+  /// The time by which the remote proxy must answer: early enough to query the outcome elsewhere before
+  /// `deadline`, or to try another proxy for a call with `leaves_no_trace`.
   [[nodiscard]] TimePoint answer_by(TimePoint deadline, bool leaves_no_trace) const;
-  /// A proxy that did not answer goes to the end of the order for a while, longer each time.
+  /// Moves an unresponsive proxy to the end of the order for a while, longer each time.
   void avoid(const routing::ForwardTarget& target);
-  /// A proxy whose time is over is tried by one call; others go on avoiding it until that has its answer.
+  /// Lets a single call try a proxy whose avoidance time has expired; other calls keep avoiding it until that
+  /// call is answered.
   void begin_trial(const routing::ForwardTarget& target);
   void count_unanswered() { ++statistics_.unanswered; }
 
-  /// Closes idle connections. Called every now and then.
+  /// Closes idle connections; called periodically.
   void drop_idle() { pool_.drop_idle(); }
   [[nodiscard]] const ForwardStatistics& statistics() const { return statistics_; }
   [[nodiscard]] std::size_t connections() const { return pool_.connections(); }
@@ -92,9 +96,9 @@
   };
   enum class Next : std::uint8_t { kAnswered, kTryNext, kUnanswered };
 
-  /// The targets with those to avoid last.
+  /// The targets for the group, avoided ones last.
   std::vector<routing::ForwardTarget> targets(const GroupName& group);
-  /// One proxy. `call` outlives it.
+  /// Tries one proxy. `call` must outlive the coroutine.
   Awaitable<Next> attempt(const HopCall& call, routing::ForwardTarget target, Forwarded& forwarded,
                           Reason& last);
   Next judge(const HopCall& call, runtime::HttpResponse response, Forwarded& forwarded, Reason& last);
--- a/src/declared/proxy/forwarding/hop_pool.cpp
+++ b/src/declared/proxy/forwarding/hop_pool.cpp
@@ -31,7 +31,7 @@
 Awaitable<HopPool::HopPointer> HopPool::acquire(Endpoint endpoint, TimePoint deadline, Reason& reason) {
   auto& known = peers_[endpoint];
   if (!known) known = std::make_shared<Peer>(runtime_);
-  const auto peer = known;  // drop_idle() may forget it meanwhile
+  const auto peer = known;  // drop_idle() may remove the entry meanwhile
   const bool has_room = co_await wait_for_room(peer, deadline, reason);
   if (!has_room) co_return nullptr;
   ++peer->in_use;
--- a/src/declared/proxy/forwarding/hop_pool.h
+++ b/src/declared/proxy/forwarding/hop_pool.h
@@ -1,4 +1,4 @@
-// Kept connections to other proxies. One connection carries one exchange at a time, or one transaction.
+// Pool of connections to other proxies. A connection carries one exchange at a time, or one transaction.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
  public:
   struct Peer;
 
-  /// A connection in use. On destruction it is kept for the next, unless it is closed.
+  /// A connection in use. On destruction it returns to the pool unless it is closed.
   class Hop {
    public:
     Hop(runtime::Runtime& runtime, std::shared_ptr<Peer> peer,
@@ -31,15 +31,15 @@
   };
   using HopPointer = std::unique_ptr<Hop>;
 
-  /// `runtime` outlives the pool, and the pool its hops.
+  /// `runtime` is not owned and must outlive the pool. The pool must outlive its hops.
   explicit HopPool(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// Null on failure: kUnreachable or what else the transport says, kOverloaded when kHopConnections to the
-  /// proxy are in use until `deadline`.
+  /// Returns null on failure: kOverloaded if kHopConnections to the proxy stay in use until `deadline`,
+  /// otherwise the transport's reason, such as kUnreachable.
   Awaitable<HopPointer> acquire(Endpoint endpoint, TimePoint deadline, Reason& reason);
-  /// After a failure: the idle connections to the proxy go the same way.
+  /// Closes the idle connections to the proxy after a failure, because they would fail as well.
   void close_idle(const Endpoint& endpoint);
-  /// Closes what has been idle for kHopIdleTime. Called every now and then.
+  /// Closes connections idle for kHopIdleTime; called periodically.
   void drop_idle();
   [[nodiscard]] std::size_t connections() const;
 
@@ -47,7 +47,7 @@
   Awaitable<bool> wait_for_room(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason);
 
   runtime::Runtime& runtime_;
-  std::map<Endpoint, std::shared_ptr<Peer>> peers_;  ///< with a connection, or someone who waits for one
+  std::map<Endpoint, std::shared_ptr<Peer>> peers_;  ///< those with a connection or a waiting caller
 };
 
 struct HopPool::Peer {
@@ -56,7 +56,7 @@
     std::shared_ptr<runtime::HttpConnection> connection;
     TimePoint since;
   };
-  std::vector<Idle> idle;  ///< the last used last
+  std::vector<Idle> idle;  ///< most recently used last
   std::size_t in_use = 0;
   runtime::Signal released;
 };
--- a/src/declared/proxy/forwarding/hop_watch.cpp
+++ b/src/declared/proxy/forwarding/hop_watch.cpp
@@ -53,7 +53,7 @@
   }
   if (silent.empty()) co_return;
   on_silent_(target);
-  // Closing resumes nobody at once: the exchanges end when their coroutines run next.
+  // Closing resumes no coroutine immediately: the exchanges end when their coroutines are next scheduled.
   for (auto* connection : silent) connection->close();
 }
 
@@ -61,7 +61,7 @@
   const TimePoint deadline = runtime_.now() + kHopHealthLimit;
   Reason reason;
   const auto hop = co_await pool_.acquire(target.endpoint, deadline, reason);
-  // Too many hops in use say nothing of the proxy's health.
+  // A full pool is no evidence about the proxy's health.
   if (!hop) co_return reason.code == ReasonCode::kOverloaded;
   runtime::HttpRequest request;
   request.target = "/healthz";
--- a/src/declared/proxy/forwarding/hop_watch.h
+++ b/src/declared/proxy/forwarding/hop_watch.h
@@ -1,6 +1,6 @@
-// Finds proxies that have stopped answering (frozen, cut off) before the calls forwarded to them run out of
-// time: a proxy that owes an answer for a while is asked for its health, and when that is not answered
-// either, its hops are closed. Costs nothing while nothing is forwarded.
+// Detects proxies that have stopped answering (frozen, partitioned) before the calls forwarded to them time
+// out. A proxy with an answer outstanding for too long is sent a health check; if that is not answered
+// either, its outstanding connections are closed. Does no work while nothing is forwarded.
 #pragma once
 
 #include <functional>
@@ -14,10 +14,10 @@
 
 class HopWatch {
  public:
-  /// Called with a proxy that is found silent, before its hops are closed.
+  /// Called when a proxy is found unresponsive, before its connections are closed.
   using OnSilent = std::function<void(const routing::ForwardTarget&)>;
 
-  /// Both outlive the watch, and it lives until the process ends.
+  /// `runtime` and `pool` are not owned and must outlive this object, which lives until the process ends.
   HopWatch(runtime::Runtime& runtime, HopPool& pool, OnSilent on_silent)
       : runtime_(runtime), pool_(pool), on_silent_(std::move(on_silent)), changed_(runtime) {}
 
@@ -29,7 +29,7 @@
   };
 
  public:
-  /// One exchange, watched from construction to destruction. The connection outlives it.
+  /// An exchange, monitored for the lifetime of this object. The connection must outlive it.
   class Exchange {
    public:
     Exchange(HopWatch& watch, const routing::ForwardTarget& target, runtime::HttpConnection& connection);
@@ -42,12 +42,13 @@
     std::list<Owed>::iterator place_;
   };
 
-  /// Watches until stop().
+  /// Runs until stop().
   Awaitable<void> run();
   void stop();
 
  private:
-  /// Asks each proxy that has owed an answer for kHopSuspectTime, unless it told its health since.
+  /// Sends a health check to each proxy with an answer outstanding for kHopSuspectTime, unless one was sent
+  /// recently.
   void ask_the_late();
   Awaitable<void> ask(routing::ForwardTarget target);
   Awaitable<bool> is_healthy(routing::ForwardTarget target);
@@ -56,7 +57,7 @@
   HopPool& pool_;
   OnSilent on_silent_;
   std::list<Owed> owed_;                 ///< oldest first
-  std::map<NodeName, TimePoint> asked_;  ///< of the proxies that owe an answer: when they were asked last
+  std::map<NodeName, TimePoint> asked_;  ///< last health check of proxies with outstanding answers
   runtime::Signal changed_;
   bool stopping_ = false;
 };
--- a/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
@@ -1,4 +1,4 @@
-// Calls for a group that the proxy does not serve, when the proxies that serve it fail, stall or refuse.
+// Tests forwarded calls when the proxies that serve the group fail, stall or refuse.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "http/problem.h"
@@ -33,7 +33,7 @@
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
     world.world().vanish(ProxyWorld::proxy(world.far));
-    world.world().run_for(seconds(4));  // the kept connection is dropped: the next needs a new one
+    world.world().run_for(seconds(4));  // the idle connection is closed: the next call needs a new one
     assert_done(world.write(caller, "two"));
     CPPUNIT_ASSERT(entries_of(world.read(caller)) == (std::vector<std::string>{"one", "two"}));
     CPPUNIT_ASSERT_EQUAL(1.0, world.forwards_of(world.from, "unreachable"));
@@ -42,7 +42,7 @@
   void test_draining_proxy_is_passed_over() {
     ForwardingWorld world;
     auto& held = world.add_caller(world.far);
-    assert_done(world.begin(held));  // keeps the far proxy draining
+    assert_done(world.begin(held));  // keeps the remote proxy draining
     world.world().drain(ProxyWorld::proxy(world.far), nullptr);
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
@@ -53,7 +53,7 @@
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
-    // The far proxy gets the write, and dies before it answers.
+    // The remote proxy receives the write and crashes before it answers.
     for (const auto delay : {milliseconds(2), milliseconds(4), milliseconds(6)}) {
       const auto call = world.start(
           caller.client.execute(world.next_request(caller, StatementKind::kWrite, append("two"))));
@@ -102,7 +102,7 @@
     auto asked = world.world().now();
     assert_refused(world.write(caller, "two", seconds(30)), CallOutcome::kNotRun, ReasonCode::kAborted);
     CPPUNIT_ASSERT(world.world().now() - asked < seconds(1));
-    // From then on one call at a time tries it, and the others are not held up.
+    // From then on one call at a time tries the proxy, and other calls are not delayed.
     world.world().run_for(seconds(1));
     const auto trial = world.start(caller.client.execute(world.next_request(
         caller, StatementKind::kRead, standins::callers::make_get_text(ProxyWorld::key()))));
--- a/tests/declared/proxy/forwarding/forwarding_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Calls for a group that the proxy does not serve.
+// Tests calls for a group that the proxy does not serve.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "declared/proxy/forwarding/forward_messages.h"
@@ -34,7 +34,7 @@
     auto request = world.next_request(caller, StatementKind::kWrite, append("two"));
     assert_done(world.run(caller.client.execute(request)));
     caller.client.move_to(ProxyWorld::proxy_endpoint(world.outside[1]));
-    assert_done(world.run(caller.client.execute(request)));  // the resend is recognized through another hop
+    assert_done(world.run(caller.client.execute(request)));  // the resend is recognized through another proxy
     CPPUNIT_ASSERT(entries_of(world.read(caller)) == (std::vector<std::string>{"one", "two"}));
     CPPUNIT_ASSERT(world.forwards_of(world.from, "answered") >= 3);
     CPPUNIT_ASSERT_EQUAL(0.0, world.forwards_of(world.far, "answered"));
@@ -53,7 +53,8 @@
 
   void test_moved_group_frees_its_connections() {
     ForwardingWorld world;
-    // One leaves by the platform's list: that takes it out of the subset, and it goes on taking callers.
+    // One proxy is listed by the platform as leaving: it is removed from the subset but still accepts
+    // callers.
     const auto backends = [&](std::uint32_t index) {
       return world.metric(index, "cairnhollow_proxy_backend_connections{backend=\"database-0\"}");
     };
--- a/tests/declared/proxy/forwarding/forwarding_transactions_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_transactions_test.cpp
@@ -1,4 +1,4 @@
-// Transactions of a group that the proxy does not serve.
+// Tests transactions of a group that the proxy does not serve.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/declared/proxy/calls/call_assertions.h"
--- a/tests/declared/proxy/forwarding/forwarding_world.h
+++ b/tests/declared/proxy/forwarding/forwarding_world.h
@@ -1,4 +1,4 @@
-// Four proxies, two of which serve the one group; the others forward to these.
+// Four proxies, two of which serve the only group; the others forward to these two.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -7,7 +7,7 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// The world, and the places of the proxies by what they do for the group.
+/// A deployment with the proxies' indexes by their role for the group.
 struct ForwardingWorld : ProxyWorld {
   static constexpr std::uint32_t kProxies = 4;
   static constexpr std::uint32_t kConnections = 7;  // three connections for each of two proxies
@@ -33,7 +33,7 @@
     return get(index, "/v1/explain?database=decks&partition_key=learner-1&kind=read").body;
   }
   bool forwards(std::uint32_t index) { return explain(index).find("forwarded_to") != std::string::npos; }
-  /// The proxy that it forwards to.
+  /// Name of the proxy that this one forwards to.
   std::string explained(std::uint32_t index) {
     const auto text = explain(index);
     const auto place = text.find("forwarded to proxy ") + std::string("forwarded to proxy ").size();
@@ -50,9 +50,9 @@
 
   std::vector<std::uint32_t> serving;
   std::vector<std::uint32_t> outside;
-  std::uint32_t from = 0;   ///< serves the group not
-  std::uint32_t far = 0;    ///< `from` forwards to it first
-  std::uint32_t other = 0;  ///< the other one that serves it
+  std::uint32_t from = 0;   ///< does not serve the group
+  std::uint32_t far = 0;    ///< first forwarding target of `from`
+  std::uint32_t other = 0;  ///< the other proxy that serves the group
 };
 
 }  // namespace cairnhollow::declared::proxy
