--- a/src/declared/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -53,7 +53,7 @@
   }
   if (!may_wait(request, reason)) co_return false;
   const auto key = queue_.make_key(request.priority_class, request.deadline);
-  if (!make_room(key)) co_return refuse(ReasonCode::kOverloaded, "the queue is full", reason);
+  if (!make_room(key)) co_return refuse(ReasonCode::kOverloaded, "the admission queue is full", reason);
   auto waiter = std::make_shared<Waiter>(runtime_);
   waiter->needs_connection = connection != nullptr;
   queue_.insert(key, waiter);
@@ -70,7 +70,8 @@
     queue_.erase(key);
     waiter->decided = true;
     ++statistics_.timed_out;
-    co_return refuse(ReasonCode::kOverloaded, "too little time was left in the queue", reason);
+    co_return refuse(ReasonCode::kOverloaded,
+                     "still queued when too little time was left to run before the deadline", reason);
   }
   if (waiter->refusal) {
     reason = std::move(*waiter->refusal);
@@ -95,7 +96,7 @@
 bool BackendAdmission::may_wait(const AdmissionRequest& request, Reason& reason) {
   const auto now = runtime_.now();
   if (request.deadline <= now) {
-    return refuse(ReasonCode::kDeadlineExceeded, "the deadline has passed", reason);
+    return refuse(ReasonCode::kDeadlineExceeded, "the deadline passed before admission", reason);
   }
   // The latency estimate is current only while statements run: below the limit nothing is refused because of
   // it.
@@ -104,7 +105,8 @@
   const auto needed = expected_wait(queue_.ahead_of(key), limit_for(key)) + limit_.expected_latency();
   if (now + needed <= request.deadline) return true;
   ++statistics_.refused_early;
-  return refuse(ReasonCode::kOverloaded, "the queue is too long for the deadline", reason);
+  return refuse(ReasonCode::kOverloaded, "the expected wait in the admission queue exceeds the deadline",
+                reason);
 }
 
 Duration BackendAdmission::expected_wait(std::size_t ahead, std::uint32_t at_once) const {
@@ -141,7 +143,7 @@
   if (last->first < key) return false;
   const auto evicted = last->second;
   Reason reason;
-  refuse(ReasonCode::kOverloaded, "more urgent statements fill the queue", reason);
+  refuse(ReasonCode::kOverloaded, "evicted from the full admission queue by a more urgent statement", reason);
   evicted->refusal = std::move(reason);
   decide(admission::AdmissionKey(last->first), evicted);
   return true;
@@ -154,8 +156,8 @@
 
 void BackendAdmission::cancel(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter) {
   if (waiter->decided) return;
-  waiter->refusal =
-      Reason{ReasonCode::kCancelled, "admit_to_backend", backend_.value, "it is wanted no more"};
+  waiter->refusal = Reason{ReasonCode::kCancelled, "admit_to_backend", backend_.value,
+                           "the wait for admission was cancelled"};
   decide(key, waiter);
 }
 
--- a/src/declared/backend/contract_answers.cpp
+++ b/src/declared/backend/contract_answers.cpp
@@ -232,7 +232,7 @@
   try {
     const auto object = parse_object(body);
     if (read_request(object, "request_id") != request) {
-      throw std::invalid_argument("the answer is for another request");
+      throw std::invalid_argument("request_id: the answer is for another request");
     }
     Answer answer;
     read_answer(object, read_text(object, "answer"), answer);
--- a/src/declared/backend/http_backend.cpp
+++ b/src/declared/backend/http_backend.cpp
@@ -161,7 +161,8 @@
                                                  TimePoint deadline, runtime::SendState& sent,
                                                  Reason& reason) {
     if (!is_open() || exchanging_) {
-      const auto* detail = exchanging_ ? "an exchange is under way on this connection" : "it was closed";
+      const auto* detail =
+          exchanging_ ? "another exchange is in progress on this connection" : "the connection was closed";
       reason = Reason{ReasonCode::kConnectionLost, std::move(step), backend_.value, detail};
       co_return std::nullopt;
     }
--- a/src/declared/proxy/domain/serving_state.cpp
+++ b/src/declared/proxy/domain/serving_state.cpp
@@ -15,11 +15,12 @@
 bool ServingState::check_lease(std::string_view step, Reason& reason) const {
   if (source_.lease_valid(runtime_.now())) return true;
   reason = Reason{ReasonCode::kLeaseExpired, std::string(step), "",
-                  "this proxy has not reached the control nodes for too long"};
+                  "the serving lease expired: the control nodes were not reached in time"};
   if (domain_.empty()) return false;
   const auto& failure = source_.last_failure();
   reason.peer = failure.peer.empty() ? domain_.value : failure.peer;
-  reason.detail = "this proxy has not reached the control nodes of domain " + domain_.value + " for too long";
+  reason.detail =
+      "the serving lease expired: the control nodes of domain " + domain_.value + " were not reached in time";
   if (failure.failed()) reason.detail += " (" + failure.to_string() + ")";
   return false;
 }
--- a/src/declared/proxy/forwarding/forward_messages.cpp
+++ b/src/declared/proxy/forwarding/forward_messages.cpp
@@ -76,12 +76,12 @@
   if (outcome == "aborted") {
     ResolvedAnswer resolved;
     resolved.aborted = refuse(Reason{ReasonCode::kAborted, "resolve", text_member(*body, "backend"),
-                                     "recorded as aborted: it never ran and never will"});
+                                     "recorded as aborted: the request did not run and can never run"});
     return resolved;
   }
   const auto problem = http::parse_problem(response.body);
   reason = problem ? problem->reason
-                   : Reason{ReasonCode::kConnectionLost, "resolve", peer, "the answer cannot be read"};
+                   : Reason{ReasonCode::kConnectionLost, "resolve", peer, "the proxy's answer is malformed"};
   return std::nullopt;
 }
 
--- a/src/declared/proxy/forwarding/forwarded_transactions.cpp
+++ b/src/declared/proxy/forwarding/forwarded_transactions.cpp
@@ -68,7 +68,7 @@
       !http::parse_problem(exchanged.response->body)) {
     exchanged.response.reset();
     exchanged.reason = Reason{ReasonCode::kConnectionLost, "forward", pinned->target.proxy.value,
-                              "the answer cannot be read"};
+                              "the proxy's answer is malformed"};
   }
   if (!exchanged.response) {
     pinned->hop->connection().close();
--- a/src/declared/proxy/forwarding/forwarder.cpp
+++ b/src/declared/proxy/forwarding/forwarder.cpp
@@ -76,7 +76,7 @@
   const Duration left = answer_by - state_.runtime.now();
   if (left < std::chrono::milliseconds(1)) {
     reason = Reason{ReasonCode::kDeadlineExceeded, "forward", hop.connection().peer(),
-                    "the deadline passed before it was sent"};
+                    "the deadline passed before the call was sent"};
     co_return std::nullopt;
   }
   const HopWatch::Exchange watched(watch_, target, hop.connection());
@@ -147,7 +147,7 @@
   const auto problem = response.status == kOk ? std::nullopt : http::parse_problem(response.body);
   if (response.status != kOk && !problem) {
     last = Reason{ReasonCode::kConnectionLost, "forward", forwarded.target.proxy.value,
-                  "the answer cannot be read"};
+                  "the proxy's answer is malformed"};
     forwarded.hop->connection().close();
     forwarded.hop.reset();
     return Next::kUnanswered;
@@ -187,7 +187,8 @@
   }
   ++statistics_.unknown;
   Reason unknown{ReasonCode::kOutcomeUnknown, "forward", silent.proxy.value,
-                 "sent, and no outcome yet (" + cause.to_string() + "); ask POST /v1/resolve at any proxy"};
+                 "sent without an answer, and the outcome is not yet known (" + cause.to_string() +
+                     "); query POST /v1/resolve at any proxy"};
   co_return refuse(std::move(unknown), http::RunState::kUnknown);
 }
 
--- a/src/declared/proxy/forwarding/hop_pool.cpp
+++ b/src/declared/proxy/forwarding/hop_pool.cpp
@@ -22,7 +22,7 @@
   while (peer->in_use >= kHopConnections) {
     const bool released = co_await peer->released.wait_until(deadline);
     if (released) continue;
-    reason = Reason{ReasonCode::kOverloaded, "open_hop", "", "too many statements are being forwarded"};
+    reason = Reason{ReasonCode::kOverloaded, "open_hop", "", "all connections to the proxy are in use"};
     co_return false;
   }
   co_return true;
--- a/src/declared/proxy/proxy_metrics.cpp
+++ b/src/declared/proxy/proxy_metrics.cpp
@@ -7,7 +7,7 @@
 constexpr std::array<const char*, kCallKinds> kKindNames = {"read", "write", "transaction", "commit",
                                                             "resolve"};
 constexpr const char* kReadsName = "cairnhollow_proxy_reads_total";
-constexpr const char* kReadsHelp = "Reads done, by the role of the backend that served them.";
+constexpr const char* kReadsHelp = "Completed reads, by the role of the backend that served them.";
 
 runtime::MetricLabels labels_of(const DomainName& domain, runtime::MetricLabels labels = {}) {
   if (!domain.empty()) labels["domain"] = domain.value;
@@ -26,7 +26,7 @@
   for (std::size_t index = 1; index < routing::kPrimaryReadCauses; ++index) {
     const auto cause = static_cast<routing::PrimaryReadCause>(index);
     primary_reads_by_cause_[index] =
-        &metrics_.counter("cairnhollow_proxy_primary_reads_total", "Reads done on the primary, by why.",
+        &metrics_.counter("cairnhollow_proxy_primary_reads_total", "Reads served by the primary, by cause.",
                           {{"reason", std::string(routing::primary_read_cause_name(cause))}});
   }
   for (std::size_t index = 0; index < kCallKinds; ++index) {
@@ -38,9 +38,9 @@
     kinds_[index].done = count("done");
     kinds_[index].not_run = count("not_run");
     kinds_[index].unknown = count("unknown");
-    kinds_[index].seconds =
-        &metrics_.histogram("cairnhollow_proxy_statement_seconds", "From a request's arrival to its answer.",
-                            runtime::latency_buckets_seconds(), {{"kind", kind}});
+    kinds_[index].seconds = &metrics_.histogram("cairnhollow_proxy_statement_seconds",
+                                                "Time from a request's arrival to its answer.",
+                                                runtime::latency_buckets_seconds(), {{"kind", kind}});
   }
 }
 
@@ -72,7 +72,7 @@
 }
 
 std::string ProxyMetrics::render(const ProxyGauges& gauges) {
-  metrics_.gauge("cairnhollow_proxy_requests_in_flight", "Caller requests being served.")
+  metrics_.gauge("cairnhollow_proxy_requests_in_flight", "Caller requests in progress.")
       .Set(static_cast<double>(gauges.requests_in_flight));
   for (const auto& domain : gauges.domains) set_domain(domain);
   return metrics_.render();
@@ -83,19 +83,19 @@
   const auto set = [&](const char* name, const char* help, double value) {
     metrics_.gauge(name, help, labels).Set(value);
   };
-  set("cairnhollow_proxy_transactions_open", "Transactions begun here and not ended.",
+  set("cairnhollow_proxy_transactions_open", "Transactions begun at this proxy and not yet ended.",
       static_cast<double>(gauges.transactions_open));
   set("cairnhollow_proxy_retries_left", "Whole retries that the budget allows now.", gauges.retries_left);
-  set("cairnhollow_proxy_waiting_for_change", "Requests that wait for news, e.g. of a new primary.",
+  set("cairnhollow_proxy_waiting_for_change", "Requests that wait for a change, e.g. a new primary.",
       static_cast<double>(gauges.waiting_for_change));
   set("cairnhollow_proxy_reads_held", "Reads held until a replica has their session's position.",
       static_cast<double>(gauges.reads_held));
-  set("cairnhollow_proxy_configuration_revision", "Revision of the routing view in force.",
+  set("cairnhollow_proxy_configuration_revision", "Revision of the routing view in use.",
       static_cast<double>(gauges.revision));
-  set("cairnhollow_proxy_lease_valid", "1 while new work may be taken.", gauges.lease_valid ? 1 : 0);
+  set("cairnhollow_proxy_lease_valid", "1 while new work may be accepted.", gauges.lease_valid ? 1 : 0);
   set_counter("cairnhollow_proxy_follow_moves_total", "Times that another control node was tried.", labels,
               gauges.follow_moves);
-  set("cairnhollow_proxy_hop_connections", "Connections to other proxies, idle ones included.",
+  set("cairnhollow_proxy_hop_connections", "Connections to other proxies, including idle ones.",
       static_cast<double>(gauges.hop_connections));
   set_forwards(gauges.domain, gauges.forwards);
   for (const auto& [backend, statistics] : gauges.admissions)
@@ -110,7 +110,8 @@
 
 void ProxyMetrics::set_forwards(const DomainName& domain, const ForwardStatistics& statistics) {
   const auto count = [&](const char* result, std::uint64_t value) {
-    set_counter("cairnhollow_proxy_forwards_total", "Hops to proxies that serve the group, by result.",
+    set_counter("cairnhollow_proxy_forwards_total",
+                "Calls forwarded to proxies that serve the group, by result.",
                 labels_of(domain, {{"result", result}}), value);
   };
   count("answered", statistics.answered);
@@ -130,17 +131,18 @@
   };
   set("cairnhollow_proxy_backend_running", "Statements and transactions at the backend now.",
       statistics.running);
-  set("cairnhollow_proxy_backend_limit", "How many of them may run at once.", statistics.limit);
-  set("cairnhollow_proxy_backend_connections", "Connections held to the backend, idle ones included.",
+  set("cairnhollow_proxy_backend_limit", "Current limit on statements and transactions at the backend.",
+      statistics.limit);
+  set("cairnhollow_proxy_backend_connections", "Connections held to the backend, including idle ones.",
       statistics.connections);
   set("cairnhollow_proxy_backend_waiting", "Statements that wait for admission to the backend.",
       static_cast<double>(statistics.waiting));
   set_counter("cairnhollow_proxy_backend_admitted_total", "Statements and transactions admitted.", labels,
               statistics.admitted);
-  set_counter("cairnhollow_proxy_backend_busy_total", "Answers by which the backend said that it is busy.",
-              labels, statistics.busy_answers);
+  set_counter("cairnhollow_proxy_backend_busy_total", "Answers that report the backend as busy.", labels,
+              statistics.busy_answers);
   const auto shed = [&](const char* cause, std::uint64_t value) {
-    set_counter("cairnhollow_proxy_backend_shed_total", "Refused admission, by cause.",
+    set_counter("cairnhollow_proxy_backend_shed_total", "Refused admissions, by cause.",
                 labels_of(domain, {{"backend", backend.value}, {"cause", cause}}), value);
   };
   shed("early", statistics.refused_early);
--- a/tests/declared/backend/scripted_backend.cpp
+++ b/tests/declared/backend/scripted_backend.cpp
@@ -26,7 +26,7 @@
   --script_.running;
   if (script_.break_connections) {
     close();
-    reason = Reason{ReasonCode::kConnectionLost, "execute", "scripted", "the connection broke"};
+    reason = Reason{ReasonCode::kConnectionLost, "execute", "scripted", "the connection was lost"};
     co_return Failed{runtime::SendState::kMaybeSent};
   }
   co_return Written{};
@@ -97,7 +97,8 @@
     co_return nullptr;
   }
   if (script_.open >= script_.limit) {
-    reason = Reason{ReasonCode::kOverloaded, "open_connection", "scripted", "the limit is reached"};
+    reason =
+        Reason{ReasonCode::kOverloaded, "open_connection", "scripted", "the connection limit is reached"};
     co_return nullptr;
   }
   co_return std::make_shared<ScriptedConnection>(runtime_, script_);
--- a/tests/declared/proxy/proxy_transactions_test.cpp
+++ b/tests/declared/proxy/proxy_transactions_test.cpp
@@ -252,7 +252,8 @@
     CPPUNIT_ASSERT_EQUAL_MESSAGE(refused.reason.to_string(), std::string("draining"),
                                  std::string(reason_code_name(refused.reason.code)));
     CPPUNIT_ASSERT(refused.outcome == CallOutcome::kNotRun);
-    CPPUNIT_ASSERT_MESSAGE("the caller was not told to reconnect elsewhere", !other.client.is_connected());
+    CPPUNIT_ASSERT_MESSAGE("the draining proxy did not close the caller's connection",
+                           !other.client.is_connected());
     assert_done(deployment.finish(call));
     CPPUNIT_ASSERT(!caller.client.is_connected());
     deployment.world().run_for(seconds(3));
--- a/tests/declared/proxy/proxy_world.cpp
+++ b/tests/declared/proxy/proxy_world.cpp
@@ -250,7 +250,7 @@
 void ProxyWorld::set_faults(std::uint32_t database_index, const std::string& json) {
   const auto response =
       run(exchange_once(*operator_, database_endpoint(database_index), post_request("/admin/faults", json)));
-  if (response.status != 200) throw std::runtime_error("the fault knobs were refused: " + response.body);
+  if (response.status != 200) throw std::runtime_error("the fault settings were rejected: " + response.body);
 }
 
 }  // namespace cairnhollow::declared::proxy
