--- a/src/declared/backend/admitted_connection.cpp
+++ b/src/declared/backend/admitted_connection.cpp
@@ -9,7 +9,7 @@
 
 AdmittedConnection::~AdmittedConnection() {
   return_permit();
-  admission_.give_back(std::move(connection_));
+  admission_.return_connection(std::move(connection_));
 }
 
 Awaitable<bool> AdmittedConnection::take_permit(TimePoint deadline, Reason& reason) {
--- a/src/declared/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -26,7 +26,8 @@
 }
 
 void BackendAdmission::maintain() {
-  const auto limit = urgent_is_pressed() ? allowance_.raise(limit_.limit()) : limit_.limit();
+  const auto limit =
+      urgent_is_under_deadline_pressure() ? allowance_.raised_limit(limit_.limit()) : limit_.limit();
   const auto permits = limit > running_ ? limit - running_ : 0;
   pool_.maintain(std::min<std::size_t>(waiting_for_connection(), permits));
 }
@@ -47,13 +48,14 @@
 
 Awaitable<bool> BackendAdmission::enter(AdmissionRequest request,
                                         std::shared_ptr<BackendConnection>* connection, Reason& reason) {
-  if (enter_at_once(connection)) {
+  if (try_enter(connection)) {
     if (connection != nullptr) maintain();  // keeps a spare connection open
     co_return true;
   }
   if (!may_wait(request, reason)) co_return false;
   const auto key = queue_.make_key(request.priority_class, request.deadline);
-  if (!make_room(key)) co_return refuse(ReasonCode::kOverloaded, "the admission queue is full", reason);
+  if (!ensure_queue_capacity(key))
+    co_return refuse(ReasonCode::kOverloaded, "the admission queue is full", reason);
   auto waiter = std::make_shared<Waiter>(runtime_);
   waiter->needs_connection = connection != nullptr;
   queue_.insert(key, waiter);
@@ -81,7 +83,7 @@
   co_return true;
 }
 
-bool BackendAdmission::enter_at_once(std::shared_ptr<BackendConnection>* connection) {
+bool BackendAdmission::try_enter(std::shared_ptr<BackendConnection>* connection) {
   if (!queue_.empty() || is_paused() || running_ >= limit_.limit()) return false;
   if (connection != nullptr) {
     *connection = pool_.take();
@@ -114,18 +116,21 @@
 }
 
 std::uint32_t BackendAdmission::limit_for(const admission::AdmissionKey& key) const {
-  return key.is_urgent() ? allowance_.raise(limit_.limit()) : limit_.limit();
+  return key.is_urgent() ? allowance_.raised_limit(limit_.limit()) : limit_.limit();
 }
 
-bool BackendAdmission::is_pressed(const admission::AdmissionKey& key, std::size_t ahead) const {
-  return latest_start(key.deadline) - runtime_.now() < kPressedWaits * expected_wait(ahead, limit_.limit());
+bool BackendAdmission::is_under_deadline_pressure(const admission::AdmissionKey& key,
+                                                  std::size_t ahead) const {
+  return latest_start(key.deadline) - runtime_.now() <
+         kDeadlinePressureWaits * expected_wait(ahead, limit_.limit());
 }
 
-bool BackendAdmission::urgent_is_pressed() const {
+bool BackendAdmission::urgent_is_under_deadline_pressure() const {
   if (queue_.urgent() == 0) return false;
   const auto& entries = queue_.entries();
   const auto last = std::prev(entries.upper_bound({admission::kUrgentClass, TimePoint::max(), UINT64_MAX}));
-  return is_pressed(entries.begin()->first, 0) || is_pressed(last->first, queue_.urgent() - 1);
+  return is_under_deadline_pressure(entries.begin()->first, 0) ||
+         is_under_deadline_pressure(last->first, queue_.urgent() - 1);
 }
 
 TimePoint BackendAdmission::latest_start(TimePoint deadline) const {
@@ -133,10 +138,10 @@
 }
 
 Duration BackendAdmission::suggested_retry_after() const {
-  return std::max(kShortestRetryAfter, expected_wait(queue_.size(), limit_.limit()));
+  return std::max(kMinRetryAfter, expected_wait(queue_.size(), limit_.limit()));
 }
 
-bool BackendAdmission::make_room(const admission::AdmissionKey& key) {
+bool BackendAdmission::ensure_queue_capacity(const admission::AdmissionKey& key) {
   if (queue_.size() < kQueueLimit) return true;
   const auto last = std::prev(queue_.entries().end());
   ++statistics_.refused_early;
@@ -169,7 +174,7 @@
 
 void BackendAdmission::dispatch() {
   if (is_paused()) return;
-  const bool pressed = urgent_is_pressed();
+  const bool pressed = urgent_is_under_deadline_pressure();
   auto entry = queue_.entries().begin();
   while (entry != queue_.entries().end()) {
     const auto key = entry->first;
@@ -204,8 +209,8 @@
   dispatch();
 }
 
-void BackendAdmission::give_back(std::shared_ptr<BackendConnection> connection) {
-  pool_.give_back(std::move(connection));
+void BackendAdmission::return_connection(std::shared_ptr<BackendConnection> connection) {
+  pool_.return_connection(std::move(connection));
   dispatch();
 }
 
@@ -222,7 +227,7 @@
   } else {
     limit_.busy(runtime_.now());
   }
-  paused_until_ = runtime_.now() + std::clamp(retry_after, kShortestRetryAfter, kLongestBusyPause);
+  paused_until_ = runtime_.now() + std::clamp(retry_after, kMinRetryAfter, kMaxBusyPause);
   if (resuming_) return;
   resuming_ = true;
   runtime_.spawn("admission_resume", resume_after_pause());
--- a/src/declared/backend/backend_admission.h
+++ b/src/declared/backend/backend_admission.h
@@ -80,11 +80,11 @@
   /// Waits for a permit, and also for a connection if `connection` is not null.
   Awaitable<bool> enter(AdmissionRequest request, std::shared_ptr<BackendConnection>* connection,
                         Reason& reason);
-  bool enter_at_once(std::shared_ptr<BackendConnection>* connection);
+  bool try_enter(std::shared_ptr<BackendConnection>* connection);
   bool may_wait(const AdmissionRequest& request, Reason& reason);
   /// Makes room in a full queue for `key` by evicting the least urgent entry. Returns false if `key` itself
   /// is the least urgent.
-  bool make_room(const admission::AdmissionKey& key);
+  bool ensure_queue_capacity(const admission::AdmissionKey& key);
   void dispatch();
   void cancel(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter);
   void decide(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter);
@@ -96,17 +96,17 @@
   [[nodiscard]] std::uint32_t limit_for(const admission::AdmissionKey& key) const;
   /// Whether a waiting urgent statement would miss its deadline, or barely meet it, under the concurrency
   /// limit alone.
-  [[nodiscard]] bool urgent_is_pressed() const;
-  [[nodiscard]] bool is_pressed(const admission::AdmissionKey& key, std::size_t ahead) const;
+  [[nodiscard]] bool urgent_is_under_deadline_pressure() const;
+  [[nodiscard]] bool is_under_deadline_pressure(const admission::AdmissionKey& key, std::size_t ahead) const;
   /// The latest time at which a statement can start and still be expected to be answered by its deadline. One
   /// that starts later would only take a slot from a statement that can meet its deadline.
   [[nodiscard]] TimePoint latest_start(TimePoint deadline) const;
 
   void release_permit();
-  void give_back(std::shared_ptr<BackendConnection> connection);
+  void return_connection(std::shared_ptr<BackendConnection> connection);
   void answered(Duration latency, std::uint32_t in_flight, bool borrowed);
   /// The backend has no free slot. Nothing more is sent until a statement of this proxy is answered, which
-  /// frees a slot, or until `retry_after` (at most kLongestBusyPause) has passed. A busy answer to a borrowed
+  /// frees a slot, or until `retry_after` (at most kMaxBusyPause) has passed. A busy answer to a borrowed
   /// slot does not lower the concurrency limit.
   void busy(Duration retry_after, bool borrowed);
   [[nodiscard]] bool is_paused() const { return runtime_.now() < paused_until_; }
--- a/src/declared/backend/connection_pool.cpp
+++ b/src/declared/backend/connection_pool.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMostDoublings = 5;  ///< limit on doublings of kReopenPause
+constexpr std::uint32_t kMaxReopenDoublings = 5;  ///< limit on doublings of kReopenPause
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   endpoint_ = endpoint;
   ++endpoint_generation_;
   drop_idle();
-  failures_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   open_not_before_ = TimePoint{};
   open_ahead_not_before_ = TimePoint{};
 }
@@ -36,32 +36,32 @@
   if (idle_.empty()) return nullptr;
   auto connection = std::move(idle_.back().connection);
   idle_.pop_back();
-  count_idle();
+  update_idle_count();
   ++statistics_.in_use;
   return connection;
 }
 
-void ConnectionPool::give_back(std::shared_ptr<BackendConnection> connection) {
+void ConnectionPool::return_connection(std::shared_ptr<BackendConnection> connection) {
   --statistics_.in_use;
   if (!connection->is_open()) {
     ++statistics_.broken;
-    if (++broken_in_a_row_ < kBrokenInARow) return;
+    if (++consecutive_broken_ < kConsecutiveBrokenLimit) return;
     // The backend is gone or was restarted: the idle connections would fail as well.
     drop_idle();
     return;
   }
-  broken_in_a_row_ = 0;
+  consecutive_broken_ = 0;
   if (held() >= share_) {
     connection->close();
     return;
   }
   idle_.push_back({std::move(connection), runtime_.now()});
-  count_idle();
+  update_idle_count();
 }
 
 void ConnectionPool::drop_broken() {
   std::erase_if(idle_, [](const IdleConnection& idle) { return !idle.connection->is_open(); });
-  count_idle();
+  update_idle_count();
 }
 
 void ConnectionPool::drop_idle() {
@@ -83,30 +83,30 @@
     if (!too_many && !unused) break;
     idle_.front().connection->close();
     idle_.erase(idle_.begin());
-    count_idle();
+    update_idle_count();
     ++statistics_.closed_idle;
   }
 }
 
-std::uint32_t ConnectionPool::wanted(std::size_t waiting) const {
+std::uint32_t ConnectionPool::target_size(std::size_t waiting) const {
   const auto in_use = statistics_.in_use;
   const auto spare = in_use == 0 ? 0 : 1 + in_use / kInUsePerSpare;
   const auto now = runtime_.now();
-  std::uint32_t wanted = in_use + static_cast<std::uint32_t>(waiting);
+  std::uint32_t target_size = in_use + static_cast<std::uint32_t>(waiting);
   if (now >= open_ahead_not_before_) {
-    wanted = std::max(wanted + spare, warm_);
+    target_size = std::max(target_size + spare, warm_);
   } else if (waiting > 0) {
     // Recent attempts failed: opens one connection at a time to detect that the backend has recovered.
-    wanted = std::min(wanted, in_use + statistics_.idle + 1);
+    target_size = std::min(target_size, in_use + statistics_.idle + 1);
   }
-  return std::min(wanted, share_);
+  return std::min(target_size, share_);
 }
 
 void ConnectionPool::maintain(std::size_t waiting) {
   close_idle();
   if (runtime_.now() < open_not_before_) return;
-  const auto wanted_now = wanted(waiting);
-  while (held() < wanted_now) {
+  const auto target_count = target_size(waiting);
+  while (held() < target_count) {
     ++statistics_.opening;
     runtime_.spawn("open_backend_connection", open_one());
   }
@@ -127,11 +127,11 @@
     co_return;
   }
   ++statistics_.opened;
-  failures_in_a_row_ = 0;
-  broken_in_a_row_ = 0;
+  consecutive_failures_ = 0;
+  consecutive_broken_ = 0;
   open_ahead_not_before_ = TimePoint{};
   idle_.push_back({std::move(connection), runtime_.now()});
-  count_idle();
+  update_idle_count();
   if (on_available_) on_available_();
 }
 
@@ -139,10 +139,10 @@
   const auto now = runtime_.now();
   if (reason.code == ReasonCode::kOverloaded) {
     ++statistics_.refused_by_backend;
-    open_not_before_ = now + kRefusedPause;
+    open_not_before_ = now + kConnectionRefusedPause;
   } else {
     ++statistics_.open_failures;
-    const auto doublings = std::min(failures_in_a_row_++, kMostDoublings);
+    const auto doublings = std::min(consecutive_failures_++, kMaxReopenDoublings);
     open_ahead_not_before_ = now + std::min(kReopenPause * (1U << doublings), kReopenPauseLimit);
   }
   const bool none_left = statistics_.in_use + statistics_.idle == 0 && statistics_.opening == 0;
--- a/src/declared/backend/connection_pool.h
+++ b/src/declared/backend/connection_pool.h
@@ -43,7 +43,7 @@
   /// Takes the most recently used idle connection. Returns null if there is none.
   std::shared_ptr<BackendConnection> take();
   /// Returns a connection obtained from take(). A closed one is discarded, one beyond the share is closed.
-  void give_back(std::shared_ptr<BackendConnection> connection);
+  void return_connection(std::shared_ptr<BackendConnection> connection);
   /// Opens connections for the `waiting` statements and for expected ones; closes connections that have been
   /// idle for too long.
   void maintain(std::size_t waiting);
@@ -67,8 +67,8 @@
   void opening_failed(const Reason& reason);
   void close_idle();
   void drop_broken();
-  [[nodiscard]] std::uint32_t wanted(std::size_t waiting) const;
-  void count_idle() { statistics_.idle = static_cast<std::uint32_t>(idle_.size()); }
+  [[nodiscard]] std::uint32_t target_size(std::size_t waiting) const;
+  void update_idle_count() { statistics_.idle = static_cast<std::uint32_t>(idle_.size()); }
 
   runtime::Runtime& runtime_;
   BackendConnector& connector_;
@@ -78,8 +78,8 @@
   std::uint32_t warm_ = 0;
   std::vector<IdleConnection> idle_;  ///< the most recently used at the end
   PoolStatistics statistics_;
-  std::uint32_t broken_in_a_row_ = 0;
-  std::uint32_t failures_in_a_row_ = 0;
+  std::uint32_t consecutive_broken_ = 0;
+  std::uint32_t consecutive_failures_ = 0;
   TimePoint open_not_before_{};        ///< after the backend refused a connection
   TimePoint open_ahead_not_before_{};  ///< after failures; does not apply to waiting statements
   std::uint64_t endpoint_generation_ = 0;
--- a/src/declared/backend/contract_answers.cpp
+++ b/src/declared/backend/contract_answers.cpp
@@ -48,7 +48,7 @@
 
 json::object write_answer(const Done& /*answer*/) { return {{"answer", "done"}}; }
 
-json::object write_answer(const Begun& answer) {
+json::object write_answer(const TransactionBegun& answer) {
   return {{"answer", "begun"}, {"transaction", answer.transaction.value}};
 }
 
@@ -163,7 +163,7 @@
 
 void read_answer(const json::object& object, const std::string& kind, BeginAnswer& answer) {
   if (kind == "begun") {
-    answer = Begun{TransactionId(read_text(object, "transaction"))};
+    answer = TransactionBegun{TransactionId(read_text(object, "transaction"))};
   } else if (kind == "refused") {
     answer = read_refused(object);
   } else {
--- a/src/declared/backend/contract_codec.h
+++ b/src/declared/backend/contract_codec.h
@@ -73,7 +73,7 @@
 
 /// Answer to a successful call that returns no value ("opened", "promoted", "following", "rolled_back").
 struct Done {};
-struct Begun {
+struct TransactionBegun {
   TransactionId transaction;
 };
 /// Answer to a call other than a statement that was not carried out.
@@ -82,7 +82,7 @@
 };
 
 using StatusAnswer = std::variant<BackendStatus, Refused>;
-using BeginAnswer = std::variant<Begun, Refused>;
+using BeginAnswer = std::variant<TransactionBegun, Refused>;
 using FenceReply = std::variant<FenceAnswer, Refused>;
 using ResolveReply = std::variant<ResolveAnswer, Refused>;
 using DoneAnswer = std::variant<Done, Refused>;
--- a/src/declared/backend/http_backend.cpp
+++ b/src/declared/backend/http_backend.cpp
@@ -13,7 +13,7 @@
 /// The server is given slightly less than the remaining time, so that its answer still arrives before the
 /// deadline.
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
-constexpr int kAnswerMarginShare = 5;  ///< at most one part in this many of the remaining time
+constexpr int kAnswerMarginDivisor = 5;  ///< at most one part in this many of the remaining time
 
 class HttpBackendConnection final : public BackendConnection {
  public:
@@ -25,7 +25,7 @@
         connection_key_(runtime.random().next()) {}
 
   Awaitable<bool> open_for_statements(TimePoint deadline, Reason& reason) {
-    co_return co_await call_done(target::kConnection, "{}", "open_connection", deadline, reason);
+    co_return co_await call_without_result(target::kConnection, "{}", "open_connection", deadline, reason);
   }
 
   Awaitable<std::optional<BackendStatus>> status(TimePoint deadline, Reason& reason) override {
@@ -46,8 +46,8 @@
     const BeginCall begin_call{std::move(database), with_margin(requirements)};
     const auto answer = co_await call<BeginAnswer>(target::kBegin, encode_call(begin_call, runtime_.now()),
                                                    std::nullopt, "begin", requirements.deadline, reason);
-    if (!answer || !std::holds_alternative<Begun>(*answer)) co_return std::nullopt;
-    co_return std::get<Begun>(*answer).transaction;
+    if (!answer || !std::holds_alternative<TransactionBegun>(*answer)) co_return std::nullopt;
+    co_return std::get<TransactionBegun>(*answer).transaction;
   }
 
   Awaitable<ExecuteAnswer> execute_in(TransactionId transaction, Statement statement,
@@ -70,7 +70,7 @@
     finish_call.transaction = std::move(transaction);
     finish_call.requirements.deadline = deadline;
     const auto body = encode_call(finish_call, runtime_.now());
-    co_return co_await call_done(target::kRollback, body, "rollback", deadline, reason);
+    co_return co_await call_without_result(target::kRollback, body, "rollback", deadline, reason);
   }
 
   Awaitable<std::optional<FenceAnswer>> fence(std::uint64_t term, std::string owner, TimePoint deadline,
@@ -85,13 +85,13 @@
   Awaitable<bool> promote(std::uint64_t term, std::string owner, TimePoint deadline,
                           Reason& reason) override {
     const auto body = encode_call(TermCall{term, std::move(owner)}, runtime_.now());
-    co_return co_await call_done(target::kPromote, body, "promote", deadline, reason);
+    co_return co_await call_without_result(target::kPromote, body, "promote", deadline, reason);
   }
 
   Awaitable<bool> follow(std::uint64_t term, BackendName primary, Endpoint endpoint, TimePoint deadline,
                          Reason& reason) override {
     const auto body = encode_call(FollowCall{term, std::move(primary), std::move(endpoint)}, runtime_.now());
-    co_return co_await call_done(target::kFollow, body, "follow", deadline, reason);
+    co_return co_await call_without_result(target::kFollow, body, "follow", deadline, reason);
   }
 
   Awaitable<std::optional<ResolveAnswer>> resolve(RequestId request, std::uint64_t term, TimePoint deadline,
@@ -115,7 +115,7 @@
  private:
   [[nodiscard]] Duration answer_margin(TimePoint deadline) const {
     const auto left = deadline - runtime_.now();
-    return std::clamp<Duration>(left / kAnswerMarginShare, Duration(0), kAnswerMargin);
+    return std::clamp<Duration>(left / kAnswerMarginDivisor, Duration(0), kAnswerMargin);
   }
 
   [[nodiscard]] Requirements with_margin(Requirements requirements) const {
@@ -123,8 +123,8 @@
     return requirements;
   }
 
-  Awaitable<bool> call_done(std::string target, std::string body, std::string step, TimePoint deadline,
-                            Reason& reason) {
+  Awaitable<bool> call_without_result(std::string target, std::string body, std::string step,
+                                      TimePoint deadline, Reason& reason) {
     const auto answer = co_await call<DoneAnswer>(target, body, std::nullopt, step, deadline, reason);
     co_return answer&& std::holds_alternative<Done>(*answer);
   }
@@ -137,10 +137,10 @@
     if (!text) co_return Failed{sent};
     auto answer = decode_answer<ExecuteAnswer>(*text, requirements.request_id, reason);
     if (!answer) {
-      break_off(step, reason);
+      close_after_violation(step, reason);
       co_return Failed{runtime::SendState::kMaybeSent};
     }
-    name_peer(reason);
+    set_reason_peer(reason);
     co_return std::move(*answer);
   }
 
@@ -151,8 +151,8 @@
     const auto text = co_await exchange(std::move(target), std::move(body), step, deadline, sent, reason);
     if (!text) co_return std::nullopt;
     auto answer = decode_answer<Answer>(*text, echoed, reason);
-    if (!answer) break_off(step, reason);
-    name_peer(reason);
+    if (!answer) close_after_violation(step, reason);
+    set_reason_peer(reason);
     co_return answer;
   }
 
@@ -178,27 +178,27 @@
     exchanging_ = false;
     if (!response) {
       close();
-      name_peer(reason);
+      set_reason_peer(reason);
       co_return std::nullopt;
     }
     sent = runtime::SendState::kMaybeSent;
     if (response->headers.find(kExchangeHeader) != exchange_id) {
       reason = Reason{ReasonCode::kConnectionLost, "", "", "the answer belongs to another exchange"};
-      break_off(step, reason);
+      close_after_violation(step, reason);
       co_return std::nullopt;
     }
     co_return std::move(response->body);
   }
 
   /// The peer violated the contract, so later data on this connection cannot be trusted either.
-  void break_off(const std::string& step, Reason& reason) {
+  void close_after_violation(const std::string& step, Reason& reason) {
     reason.code = ReasonCode::kConnectionLost;
     reason.step = step;
-    name_peer(reason);
+    set_reason_peer(reason);
     close();
   }
 
-  void name_peer(Reason& reason) const {
+  void set_reason_peer(Reason& reason) const {
     if (reason.failed() && reason.peer.empty()) reason.peer = backend_.value;
   }
 
--- a/src/declared/backend/json_values.cpp
+++ b/src/declared/backend/json_values.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-ReasonCode code_named(const std::string& name) {
+ReasonCode find_reason_code(const std::string& name) {
   for (auto value = static_cast<int>(ReasonCode::kNone); value <= static_cast<int>(ReasonCode::kInternal);
        ++value) {
     const auto code = static_cast<ReasonCode>(value);
@@ -18,13 +18,13 @@
   return ReasonCode::kInternal;
 }
 
-[[noreturn]] void refuse(const std::string& field, const char* why) {
+[[noreturn]] void throw_invalid(const std::string& field, const char* why) {
   throw std::invalid_argument(field + ": " + why);
 }
 
 const json::value& require(const json::object& object, const char* field) {
   const auto* value = object.if_contains(field);
-  if (value == nullptr) refuse(field, "is required");
+  if (value == nullptr) throw_invalid(field, "is required");
   return *value;
 }
 
@@ -32,12 +32,12 @@
 Number to_number(const json::value& value, const char* field) {
   boost::system::error_code error;
   const auto number = value.to_number<Number>(error);
-  if (error) refuse(field, "must be a whole number in range");
+  if (error) throw_invalid(field, "must be a whole number in range");
   return number;
 }
 
 const json::object& to_object(const json::value& value, const char* field) {
-  if (!value.is_object()) refuse(field, "must be an object");
+  if (!value.is_object()) throw_invalid(field, "must be an object");
   return value.get_object();
 }
 
@@ -72,13 +72,13 @@
 
 std::string read_text(const json::object& object, const char* field) {
   const auto& value = require(object, field);
-  if (!value.is_string()) refuse(field, "must be a string");
+  if (!value.is_string()) throw_invalid(field, "must be a string");
   return std::string(value.get_string());
 }
 
 bool read_flag(const json::object& object, const char* field) {
   const auto& value = require(object, field);
-  if (!value.is_bool()) refuse(field, "must be true or false");
+  if (!value.is_bool()) throw_invalid(field, "must be true or false");
   return value.get_bool();
 }
 
@@ -105,8 +105,8 @@
   const auto* value = object.if_contains(field);
   if (value == nullptr) return {};
   const auto& reason = to_object(*value, field);
-  return Reason{code_named(read_text(reason, "code")), read_text(reason, "step"), read_text(reason, "peer"),
-                read_text(reason, "detail")};
+  return Reason{find_reason_code(read_text(reason, "code")), read_text(reason, "step"),
+                read_text(reason, "peer"), read_text(reason, "detail")};
 }
 
 json::object parse_object(const std::string& text) {
--- a/src/declared/backend/pool_knobs.h
+++ b/src/declared/backend/pool_knobs.h
@@ -13,12 +13,12 @@
 /// refused.
 inline constexpr std::size_t kQueueLimit = 512;
 /// Shortest pause suggested to a caller whose statement was refused for lack of capacity.
-inline constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(5);
+inline constexpr Duration kMinRetryAfter = std::chrono::milliseconds(5);
 /// Longest time for which nothing is sent to a backend that reported all its slots in use.
-inline constexpr Duration kLongestBusyPause = std::chrono::milliseconds(10);
+inline constexpr Duration kMaxBusyPause = std::chrono::milliseconds(10);
 /// An urgent statement may exceed the concurrency limit if the time until its latest start is less than this
 /// multiple of its expected wait.
-inline constexpr int kPressedWaits = 2;
+inline constexpr int kDeadlinePressureWaits = 2;
 
 // Connections.
 /// Minimum number of connections opened ahead of need to every backend of a served group, including replicas,
@@ -34,9 +34,9 @@
 inline constexpr Duration kReopenPause = std::chrono::milliseconds(100);
 inline constexpr Duration kReopenPauseLimit = std::chrono::seconds(2);
 /// Pause before the next attempt after the backend refused a connection.
-inline constexpr Duration kRefusedPause = std::chrono::milliseconds(200);
+inline constexpr Duration kConnectionRefusedPause = std::chrono::milliseconds(200);
 /// Number of consecutive connections returned broken after which the idle connections are dropped as well.
-inline constexpr std::uint32_t kBrokenInARow = 2;
+inline constexpr std::uint32_t kConsecutiveBrokenLimit = 2;
 /// Interval between periodic checks of the pools, in addition to checks triggered by events.
 inline constexpr Duration kPoolCheckInterval = std::chrono::milliseconds(500);
 
--- a/src/declared/backend/urgent_allowance.h
+++ b/src/declared/backend/urgent_allowance.h
@@ -14,20 +14,20 @@
  public:
   /// Sets the maximum number of statements in flight, borrowed slots included: the smaller of the backend's
   /// slots and this proxy's connections.
-  void set_bound(std::uint32_t most_under_way) { most_under_way_ = most_under_way; }
+  void set_bound(std::uint32_t max_in_flight) { max_in_flight_ = max_in_flight; }
 
   /// The number of statements that may be in flight while urgent statements are under deadline pressure; at
   /// least `limit`.
-  [[nodiscard]] std::uint32_t raise(std::uint32_t limit) const {
-    return std::max(limit, std::min(most_under_way_, limit + allowance_));
+  [[nodiscard]] std::uint32_t raised_limit(std::uint32_t limit) const {
+    return std::max(limit, std::min(max_in_flight_, limit + allowance_));
   }
   /// A statement in a borrowed slot was answered: one more may be tried.
-  void answered() { allowance_ = std::min(allowance_ + 1, std::max(1U, most_under_way_)); }
+  void answered() { allowance_ = std::min(allowance_ + 1, std::max(1U, max_in_flight_)); }
   /// A borrowed slot was not available: one at a time is tried from now on.
   void busy() { allowance_ = 1; }
 
  private:
-  std::uint32_t most_under_way_ = 0;
+  std::uint32_t max_in_flight_ = 0;
   std::uint32_t allowance_ = 1;
 };
 
--- a/src/declared/proxy/calls/caller_api.cpp
+++ b/src/declared/proxy/calls/caller_api.cpp
@@ -28,7 +28,7 @@
   auto response = co_await dispatch(std::move(request), connection);
   // A connection that began a transaction is kept: the transaction would be rolled back with it.
   const bool keeps_transaction = domains_.has_open_transaction(connection);
-  if (sends_callers_elsewhere() && !keeps_transaction) response.close_connection = true;
+  if (redirects_callers() && !keeps_transaction) response.close_connection = true;
   co_return response;
 }
 
@@ -84,13 +84,13 @@
   const auto view = serving.view();
   if (view->this_proxy_serves) return true;
   const bool forwards_only = !domain.name().empty() && !view->this_proxy_known && !forwarded;
-  if (forwards_only && domains_.takes_callers()) return true;
+  if (forwards_only && domains_.accepts_callers()) return true;
   reason =
       Reason{ReasonCode::kDraining, std::string(kStep), "", "this proxy drains, or no Proxy object names it"};
   return false;
 }
 
-bool CallerApi::sends_callers_elsewhere() const { return draining_ || domains_.sends_callers_elsewhere(); }
+bool CallerApi::redirects_callers() const { return draining_ || domains_.redirects_callers(); }
 
 ParseContext CallerApi::parse_context(const HttpRequest& request) const {
   return ParseContext{runtime_.now(), settings_.default_statement_deadline,
@@ -130,7 +130,7 @@
     TransactionStatementBody inside{call.statement.kind, std::move(call.statement.text), call.deadline};
     co_return co_await run_in_transaction(std::move(request), *body->transaction, std::move(inside));
   }
-  auto* domain = domains_.of_database(call.statement.database, reason);
+  auto* domain = domains_.find_by_database(call.statement.database, reason);
   auto elsewhere = domain == nullptr ? std::nullopt : group_elsewhere(*domain, request, call);
   if (elsewhere) {
     HopCall hop{std::move(request), std::move(*elsewhere), call.deadline, {}, call.request_id, false};
@@ -162,7 +162,7 @@
   Reason reason;
   auto body = parse_begin(request, parse_context(request), reason);
   if (!body) co_return refuse_now(std::move(reason));
-  auto* domain = domains_.of_database(body->call.statement.database, reason);
+  auto* domain = domains_.find_by_database(body->call.statement.database, reason);
   if (domain == nullptr) co_return refuse_now(std::move(reason));
   if (!admit(*domain, is_forwarded(request), reason)) co_return refuse_now(std::move(reason));
   const RequestTable::Entry entry(requests_, std::nullopt);
@@ -198,7 +198,7 @@
 
 Awaitable<HttpResponse> CallerApi::run_in_transaction(HttpRequest request, TransactionId id,
                                                       TransactionStatementBody body) {
-  auto& domain = domains_.of_transaction(id);
+  auto& domain = domains_.find_by_transaction(id);
   if (domain.forwarded_transactions().knows(id)) {
     co_return co_await forward_in_transaction(domain, std::move(id), std::move(request), body.deadline,
                                               TransactionStep::kStatement);
@@ -235,16 +235,16 @@
 }
 
 Domain* CallerApi::domain_of_commit(const TransactionId& id, const CommitBody& body, Reason& reason) {
-  auto& known = domains_.of_transaction(id);
+  auto& known = domains_.find_by_transaction(id);
   const bool is_known = known.transactions().knows(id) || known.forwarded_transactions().knows(id);
-  return is_known || body.database.empty() ? &known : domains_.of_database(body.database, reason);
+  return is_known || body.database.empty() ? &known : domains_.find_by_database(body.database, reason);
 }
 
 Awaitable<HttpResponse> CallerApi::post_rollback(HttpRequest request, TransactionId id) {
   Reason reason;
   const auto deadline = parse_rollback(request, parse_context(request), reason);
   if (!deadline) co_return refuse_now(std::move(reason));
-  auto& domain = domains_.of_transaction(id);
+  auto& domain = domains_.find_by_transaction(id);
   if (domain.forwarded_transactions().knows(id)) {
     co_return co_await forward_in_transaction(domain, std::move(id), std::move(request), *deadline,
                                               TransactionStep::kRollback);
@@ -261,7 +261,7 @@
   auto body = parse_resolve(request, parse_context(request), reason);
   if (!body) co_return refuse_now(std::move(reason));
   const AnswerContext context{body->call.request_id, body->call.token};
-  auto* domain = domains_.of_database(body->call.statement.database, reason);
+  auto* domain = domains_.find_by_database(body->call.statement.database, reason);
   auto elsewhere = domain == nullptr ? std::nullopt : group_elsewhere(*domain, request, body->call);
   if (elsewhere) {
     HopCall hop{std::move(request), std::move(*elsewhere), body->call.deadline, {}, {}, false};
--- a/src/declared/proxy/calls/caller_api.h
+++ b/src/declared/proxy/calls/caller_api.h
@@ -91,7 +91,7 @@
   /// forwarded to the proxies that the domain names.
   bool admit(const Domain& domain, bool forwarded, Reason& reason) const;
   /// Whether callers should go to another proxy; who still comes may be served all the same.
-  [[nodiscard]] bool sends_callers_elsewhere() const;
+  [[nodiscard]] bool redirects_callers() const;
   [[nodiscard]] ParseContext parse_context(const runtime::HttpRequest& request) const;
   runtime::HttpResponse refuse_now(Reason reason);
   /// When a proxy whose lease has lapsed may serve again: with the answer to its next question to control,
--- a/src/declared/proxy/calls/caller_api_diagnostics.cpp
+++ b/src/declared/proxy/calls/caller_api_diagnostics.cpp
@@ -50,7 +50,7 @@
     if (!admitted) told["reason"] = not_ready.to_string();
     domains.push_back(std::move(told));
   }
-  if (ready && !sends_callers_elsewhere()) {
+  if (ready && !redirects_callers()) {
     json::object body{{"ready", true}};
     const auto& first = *domains_.all().front();
     if (first.name().empty()) {
@@ -77,7 +77,8 @@
   Reason reason;
   // A recent request is found by its id, whatever its domain.
   const DatabaseName database(target.parameter("database"));
-  auto* domain = database.empty() ? domains_.all().front().get() : domains_.of_database(database, reason);
+  auto* domain =
+      database.empty() ? domains_.all().front().get() : domains_.find_by_database(database, reason);
   if (domain == nullptr) return refusal_answer(refuse(std::move(reason)), std::nullopt);
   const auto view = domain->state().serving.view();
   const ExplainContext context{*view,
--- a/src/declared/proxy/calls/caller_api_forwarding.cpp
+++ b/src/declared/proxy/calls/caller_api_forwarding.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-LedgerQuestion question_of(const StatementCall& call) {
-  return LedgerQuestion{*call.request_id, call.statement.database, call.statement.partition_key, call.labels,
-                        call.token};
+LedgerQuery question_of(const StatementCall& call) {
+  return LedgerQuery{*call.request_id, call.statement.database, call.statement.partition_key, call.labels,
+                     call.token};
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
   } else if (!entry.entered()) {
     answer = refuse(same_id_in_flight(), http::RunState::kUnknown);
   } else {
-    if (is_write) hop.question = question_of(call);
+    if (is_write) hop.query = question_of(call);
     hop.resent = is_write && call.resent;
     answer = co_await domain.forwarder().forward(std::move(hop));
   }
@@ -95,7 +95,7 @@
   const RequestTable::Entry entry(requests_, body.request_id);
   HopAnswer answer = refuse(same_id_in_flight(), http::RunState::kUnknown);
   if (entry.entered()) {
-    hop.question = question_of(commit_call(body));
+    hop.query = question_of(commit_call(body));
     answer = co_await domain.forwarder().forward(std::move(hop));
     // An earlier copy of the commit may have run at the proxy that began the transaction.
     if (auto* refused = std::get_if<Refused>(&answer)) doubt_earlier_copies(*refused, true);
--- a/src/declared/proxy/calls/explain.cpp
+++ b/src/declared/proxy/calls/explain.cpp
@@ -119,7 +119,7 @@
   if (target.parameters.contains("session")) return explain_recent(target, decisions, reason);
   auto request = hypothetical_request(target, reason);
   if (!request) return std::nullopt;
-  request->hold_limit = std::chrono::milliseconds(kMaximumDeadlineMilliseconds) / kHoldDeadlineShare;
+  request->hold_limit = std::chrono::milliseconds(kMaximumDeadlineMilliseconds) / kHoldDeadlineDivisor;
   const auto token_text = target.parameter("session_token");
   const auto group = routing::find_group(context.view, *request);
   if (!token_text.empty() && group != nullptr) {
--- a/src/declared/proxy/domain/domain.cpp
+++ b/src/declared/proxy/domain/domain.cpp
@@ -35,8 +35,8 @@
       transactions_(state_, budget_, resolver_),
       forwarder_(state_, budget_, context.decisions),
       forwarded_transactions_(state_, forwarder_) {
-  prober_.on_returned([this](const BackendName& backend) { access_.backend_returned(backend); });
-  follow_.on_change([this](const follow::AnswerEffect& effect) { take_change(effect); });
+  prober_.on_recovered([this](const BackendName& backend) { access_.backend_returned(backend); });
+  follow_.on_change([this](const follow::AnswerEffect& effect) { apply_change(effect); });
 }
 
 void Domain::start() {
@@ -57,7 +57,7 @@
   follow_.stop();
 }
 
-void Domain::take_change(const follow::AnswerEffect& effect) {
+void Domain::apply_change(const follow::AnswerEffect& effect) {
   serving_.refresh(effect);
   access_.prepare(*serving_.view());
   if (!effect.configuration) return;
--- a/src/declared/proxy/domain/domain.h
+++ b/src/declared/proxy/domain/domain.h
@@ -59,7 +59,7 @@
   ForwardedTransactions& forwarded_transactions() { return forwarded_transactions_; }
 
  private:
-  void take_change(const follow::AnswerEffect& effect);
+  void apply_change(const follow::AnswerEffect& effect);
 
   DomainContext context_;
   DomainSettings settings_;
@@ -70,7 +70,7 @@
   ResolveAccess resolve_access_;
   routing::BackendEstimates estimates_;
   GroupActivity activity_;
-  PositionNews positions_;
+  PositionSignals positions_;
   ProxyState state_;
   ProxyState resolve_state_;
   RetryBudget budget_;
--- a/src/declared/proxy/domain/domain_table.cpp
+++ b/src/declared/proxy/domain/domain_table.cpp
@@ -15,7 +15,7 @@
   }
 }
 
-Domain* DomainTable::of_database(const DatabaseName& database, Reason& reason) {
+Domain* DomainTable::find_by_database(const DatabaseName& database, Reason& reason) {
   const bool only_one = domains_.size() == 1 && domains_.front()->name().empty();
   if (only_one) return domains_.front().get();
   const auto found = by_database_.find(database);
@@ -25,14 +25,14 @@
   return nullptr;
 }
 
-Domain& DomainTable::of_transaction(const TransactionId& id) {
+Domain& DomainTable::find_by_transaction(const TransactionId& id) {
   for (const auto& domain : domains_) {
     if (domain->transactions().knows(id) || domain->forwarded_transactions().knows(id)) return *domain;
   }
   return *domains_.front();
 }
 
-bool DomainTable::takes_callers() const {
+bool DomainTable::accepts_callers() const {
   bool named = false;
   for (const auto& domain : domains_) {
     const auto view = domain->state().serving.view();
@@ -42,7 +42,7 @@
   return named;
 }
 
-bool DomainTable::sends_callers_elsewhere() const {
+bool DomainTable::redirects_callers() const {
   bool all_reached = true;
   for (const auto& domain : domains_) {
     const auto view = domain->state().serving.view();
@@ -50,7 +50,7 @@
     if (view->this_proxy_known && !view->this_proxy_serves) return true;
     all_reached = all_reached && view->revision > 0;
   }
-  return all_reached && !takes_callers();
+  return all_reached && !accepts_callers();
 }
 
 std::size_t DomainTable::open_transactions() const {
--- a/src/declared/proxy/domain/domain_table.h
+++ b/src/declared/proxy/domain/domain_table.h
@@ -16,17 +16,17 @@
   explicit DomainTable(const DomainContext& context);
 
   /// Returns the domain that owns the database, or null with kNoRoute if there is none.
-  Domain* of_database(const DatabaseName& database, Reason& reason);
+  Domain* find_by_database(const DatabaseName& database, Reason& reason);
   /// Returns the domain in which the transaction was begun, at this proxy or forwarded by it; an arbitrary
   /// domain if the transaction is unknown.
-  Domain& of_transaction(const TransactionId& id);
+  Domain& find_by_transaction(const TransactionId& id);
 
   [[nodiscard]] const std::vector<std::unique_ptr<Domain>>& all() const { return domains_; }
   /// Whether the proxy accepts callers' work also for domains that do not list it: at least one domain lists
   /// it and none drains it.
-  [[nodiscard]] bool takes_callers() const;
+  [[nodiscard]] bool accepts_callers() const;
   /// Whether callers should be sent to another proxy, judging by the domains reached so far.
-  [[nodiscard]] bool sends_callers_elsewhere() const;
+  [[nodiscard]] bool redirects_callers() const;
   /// Open transactions, those begun at this proxy and those forwarded by it.
   [[nodiscard]] std::size_t open_transactions() const;
   [[nodiscard]] bool has_open_transaction(runtime::HttpConnectionId caller) const;
--- a/src/declared/proxy/domain/freshness_prober.cpp
+++ b/src/declared/proxy/domain/freshness_prober.cpp
@@ -24,8 +24,8 @@
   const TimePoint now = state_.runtime.now();
   const Duration interval = state_.settings.freshness_probe_interval;
   ++round_;
-  const std::size_t allowed = probes_a_round(interval, state_.settings.domains.size());
-  for (const auto& picked : pick_probes(candidates(*view, now), allowed, interval, now)) {
+  const std::size_t allowed = probes_per_round(interval, state_.settings.domains.size());
+  for (const auto& picked : select_probes(candidates(*view, now), allowed, interval, now)) {
     start_probe(picked, now);
   }
   drop_idle_probes();
@@ -95,9 +95,9 @@
   probe->in_flight = false;
   if (stopping_) co_return;
   const bool answered = status && status->backend == backend.name;
-  const bool returned = answered && probe->missed;
-  probe->missed = !answered;
-  if (returned && on_returned_) on_returned_(backend.name);
+  const bool returned = answered && probe->last_failed;
+  probe->last_failed = !answered;
+  if (returned && on_recovered_) on_recovered_(backend.name);
   if (answered) {
     learn(group, backend.ordinal, *status, sent_at);
   } else {
--- a/src/declared/proxy/domain/freshness_prober.h
+++ b/src/declared/proxy/domain/freshness_prober.h
@@ -23,13 +23,13 @@
   Awaitable<void> run();
   void stop();
   /// Called when a backend answers a probe after it failed to answer the previous one.
-  void on_returned(std::function<void(const BackendName&)> callback) { on_returned_ = std::move(callback); }
+  void on_recovered(std::function<void(const BackendName&)> callback) { on_recovered_ = std::move(callback); }
 
  private:
   struct Probe {
     std::shared_ptr<backend::BackendConnection> connection;
     bool in_flight = false;
-    bool missed = false;                ///< the last probe was not answered
+    bool last_failed = false;           ///< the last probe was not answered
     std::uint64_t round = 0;            ///< the last round in which its group was active
     std::optional<TimePoint> began_at;  ///< start of the last probe
   };
@@ -51,7 +51,7 @@
   backend::BackendConnector& connector_;
   std::map<BackendName, ProbePointer> probes_;
   runtime::Signal stopped_;
-  std::function<void(const BackendName&)> on_returned_;
+  std::function<void(const BackendName&)> on_recovered_;
   std::uint64_t round_ = 0;
   bool stopping_ = false;
 };
--- a/src/declared/proxy/domain/position_news.cpp
+++ b/src/declared/proxy/domain/position_signals.cpp
@@ -1,8 +1,8 @@
-#include "declared/proxy/domain/position_news.h"
+#include "declared/proxy/domain/position_signals.h"
 
 namespace cairnhollow::declared::proxy {
 
-Awaitable<void> PositionNews::wait_until(GroupName group, TimePoint deadline) {
+Awaitable<void> PositionSignals::wait_until(GroupName group, TimePoint deadline) {
   auto& entry = signals_[group];
   if (!entry) entry = std::make_shared<runtime::Signal>(runtime_);
   const auto signal = entry;
@@ -14,7 +14,7 @@
   if (is_idle) signals_.erase(found);
 }
 
-void PositionNews::notify(const GroupName& group) {
+void PositionSignals::notify(const GroupName& group) {
   const auto found = signals_.find(group);
   if (found != signals_.end()) found->second->notify_all();
 }
--- a/src/declared/proxy/domain/position_news.h
+++ b/src/declared/proxy/domain/position_signals.h
@@ -11,9 +11,9 @@
 
 /// Holds an entry only for groups with held reads. `runtime` is not owned and must outlive this object, which
 /// lives until the process ends.
-class PositionNews {
+class PositionSignals {
  public:
-  explicit PositionNews(runtime::Runtime& runtime) : runtime_(runtime) {}
+  explicit PositionSignals(runtime::Runtime& runtime) : runtime_(runtime) {}
 
   /// Returns at the next notification for the group, or at `deadline`.
   Awaitable<void> wait_until(GroupName group, TimePoint deadline);
--- a/src/declared/proxy/domain/probe_schedule.cpp
+++ b/src/declared/proxy/domain/probe_schedule.cpp
@@ -18,19 +18,19 @@
 double urgency_of(const ProbeCandidate& candidate, TimePoint now) {
   const Duration read = std::clamp<Duration>(candidate.since_read, Duration(0), kGroupActivityTime);
   return static_cast<double>(age_of(candidate, now).count()) /
-         static_cast<double>((read + kReadOfLate).count());
+         static_cast<double>((read + kRecentReadTime).count());
 }
 
 }  // namespace
 
-std::size_t probes_a_round(Duration interval, std::size_t domains) {
-  const auto sharers = static_cast<std::int64_t>(std::max<std::size_t>(1, domains));
-  const auto affordable = interval / (kFreshnessProbeCost * kFreshnessProbeShare * sharers);
+std::size_t probes_per_round(Duration interval, std::size_t domains) {
+  const auto domain_count = static_cast<std::int64_t>(std::max<std::size_t>(1, domains));
+  const auto affordable = interval / (kFreshnessProbeCost * kFreshnessProbeCoreDivisor * domain_count);
   return std::max<std::size_t>(1, static_cast<std::size_t>(affordable));
 }
 
-std::vector<ProbeCandidate> pick_probes(std::vector<ProbeCandidate> candidates, std::size_t allowed,
-                                        Duration interval, TimePoint now) {
+std::vector<ProbeCandidate> select_probes(std::vector<ProbeCandidate> candidates, std::size_t allowed,
+                                          Duration interval, TimePoint now) {
   if (candidates.size() <= allowed) return candidates;
   std::erase_if(candidates,
                 [&](const ProbeCandidate& candidate) { return age_of(candidate, now) < interval; });
--- a/src/declared/proxy/domain/probe_schedule.h
+++ b/src/declared/proxy/domain/probe_schedule.h
@@ -20,13 +20,13 @@
 };
 
 /// Number of probes that a domain may make in a round if a round begins every `interval`: the domain's part
-/// of one kFreshnessProbeShare-th of a core, divided equally among the proxy's `domains`; at least one.
-std::size_t probes_a_round(Duration interval, std::size_t domains);
+/// of one kFreshnessProbeCoreDivisor-th of a core, divided equally among the proxy's `domains`; at least one.
+std::size_t probes_per_round(Duration interval, std::size_t domains);
 
 /// Returns all candidates if there are at most `allowed`. Otherwise returns at most `allowed` of those whose
 /// position was not learned within `interval`, ordered by the age of the position and by how recently the
 /// group was read. With many groups each member is therefore probed less often than once per interval.
-std::vector<ProbeCandidate> pick_probes(std::vector<ProbeCandidate> candidates, std::size_t allowed,
-                                        Duration interval, TimePoint now);
+std::vector<ProbeCandidate> select_probes(std::vector<ProbeCandidate> candidates, std::size_t allowed,
+                                          Duration interval, TimePoint now);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/domain/serving_state.cpp
+++ b/src/declared/proxy/domain/serving_state.cpp
@@ -25,7 +25,7 @@
   return false;
 }
 
-bool ServingState::take_newer(const follow::GroupState& state) {
+bool ServingState::apply_if_newer(const follow::GroupState& state) {
   auto& known = groups_[state.group];
   const bool higher_term = state.term > known.term;
   const bool primary_learned = state.term == known.term && known.primary.empty() && !state.primary.empty();
@@ -40,12 +40,12 @@
   return known != groups_.end() && known->second.term > term && !known->second.primary.empty();
 }
 
-std::vector<GroupName> ServingState::take_states(const follow::AnswerEffect& effect) {
+std::vector<GroupName> ServingState::apply_group_states(const follow::AnswerEffect& effect) {
   std::vector<GroupName> changed;
   const auto& states = source_.groups();
   for (const auto& name : effect.touched_groups) {
     const auto state = states.find(name);
-    if (state != states.end() && take_newer(state->second)) changed.push_back(name);
+    if (state != states.end() && apply_if_newer(state->second)) changed.push_back(name);
   }
   return changed;
 }
@@ -55,12 +55,12 @@
 }
 
 void ServingState::refresh(const follow::AnswerEffect& effect) {
-  auto groups = take_states(effect);
+  auto groups = apply_group_states(effect);
   if (effect.snapshot) {
-    swap(builder_.rebuild(sources()));
+    replace_view(builder_.rebuild(sources()));
     return;
   }
-  swap(builder_.update(sources(), {effect.touched, std::move(groups), effect.leaving}));
+  replace_view(builder_.update(sources(), {effect.touched, std::move(groups), effect.leaving}));
 }
 
 void ServingState::learn_group_state(const GroupName& group, std::uint64_t term, const BackendName& primary) {
@@ -68,10 +68,10 @@
   state.group = group;
   state.term = term;
   state.primary = primary;
-  if (!take_newer(state)) return;
+  if (!apply_if_newer(state)) return;
   runtime_.logger().log(runtime::LogLevel::kInfo, "primary_learned_from_backend",
                         {{"group", group.value}, {"term", std::to_string(term)}, {"primary", primary.value}});
-  swap(builder_.update(sources(), {{}, {group}, false}));
+  replace_view(builder_.update(sources(), {{}, {group}, false}));
 }
 
 void ServingState::suspect_primary(const GroupName& group, const BackendName& backend, std::uint64_t term) {
@@ -89,7 +89,7 @@
   co_return changed;
 }
 
-void ServingState::swap(routing::ViewPointer view) {
+void ServingState::replace_view(routing::ViewPointer view) {
   view_ = std::move(view);
   changed_.notify_all();
 }
--- a/src/declared/proxy/domain/serving_state.h
+++ b/src/declared/proxy/domain/serving_state.h
@@ -64,11 +64,11 @@
 
  private:
   /// Records a group's state if it is newer than the known one; returns whether it was.
-  bool take_newer(const follow::GroupState& state);
+  bool apply_if_newer(const follow::GroupState& state);
   /// Applies the changed group states; returns the groups whose state was newer.
-  std::vector<GroupName> take_states(const follow::AnswerEffect& effect);
+  std::vector<GroupName> apply_group_states(const follow::AnswerEffect& effect);
   [[nodiscard]] routing::ViewSources sources() const;
-  void swap(routing::ViewPointer view);
+  void replace_view(routing::ViewPointer view);
 
   runtime::Runtime& runtime_;
   FollowSource& source_;
--- a/src/declared/proxy/forwarding/forward_messages.cpp
+++ b/src/declared/proxy/forwarding/forward_messages.cpp
@@ -45,15 +45,15 @@
   return forwarded;
 }
 
-HttpRequest resolve_request(const LedgerQuestion& question) {
+HttpRequest resolve_request(const LedgerQuery& query) {
   json::object labels;
-  for (const auto& [key, value] : question.labels.entries) labels[key] = value;
-  json::object body{{"database", question.database.value},
-                    {"partition_key", question.partition_key},
-                    {"session", question.request_id.session.value},
-                    {"number", question.request_id.number},
+  for (const auto& [key, value] : query.labels.entries) labels[key] = value;
+  json::object body{{"database", query.database.value},
+                    {"partition_key", query.partition_key},
+                    {"session", query.request_id.session.value},
+                    {"number", query.request_id.number},
                     {"labels", labels}};
-  if (question.token) body["session_token"] = routing::encode_session_token(*question.token);
+  if (query.token) body["session_token"] = routing::encode_session_token(*query.token);
   HttpRequest request;
   request.method = runtime::HttpMethod::kPost;
   request.target = "/v1/resolve";
@@ -61,15 +61,15 @@
   return request;
 }
 
-std::optional<ResolvedAnswer> read_resolved(const HttpResponse& response, const std::string& peer,
-                                            Reason& reason) {
+std::optional<ResolvedAnswer> parse_resolve_answer(const HttpResponse& response, const std::string& peer,
+                                                   Reason& reason) {
   auto body = response.status == kOk ? parse_body(response) : std::nullopt;
   const auto outcome = body ? text_member(*body, "outcome") : std::string();
   if (outcome == "committed") {
     (*body)["outcome"] = "done";
     (*body)["backend_is_primary"] = true;
     ResolvedAnswer resolved;
-    resolved.response = passed_through(response);
+    resolved.response = to_caller_response(response);
     resolved.response.body = json::serialize(*body);
     return resolved;
   }
@@ -85,7 +85,7 @@
   return std::nullopt;
 }
 
-std::optional<TransactionId> read_begun(const HttpResponse& response) {
+std::optional<TransactionId> parse_transaction_id(const HttpResponse& response) {
   const auto body = response.status == kOk ? parse_body(response) : std::nullopt;
   if (!body) return std::nullopt;
   auto id = text_member(*body, "transaction");
@@ -93,7 +93,7 @@
   return TransactionId(std::move(id));
 }
 
-HttpResponse passed_through(HttpResponse response) {
+HttpResponse to_caller_response(HttpResponse response) {
   HttpResponse passed;
   passed.status = response.status;
   passed.body = std::move(response.body);
--- a/src/declared/proxy/forwarding/forward_messages.h
+++ b/src/declared/proxy/forwarding/forward_messages.h
@@ -26,7 +26,7 @@
                                        Duration time_left);
 
 /// Identifies a request whose outcome is queried from the request ledger because its answer is missing.
-struct LedgerQuestion {
+struct LedgerQuery {
   RequestId request_id;
   DatabaseName database;
   std::string partition_key;
@@ -35,7 +35,7 @@
 };
 
 /// Builds the request POST /v1/resolve, without the forwarding headers.
-runtime::HttpRequest resolve_request(const LedgerQuestion& question);
+runtime::HttpRequest resolve_request(const LedgerQuery& query);
 
 /// Parses the answer to resolve_request(). Returns std::nullopt and sets `reason` if it contains no outcome.
 /// A commit is returned as the answer for the statement's caller, an abort as the refusal.
@@ -43,14 +43,14 @@
   runtime::HttpResponse response;
   std::optional<Refused> aborted;
 };
-std::optional<ResolvedAnswer> read_resolved(const runtime::HttpResponse& response, const std::string& peer,
-                                            Reason& reason);
+std::optional<ResolvedAnswer> parse_resolve_answer(const runtime::HttpResponse& response,
+                                                   const std::string& peer, Reason& reason);
 
 /// The transaction id in the answer to a begin; std::nullopt if there is none.
-std::optional<TransactionId> read_begun(const runtime::HttpResponse& response);
+std::optional<TransactionId> parse_transaction_id(const runtime::HttpResponse& response);
 
 /// Prepares the remote proxy's answer for the caller: removes the headers that concern only the connection
 /// between proxies.
-runtime::HttpResponse passed_through(runtime::HttpResponse response);
+runtime::HttpResponse to_caller_response(runtime::HttpResponse response);
 
 }  // namespace cairnhollow::declared::proxy
--- a/src/declared/proxy/forwarding/forwarded_transactions.cpp
+++ b/src/declared/proxy/forwarding/forwarded_transactions.cpp
@@ -11,7 +11,7 @@
 
 constexpr unsigned kOk = 200;
 
-Reason lost(const routing::ForwardTarget& target, const Reason& cause) {
+Reason transaction_lost(const routing::ForwardTarget& target, const Reason& cause) {
   return Reason{ReasonCode::kTransactionLost, "forward", target.proxy.value,
                 "rolled back: " + cause.to_string()};
 }
@@ -43,13 +43,13 @@
 
 Awaitable<HopAnswer> ForwardedTransactions::begin(HopCall call, StatementCall origin,
                                                   runtime::HttpConnectionId caller) {
-  auto pinned = std::make_shared<Pinned>();
+  auto pinned = std::make_shared<PinnedTransaction>();
   pinned->group = call.group;
   pinned->origin = std::move(origin);
   pinned->caller = caller;
   auto forwarded = co_await forwarder_.forward_and_keep(std::move(call));
   const auto* response = std::get_if<HttpResponse>(&forwarded.answer);
-  const auto id = response == nullptr ? std::nullopt : read_begun(*response);
+  const auto id = response == nullptr ? std::nullopt : parse_transaction_id(*response);
   if (!id) co_return std::move(forwarded.answer);
   pinned->hop = std::move(forwarded.hop);
   pinned->target = std::move(forwarded.target);
@@ -58,28 +58,26 @@
   co_return std::move(forwarded.answer);
 }
 
-Awaitable<ForwardedTransactions::Exchanged> ForwardedTransactions::exchange(PinnedPointer pinned,
-                                                                            HttpRequest request,
-                                                                            TimePoint answer_by) {
-  Exchanged exchanged;
-  exchanged.response = co_await forwarder_.exchange(*pinned->hop, pinned->target, std::move(request),
-                                                    answer_by, exchanged.sent, exchanged.reason);
-  if (exchanged.response && exchanged.response->status != kOk &&
-      !http::parse_problem(exchanged.response->body)) {
-    exchanged.response.reset();
-    exchanged.reason = Reason{ReasonCode::kConnectionLost, "forward", pinned->target.proxy.value,
-                              "the proxy's answer is malformed"};
+Awaitable<ForwardedTransactions::ExchangeResult> ForwardedTransactions::exchange(
+    PinnedTransactionPointer pinned, HttpRequest request, TimePoint answer_by) {
+  ExchangeResult result;
+  result.response = co_await forwarder_.exchange(*pinned->hop, pinned->target, std::move(request), answer_by,
+                                                 result.sent, result.reason);
+  if (result.response && result.response->status != kOk && !http::parse_problem(result.response->body)) {
+    result.response.reset();
+    result.reason = Reason{ReasonCode::kConnectionLost, "forward", pinned->target.proxy.value,
+                           "the proxy's answer is malformed"};
   }
-  if (!exchanged.response) {
+  if (!result.response) {
     pinned->hop->connection().close();
     forwarder_.count_unanswered();
     forwarder_.avoid(pinned->target);
   }
-  co_return exchanged;
+  co_return result;
 }
 
-void ForwardedTransactions::leave(const TransactionId& id, const PinnedPointer& pinned,
-                                  const HttpResponse& response, TransactionStep step) {
+void ForwardedTransactions::apply_answer(const TransactionId& id, const PinnedTransactionPointer& pinned,
+                                         const HttpResponse& response, TransactionStep step) {
   pinned->busy = false;
   pinned->idle_deadline = state_.runtime.now() + state_.settings.transaction_idle_limit;
   const bool ended_cleanly = response.status == kOk && step != TransactionStep::kStatement;
@@ -91,12 +89,12 @@
   }
 }
 
-void ForwardedTransactions::drop(const TransactionId& id, const PinnedPointer& pinned) {
+void ForwardedTransactions::drop(const TransactionId& id, const PinnedTransactionPointer& pinned) {
   pinned->hop->connection().close();
   transactions_.erase(id);
 }
 
-void ForwardedTransactions::abandon(const TransactionId& id, const PinnedPointer& pinned) {
+void ForwardedTransactions::abandon(const TransactionId& id, const PinnedTransactionPointer& pinned) {
   pinned->abandoned = true;
   if (!pinned->busy) drop(id, pinned);
 }
@@ -106,13 +104,13 @@
   Reason reason;
   const auto pinned = transactions_.enter(id, reason);
   if (!pinned) co_return refuse(std::move(reason));
-  auto exchanged = co_await exchange(pinned, std::move(request), deadline);
-  if (!exchanged.response) {
+  auto result = co_await exchange(pinned, std::move(request), deadline);
+  if (!result.response) {
     drop(id, pinned);
-    co_return refuse(lost(pinned->target, exchanged.reason));
+    co_return refuse(transaction_lost(pinned->target, result.reason));
   }
-  leave(id, pinned, *exchanged.response, step);
-  co_return passed_through(std::move(*exchanged.response));
+  apply_answer(id, pinned, *result.response, step);
+  co_return to_caller_response(std::move(*result.response));
 }
 
 Awaitable<HopAnswer> ForwardedTransactions::commit(TransactionId id, HttpRequest request, CommitBody body) {
@@ -120,19 +118,19 @@
   const auto pinned = transactions_.enter(id, reason);
   if (!pinned) co_return refuse(std::move(reason), http::RunState::kUnknown);
   const TimePoint answer_by = forwarder_.answer_by(body.deadline, false);
-  auto exchanged = co_await exchange(pinned, std::move(request), answer_by);
-  if (exchanged.response) {
-    leave(id, pinned, *exchanged.response, TransactionStep::kCommit);
-    co_return passed_through(std::move(*exchanged.response));
+  auto result = co_await exchange(pinned, std::move(request), answer_by);
+  if (result.response) {
+    apply_answer(id, pinned, *result.response, TransactionStep::kCommit);
+    co_return to_caller_response(std::move(*result.response));
   }
   drop(id, pinned);
-  if (exchanged.sent == runtime::SendState::kNotSent) {
-    co_return refuse(lost(pinned->target, exchanged.reason));
+  if (result.sent == runtime::SendState::kNotSent) {
+    co_return refuse(transaction_lost(pinned->target, result.reason));
   }
-  LedgerQuestion question{body.request_id, pinned->origin.statement.database,
-                          pinned->origin.statement.partition_key, pinned->origin.labels, body.token};
-  co_return co_await forwarder_.resolve(std::move(question), pinned->group, body.deadline, pinned->target,
-                                        std::move(exchanged.reason));
+  LedgerQuery query{body.request_id, pinned->origin.statement.database,
+                    pinned->origin.statement.partition_key, pinned->origin.labels, body.token};
+  co_return co_await forwarder_.resolve(std::move(query), pinned->group, body.deadline, pinned->target,
+                                        std::move(result.reason));
 }
 
 void ForwardedTransactions::caller_gone(runtime::HttpConnectionId caller) {
--- a/src/declared/proxy/forwarding/forwarded_transactions.h
+++ b/src/declared/proxy/forwarding/forwarded_transactions.h
@@ -22,7 +22,7 @@
   Awaitable<void> run();
   void stop();
 
-  /// Begins a transaction at another proxy. `call.question` must be unset, because a begin has no lasting
+  /// Begins a transaction at another proxy. `call.query` must be unset, because a begin has no lasting
   /// effect; `origin` is the caller's begin call.
   Awaitable<HopAnswer> begin(HopCall call, StatementCall origin, runtime::HttpConnectionId caller);
   /// Whether the transaction was begun at another proxy through this one.
@@ -41,33 +41,34 @@
   }
 
  private:
-  struct Pinned : TransactionState {
+  struct PinnedTransaction : TransactionState {
     HopPool::HopPointer hop;
     routing::ForwardTarget target;
     GroupName group;
     StatementCall origin;
   };
-  using PinnedPointer = TransactionTable<Pinned>::Pointer;
+  using PinnedTransactionPointer = TransactionTable<PinnedTransaction>::Pointer;
 
-  struct Exchanged {
+  struct ExchangeResult {
     std::optional<runtime::HttpResponse> response;
     runtime::SendState sent = runtime::SendState::kNotSent;
     Reason reason;
   };
 
-  Awaitable<Exchanged> exchange(PinnedPointer pinned, runtime::HttpRequest request, TimePoint answer_by);
+  Awaitable<ExchangeResult> exchange(PinnedTransactionPointer pinned, runtime::HttpRequest request,
+                                     TimePoint answer_by);
   /// After an answer: keeps the transaction, or removes it if the answer shows that it has ended.
-  void leave(const TransactionId& id, const PinnedPointer& pinned, const runtime::HttpResponse& response,
-             TransactionStep step);
+  void apply_answer(const TransactionId& id, const PinnedTransactionPointer& pinned,
+                    const runtime::HttpResponse& response, TransactionStep step);
   /// Drops the transaction now, or after the operation in flight.
-  void abandon(const TransactionId& id, const PinnedPointer& pinned);
+  void abandon(const TransactionId& id, const PinnedTransactionPointer& pinned);
   /// Closes the pinned connection, so that the remote proxy rolls back if the transaction is still open.
-  void drop(const TransactionId& id, const PinnedPointer& pinned);
+  void drop(const TransactionId& id, const PinnedTransactionPointer& pinned);
   void drop_idle();
 
   ProxyState& state_;
   Forwarder& forwarder_;
-  TransactionTable<Pinned> transactions_;
+  TransactionTable<PinnedTransaction> transactions_;
   runtime::Signal stopped_;
   bool stopping_ = false;
 };
--- a/src/declared/proxy/forwarding/forwarder.cpp
+++ b/src/declared/proxy/forwarding/forwarder.cpp
@@ -14,7 +14,7 @@
 
 constexpr unsigned kOk = 200;
 
-bool took_nothing(ReasonCode code) {
+bool is_declined(ReasonCode code) {
   return code == ReasonCode::kDraining || code == ReasonCode::kLeaseExpired;
 }
 
@@ -96,11 +96,11 @@
   for (const auto& target : targets(call.group)) {
     if (state_.runtime.now() >= call.deadline) break;
     const auto next = co_await attempt(call, target, forwarded, last);
-    if (next == Next::kAnswered) co_return forwarded;
-    if (next == Next::kTryNext) continue;
+    if (next == AttemptResult::kAnswered) co_return forwarded;
+    if (next == AttemptResult::kTryNext) continue;
     ++statistics_.unanswered;
-    if (call.question) {
-      forwarded.answer = co_await resolve(*call.question, call.group, call.deadline, target, std::move(last));
+    if (call.query) {
+      forwarded.answer = co_await resolve(*call.query, call.group, call.deadline, target, std::move(last));
       co_return forwarded;
     }
     if (!budget_.try_spend(last)) break;
@@ -110,9 +110,9 @@
   co_return forwarded;
 }
 
-Awaitable<Forwarder::Next> Forwarder::attempt(const HopCall& call, ForwardTarget target, Forwarded& forwarded,
-                                              Reason& last) {
-  const TimePoint answer_by = this->answer_by(call.deadline, !call.question.has_value());
+Awaitable<Forwarder::AttemptResult> Forwarder::attempt(const HopCall& call, ForwardTarget target,
+                                                       Forwarded& forwarded, Reason& last) {
+  const TimePoint answer_by = this->answer_by(call.deadline, !call.query.has_value());
   const TimePoint connect_by = std::min(answer_by, state_.runtime.now() + kConnectTimeout);
   forwarded.target = target;
   record(call, target);
@@ -123,60 +123,60 @@
     last.step = "forward";
     last.peer = target.proxy.value;
     ++statistics_.unreachable;
-    co_return Next::kTryNext;
+    co_return AttemptResult::kTryNext;
   }
   auto sent = SendState::kNotSent;
   auto response = co_await exchange(*forwarded.hop, target, call.request, answer_by, sent, last);
   if (response) {
-    const auto next = judge(call, std::move(*response), forwarded, last);
-    if (next == Next::kAnswered) avoided_.erase(target.proxy);
-    if (next != Next::kAnswered) avoid(target);
+    const auto next = classify_answer(call, std::move(*response), forwarded, last);
+    if (next == AttemptResult::kAnswered) avoided_.erase(target.proxy);
+    if (next != AttemptResult::kAnswered) avoid(target);
     co_return next;
   }
   last.peer = target.proxy.value;
   forwarded.hop->connection().close();
   forwarded.hop.reset();
   avoid(target);
-  if (sent == SendState::kMaybeSent) co_return Next::kUnanswered;
+  if (sent == SendState::kMaybeSent) co_return AttemptResult::kUnanswered;
   ++statistics_.unreachable;
-  co_return Next::kTryNext;
+  co_return AttemptResult::kTryNext;
 }
 
-Forwarder::Next Forwarder::judge(const HopCall& call, HttpResponse response, Forwarded& forwarded,
-                                 Reason& last) {
+Forwarder::AttemptResult Forwarder::classify_answer(const HopCall& call, HttpResponse response,
+                                                    Forwarded& forwarded, Reason& last) {
   const auto problem = response.status == kOk ? std::nullopt : http::parse_problem(response.body);
   if (response.status != kOk && !problem) {
     last = Reason{ReasonCode::kConnectionLost, "forward", forwarded.target.proxy.value,
                   "the proxy's answer is malformed"};
     forwarded.hop->connection().close();
     forwarded.hop.reset();
-    return Next::kUnanswered;
+    return AttemptResult::kUnanswered;
   }
   const bool may_send_again =
-      !call.question || (problem && (problem->run_state == http::RunState::kNotRun || call.resent));
-  if (problem && took_nothing(problem->reason.code) && may_send_again) {
+      !call.query || (problem && (problem->run_state == http::RunState::kNotRun || call.resent));
+  if (problem && is_declined(problem->reason.code) && may_send_again) {
     last = problem->reason;
     forwarded.hop.reset();
     ++statistics_.declined;
-    return Next::kTryNext;
+    return AttemptResult::kTryNext;
   }
   if (response.status == kOk) budget_.record_success();
   ++statistics_.answered;
-  forwarded.answer = passed_through(std::move(response));
-  return Next::kAnswered;
+  forwarded.answer = to_caller_response(std::move(response));
+  return AttemptResult::kAnswered;
 }
 
-Awaitable<HopAnswer> Forwarder::resolve(LedgerQuestion question, GroupName group, TimePoint deadline,
-                                        ForwardTarget silent, Reason cause) {
-  const auto request = resolve_request(question);
+Awaitable<HopAnswer> Forwarder::resolve(LedgerQuery query, GroupName group, TimePoint deadline,
+                                        ForwardTarget unresponsive, Reason cause) {
+  const auto request = resolve_request(query);
   while (state_.runtime.now() < deadline) {
     auto order = targets(group);
     std::stable_partition(order.begin(), order.end(),
-                          [&](const ForwardTarget& target) { return target.proxy != silent.proxy; });
+                          [&](const ForwardTarget& target) { return target.proxy != unresponsive.proxy; });
     for (const auto& target : order) {
       if (state_.runtime.now() >= deadline) break;
       Reason reason;
-      auto answer = co_await ask(request, target, deadline, reason);
+      auto answer = co_await query_outcome(request, target, deadline, reason);
       if (answer) {
         ++statistics_.resolved;
         co_return std::move(*answer);
@@ -186,14 +186,14 @@
     co_await state_.serving.wait_for_change(std::min(deadline, state_.runtime.now() + kResolvePause));
   }
   ++statistics_.unknown;
-  Reason unknown{ReasonCode::kOutcomeUnknown, "forward", silent.proxy.value,
+  Reason unknown{ReasonCode::kOutcomeUnknown, "forward", unresponsive.proxy.value,
                  "sent without an answer, and the outcome is not yet known (" + cause.to_string() +
                      "); query POST /v1/resolve at any proxy"};
   co_return refuse(std::move(unknown), http::RunState::kUnknown);
 }
 
-Awaitable<std::optional<HopAnswer>> Forwarder::ask(runtime::HttpRequest question, ForwardTarget target,
-                                                   TimePoint deadline, Reason& reason) {
+Awaitable<std::optional<HopAnswer>> Forwarder::query_outcome(runtime::HttpRequest query, ForwardTarget target,
+                                                             TimePoint deadline, Reason& reason) {
   const TimePoint answer_by = this->answer_by(deadline, true);
   const auto hop = co_await pool_.acquire(
       target.endpoint, std::min(answer_by, state_.runtime.now() + kConnectTimeout), reason);
@@ -202,14 +202,14 @@
     co_return std::nullopt;
   }
   auto sent = SendState::kNotSent;
-  auto response = co_await exchange(*hop, target, std::move(question), answer_by, sent, reason);
+  auto response = co_await exchange(*hop, target, std::move(query), answer_by, sent, reason);
   if (!response) {
     hop->connection().close();
     avoid(target);
     co_return std::nullopt;
   }
   avoided_.erase(target.proxy);
-  auto resolved = read_resolved(*response, target.proxy.value, reason);
+  auto resolved = parse_resolve_answer(*response, target.proxy.value, reason);
   if (!resolved) co_return std::nullopt;
   if (resolved->aborted) co_return HopAnswer(std::move(*resolved->aborted));
   co_return HopAnswer(std::move(resolved->response));
--- a/src/declared/proxy/forwarding/forwarder.h
+++ b/src/declared/proxy/forwarding/forwarder.h
@@ -18,10 +18,10 @@
 struct HopCall {
   runtime::HttpRequest request;  ///< as the caller sent it
   GroupName group;
-  TimePoint deadline;                      ///< time by which the answer must be sent
-  std::optional<LedgerQuestion> question;  ///< unset: has no lasting effect, may be sent to several proxies
-  std::optional<RequestId> request_id;     ///< key under which `explain` reports where the call went
-  bool resent = false;                     ///< refusals then report `unknown` because of earlier copies
+  TimePoint deadline;                   ///< time by which the answer must be sent
+  std::optional<LedgerQuery> query;     ///< unset: has no lasting effect, may be sent to several proxies
+  std::optional<RequestId> request_id;  ///< key under which `explain` reports where the call went
+  bool resent = false;                  ///< refusals then report `unknown` because of earlier copies
 };
 
 /// The remote proxy's answer as returned to the caller, or this proxy's own refusal.
@@ -65,10 +65,10 @@
 
   Awaitable<HopAnswer> forward(HopCall call);
   Awaitable<Forwarded> forward_and_keep(HopCall call);
-  /// Queries the proxies of the subset, `silent` last, for the outcome of a call that was sent there and not
-  /// answered.
-  Awaitable<HopAnswer> resolve(LedgerQuestion question, GroupName group, TimePoint deadline,
-                               routing::ForwardTarget silent, Reason cause);
+  /// Queries the proxies of the subset, `unresponsive` last, for the outcome of a call that was sent there
+  /// and not answered.
+  Awaitable<HopAnswer> resolve(LedgerQuery query, GroupName group, TimePoint deadline,
+                               routing::ForwardTarget unresponsive, Reason cause);
   /// Performs one exchange on a connection, with the forwarding headers, and waits for the answer until
   /// `answer_by`.
   Awaitable<std::optional<runtime::HttpResponse>> exchange(HopPool::Hop& hop, routing::ForwardTarget target,
@@ -94,17 +94,18 @@
     TimePoint until;
     Duration pause{0};
   };
-  enum class Next : std::uint8_t { kAnswered, kTryNext, kUnanswered };
+  enum class AttemptResult : std::uint8_t { kAnswered, kTryNext, kUnanswered };
 
   /// The targets for the group, avoided ones last.
   std::vector<routing::ForwardTarget> targets(const GroupName& group);
   /// Tries one proxy. `call` must outlive the coroutine.
-  Awaitable<Next> attempt(const HopCall& call, routing::ForwardTarget target, Forwarded& forwarded,
-                          Reason& last);
-  Next judge(const HopCall& call, runtime::HttpResponse response, Forwarded& forwarded, Reason& last);
+  Awaitable<AttemptResult> attempt(const HopCall& call, routing::ForwardTarget target, Forwarded& forwarded,
+                                   Reason& last);
+  AttemptResult classify_answer(const HopCall& call, runtime::HttpResponse response, Forwarded& forwarded,
+                                Reason& last);
   void record(const HopCall& call, const routing::ForwardTarget& target);
-  Awaitable<std::optional<HopAnswer>> ask(runtime::HttpRequest question, routing::ForwardTarget target,
-                                          TimePoint deadline, Reason& reason);
+  Awaitable<std::optional<HopAnswer>> query_outcome(runtime::HttpRequest query, routing::ForwardTarget target,
+                                                    TimePoint deadline, Reason& reason);
 
   ProxyState& state_;
   RetryBudget& budget_;
--- a/src/declared/proxy/forwarding/hop_pool.cpp
+++ b/src/declared/proxy/forwarding/hop_pool.cpp
@@ -18,7 +18,7 @@
   peer_->released.notify_one();
 }
 
-Awaitable<bool> HopPool::wait_for_room(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason) {
+Awaitable<bool> HopPool::wait_for_capacity(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason) {
   while (peer->in_use >= kHopConnections) {
     const bool released = co_await peer->released.wait_until(deadline);
     if (released) continue;
@@ -32,8 +32,8 @@
   auto& known = peers_[endpoint];
   if (!known) known = std::make_shared<Peer>(runtime_);
   const auto peer = known;  // drop_idle() may remove the entry meanwhile
-  const bool has_room = co_await wait_for_room(peer, deadline, reason);
-  if (!has_room) co_return nullptr;
+  const bool has_capacity = co_await wait_for_capacity(peer, deadline, reason);
+  if (!has_capacity) co_return nullptr;
   ++peer->in_use;
   while (!peer->idle.empty()) {
     auto connection = std::move(peer->idle.back().connection);
--- a/src/declared/proxy/forwarding/hop_pool.h
+++ b/src/declared/proxy/forwarding/hop_pool.h
@@ -44,7 +44,7 @@
   [[nodiscard]] std::size_t connections() const;
 
  private:
-  Awaitable<bool> wait_for_room(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason);
+  Awaitable<bool> wait_for_capacity(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason);
 
   runtime::Runtime& runtime_;
   std::map<Endpoint, std::shared_ptr<Peer>> peers_;  ///< those with a connection or a waiting caller
--- a/src/declared/proxy/forwarding/hop_watch.cpp
+++ b/src/declared/proxy/forwarding/hop_watch.cpp
@@ -10,20 +10,21 @@
 HopWatch::Exchange::Exchange(HopWatch& watch, const routing::ForwardTarget& target,
                              runtime::HttpConnection& connection)
     : watch_(watch) {
-  const bool is_first = watch_.owed_.empty();
-  place_ = watch_.owed_.insert(watch_.owed_.end(), Owed{target, &connection, watch_.runtime_.now()});
+  const bool is_first = watch_.outstanding_.empty();
+  entry_ = watch_.outstanding_.insert(watch_.outstanding_.end(),
+                                      OutstandingAnswer{target, &connection, watch_.runtime_.now()});
   if (is_first) watch_.changed_.notify_all();
 }
 
 Awaitable<void> HopWatch::run() {
   while (!stopping_) {
-    if (owed_.empty()) {
-      asked_.clear();
+    if (outstanding_.empty()) {
+      last_checks_.clear();
       co_await changed_.wait();
       continue;
     }
     co_await changed_.wait_until(runtime_.now() + kHopWatchInterval);
-    ask_the_late();
+    check_overdue_proxies();
   }
 }
 
@@ -32,29 +33,30 @@
   changed_.notify_all();
 }
 
-void HopWatch::ask_the_late() {
+void HopWatch::check_overdue_proxies() {
   const TimePoint now = runtime_.now();
-  for (const auto& owed : owed_) {
-    if (owed.since > now - kHopSuspectTime) break;
-    auto [asked, is_new] = asked_.try_emplace(owed.target.proxy, now);
-    if (!is_new && asked->second > now - kHopSuspectTime - kHopHealthLimit) continue;
-    asked->second = now;
-    runtime_.spawn("ask_hop_health", ask(owed.target));
+  for (const auto& outstanding : outstanding_) {
+    if (outstanding.since > now - kHopSuspectTime) break;
+    auto [last_check, is_new] = last_checks_.try_emplace(outstanding.target.proxy, now);
+    if (!is_new && last_check->second > now - kHopSuspectTime - kHopHealthLimit) continue;
+    last_check->second = now;
+    runtime_.spawn("ask_hop_health", check_health(outstanding.target));
   }
 }
 
-Awaitable<void> HopWatch::ask(routing::ForwardTarget target) {
+Awaitable<void> HopWatch::check_health(routing::ForwardTarget target) {
   const TimePoint asked_at = runtime_.now();
   const bool healthy = co_await is_healthy(target);
   if (healthy || stopping_) co_return;
-  std::vector<runtime::HttpConnection*> silent;
-  for (const auto& owed : owed_) {
-    if (owed.target.proxy == target.proxy && owed.since <= asked_at) silent.push_back(owed.connection);
+  std::vector<runtime::HttpConnection*> unanswered;
+  for (const auto& outstanding : outstanding_) {
+    if (outstanding.target.proxy == target.proxy && outstanding.since <= asked_at)
+      unanswered.push_back(outstanding.connection);
   }
-  if (silent.empty()) co_return;
-  on_silent_(target);
+  if (unanswered.empty()) co_return;
+  on_unresponsive_(target);
   // Closing resumes no coroutine immediately: the exchanges end when their coroutines are next scheduled.
-  for (auto* connection : silent) connection->close();
+  for (auto* connection : unanswered) connection->close();
 }
 
 Awaitable<bool> HopWatch::is_healthy(routing::ForwardTarget target) {
--- a/src/declared/proxy/forwarding/hop_watch.h
+++ b/src/declared/proxy/forwarding/hop_watch.h
@@ -15,14 +15,14 @@
 class HopWatch {
  public:
   /// Called when a proxy is found unresponsive, before its connections are closed.
-  using OnSilent = std::function<void(const routing::ForwardTarget&)>;
+  using OnUnresponsive = std::function<void(const routing::ForwardTarget&)>;
 
   /// `runtime` and `pool` are not owned and must outlive this object, which lives until the process ends.
-  HopWatch(runtime::Runtime& runtime, HopPool& pool, OnSilent on_silent)
-      : runtime_(runtime), pool_(pool), on_silent_(std::move(on_silent)), changed_(runtime) {}
+  HopWatch(runtime::Runtime& runtime, HopPool& pool, OnUnresponsive on_unresponsive)
+      : runtime_(runtime), pool_(pool), on_unresponsive_(std::move(on_unresponsive)), changed_(runtime) {}
 
  private:
-  struct Owed {
+  struct OutstandingAnswer {
     routing::ForwardTarget target;
     runtime::HttpConnection* connection = nullptr;
     TimePoint since;
@@ -33,13 +33,13 @@
   class Exchange {
    public:
     Exchange(HopWatch& watch, const routing::ForwardTarget& target, runtime::HttpConnection& connection);
-    ~Exchange() { watch_.owed_.erase(place_); }
+    ~Exchange() { watch_.outstanding_.erase(entry_); }
     Exchange(const Exchange&) = delete;
     Exchange& operator=(const Exchange&) = delete;
 
    private:
     HopWatch& watch_;
-    std::list<Owed>::iterator place_;
+    std::list<OutstandingAnswer>::iterator entry_;
   };
 
   /// Runs until stop().
@@ -47,17 +47,17 @@
   void stop();
 
  private:
-  /// Sends a health check to each proxy with an answer outstanding for kHopSuspectTime, unless one was sent
-  /// recently.
-  void ask_the_late();
-  Awaitable<void> ask(routing::ForwardTarget target);
+  /// Sends a health check to each proxy with an answer outstanding for kHopSuspectTime, unless one was
+  /// sent within kHopSuspectTime + kHopHealthLimit.
+  void check_overdue_proxies();
+  Awaitable<void> check_health(routing::ForwardTarget target);
   Awaitable<bool> is_healthy(routing::ForwardTarget target);
 
   runtime::Runtime& runtime_;
   HopPool& pool_;
-  OnSilent on_silent_;
-  std::list<Owed> owed_;                 ///< oldest first
-  std::map<NodeName, TimePoint> asked_;  ///< last health check of proxies with outstanding answers
+  OnUnresponsive on_unresponsive_;
+  std::list<OutstandingAnswer> outstanding_;   ///< oldest first
+  std::map<NodeName, TimePoint> last_checks_;  ///< last health check of proxies with outstanding answers
   runtime::Signal changed_;
   bool stopping_ = false;
 };
--- a/src/declared/proxy/knobs.h
+++ b/src/declared/proxy/knobs.h
@@ -39,9 +39,9 @@
 inline constexpr Duration kReadWatchInterval = std::chrono::milliseconds(25);
 /// Maximum number of times that a backend is selected for one read because the primary that it waited for was
 /// replaced.
-inline constexpr int kReadChoices = 3;
+inline constexpr int kMaxReadChoices = 3;
 /// A read is held for a replica for at most one part in this many of its time limit.
-inline constexpr int kHoldDeadlineShare = 4;
+inline constexpr int kHoldDeadlineDivisor = 4;
 /// A write that its primary has not answered within this time is resolved instead of awaited.
 inline constexpr Duration kWriteAttemptLimit = std::chrono::milliseconds(1500);
 /// Time that a replaced primary has to answer statements already sent to it, before they are resolved. A
@@ -73,10 +73,10 @@
 /// many). Together they limit the rate of probes; with more members than fit in one interval the period gets
 /// longer.
 inline constexpr Duration kFreshnessProbeCost = std::chrono::microseconds(60);
-inline constexpr int kFreshnessProbeShare = 100;
+inline constexpr int kFreshnessProbeCoreDivisor = 100;
 /// Added to the time since a group's last read, so that groups read within about this time have the same
 /// priority.
-inline constexpr Duration kReadOfLate = std::chrono::seconds(1);
+inline constexpr Duration kRecentReadTime = std::chrono::seconds(1);
 /// A member with an unknown position is as urgent as one whose position was learned this long ago.
 inline constexpr Duration kUnknownPositionAge = std::chrono::minutes(1);
 /// Part of a forwarded write's or commit's time limit (at most a quarter) that is reserved for querying the
--- a/src/declared/proxy/proxy_metrics.cpp
+++ b/src/declared/proxy/proxy_metrics.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr std::array<const char*, kCallKinds> kKindNames = {"read", "write", "transaction", "commit",
-                                                            "resolve"};
+constexpr std::array<const char*, kCallKindCount> kKindNames = {"read", "write", "transaction", "commit",
+                                                                "resolve"};
 constexpr const char* kReadsName = "cairnhollow_proxy_reads_total";
 constexpr const char* kReadsHelp = "Completed reads, by the role of the backend that served them.";
 
@@ -29,31 +29,31 @@
         &metrics_.counter("cairnhollow_proxy_primary_reads_total", "Reads served by the primary, by cause.",
                           {{"reason", std::string(routing::primary_read_cause_name(cause))}});
   }
-  for (std::size_t index = 0; index < kCallKinds; ++index) {
+  for (std::size_t index = 0; index < kCallKindCount; ++index) {
     const std::string kind = kKindNames[index];
     const auto count = [&](const char* outcome) {
       return &metrics_.counter("cairnhollow_proxy_statements_total", "Answered statements, by outcome.",
                                {{"kind", kind}, {"outcome", outcome}});
     };
-    kinds_[index].done = count("done");
-    kinds_[index].not_run = count("not_run");
-    kinds_[index].unknown = count("unknown");
-    kinds_[index].seconds = &metrics_.histogram("cairnhollow_proxy_statement_seconds",
-                                                "Time from a request's arrival to its answer.",
-                                                runtime::latency_buckets_seconds(), {{"kind", kind}});
+    kind_metrics_[index].done = count("done");
+    kind_metrics_[index].not_run = count("not_run");
+    kind_metrics_[index].unknown = count("unknown");
+    kind_metrics_[index].seconds = &metrics_.histogram("cairnhollow_proxy_statement_seconds",
+                                                       "Time from a request's arrival to its answer.",
+                                                       runtime::latency_buckets_seconds(), {{"kind", kind}});
   }
 }
 
-void ProxyMetrics::answered(CallKind kind, Duration took, const Outcome& outcome) {
-  auto& per_kind = kinds_[static_cast<std::size_t>(kind)];
-  per_kind.seconds->Observe(std::chrono::duration<double>(took).count());
+void ProxyMetrics::answered(CallKind kind, Duration elapsed, const Outcome& outcome) {
+  auto& kind_metrics = kind_metrics_[static_cast<std::size_t>(kind)];
+  kind_metrics.seconds->Observe(std::chrono::duration<double>(elapsed).count());
   if (const auto* done = std::get_if<Done>(&outcome)) {
-    per_kind.done->Increment();
+    kind_metrics.done->Increment();
     if (kind == CallKind::kRead) read_done(*done);
     return;
   }
   const auto& refusal = std::get<Refused>(outcome);
-  (refusal.run_state == http::RunState::kNotRun ? per_kind.not_run : per_kind.unknown)->Increment();
+  (refusal.run_state == http::RunState::kNotRun ? kind_metrics.not_run : kind_metrics.unknown)->Increment();
   refused(refusal);
 }
 
--- a/src/declared/proxy/proxy_metrics.h
+++ b/src/declared/proxy/proxy_metrics.h
@@ -40,7 +40,7 @@
 
 /// The kinds of call that statements are counted by.
 enum class CallKind : std::uint8_t { kRead, kWrite, kTransaction, kCommit, kResolve };
-inline constexpr std::size_t kCallKinds = 5;
+inline constexpr std::size_t kCallKindCount = 5;
 
 /// Values sampled when metrics are rendered.
 /// Gauges of one domain; if the domain has a name, they carry it as the label `domain`.
@@ -67,13 +67,13 @@
  public:
   ProxyMetrics();
 
-  void answered(CallKind kind, Duration took, const Outcome& outcome);
+  void answered(CallKind kind, Duration elapsed, const Outcome& outcome);
   void refused(const Refused& refused);
   /// Renders the Prometheus text format.
   [[nodiscard]] std::string render(const ProxyGauges& gauges);
 
  private:
-  struct PerKind {
+  struct KindMetrics {
     prometheus::Counter* done = nullptr;
     prometheus::Counter* not_run = nullptr;
     prometheus::Counter* unknown = nullptr;
@@ -89,7 +89,7 @@
                      const backend::AdmissionStatistics& statistics);
 
   runtime::Metrics metrics_;
-  std::array<PerKind, kCallKinds> kinds_;
+  std::array<KindMetrics, kCallKindCount> kind_metrics_;
   prometheus::Counter& replica_reads_;
   prometheus::Counter& primary_reads_;
   std::array<prometheus::Counter*, routing::kPrimaryReadCauses> primary_reads_by_cause_{};
--- a/src/declared/proxy/proxy_server.cpp
+++ b/src/declared/proxy/proxy_server.cpp
@@ -35,15 +35,15 @@
     report_load_once();
     // Connections are still accepted: new callers are told to reconnect elsewhere, and a connection with an
     // open transaction must not be closed by its next answer.
-    const TimePoint give_up_at = runtime_.now() + settings_.drain_limit;
-    while (busy() && runtime_.now() < give_up_at) co_await runtime_.sleep_for(kDrainPollInterval);
+    const TimePoint drain_deadline = runtime_.now() + settings_.drain_limit;
+    while (busy() && runtime_.now() < drain_deadline) co_await runtime_.sleep_for(kDrainPollInterval);
     domains_.abandon_transactions();
-    const TimePoint rolled_back_by = runtime_.now() + kRollbackLimit;
-    while (busy() && runtime_.now() < rolled_back_by) co_await runtime_.sleep_for(kDrainPollInterval);
+    const TimePoint rollback_deadline = runtime_.now() + kRollbackLimit;
+    while (busy() && runtime_.now() < rollback_deadline) co_await runtime_.sleep_for(kDrainPollInterval);
     // A caller with an idle connection may be sending its next request right now. Closing the connection
     // would leave that request unanswered; instead it is answered, and the connection is closed with the
     // answer.
-    while (api_.caller_connections() > 0 && runtime_.now() < give_up_at) {
+    while (api_.caller_connections() > 0 && runtime_.now() < drain_deadline) {
       co_await runtime_.sleep_for(kDrainPollInterval);
     }
     server_->stop_accepting();
--- a/src/declared/proxy/statement/attempt.h
+++ b/src/declared/proxy/statement/attempt.h
@@ -5,7 +5,7 @@
 #include <memory>
 
 #include "declared/proxy/domain/group_activity.h"
-#include "declared/proxy/domain/position_news.h"
+#include "declared/proxy/domain/position_signals.h"
 #include "declared/proxy/domain/serving_state.h"
 #include "declared/proxy/settings.h"
 #include "declared/proxy/statement/backend_access.h"
@@ -21,7 +21,7 @@
   BackendAccess& access;
   routing::BackendEstimates& estimates;
   GroupActivity& activity;
-  PositionNews& positions;
+  PositionSignals& positions;
 };
 
 /// The target of one attempt.
--- a/src/declared/proxy/statement/read_executor.cpp
+++ b/src/declared/proxy/statement/read_executor.cpp
@@ -24,7 +24,7 @@
   const auto group = routing::find_group(*state_.serving.view(), request);
   if (group != nullptr) state_.activity.record(group->name, state_.runtime.now());
   Attempt last;
-  for (int choices = 0; choices < kReadChoices; ++choices) {
+  for (int choices = 0; choices < kMaxReadChoices; ++choices) {
     const auto chosen = co_await choose(call, request);
     const auto& decision = chosen.decision;
     decisions_.record(call.request_id, decision);
@@ -78,7 +78,7 @@
   const routing::ChoiceSettings settings{state_.settings.zone, state_.settings.replica_wait};
   const TimePoint arrived = state_.runtime.now();
   request.first_chosen = arrived;
-  request.hold_limit = std::max(Duration(0), (call.deadline - arrived) / kHoldDeadlineShare);
+  request.hold_limit = std::max(Duration(0), (call.deadline - arrived) / kHoldDeadlineDivisor);
   while (true) {
     // The view may change while the read is held.
     Chosen chosen{state_.serving.view(), {}};
--- a/standins/database/statement_service.cpp
+++ b/standins/database/statement_service.cpp
@@ -214,7 +214,7 @@
     reason = Reason{ReasonCode::kConnectionLost, "begin", "", "closed while the transaction began"};
     co_return declared::backend::Refused{};
   }
-  co_return declared::backend::Begun{connections_.begin(connection, call.database, term)->id()};
+  co_return declared::backend::TransactionBegun{connections_.begin(connection, call.database, term)->id()};
 }
 
 Awaitable<ExecuteAnswer> StatementService::execute_in(HttpConnectionId connection,
--- a/tests/declared/backend/backend_admission_test.cpp
+++ b/tests/declared/backend/backend_admission_test.cpp
@@ -72,24 +72,24 @@
 
 class BackendAdmissionTest : public AdmissionFixture<CallResult> {
   CPPUNIT_TEST_SUITE(BackendAdmissionTest);
-  CPPUNIT_TEST(test_opening_delay_is_not_on_the_way_of_a_warm_backend);
+  CPPUNIT_TEST(test_warm_backend_has_no_opening_delay);
   CPPUNIT_TEST(test_growing_load_finds_connections_open);
   CPPUNIT_TEST(test_runs_no_more_than_the_limit);
-  CPPUNIT_TEST(test_queue_goes_by_priority_then_deadline);
-  CPPUNIT_TEST(test_refuses_early_what_cannot_make_its_deadline);
+  CPPUNIT_TEST(test_queue_orders_by_priority_then_deadline);
+  CPPUNIT_TEST(test_refuses_early_if_the_deadline_cannot_be_met);
   CPPUNIT_TEST(test_urgent_statement_is_not_refused_for_less_urgent_ones);
   CPPUNIT_TEST(test_full_queue_evicts_the_least_urgent);
-  CPPUNIT_TEST(test_backend_refusing_connections_is_the_hard_stop);
+  CPPUNIT_TEST(test_connections_refused_by_the_backend_limit_admission);
   CPPUNIT_TEST(test_unreachable_backend_fails_waiters_at_once);
-  CPPUNIT_TEST(test_unreachable_backend_is_tried_by_one_at_a_time);
-  CPPUNIT_TEST(test_broken_connections_are_not_used_again);
+  CPPUNIT_TEST(test_unreachable_backend_is_tried_with_one_connection_at_a_time);
+  CPPUNIT_TEST(test_broken_connections_are_not_reused);
   CPPUNIT_TEST(test_idle_connections_are_closed_down_to_the_warm_ones);
   CPPUNIT_TEST(test_smaller_share_closes_connections);
   CPPUNIT_TEST(test_new_endpoint_replaces_connections);
   CPPUNIT_TEST(test_idle_transaction_holds_no_permit);
-  CPPUNIT_TEST(test_open_transactions_are_not_held_up_by_who_waits_for_a_connection);
+  CPPUNIT_TEST(test_open_transactions_do_not_wait_behind_statements_without_a_connection);
   CPPUNIT_TEST(test_busy_answers_lower_the_limit);
-  CPPUNIT_TEST(test_busy_backend_is_sent_nothing_for_a_pause);
+  CPPUNIT_TEST(test_busy_backend_is_sent_nothing_during_the_pause);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -98,7 +98,7 @@
     set_capacity({20, 4, 2});
   }
 
-  void test_opening_delay_is_not_on_the_way_of_a_warm_backend() {
+  void test_warm_backend_has_no_opening_delay() {
     admission_->maintain();
     world_->run_for(milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(2U, script_->open);
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT(script_->most_running <= 10);
   }
 
-  void test_queue_goes_by_priority_then_deadline() {
+  void test_queue_orders_by_priority_then_deadline() {
     script_->statement_duration = milliseconds(20);
     set_capacity({2, 1, 2});
     warm_up_one();
@@ -149,7 +149,7 @@
     CPPUNIT_ASSERT(expected == script_->statements);
   }
 
-  void test_refuses_early_what_cannot_make_its_deadline() {
+  void test_refuses_early_if_the_deadline_cannot_be_met() {
     script_->statement_duration = milliseconds(100);
     set_capacity({2, 1, 2});
     warm_up_one();
@@ -203,7 +203,7 @@
     CPPUNIT_ASSERT_EQUAL(kQueueLimit + 3, results_.size());
   }
 
-  void test_backend_refusing_connections_is_the_hard_stop() {
+  void test_connections_refused_by_the_backend_limit_admission() {
     script_->limit = 0;
     start("refused");
     world_->run_for(milliseconds(11));
@@ -236,7 +236,7 @@
     CPPUNIT_ASSERT(results_.back().admitted);
   }
 
-  void test_unreachable_backend_is_tried_by_one_at_a_time() {
+  void test_unreachable_backend_is_tried_with_one_connection_at_a_time() {
     script_->opening_failure = Reason{ReasonCode::kUnreachable, "connect", "b", "refused"};
     start("first");
     world_->run_for(milliseconds(20));
@@ -247,7 +247,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, results_.size());
   }
 
-  void test_broken_connections_are_not_used_again() {
+  void test_broken_connections_are_not_reused() {
     admission_->maintain();
     world_->run_for(milliseconds(20));
     script_->break_connections = true;
@@ -318,7 +318,7 @@
     CPPUNIT_ASSERT(script_->most_running <= admission_->statistics().limit);
   }
 
-  void test_open_transactions_are_not_held_up_by_who_waits_for_a_connection() {
+  void test_open_transactions_do_not_wait_behind_statements_without_a_connection() {
     set_capacity({3, 4, 1});
     warm_up_one();
     for (int number = 0; number < 3; ++number) {
@@ -349,7 +349,7 @@
   }
 
   /// After the pause statements are admitted by priority.
-  void test_busy_backend_is_sent_nothing_for_a_pause() {
+  void test_busy_backend_is_sent_nothing_during_the_pause() {
     warm_up_one();
     script_->busy = true;
     start("refused");
@@ -359,7 +359,7 @@
     start("less urgent", 2);
     start("urgent", 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, script_->statements.size());
-    world_->run_for(kLongestBusyPause + milliseconds(50));
+    world_->run_for(kMaxBusyPause + milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, script_->statements.size());
     CPPUNIT_ASSERT_EQUAL(std::string("urgent"), script_->statements[1]);
     CPPUNIT_ASSERT_EQUAL(std::string("less urgent"), script_->statements[2]);
--- a/tests/declared/backend/http_backend_test.cpp
+++ b/tests/declared/backend/http_backend_test.cpp
@@ -23,15 +23,15 @@
 
 class HttpBackendTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpBackendTest);
-  CPPUNIT_TEST(test_crossed_answers_reach_nobody);
-  CPPUNIT_TEST(test_repeated_answers_reach_nobody);
-  CPPUNIT_TEST(test_short_answers_reach_nobody);
-  CPPUNIT_TEST(test_late_answers_reach_nobody);
+  CPPUNIT_TEST(test_crossed_answers_are_not_delivered);
+  CPPUNIT_TEST(test_repeated_answers_are_not_delivered);
+  CPPUNIT_TEST(test_truncated_answers_are_not_delivered);
+  CPPUNIT_TEST(test_late_answers_are_not_delivered);
   CPPUNIT_TEST(test_missing_answer_closes_the_connection);
-  CPPUNIT_TEST(test_second_exchange_at_once_is_refused_unsent);
+  CPPUNIT_TEST(test_concurrent_exchange_is_refused_unsent);
   CPPUNIT_TEST(test_closed_connection_sends_nothing);
   CPPUNIT_TEST(test_connection_limit_is_refused);
-  CPPUNIT_TEST(test_control_connection_needs_no_place);
+  CPPUNIT_TEST(test_control_connection_does_not_count_against_the_limit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -41,10 +41,10 @@
   }
   void tearDown() override { group_.reset(); }
 
-  void test_crossed_answers_reach_nobody() { expect_own_answers(R"({"crossed_answers":0.3})"); }
-  void test_repeated_answers_reach_nobody() { expect_own_answers(R"({"duplicated_answers":0.3})"); }
-  void test_short_answers_reach_nobody() { expect_own_answers(R"({"short_bodies":0.3})"); }
-  void test_late_answers_reach_nobody() {
+  void test_crossed_answers_are_not_delivered() { expect_own_answers(R"({"crossed_answers":0.3})"); }
+  void test_repeated_answers_are_not_delivered() { expect_own_answers(R"({"duplicated_answers":0.3})"); }
+  void test_truncated_answers_are_not_delivered() { expect_own_answers(R"({"short_bodies":0.3})"); }
+  void test_late_answers_are_not_delivered() {
     expect_own_answers(R"({"delayed_answers":0.3,"answer_delay_ms":300})");
   }
 
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(!connection->is_open());
   }
 
-  void test_second_exchange_at_once_is_refused_unsent() {
+  void test_concurrent_exchange_is_refused_unsent() {
     auto connection = group_->connect("a");
     Reason first_reason;
     const auto first = group_->start(
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT(group_->connect("a"));
   }
 
-  void test_control_connection_needs_no_place() {
+  void test_control_connection_does_not_count_against_the_limit() {
     CPPUNIT_ASSERT(group_->set_faults("a", R"({"connections":0})"));
     CPPUNIT_ASSERT(!group_->connect("a"));
     const auto control = group_->connect("a", ConnectionPurpose::kControl);
@@ -111,11 +111,11 @@
   /// Appends the number; the answer holds its position in the record.
   ExecuteAnswer write(BackendConnection& connection, std::uint64_t number) {
     const RequestId request{SessionName("s"), number};
-    auto wanted = group_->requirements(1, request);
-    wanted.deadline = group_->in(milliseconds(200));
+    auto required = group_->requirements(1, request);
+    required.deadline = group_->in(milliseconds(200));
     reason_ = Reason{};
     return group_->run(
-        connection.execute(DatabaseGroup::append_statement(std::to_string(number)), wanted, reason_));
+        connection.execute(DatabaseGroup::append_statement(std::to_string(number)), required, reason_));
   }
 
   /// Alternates between two connections, so that answers can be crossed. An answer is the call's own if the
--- a/tests/declared/backend/pool_share_test.cpp
+++ b/tests/declared/backend/pool_share_test.cpp
@@ -12,9 +12,9 @@
 class PoolShareTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PoolShareTest);
   CPPUNIT_TEST(test_shares_stay_within_the_limit);
-  CPPUNIT_TEST(test_shares_leave_less_than_one_connection_a_proxy);
+  CPPUNIT_TEST(test_shares_leave_less_than_one_connection_per_proxy);
   CPPUNIT_TEST(test_slot_shares_cover_the_slots);
-  CPPUNIT_TEST(test_sizes_of_today);
+  CPPUNIT_TEST(test_example_sizes);
   CPPUNIT_TEST(test_more_proxies_than_connections);
   CPPUNIT_TEST(test_no_proxy_counts_as_one);
   CPPUNIT_TEST_SUITE_END();
@@ -28,7 +28,7 @@
     }
   }
 
-  void test_shares_leave_less_than_one_connection_a_proxy() {
+  void test_shares_leave_less_than_one_connection_per_proxy() {
     for (std::uint32_t connections = 1; connections <= kMostConnections; ++connections) {
       for (std::uint32_t proxies = 1; proxies <= connections; ++proxies) {
         CPPUNIT_ASSERT((connection_share({connections, 5, proxies}) + 1) * proxies > connections);
@@ -44,7 +44,7 @@
     }
   }
 
-  void test_sizes_of_today() {
+  void test_example_sizes() {
     CPPUNIT_ASSERT_EQUAL(17U, connection_share({35, 5, 2}));
     CPPUNIT_ASSERT_EQUAL(3U, slot_share({35, 5, 2}));
     CPPUNIT_ASSERT_EQUAL(20U, connection_share({60, 4, 3}));
--- a/tests/declared/backend/urgent_allowance_test.cpp
+++ b/tests/declared/backend/urgent_allowance_test.cpp
@@ -41,7 +41,7 @@
 class UrgentAllowanceTest : public AdmissionFixture<CallResult> {
   CPPUNIT_TEST_SUITE(UrgentAllowanceTest);
   CPPUNIT_TEST(test_urgent_statements_borrow_slots_that_others_leave_idle);
-  CPPUNIT_TEST(test_borrowing_ends_at_the_slots_and_leaves_the_share);
+  CPPUNIT_TEST(test_borrowing_stops_at_the_slots_and_keeps_the_share);
   CPPUNIT_TEST(test_urgent_statement_that_cannot_make_its_deadline_is_refused_early);
   CPPUNIT_TEST(test_less_urgent_statements_do_not_borrow);
   CPPUNIT_TEST(test_urgent_statements_that_have_time_do_not_borrow);
@@ -50,8 +50,8 @@
  public:
   /// With the proxy's share of one slot only nine of the statements would meet their deadlines.
   void test_urgent_statements_borrow_slots_that_others_leave_idle() {
-    have_share_of_four_slots(1);
-    start_in_turn(14, 0, seconds(1));
+    set_up_share_of_four_slots(1);
+    start_with_increasing_deadlines(14, 0, seconds(1));
     world_->run_for(seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{14}, results_.size());
     for (const auto& result : results_) {
@@ -62,10 +62,10 @@
 
   /// All slots of other proxies are in use: attempts to borrow one are answered with Busy, at most once per
   /// pause of 5 ms and once per answer, and do not lower the limit below the share.
-  void test_borrowing_ends_at_the_slots_and_leaves_the_share() {
-    have_share_of_four_slots(2);
+  void test_borrowing_stops_at_the_slots_and_keeps_the_share() {
+    set_up_share_of_four_slots(2);
     script_->slots = 2;
-    start_in_turn(14, 0, seconds(1));
+    start_with_increasing_deadlines(14, 0, seconds(1));
     for (int step = 0; step < 40; ++step) {
       world_->run_for(milliseconds(10));
       CPPUNIT_ASSERT(admission_->statistics().limit >= 2);
@@ -77,9 +77,9 @@
   }
 
   void test_urgent_statement_that_cannot_make_its_deadline_is_refused_early() {
-    have_share_of_four_slots(1);
+    set_up_share_of_four_slots(1);
     script_->slots = 1;
-    start_in_turn(8, 0, seconds(1));
+    start_with_increasing_deadlines(8, 0, seconds(1));
     world_->run_for(milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, admission_->statistics().refused_early);
     start("hopeless", 0, milliseconds(110));
@@ -89,23 +89,23 @@
   }
 
   void test_less_urgent_statements_do_not_borrow() {
-    have_share_of_four_slots(1);
-    start_in_turn(14, 1, seconds(1));
+    set_up_share_of_four_slots(1);
+    start_with_increasing_deadlines(14, 1, seconds(1));
     CPPUNIT_ASSERT(admission_->statistics().refused_early > 0);
     world_->run_for(milliseconds(90));
     CPPUNIT_ASSERT_EQUAL(1U, script_->most_running);
   }
 
   void test_urgent_statements_that_have_time_do_not_borrow() {
-    have_share_of_four_slots(1);
-    start_in_turn(4, 0, seconds(2));
+    set_up_share_of_four_slots(1);
+    start_with_increasing_deadlines(4, 0, seconds(2));
     world_->run_for(milliseconds(90));
     CPPUNIT_ASSERT_EQUAL(1U, script_->most_running);
   }
 
  private:
   /// Statements take 100 ms; there are more connections than slots in the share.
-  void have_share_of_four_slots(std::uint32_t share) {
+  void set_up_share_of_four_slots(std::uint32_t share) {
     script_->statement_duration = milliseconds(100);
     script_->slots = 4;
     set_capacity({20, 4, 4 / share});
@@ -116,7 +116,7 @@
     script_->most_running = 0;
   }
   /// Starts statements with strictly increasing deadlines.
-  void start_in_turn(int count, std::uint8_t priority_class, Duration time) {
+  void start_with_increasing_deadlines(int count, std::uint8_t priority_class, Duration time) {
     for (int statement = 0; statement < count; ++statement) {
       start("s", priority_class, time + std::chrono::microseconds(statement));
     }
--- a/tests/declared/proxy/domain/probe_schedule_test.cpp
+++ b/tests/declared/proxy/domain/probe_schedule_test.cpp
@@ -57,30 +57,31 @@
   CPPUNIT_TEST(test_domains_share_the_budget);
   CPPUNIT_TEST(test_many_groups_take_turns_within_the_budget);
   CPPUNIT_TEST(test_positions_learned_from_statements_need_no_probe);
-  CPPUNIT_TEST(test_unknown_positions_go_first_then_lately_read_groups);
+  CPPUNIT_TEST(test_unknown_positions_go_first_then_recently_read_groups);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void test_few_groups_are_all_probed_each_round() {
-    const std::size_t allowed = probes_a_round(kInterval, 1);
+    const std::size_t allowed = probes_per_round(kInterval, 1);
     ProbedGroups groups(allowed / 3);
     for (const auto& candidate : groups.candidates()) groups.known_at[candidate.member->ordinal] = kNow;
-    CPPUNIT_ASSERT_EQUAL(allowed / 3 * 3, pick_probes(groups.candidates(), allowed, kInterval, kNow).size());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, probes_a_round(Duration(1), 1));
+    CPPUNIT_ASSERT_EQUAL(allowed / 3 * 3,
+                         select_probes(groups.candidates(), allowed, kInterval, kNow).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, probes_per_round(Duration(1), 1));
   }
 
   void test_domains_share_the_budget() {
     constexpr std::size_t kDomains = 8;
-    const std::size_t alone = probes_a_round(kInterval, 1);
-    CPPUNIT_ASSERT_EQUAL(alone, probes_a_round(kInterval, 0));
-    CPPUNIT_ASSERT(kDomains * probes_a_round(kInterval, kDomains) <= alone);
-    CPPUNIT_ASSERT(kDomains * (probes_a_round(kInterval, kDomains) + 1) > alone);
+    const std::size_t alone = probes_per_round(kInterval, 1);
+    CPPUNIT_ASSERT_EQUAL(alone, probes_per_round(kInterval, 0));
+    CPPUNIT_ASSERT(kDomains * probes_per_round(kInterval, kDomains) <= alone);
+    CPPUNIT_ASSERT(kDomains * (probes_per_round(kInterval, kDomains) + 1) > alone);
   }
 
   void test_many_groups_take_turns_within_the_budget() {
     for (const std::size_t count : {44, 100}) {
       ProbedGroups groups(count);
-      const std::size_t allowed = probes_a_round(kInterval, 1);
+      const std::size_t allowed = probes_per_round(kInterval, 1);
       // No member waits longer than one full cycle.
       const auto turns = static_cast<std::int64_t>((3 * count + allowed - 1) / allowed);
       constexpr int kRounds = 120;
@@ -90,7 +91,7 @@
           const TimePoint known = candidate.known_at.value_or(kNow - kInterval);
           CPPUNIT_ASSERT(now - known <= turns * kInterval);
         }
-        const auto picked = pick_probes(groups.candidates(), allowed, kInterval, now);
+        const auto picked = select_probes(groups.candidates(), allowed, kInterval, now);
         CPPUNIT_ASSERT_EQUAL(allowed, picked.size());
         for (const auto& candidate : picked) groups.known_at[candidate.member->ordinal] = now;
       }
@@ -102,10 +103,11 @@
     for (const auto& candidate : groups.candidates()) {
       groups.known_at[candidate.member->ordinal] = kNow - kInterval / 2;
     }
-    CPPUNIT_ASSERT(pick_probes(groups.candidates(), probes_a_round(kInterval, 1), kInterval, kNow).empty());
+    CPPUNIT_ASSERT(
+        select_probes(groups.candidates(), probes_per_round(kInterval, 1), kInterval, kNow).empty());
   }
 
-  void test_unknown_positions_go_first_then_lately_read_groups() {
+  void test_unknown_positions_go_first_then_recently_read_groups() {
     ProbedGroups groups(4);
     for (const auto& candidate : groups.candidates()) {
       groups.known_at[candidate.member->ordinal] = kNow - seconds(1);
@@ -113,7 +115,7 @@
     }
     groups.known_at.erase(10);
     groups.since_read[GroupName("group-1")] = seconds(0);
-    const auto picked = pick_probes(groups.candidates(), 4, kInterval, kNow);
+    const auto picked = select_probes(groups.candidates(), 4, kInterval, kNow);
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, picked.size());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{10}, picked[0].member->ordinal);
     for (std::size_t place = 1; place < 4; ++place) {
@@ -124,7 +126,7 @@
     groups.known_at[10] = kNow;
     groups.known_at[0] = kNow - seconds(10);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{0},
-                         pick_probes(groups.candidates(), 1, kInterval, kNow)[0].member->ordinal);
+                         select_probes(groups.candidates(), 1, kInterval, kNow)[0].member->ordinal);
   }
 };
 
--- a/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_failures_test.cpp
@@ -15,41 +15,41 @@
 
 class ForwardingFailuresTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwardingFailuresTest);
-  CPPUNIT_TEST(test_dead_proxy_is_passed_over);
-  CPPUNIT_TEST(test_draining_proxy_is_passed_over);
-  CPPUNIT_TEST(test_lost_answer_is_resolved_and_never_doubles);
+  CPPUNIT_TEST(test_unreachable_proxy_is_skipped);
+  CPPUNIT_TEST(test_draining_proxy_is_skipped);
+  CPPUNIT_TEST(test_lost_answer_is_resolved_without_duplicates);
   CPPUNIT_TEST(test_frozen_proxy_never_runs_an_aborted_write);
-  CPPUNIT_TEST(test_read_goes_on_from_a_frozen_proxy);
-  CPPUNIT_TEST(test_frozen_proxy_is_found_out_early);
+  CPPUNIT_TEST(test_read_is_retried_after_a_frozen_proxy);
+  CPPUNIT_TEST(test_frozen_proxy_is_detected_early);
   CPPUNIT_TEST(test_slow_but_healthy_proxy_is_waited_for);
   CPPUNIT_TEST(test_no_proxy_left_refuses_at_once);
   CPPUNIT_TEST(test_refusal_is_passed_through);
-  CPPUNIT_TEST(test_resent_refusal_is_in_doubt);
+  CPPUNIT_TEST(test_refused_forward_of_a_resend_has_an_unknown_outcome);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_dead_proxy_is_passed_over() {
+  void test_unreachable_proxy_is_skipped() {
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
-    world.world().vanish(ProxyWorld::proxy(world.far));
+    world.world().vanish(ProxyWorld::proxy(world.remote));
     world.world().run_for(seconds(4));  // the idle connection is closed: the next call needs a new one
     assert_done(world.write(caller, "two"));
     CPPUNIT_ASSERT(entries_of(world.read(caller)) == (std::vector<std::string>{"one", "two"}));
     CPPUNIT_ASSERT_EQUAL(1.0, world.forwards_of(world.from, "unreachable"));
   }
 
-  void test_draining_proxy_is_passed_over() {
+  void test_draining_proxy_is_skipped() {
     ForwardingWorld world;
-    auto& held = world.add_caller(world.far);
+    auto& held = world.add_caller(world.remote);
     assert_done(world.begin(held));  // keeps the remote proxy draining
-    world.world().drain(ProxyWorld::proxy(world.far), nullptr);
+    world.world().drain(ProxyWorld::proxy(world.remote), nullptr);
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
     CPPUNIT_ASSERT_EQUAL(1.0, world.forwards_of(world.from, "declined"));
   }
 
-  void test_lost_answer_is_resolved_and_never_doubles() {
+  void test_lost_answer_is_resolved_without_duplicates() {
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
@@ -58,9 +58,9 @@
       const auto call = world.start(
           caller.client.execute(world.next_request(caller, StatementKind::kWrite, append("two"))));
       world.world().run_for(delay);
-      world.world().kill(ProxyWorld::proxy(world.far));
+      world.world().kill(ProxyWorld::proxy(world.remote));
       const auto answer = world.finish(call);
-      world.world().restart(ProxyWorld::proxy(world.far));
+      world.world().restart(ProxyWorld::proxy(world.remote));
       world.world().run_for(seconds(10));
       const auto entries = entries_of(world.read(caller));
       const auto times = std::count(entries.begin(), entries.end(), "two");
@@ -78,27 +78,27 @@
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
-    world.world().freeze(ProxyWorld::proxy(world.far));
+    world.world().freeze(ProxyWorld::proxy(world.remote));
     const auto answer = world.write(caller, "two", seconds(2));
     assert_refused(answer, CallOutcome::kNotRun, ReasonCode::kAborted);
-    world.world().thaw(ProxyWorld::proxy(world.far));
+    world.world().thaw(ProxyWorld::proxy(world.remote));
     world.world().run_for(seconds(5));
     CPPUNIT_ASSERT(entries_of(world.read(caller)) == std::vector<std::string>{"one"});
   }
 
-  void test_read_goes_on_from_a_frozen_proxy() {
+  void test_read_is_retried_after_a_frozen_proxy() {
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
-    world.world().freeze(ProxyWorld::proxy(world.far));
+    world.world().freeze(ProxyWorld::proxy(world.remote));
     CPPUNIT_ASSERT(entries_of(world.read(caller, seconds(2))) == std::vector<std::string>{"one"});
   }
 
-  void test_frozen_proxy_is_found_out_early() {
+  void test_frozen_proxy_is_detected_early() {
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
-    world.world().freeze(ProxyWorld::proxy(world.far));
+    world.world().freeze(ProxyWorld::proxy(world.remote));
     auto asked = world.world().now();
     assert_refused(world.write(caller, "two", seconds(30)), CallOutcome::kNotRun, ReasonCode::kAborted);
     CPPUNIT_ASSERT(world.world().now() - asked < seconds(1));
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT_EQUAL(ProxyWorld::database(0), answer.reason.peer);
   }
 
-  void test_resent_refusal_is_in_doubt() {
+  void test_refused_forward_of_a_resend_has_an_unknown_outcome() {
     ForwardingWorld world;
     for (const auto index : world.serving) world.world().kill(ProxyWorld::proxy(index));
     const std::string body = R"({"database":"decks","partition_key":"learner-1","kind":"write","text":"{}",)"
--- a/tests/declared/proxy/forwarding/forwarding_test.cpp
+++ b/tests/declared/proxy/forwarding/forwarding_test.cpp
@@ -15,18 +15,18 @@
 
 class ForwardingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ForwardingTest);
-  CPPUNIT_TEST(test_statements_cross_the_hop);
+  CPPUNIT_TEST(test_statements_are_forwarded);
   CPPUNIT_TEST(test_only_serving_proxies_connect_to_backends);
   CPPUNIT_TEST(test_moved_group_frees_its_connections);
-  CPPUNIT_TEST(test_marked_request_goes_no_further);
-  CPPUNIT_TEST(test_faulty_time_left_is_named);
+  CPPUNIT_TEST(test_forwarded_request_is_not_forwarded_again);
+  CPPUNIT_TEST(test_invalid_time_left_is_refused);
   CPPUNIT_TEST(test_time_left_shortens_the_deadline);
-  CPPUNIT_TEST(test_explain_names_the_hop);
-  CPPUNIT_TEST(test_resolve_crosses_the_hop);
+  CPPUNIT_TEST(test_explain_reports_the_forwarding_target);
+  CPPUNIT_TEST(test_resolve_is_forwarded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_statements_cross_the_hop() {
+  void test_statements_are_forwarded() {
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
@@ -37,7 +37,7 @@
     assert_done(world.run(caller.client.execute(request)));  // the resend is recognized through another proxy
     CPPUNIT_ASSERT(entries_of(world.read(caller)) == (std::vector<std::string>{"one", "two"}));
     CPPUNIT_ASSERT(world.forwards_of(world.from, "answered") >= 3);
-    CPPUNIT_ASSERT_EQUAL(0.0, world.forwards_of(world.far, "answered"));
+    CPPUNIT_ASSERT_EQUAL(0.0, world.forwards_of(world.remote, "answered"));
   }
 
   void test_only_serving_proxies_connect_to_backends() {
@@ -58,15 +58,15 @@
     const auto backends = [&](std::uint32_t index) {
       return world.metric(index, "cairnhollow_proxy_backend_connections{backend=\"database-0\"}");
     };
-    CPPUNIT_ASSERT(backends(world.far) > 0);
-    world.control().set_leaving({ProxyWorld::proxy(world.far)});
+    CPPUNIT_ASSERT(backends(world.remote) > 0);
+    world.control().set_leaving({ProxyWorld::proxy(world.remote)});
     world.world().run_for(seconds(2));
-    CPPUNIT_ASSERT(world.forwards(world.far));
-    CPPUNIT_ASSERT_EQUAL(0.0, backends(world.far));
-    assert_done(world.write(world.add_caller(world.far), "one"));
+    CPPUNIT_ASSERT(world.forwards(world.remote));
+    CPPUNIT_ASSERT_EQUAL(0.0, backends(world.remote));
+    assert_done(world.write(world.add_caller(world.remote), "one"));
   }
 
-  void test_marked_request_goes_no_further() {
+  void test_forwarded_request_is_not_forwarded_again() {
     ForwardingWorld world;
     auto request = read_request();
     request.headers.fields[kForwardedByHeader] = "a-caller";
@@ -75,12 +75,12 @@
     CPPUNIT_ASSERT_EQUAL(0.0, world.forwards_of(world.from, "answered"));
   }
 
-  void test_faulty_time_left_is_named() {
+  void test_invalid_time_left_is_refused() {
     ForwardingWorld world;
     for (const auto* text : {"", "0", "soon", "12x", "60001", "-1"}) {
       auto request = read_request();
       request.headers.fields[kTimeLeftHeader] = text;
-      const auto problem = http::parse_problem(world.exchange(world.far, request).body);
+      const auto problem = http::parse_problem(world.exchange(world.remote, request).body);
       CPPUNIT_ASSERT_MESSAGE(text, problem.has_value());
       CPPUNIT_ASSERT(problem->reason.code == ReasonCode::kInvalidArgument);
       CPPUNIT_ASSERT(problem->reason.detail.find(kTimeLeftHeader) != std::string::npos);
@@ -93,24 +93,24 @@
     auto request = read_request();
     request.headers.fields[kTimeLeftHeader] = "200";
     const auto asked = world.world().now();
-    CPPUNIT_ASSERT(world.exchange(world.far, request).status != 200);
+    CPPUNIT_ASSERT(world.exchange(world.remote, request).status != 200);
     CPPUNIT_ASSERT(world.world().now() - asked < milliseconds(200));
   }
 
-  void test_explain_names_the_hop() {
+  void test_explain_reports_the_forwarding_target() {
     ForwardingWorld world;
     CPPUNIT_ASSERT(world.explain(world.from).find("this proxy does not serve the group") !=
                    std::string::npos);
-    CPPUNIT_ASSERT(world.explain(world.far).find("forwarded_to") == std::string::npos);
+    CPPUNIT_ASSERT(world.explain(world.remote).find("forwarded_to") == std::string::npos);
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
     const auto recent = world.get(
         world.from, "/v1/explain?session=" + caller.session + "&number=" + std::to_string(caller.number));
-    CPPUNIT_ASSERT(recent.body.find("forwarded to proxy " + ProxyWorld::proxy(world.far)) !=
+    CPPUNIT_ASSERT(recent.body.find("forwarded to proxy " + ProxyWorld::proxy(world.remote)) !=
                    std::string::npos);
   }
 
-  void test_resolve_crosses_the_hop() {
+  void test_resolve_is_forwarded() {
     ForwardingWorld world;
     auto& caller = world.add_caller(world.from);
     assert_done(world.write(caller, "one"));
--- a/tests/declared/proxy/forwarding/forwarding_world.h
+++ b/tests/declared/proxy/forwarding/forwarding_world.h
@@ -17,9 +17,9 @@
       (forwards(index) ? outside : serving).push_back(index);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, serving.size());
     from = outside.front();
-    const auto first = explained(from);
-    far = ProxyWorld::proxy(serving[0]) == first ? serving[0] : serving[1];
-    other = far == serving[0] ? serving[1] : serving[0];
+    const auto first = forwarding_target(from);
+    remote = ProxyWorld::proxy(serving[0]) == first ? serving[0] : serving[1];
+    other = remote == serving[0] ? serving[1] : serving[0];
   }
 
   static ProxyWorldSettings settings() {
@@ -34,7 +34,7 @@
   }
   bool forwards(std::uint32_t index) { return explain(index).find("forwarded_to") != std::string::npos; }
   /// Name of the proxy that this one forwards to.
-  std::string explained(std::uint32_t index) {
+  std::string forwarding_target(std::uint32_t index) {
     const auto text = explain(index);
     const auto place = text.find("forwarded to proxy ") + std::string("forwarded to proxy ").size();
     return text.substr(place, text.find(':', place) - place);
@@ -50,9 +50,9 @@
 
   std::vector<std::uint32_t> serving;
   std::vector<std::uint32_t> outside;
-  std::uint32_t from = 0;   ///< does not serve the group
-  std::uint32_t far = 0;    ///< first forwarding target of `from`
-  std::uint32_t other = 0;  ///< the other proxy that serves the group
+  std::uint32_t from = 0;    ///< does not serve the group
+  std::uint32_t remote = 0;  ///< first forwarding target of `from`
+  std::uint32_t other = 0;   ///< the other proxy that serves the group
 };
 
 }  // namespace cairnhollow::declared::proxy
--- a/tests/declared/proxy/proxy_domains_test.cpp
+++ b/tests/declared/proxy/proxy_domains_test.cpp
@@ -36,18 +36,18 @@
 
 class ProxyDomainsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProxyDomainsTest);
-  CPPUNIT_TEST(a_lapsed_domain_is_refused_and_the_other_served);
+  CPPUNIT_TEST(a_domain_with_an_expired_lease_is_refused_and_the_other_served);
   CPPUNIT_TEST(a_domain_not_yet_reached_keeps_its_databases);
   CPPUNIT_TEST(a_transaction_ends_with_its_own_domain_only);
-  CPPUNIT_TEST(the_same_names_in_two_domains_are_two_things);
+  CPPUNIT_TEST(objects_of_the_same_name_in_two_domains_are_distinct);
   CPPUNIT_TEST(a_database_that_no_domain_owns_is_refused);
   CPPUNIT_TEST(a_proxy_of_another_domain_forwards);
   CPPUNIT_TEST(a_proxy_drained_by_its_own_domain_forwards_nothing);
-  CPPUNIT_TEST(diagnostics_tell_the_domains_apart);
+  CPPUNIT_TEST(diagnostics_distinguish_the_domains);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_lapsed_domain_is_refused_and_the_other_served() {
+  void a_domain_with_an_expired_lease_is_refused_and_the_other_served() {
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     auto& caller = deployment.add_caller(0);
@@ -105,7 +105,7 @@
     assert_done(deployment.commit(of_north, lasting.transaction));
   }
 
-  void the_same_names_in_two_domains_are_two_things() {
+  void objects_of_the_same_name_in_two_domains_are_distinct() {
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     auto& caller = deployment.add_caller(0);
@@ -154,7 +154,7 @@
     assert_refused(write_south(deployment, caller), CallOutcome::kNotRun, ReasonCode::kDraining);
   }
 
-  void diagnostics_tell_the_domains_apart() {
+  void diagnostics_distinguish_the_domains() {
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     south.set_answering(false);
--- a/tests/declared/proxy/proxy_failures_test.cpp
+++ b/tests/declared/proxy/proxy_failures_test.cpp
@@ -24,19 +24,19 @@
   CPPUNIT_TEST(test_crossed_answers_never_reach_another_caller);
   CPPUNIT_TEST(test_write_waits_for_a_new_primary);
   CPPUNIT_TEST(test_write_is_refused_at_once_when_no_primary_comes);
-  CPPUNIT_TEST(test_write_sent_to_a_dying_primary_is_decided_by_the_next);
-  CPPUNIT_TEST(test_connections_from_before_a_backend_was_away_are_not_used);
-  CPPUNIT_TEST(test_write_at_a_lost_machine_is_decided_once_a_primary_is_known);
-  CPPUNIT_TEST(test_outcome_asked_of_a_lost_machine_is_asked_of_its_successor);
+  CPPUNIT_TEST(test_write_sent_to_a_crashing_primary_is_resolved_by_its_successor);
+  CPPUNIT_TEST(test_connections_opened_before_a_backend_outage_are_not_used);
+  CPPUNIT_TEST(test_write_at_a_lost_primary_is_resolved_once_a_new_primary_is_known);
+  CPPUNIT_TEST(test_ledger_query_to_a_lost_primary_is_repeated_at_its_successor);
   CPPUNIT_TEST(test_same_request_id_twice_at_once);
-  CPPUNIT_TEST(test_refused_resend_is_in_doubt);
-  CPPUNIT_TEST(test_lapsed_lease_refuses_without_waiting);
+  CPPUNIT_TEST(test_refused_resend_has_an_unknown_outcome);
+  CPPUNIT_TEST(test_expired_lease_refuses_without_waiting);
   CPPUNIT_TEST(test_failed_write_is_reported_to_control);
   CPPUNIT_TEST(test_read_falls_back_to_the_primary_when_replicas_lag);
-  CPPUNIT_TEST(test_read_survives_a_dead_replica);
-  CPPUNIT_TEST(test_read_leaves_a_replica_that_fell_silent);
-  CPPUNIT_TEST(test_slow_read_is_waited_for_while_its_replica_answers_probes);
-  CPPUNIT_TEST(test_read_at_a_lost_primary_goes_on_at_its_successor);
+  CPPUNIT_TEST(test_read_survives_a_crashed_replica);
+  CPPUNIT_TEST(test_read_moves_away_from_an_unresponsive_replica);
+  CPPUNIT_TEST(test_slow_read_continues_while_its_replica_answers_probes);
+  CPPUNIT_TEST(test_read_at_a_lost_primary_continues_at_its_successor);
   CPPUNIT_TEST(test_leaving_replica_gets_no_reads);
   CPPUNIT_TEST_SUITE_END();
 
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT_EQUAL(ProxyWorld::database_endpoint(0).to_string(), refused.reason.peer);
   }
 
-  void test_write_sent_to_a_dying_primary_is_decided_by_the_next() {
+  void test_write_sent_to_a_crashing_primary_is_resolved_by_its_successor() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
@@ -135,7 +135,7 @@
 
   /// After a power failure of a replica's machine nothing tells the proxy that its idle connections are
   /// broken. When the replica becomes primary, no write may be lost on them.
-  void test_connections_from_before_a_backend_was_away_are_not_used() {
+  void test_connections_opened_before_a_backend_outage_are_not_used() {
     for (const auto away : {milliseconds(300), milliseconds(4000)}) {
       ProxyWorld deployment;
       auto& caller = deployment.add_caller(0);
@@ -156,7 +156,7 @@
   }
 
   /// The answer never arrives. Waiting for it up to kWriteAttemptLimit would lengthen every failover.
-  void test_write_at_a_lost_machine_is_decided_once_a_primary_is_known() {
+  void test_write_at_a_lost_primary_is_resolved_once_a_new_primary_is_known() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
@@ -173,7 +173,7 @@
     CPPUNIT_ASSERT(entries_of(deployment.read(caller)) == kept);
   }
 
-  void test_outcome_asked_of_a_lost_machine_is_asked_of_its_successor() {
+  void test_ledger_query_to_a_lost_primary_is_repeated_at_its_successor() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
@@ -208,7 +208,7 @@
     assert_done(deployment.finish(call));
   }
 
-  void test_refused_resend_is_in_doubt() {
+  void test_refused_resend_has_an_unknown_outcome() {
     ProxyWorld deployment;
     deployment.control().set_answering(false);
     deployment.world().run_for(seconds(3));
@@ -222,7 +222,7 @@
     CPPUNIT_ASSERT(again->run_state == http::RunState::kUnknown);
   }
 
-  void test_lapsed_lease_refuses_without_waiting() {
+  void test_expired_lease_refuses_without_waiting() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(0);
     assert_done(deployment.write(caller, "one"));
@@ -268,7 +268,7 @@
     }
   }
 
-  void test_read_survives_a_dead_replica() {
+  void test_read_survives_a_crashed_replica() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(1);
     assert_done(deployment.write(caller, "one"));
@@ -282,7 +282,7 @@
     }
   }
 
-  void test_read_leaves_a_replica_that_fell_silent() {
+  void test_read_moves_away_from_an_unresponsive_replica() {
     ProxyWorld deployment;
     auto& caller = read_at_first_replica(deployment);
     deployment.world().freeze(ProxyWorld::database(1));
@@ -293,7 +293,7 @@
     CPPUNIT_ASSERT(deployment.world().now() - begun < kReadAttemptLimit / 2);
   }
 
-  void test_slow_read_is_waited_for_while_its_replica_answers_probes() {
+  void test_slow_read_continues_while_its_replica_answers_probes() {
     ProxyWorld deployment;
     auto& caller = read_at_first_replica(deployment);
     deployment.set_faults(1, R"({"statement_duration_ms":800})");
@@ -305,7 +305,7 @@
   }
 
   /// Without a session's position only the primary may serve the read.
-  void test_read_at_a_lost_primary_goes_on_at_its_successor() {
+  void test_read_at_a_lost_primary_continues_at_its_successor() {
     ProxyWorld deployment;
     assert_done(deployment.write(deployment.add_caller(0), "one"));
     auto& caller = deployment.add_caller(0);
--- a/tests/declared/proxy/proxy_overload_test.cpp
+++ b/tests/declared/proxy/proxy_overload_test.cpp
@@ -54,12 +54,12 @@
 
 class ProxyOverloadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProxyOverloadTest);
-  CPPUNIT_TEST(test_overload_and_after);
-  CPPUNIT_TEST(test_refusals_name_when_the_queue_is_worked_off);
+  CPPUNIT_TEST(test_overload_serves_at_capacity_and_recovers);
+  CPPUNIT_TEST(test_retry_after_covers_the_time_to_drain_the_queue);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_overload_and_after() {
+  void test_overload_serves_at_capacity_and_recovers() {
     ProxyWorldSettings settings;
     settings.proxies = 1;
     settings.slots = kSlots;
@@ -96,7 +96,7 @@
 
   /// With one slot and statements of 100 ms, a caller refused while one runs must not be told to retry after
   /// 50 ms.
-  void test_refusals_name_when_the_queue_is_worked_off() {
+  void test_retry_after_covers_the_time_to_drain_the_queue() {
     ProxyWorldSettings settings;
     settings.proxies = 1;
     settings.slots = 1;
--- a/tests/declared/proxy/proxy_server_test.cpp
+++ b/tests/declared/proxy/proxy_server_test.cpp
@@ -17,7 +17,7 @@
   CPPUNIT_TEST(test_transaction_commits);
   CPPUNIT_TEST(test_health_readiness_and_metrics);
   CPPUNIT_TEST(test_reads_on_the_primary_are_counted_by_cause);
-  CPPUNIT_TEST(test_a_lapsed_lease_names_its_next_renewal);
+  CPPUNIT_TEST(test_expired_lease_refusal_suggests_the_next_renewal);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT_MESSAGE(metrics.body, line("replica_stale", "0"));
   }
 
-  void test_a_lapsed_lease_names_its_next_renewal() {
+  void test_expired_lease_refusal_suggests_the_next_renewal() {
     constexpr Duration kFollowInterval = milliseconds(300);
     ProxyWorldSettings settings;
     settings.adjust_proxy = [&](ProxySettings& proxy) { proxy.follow_interval = kFollowInterval; };
--- a/tests/declared/proxy/proxy_transactions_test.cpp
+++ b/tests/declared/proxy/proxy_transactions_test.cpp
@@ -25,16 +25,16 @@
   CPPUNIT_TEST(test_rollback_leaves_no_trace);
   CPPUNIT_TEST(test_transactions_do_not_see_each_other);
   CPPUNIT_TEST(test_closed_caller_connection_rolls_back);
-  CPPUNIT_TEST(test_caller_gone_while_it_begins);
-  CPPUNIT_TEST(test_frozen_primary_holds_nobody_to_the_deadline);
+  CPPUNIT_TEST(test_caller_disconnect_during_begin_rolls_back);
+  CPPUNIT_TEST(test_calls_at_a_frozen_primary_end_before_the_deadline);
   CPPUNIT_TEST(test_idle_transaction_is_rolled_back);
   CPPUNIT_TEST(test_commit_resent_to_another_proxy);
   CPPUNIT_TEST(test_commit_of_a_transaction_lost_with_its_proxy);
   CPPUNIT_TEST(test_commit_without_an_answer_is_resolved);
   CPPUNIT_TEST(test_conflicting_commit_is_refused);
   CPPUNIT_TEST(test_primary_replaced_within_a_transaction);
-  CPPUNIT_TEST(test_calls_at_a_lost_machine_end_once_a_primary_is_known);
-  CPPUNIT_TEST(test_work_that_waits_for_a_lost_machine_goes_to_its_successor);
+  CPPUNIT_TEST(test_calls_at_a_lost_primary_end_once_a_new_primary_is_known);
+  CPPUNIT_TEST(test_work_waiting_for_a_lost_primary_moves_to_its_successor);
   CPPUNIT_TEST(test_drain_answers_what_is_in_flight);
   CPPUNIT_TEST(test_drain_lets_a_transaction_commit);
   CPPUNIT_TEST_SUITE_END();
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(entries(deployment, caller).empty());
   }
 
-  void test_caller_gone_while_it_begins() {
+  void test_caller_disconnect_during_begin_rolls_back() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(0);
     auto request = deployment.next_request(caller, StatementKind::kWrite, "");
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("0"), open_transactions(deployment, 0));
   }
 
-  void test_frozen_primary_holds_nobody_to_the_deadline() {
+  void test_calls_at_a_frozen_primary_end_before_the_deadline() {
     ProxyWorld deployment;
     auto& caller = deployment.add_caller(0);
     auto& other = deployment.add_caller(0);
@@ -186,7 +186,7 @@
   }
 
   /// Two transactions about to execute and to commit, and an idle one.
-  void test_calls_at_a_lost_machine_end_once_a_primary_is_known() {
+  void test_calls_at_a_lost_primary_end_once_a_new_primary_is_known() {
     ProxyWorld deployment;
     auto& executing = deployment.add_caller(0);
     auto& committing = deployment.add_caller(0);
@@ -212,7 +212,7 @@
   }
 
   /// They wait for a connection that will never be accepted, and nothing of them was sent.
-  void test_work_that_waits_for_a_lost_machine_goes_to_its_successor() {
+  void test_work_waiting_for_a_lost_primary_moves_to_its_successor() {
     ProxyWorldSettings settings;
     settings.connections = 2;  // one for each proxy
     ProxyWorld deployment(settings);
--- a/tests/declared/proxy/replica_reads_test.cpp
+++ b/tests/declared/proxy/replica_reads_test.cpp
@@ -21,14 +21,14 @@
 
 class ReplicaReadsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaReadsTest);
-  CPPUNIT_TEST(test_read_after_write_is_held_and_served_by_a_replica);
+  CPPUNIT_TEST(test_read_after_write_is_held_until_a_replica_can_serve_it);
   CPPUNIT_TEST(test_read_with_little_time_goes_to_the_primary_at_once);
   CPPUNIT_TEST(test_route_without_wait_reads_at_the_primary_at_once);
-  CPPUNIT_TEST(test_lost_replicas_are_not_waited_for);
+  CPPUNIT_TEST(test_reads_do_not_wait_for_lost_replicas);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_read_after_write_is_held_and_served_by_a_replica() {
+  void test_read_after_write_is_held_until_a_replica_can_serve_it() {
     ProxyWorld deployment(lagging());
     auto& caller = learn_lag(deployment);
     for (int round = 0; round < 10; ++round) {
@@ -56,7 +56,7 @@
     assert_primary_at_once(deployment, caller, seconds(5));
   }
 
-  void test_lost_replicas_are_not_waited_for() {
+  void test_reads_do_not_wait_for_lost_replicas() {
     ProxyWorld deployment(lagging());
     auto& caller = learn_lag(deployment);
     deployment.world().kill(ProxyWorld::database(1));
--- a/tests/wire/format_samples.cpp
+++ b/tests/wire/format_samples.cpp
@@ -215,7 +215,7 @@
 /// The hop is HTTP; it has no decoder of its own.
 void add_forward_hop(Samples& samples) {
   const auto unread = [](const std::string& bytes, Reason&) { return std::optional<std::string>(bytes); };
-  declared::proxy::LedgerQuestion question{{SessionName("session"), 8}, DatabaseName("decks"), "key", {}, {}};
+  declared::proxy::LedgerQuery question{{SessionName("session"), 8}, DatabaseName("decks"), "key", {}, {}};
   question.labels.entries["tier"] = "gold";
   const auto resolve = declared::proxy::resolve_request(question);
   const auto hop =
