--- a/src/declared/backend/connection_pool.cpp
+++ b/src/declared/backend/connection_pool.cpp
@@ -88,24 +88,24 @@
   }
 }
 
-std::uint32_t ConnectionPool::target_size(std::size_t waiting) const {
+std::uint32_t ConnectionPool::target_connections(std::size_t waiting) const {
   const auto in_use = statistics_.in_use;
   const auto spare = in_use == 0 ? 0 : 1 + in_use / kInUsePerSpare;
   const auto now = runtime_.now();
-  std::uint32_t target_size = in_use + static_cast<std::uint32_t>(waiting);
+  std::uint32_t target_connections = in_use + static_cast<std::uint32_t>(waiting);
   if (now >= open_ahead_not_before_) {
-    target_size = std::max(target_size + spare, warm_);
+    target_connections = std::max(target_connections + spare, warm_);
   } else if (waiting > 0) {
     // Recent attempts failed: opens one connection at a time to detect that the backend has recovered.
-    target_size = std::min(target_size, in_use + statistics_.idle + 1);
+    target_connections = std::min(target_connections, in_use + statistics_.idle + 1);
   }
-  return std::min(target_size, share_);
+  return std::min(target_connections, share_);
 }
 
 void ConnectionPool::maintain(std::size_t waiting) {
   close_idle();
   if (runtime_.now() < open_not_before_) return;
-  const auto target_count = target_size(waiting);
+  const auto target_count = target_connections(waiting);
   while (held() < target_count) {
     ++statistics_.opening;
     runtime_.spawn("open_backend_connection", open_one());
--- a/src/declared/backend/connection_pool.h
+++ b/src/declared/backend/connection_pool.h
@@ -67,7 +67,7 @@
   void opening_failed(const Reason& reason);
   void close_idle();
   void drop_broken();
-  [[nodiscard]] std::uint32_t target_size(std::size_t waiting) const;
+  [[nodiscard]] std::uint32_t target_connections(std::size_t waiting) const;
   void update_idle_count() { statistics_.idle = static_cast<std::uint32_t>(idle_.size()); }
 
   runtime::Runtime& runtime_;
