--- a/src/declared/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -26,7 +26,8 @@
 }
 
 void BackendAdmission::maintain() {
-  const auto limit = urgent_is_pressed() ? allowance_.raise(limit_.limit()) : limit_.limit();
+  const auto limit =
+      urgent_is_under_deadline_pressure() ? allowance_.raised_limit(limit_.limit()) : limit_.limit();
   const auto permits = limit > running_ ? limit - running_ : 0;
   pool_.maintain(std::min<std::size_t>(waiting_for_connection(), permits));
 }
@@ -47,20 +48,22 @@
 
 Awaitable<bool> BackendAdmission::enter(AdmissionRequest request,
                                         std::shared_ptr<BackendConnection>* connection, Reason& reason) {
-  if (enter_at_once(connection)) {
-    if (connection != nullptr) maintain();  // keeps a spare one ready
+  if (try_enter(connection)) {
+    if (connection != nullptr) maintain();  // keeps a spare connection open
     co_return true;
   }
   if (!may_wait(request, reason)) co_return false;
   const auto key = queue_.make_key(request.priority_class, request.deadline);
-  if (!make_room(key)) co_return refuse(ReasonCode::kOverloaded, "the queue is full", reason);
+  if (!ensure_queue_capacity(key))
+    co_return refuse(ReasonCode::kOverloaded, "the admission queue is full", reason);
   auto waiter = std::make_shared<Waiter>(runtime_);
   waiter->needs_connection = connection != nullptr;
   queue_.insert(key, waiter);
   if (request.cancellation != nullptr) {
     request.cancellation->set([this, key, waiter] { cancel(key, waiter); });
   }
-  // A statement of an open transaction has its connection: it need not wait behind those that have none.
+  // Statements of open transactions already have a connection, so they can be admitted ahead of statements
+  // that wait for one.
   dispatch();
   maintain();
   while (!waiter->decided) {
@@ -69,7 +72,8 @@
     queue_.erase(key);
     waiter->decided = true;
     ++statistics_.timed_out;
-    co_return refuse(ReasonCode::kOverloaded, "too little time was left in the queue", reason);
+    co_return refuse(ReasonCode::kOverloaded,
+                     "still queued when too little time was left to run before the deadline", reason);
   }
   if (waiter->refusal) {
     reason = std::move(*waiter->refusal);
@@ -79,7 +83,7 @@
   co_return true;
 }
 
-bool BackendAdmission::enter_at_once(std::shared_ptr<BackendConnection>* connection) {
+bool BackendAdmission::try_enter(std::shared_ptr<BackendConnection>* connection) {
   if (!queue_.empty() || is_paused() || running_ >= limit_.limit()) return false;
   if (connection != nullptr) {
     *connection = pool_.take();
@@ -94,15 +98,17 @@
 bool BackendAdmission::may_wait(const AdmissionRequest& request, Reason& reason) {
   const auto now = runtime_.now();
   if (request.deadline <= now) {
-    return refuse(ReasonCode::kDeadlineExceeded, "the deadline has passed", reason);
+    return refuse(ReasonCode::kDeadlineExceeded, "the deadline passed before admission", reason);
   }
-  // Only statements that run tell how long one takes now: without them nobody is refused on an estimate.
+  // The latency estimate is current only while statements run: below the limit nothing is refused because of
+  // it.
   if (running_ < limit_.limit()) return true;
   const admission::AdmissionKey key{request.priority_class, request.deadline, 0};
   const auto needed = expected_wait(queue_.ahead_of(key), limit_for(key)) + limit_.expected_latency();
   if (now + needed <= request.deadline) return true;
   ++statistics_.refused_early;
-  return refuse(ReasonCode::kOverloaded, "the queue is too long for the deadline", reason);
+  return refuse(ReasonCode::kOverloaded, "the expected wait in the admission queue exceeds the deadline",
+                reason);
 }
 
 Duration BackendAdmission::expected_wait(std::size_t ahead, std::uint32_t at_once) const {
@@ -110,18 +116,21 @@
 }
 
 std::uint32_t BackendAdmission::limit_for(const admission::AdmissionKey& key) const {
-  return key.is_urgent() ? allowance_.raise(limit_.limit()) : limit_.limit();
+  return key.is_urgent() ? allowance_.raised_limit(limit_.limit()) : limit_.limit();
 }
 
-bool BackendAdmission::is_pressed(const admission::AdmissionKey& key, std::size_t ahead) const {
-  return latest_start(key.deadline) - runtime_.now() < kPressedWaits * expected_wait(ahead, limit_.limit());
+bool BackendAdmission::is_under_deadline_pressure(const admission::AdmissionKey& key,
+                                                  std::size_t ahead) const {
+  return latest_start(key.deadline) - runtime_.now() <
+         kDeadlinePressureWaits * expected_wait(ahead, limit_.limit());
 }
 
-bool BackendAdmission::urgent_is_pressed() const {
+bool BackendAdmission::urgent_is_under_deadline_pressure() const {
   if (queue_.urgent() == 0) return false;
   const auto& entries = queue_.entries();
   const auto last = std::prev(entries.upper_bound({admission::kUrgentClass, TimePoint::max(), UINT64_MAX}));
-  return is_pressed(entries.begin()->first, 0) || is_pressed(last->first, queue_.urgent() - 1);
+  return is_under_deadline_pressure(entries.begin()->first, 0) ||
+         is_under_deadline_pressure(last->first, queue_.urgent() - 1);
 }
 
 TimePoint BackendAdmission::latest_start(TimePoint deadline) const {
@@ -129,17 +138,17 @@
 }
 
 Duration BackendAdmission::suggested_retry_after() const {
-  return std::max(kShortestRetryAfter, expected_wait(queue_.size(), limit_.limit()));
+  return std::max(kMinRetryAfter, expected_wait(queue_.size(), limit_.limit()));
 }
 
-bool BackendAdmission::make_room(const admission::AdmissionKey& key) {
+bool BackendAdmission::ensure_queue_capacity(const admission::AdmissionKey& key) {
   if (queue_.size() < kQueueLimit) return true;
   const auto last = std::prev(queue_.entries().end());
   ++statistics_.refused_early;
   if (last->first < key) return false;
   const auto evicted = last->second;
   Reason reason;
-  refuse(ReasonCode::kOverloaded, "more urgent statements fill the queue", reason);
+  refuse(ReasonCode::kOverloaded, "evicted from the full admission queue by a more urgent statement", reason);
   evicted->refusal = std::move(reason);
   decide(admission::AdmissionKey(last->first), evicted);
   return true;
@@ -152,8 +161,8 @@
 
 void BackendAdmission::cancel(const admission::AdmissionKey& key, const std::shared_ptr<Waiter>& waiter) {
   if (waiter->decided) return;
-  waiter->refusal =
-      Reason{ReasonCode::kCancelled, "admit_to_backend", backend_.value, "it is wanted no more"};
+  waiter->refusal = Reason{ReasonCode::kCancelled, "admit_to_backend", backend_.value,
+                           "the wait for admission was cancelled"};
   decide(key, waiter);
 }
 
@@ -165,14 +174,14 @@
 
 void BackendAdmission::dispatch() {
   if (is_paused()) return;
-  const bool pressed = urgent_is_pressed();
+  const bool pressed = urgent_is_under_deadline_pressure();
   auto entry = queue_.entries().begin();
   while (entry != queue_.entries().end()) {
     const auto key = entry->first;
     if (running_ >= (pressed ? limit_for(key) : limit_.limit())) break;
     const auto waiter = entry->second;
     ++entry;
-    if (latest_start(key.deadline) <= runtime_.now()) continue;  // its own timer is about to end its wait
+    if (latest_start(key.deadline) <= runtime_.now()) continue;  // its own timer is about to end the wait
     if (waiter->needs_connection) {
       waiter->connection = pool_.take();
       if (!waiter->connection) continue;
@@ -184,12 +193,12 @@
 }
 
 void BackendAdmission::refuse_all_without_connection(const Reason& reason) {
-  const auto waiting = queue_.entries();  // decide() changes the queue
+  const auto waiting = queue_.entries();  // copied because decide() changes the queue
   for (const auto& [key, waiter] : waiting) {
     if (!waiter->needs_connection) continue;
     ++statistics_.unreachable;
     waiter->refusal = reason;
-    // Whatever kept the connection from opening, the backend can't be reached now.
+    // Reported as unreachable, whatever prevented the connection from opening.
     if (reason.code != ReasonCode::kOverloaded) waiter->refusal->code = ReasonCode::kUnreachable;
     decide(key, waiter);
   }
@@ -200,8 +209,8 @@
   dispatch();
 }
 
-void BackendAdmission::give_back(std::shared_ptr<BackendConnection> connection) {
-  pool_.give_back(std::move(connection));
+void BackendAdmission::return_connection(std::shared_ptr<BackendConnection> connection) {
+  pool_.return_connection(std::move(connection));
   dispatch();
 }
 
@@ -218,7 +227,7 @@
   } else {
     limit_.busy(runtime_.now());
   }
-  paused_until_ = runtime_.now() + std::clamp(retry_after, kShortestRetryAfter, kLongestBusyPause);
+  paused_until_ = runtime_.now() + std::clamp(retry_after, kMinRetryAfter, kMaxBusyPause);
   if (resuming_) return;
   resuming_ = true;
   runtime_.spawn("admission_resume", resume_after_pause());
--- a/src/declared/proxy/calls/caller_api.h
+++ b/src/declared/proxy/calls/caller_api.h
@@ -94,7 +94,7 @@
   /// be forwarded to the domain's proxies.
   bool admit(const Domain& domain, bool forwarded, Reason& reason) const;
   /// Whether callers should use another proxy; calls that still arrive may be served.
-  [[nodiscard]] bool sends_callers_elsewhere() const;
+  [[nodiscard]] bool redirects_callers() const;
   [[nodiscard]] ParseContext parse_context(const runtime::HttpRequest& request) const;
   runtime::HttpResponse refuse_now(Reason reason);
   /// Sets the time after which a proxy with an expired lease may serve again: the lease is renewed with the
--- a/src/declared/proxy/forwarding/hop_pool.cpp
+++ b/src/declared/proxy/forwarding/hop_pool.cpp
@@ -18,11 +18,11 @@
   peer_->released.notify_one();
 }
 
-Awaitable<bool> HopPool::wait_for_room(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason) {
+Awaitable<bool> HopPool::wait_for_capacity(std::shared_ptr<Peer> peer, TimePoint deadline, Reason& reason) {
   while (peer->in_use >= kHopConnections) {
     const bool released = co_await peer->released.wait_until(deadline);
     if (released) continue;
-    reason = Reason{ReasonCode::kOverloaded, "open_hop", "", "too many statements are being forwarded"};
+    reason = Reason{ReasonCode::kOverloaded, "open_hop", "", "all connections to the proxy are in use"};
     co_return false;
   }
   co_return true;
@@ -31,9 +31,9 @@
 Awaitable<HopPool::HopPointer> HopPool::acquire(Endpoint endpoint, TimePoint deadline, Reason& reason) {
   auto& known = peers_[endpoint];
   if (!known) known = std::make_shared<Peer>(runtime_);
-  const auto peer = known;  // drop_idle() may forget it meanwhile
-  const bool has_room = co_await wait_for_room(peer, deadline, reason);
-  if (!has_room) co_return nullptr;
+  const auto peer = known;  // drop_idle() may remove the entry meanwhile
+  const bool has_capacity = co_await wait_for_capacity(peer, deadline, reason);
+  if (!has_capacity) co_return nullptr;
   ++peer->in_use;
   while (!peer->idle.empty()) {
     auto connection = std::move(peer->idle.back().connection);
--- a/tests/declared/backend/backend_admission_test.cpp
+++ b/tests/declared/backend/backend_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission to one backend: order of the queue, early refusal, opening ahead of need, what failures do.
+// Tests admission to one backend: queue order, early refusal, opening ahead of need, failure handling.
 #include "declared/backend/backend_admission.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What became of one caller's statement.
+/// Outcome of one caller's statement.
 struct CallResult {
   std::string text;
   bool admitted = false;
@@ -47,7 +47,7 @@
   results.push_back(std::move(result));
 }
 
-/// Begins a transaction and keeps it open for `idle`, then runs one statement in it and commits.
+/// Begins a transaction, keeps it idle for `idle`, then runs one statement in it and commits.
 Awaitable<void> run_transaction(runtime::Runtime& runtime, BackendAdmission& admission,
                                 AdmissionRequest request, Duration idle, CallResults& results) {
   CallResult result;
@@ -72,24 +72,24 @@
 
 class BackendAdmissionTest : public AdmissionFixture<CallResult> {
   CPPUNIT_TEST_SUITE(BackendAdmissionTest);
-  CPPUNIT_TEST(test_opening_delay_is_not_on_the_way_of_a_warm_backend);
+  CPPUNIT_TEST(test_warm_backend_has_no_opening_delay);
   CPPUNIT_TEST(test_growing_load_finds_connections_open);
   CPPUNIT_TEST(test_runs_no_more_than_the_limit);
-  CPPUNIT_TEST(test_queue_goes_by_priority_then_deadline);
-  CPPUNIT_TEST(test_refuses_early_what_cannot_make_its_deadline);
+  CPPUNIT_TEST(test_queue_orders_by_priority_then_deadline);
+  CPPUNIT_TEST(test_refuses_early_if_the_deadline_cannot_be_met);
   CPPUNIT_TEST(test_urgent_statement_is_not_refused_for_less_urgent_ones);
   CPPUNIT_TEST(test_full_queue_evicts_the_least_urgent);
-  CPPUNIT_TEST(test_backend_refusing_connections_is_the_hard_stop);
+  CPPUNIT_TEST(test_connections_refused_by_the_backend_limit_admission);
   CPPUNIT_TEST(test_unreachable_backend_fails_waiters_at_once);
-  CPPUNIT_TEST(test_unreachable_backend_is_tried_by_one_at_a_time);
-  CPPUNIT_TEST(test_broken_connections_are_not_used_again);
+  CPPUNIT_TEST(test_unreachable_backend_is_tried_with_one_connection_at_a_time);
+  CPPUNIT_TEST(test_broken_connections_are_not_reused);
   CPPUNIT_TEST(test_idle_connections_are_closed_down_to_the_warm_ones);
   CPPUNIT_TEST(test_smaller_share_closes_connections);
   CPPUNIT_TEST(test_new_endpoint_replaces_connections);
   CPPUNIT_TEST(test_idle_transaction_holds_no_permit);
-  CPPUNIT_TEST(test_open_transactions_are_not_held_up_by_who_waits_for_a_connection);
+  CPPUNIT_TEST(test_open_transactions_do_not_wait_behind_statements_without_a_connection);
   CPPUNIT_TEST(test_busy_answers_lower_the_limit);
-  CPPUNIT_TEST(test_busy_backend_is_sent_nothing_for_a_pause);
+  CPPUNIT_TEST(test_busy_backend_is_sent_nothing_during_the_pause);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -98,7 +98,7 @@
     set_capacity({20, 4, 2});
   }
 
-  void test_opening_delay_is_not_on_the_way_of_a_warm_backend() {
+  void test_warm_backend_has_no_opening_delay() {
     admission_->maintain();
     world_->run_for(milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(2U, script_->open);
@@ -112,7 +112,7 @@
   void test_growing_load_finds_connections_open() {
     admission_->maintain();
     world_->run_for(milliseconds(20));
-    // The limit grows by one every 200 ms; each new statement at once needs one more connection.
+    // The limit grows by one every 200 ms; each concurrent statement needs one more connection.
     for (int round = 0; round < 500; ++round) {
       while (admission_->statistics().running < admission_->statistics().limit) start("s");
       world_->run_for(milliseconds(5));
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT(script_->most_running <= 10);
   }
 
-  void test_queue_goes_by_priority_then_deadline() {
+  void test_queue_orders_by_priority_then_deadline() {
     script_->statement_duration = milliseconds(20);
     set_capacity({2, 1, 2});
     warm_up_one();
@@ -149,13 +149,13 @@
     CPPUNIT_ASSERT(expected == script_->statements);
   }
 
-  void test_refuses_early_what_cannot_make_its_deadline() {
+  void test_refuses_early_if_the_deadline_cannot_be_met() {
     script_->statement_duration = milliseconds(100);
     set_capacity({2, 1, 2});
     warm_up_one();
     for (int statement = 0; statement < 6; ++statement) start("s", 1, seconds(2));
     start("hopeless", 1, milliseconds(150));
-    // It was refused without waiting; it would have had to wait for 100 ms at least and run as long.
+    // Refused without waiting: it would have waited at least 100 ms and then run for 100 ms.
     world_->run_for(milliseconds(1));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, results_.size());
     CPPUNIT_ASSERT_EQUAL(std::string("hopeless"), results_.front().text);
@@ -203,7 +203,7 @@
     CPPUNIT_ASSERT_EQUAL(kQueueLimit + 3, results_.size());
   }
 
-  void test_backend_refusing_connections_is_the_hard_stop() {
+  void test_connections_refused_by_the_backend_limit_admission() {
     script_->limit = 0;
     start("refused");
     world_->run_for(milliseconds(11));
@@ -236,7 +236,7 @@
     CPPUNIT_ASSERT(results_.back().admitted);
   }
 
-  void test_unreachable_backend_is_tried_by_one_at_a_time() {
+  void test_unreachable_backend_is_tried_with_one_connection_at_a_time() {
     script_->opening_failure = Reason{ReasonCode::kUnreachable, "connect", "b", "refused"};
     start("first");
     world_->run_for(milliseconds(20));
@@ -247,13 +247,13 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, results_.size());
   }
 
-  void test_broken_connections_are_not_used_again() {
+  void test_broken_connections_are_not_reused() {
     admission_->maintain();
     world_->run_for(milliseconds(20));
     script_->break_connections = true;
     start("a");
     start("b");
-    world_->run_for(milliseconds(8));  // a spare one is still being opened
+    world_->run_for(milliseconds(8));  // a spare connection is still being opened
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, admission_->pool_statistics().broken);
     CPPUNIT_ASSERT_EQUAL(0U, admission_->pool_statistics().idle);
     script_->break_connections = false;
@@ -318,7 +318,7 @@
     CPPUNIT_ASSERT(script_->most_running <= admission_->statistics().limit);
   }
 
-  void test_open_transactions_are_not_held_up_by_who_waits_for_a_connection() {
+  void test_open_transactions_do_not_wait_behind_statements_without_a_connection() {
     set_capacity({3, 4, 1});
     warm_up_one();
     for (int number = 0; number < 3; ++number) {
@@ -348,8 +348,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, admission_->statistics().busy_answers);
   }
 
-  /// What was refused comes back through the queue, by its priority, when the pause is over.
-  void test_busy_backend_is_sent_nothing_for_a_pause() {
+  /// After the pause statements are admitted by priority.
+  void test_busy_backend_is_sent_nothing_during_the_pause() {
     warm_up_one();
     script_->busy = true;
     start("refused");
@@ -359,7 +359,7 @@
     start("less urgent", 2);
     start("urgent", 0);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, script_->statements.size());
-    world_->run_for(kLongestBusyPause + milliseconds(50));
+    world_->run_for(kMaxBusyPause + milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, script_->statements.size());
     CPPUNIT_ASSERT_EQUAL(std::string("urgent"), script_->statements[1]);
     CPPUNIT_ASSERT_EQUAL(std::string("less urgent"), script_->statements[2]);
@@ -373,7 +373,7 @@
     runtime().spawn("call", call(runtime(), *admission_, text, request(priority_class, time), results_));
     world_->run_for(Duration(0));
   }
-  /// One statement, so that a connection is open and the latency is known; its traces are wiped.
+  /// Runs one statement so that a connection is open and the latency is known, then clears the records.
   void warm_up_one() {
     start("warm up");
     world_->run_for(seconds(2));
--- a/tests/declared/proxy/proxy_domains_test.cpp
+++ b/tests/declared/proxy/proxy_domains_test.cpp
@@ -1,5 +1,5 @@
-// A proxy before two domains: "north" decides on database "decks", "south" on "maps". Both declare objects of
-// the same names.
+// Tests a proxy with two domains: "north" owns database "decks", "south" owns "maps". Both declare objects
+// with the same names.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -36,18 +36,18 @@
 
 class ProxyDomainsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProxyDomainsTest);
-  CPPUNIT_TEST(a_lapsed_domain_is_refused_and_the_other_served);
+  CPPUNIT_TEST(a_domain_with_an_expired_lease_is_refused_and_the_other_served);
   CPPUNIT_TEST(a_domain_not_yet_reached_keeps_its_databases);
   CPPUNIT_TEST(a_transaction_ends_with_its_own_domain_only);
-  CPPUNIT_TEST(the_same_names_in_two_domains_are_two_things);
+  CPPUNIT_TEST(objects_of_the_same_name_in_two_domains_are_distinct);
   CPPUNIT_TEST(a_database_that_no_domain_owns_is_refused);
   CPPUNIT_TEST(a_proxy_of_another_domain_forwards);
   CPPUNIT_TEST(a_proxy_drained_by_its_own_domain_forwards_nothing);
-  CPPUNIT_TEST(diagnostics_tell_the_domains_apart);
+  CPPUNIT_TEST(diagnostics_distinguish_the_domains);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_lapsed_domain_is_refused_and_the_other_served() {
+  void a_domain_with_an_expired_lease_is_refused_and_the_other_served() {
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     auto& caller = deployment.add_caller(0);
@@ -61,7 +61,7 @@
     south.set_answering(true);
     deployment.world().run_for(kLeaseOver);
     assert_done(write_south(deployment, caller));
-    // As one domain each: the other way round.
+    // The reverse case, in which north's lease expires.
     deployment.control().set_answering(false);
     deployment.world().run_for(kLeaseOver);
     assert_refused(deployment.write(caller, "three"), CallOutcome::kNotRun, ReasonCode::kLeaseExpired);
@@ -105,12 +105,12 @@
     assert_done(deployment.commit(of_north, lasting.transaction));
   }
 
-  void the_same_names_in_two_domains_are_two_things() {
+  void objects_of_the_same_name_in_two_domains_are_distinct() {
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     auto& caller = deployment.add_caller(0);
     assert_done(deployment.write(caller, "one"));
-    // South's primary and its position say nothing of north's group of that name.
+    // South's primary and its position must not affect north's group of the same name.
     south.set_primary(ProxyWorld::group(), 9, BackendName("none"));
     deployment.world().run_for(seconds(1));
     assert_done(deployment.write(caller, "two"));
@@ -154,7 +154,7 @@
     assert_refused(write_south(deployment, caller), CallOutcome::kNotRun, ReasonCode::kDraining);
   }
 
-  void diagnostics_tell_the_domains_apart() {
+  void diagnostics_distinguish_the_domains() {
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     south.set_answering(false);
@@ -176,7 +176,7 @@
   }
 
  private:
-  /// South's control node, which declares the same databases and group, and these proxies.
+  /// Starts south's control node, which declares the same databases and group, and these proxies.
   static ControlStub& start_south(ProxyWorld& deployment,
                                   const std::vector<std::uint32_t>& proxies = {0, 1}) {
     deployment.world().start(
@@ -231,7 +231,7 @@
     CPPUNIT_ASSERT_MESSAGE(text, text.find(part) != std::string::npos);
   }
 
-  /// The value of the metric of that proxy; empty when there is none.
+  /// Value of the metric at that proxy; empty if there is none.
   static std::string metric(ProxyWorld& deployment, std::uint32_t proxy, const std::string& name) {
     const auto text = deployment.get(proxy, "/metrics").body;
     const std::string start = "\ncairnhollow_proxy_" + name + " ";
--- a/tests/declared/proxy/replica_reads_test.cpp
+++ b/tests/declared/proxy/replica_reads_test.cpp
@@ -1,4 +1,4 @@
-// Reads right after a session's own write, before replicas that lag.
+// Tests reads right after a session's own write, with replicas that lag.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/declared/proxy/proxy_world.h"
@@ -21,14 +21,14 @@
 
 class ReplicaReadsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplicaReadsTest);
-  CPPUNIT_TEST(test_read_after_write_is_held_and_served_by_a_replica);
+  CPPUNIT_TEST(test_read_after_write_is_held_until_a_replica_can_serve_it);
   CPPUNIT_TEST(test_read_with_little_time_goes_to_the_primary_at_once);
   CPPUNIT_TEST(test_route_without_wait_reads_at_the_primary_at_once);
-  CPPUNIT_TEST(test_lost_replicas_are_not_waited_for);
+  CPPUNIT_TEST(test_reads_do_not_wait_for_lost_replicas);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_read_after_write_is_held_and_served_by_a_replica() {
+  void test_read_after_write_is_held_until_a_replica_can_serve_it() {
     ProxyWorld deployment(lagging());
     auto& caller = learn_lag(deployment);
     for (int round = 0; round < 10; ++round) {
@@ -56,12 +56,12 @@
     assert_primary_at_once(deployment, caller, seconds(5));
   }
 
-  void test_lost_replicas_are_not_waited_for() {
+  void test_reads_do_not_wait_for_lost_replicas() {
     ProxyWorld deployment(lagging());
     auto& caller = learn_lag(deployment);
     deployment.world().kill(ProxyWorld::database(1));
     deployment.world().run_for(seconds(2));
-    // The other replica is left and serves; a write needs it too.
+    // The other replica remains and serves reads; writes also need it.
     const auto with_one = read_after_write(deployment, caller, seconds(5));
     CPPUNIT_ASSERT_MESSAGE(with_one.answer.reason.to_string(), with_one.saw_own_write);
     CPPUNIT_ASSERT_EQUAL(ProxyWorld::database(2), with_one.answer.backend);
@@ -82,7 +82,7 @@
     return settings;
   }
 
-  /// A caller whose proxy has seen enough to know the replicas' lag.
+  /// Returns a caller whose proxy has observed enough to estimate the replicas' lag.
   static Caller& learn_lag(ProxyWorld& deployment) {
     auto& caller = deployment.add_caller(0);
     for (int round = 0; round < 40; ++round) {
