--- a/src/declared/control/follow/config_replica.h
+++ b/src/declared/control/follow/config_replica.h
@@ -34,7 +34,7 @@
     return machine_.changes_since(revision);
   }
   /// Returns the outcome of the change committed at log index `index`, or std::nullopt if it is not among the
-  /// last kOutcomesKept changes.
+  /// last kMaxRetainedOutcomes changes.
   [[nodiscard]] std::optional<config::ChangeOutcome> outcome_at(std::uint64_t index) const;
   /// Returns the highest revision that this node had applied by `time`; 0 if none of the retained revisions
   /// is that old.
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -33,7 +33,7 @@
 /// A request is held until there are changes or its hold time has elapsed; all due requests are answered, or
 /// refused if it fails, after one read barrier. A newer request on a connection replaces the open one. Lease
 /// renewals go before first configurations, which are sent one per turn of the event loop. Large updates in
-/// flight are limited (kLargeUpdateBytesAtOnce), so that first configurations neither exhaust memory nor
+/// flight are limited (kMaxLargeUpdateBytesInFlight), so that first configurations neither exhaust memory nor
 /// delay renewals; a follower above the limit gets kOverloaded at once and retries. References passed to the
 /// constructor are not owned and must outlive this object, which must live until the process ends.
 class FollowServer {
@@ -64,8 +64,9 @@
     bool confirmed = false;  ///< confirmed by a barrier; its first configuration is about to be sent
   };
   struct OutgoingAnswer {
-    std::string frame;            ///< an encoded answer
-    std::size_t large_bytes = 0;  ///< bytes counted against kLargeUpdateBytesAtOnce; 0 for a small answer
+    std::string frame;  ///< an encoded answer
+    std::size_t large_bytes =
+        0;  ///< bytes counted against kMaxLargeUpdateBytesInFlight; 0 for a small answer
     std::uint64_t large_update_id = 0;  ///< sequence number of a large update, from 1; 0 for a small answer
   };
   struct Follower {
@@ -103,7 +104,7 @@
   [[nodiscard]] bool may_send_update(std::size_t update_bytes) const;
   void send(const std::shared_ptr<Follower>& follower, const follow::FollowAnswer& answer);
   void release(const OutgoingAnswer& outgoing);
-  /// Closes the connection if the large update has not been sent within kLargeUpdateLimit.
+  /// Closes the connection if the large update has not been sent within kLargeUpdateTimeout.
   Awaitable<void> enforce_send_timeout(std::shared_ptr<Follower> follower, std::uint64_t large_update_id);
 
   runtime::Runtime& runtime_;
--- a/src/declared/control/follow/follower_registry.h
+++ b/src/declared/control/follow/follower_registry.h
@@ -30,7 +30,7 @@
   void record_request(const NodeName& node, const ZoneName& zone, const follow::FollowRequest& request);
   /// Records that a lease was granted for a request that arrived at `arrived`.
   void record_lease(const NodeName& node, TimePoint arrived);
-  /// Removes proxies whose lease expired more than kLapsedFollowerKept before `now`.
+  /// Removes proxies whose lease expired more than kExpiredFollowerRetention before `now`.
   void remove_expired(TimePoint now);
 
   [[nodiscard]] std::vector<FollowerStatus> list() const;
--- a/src/declared/control/operator/event_log.h
+++ b/src/declared/control/operator/event_log.h
@@ -9,7 +9,7 @@
 
 namespace cairnhollow::declared::control {
 
-/// Keeps the last kEventsKept events. `runtime` is not owned and must outlive this object.
+/// Keeps the last kMaxRetainedEvents events. `runtime` is not owned and must outlive this object.
 class EventLog : public EventSource {
  public:
   EventLog(runtime::Runtime& runtime, NodeName node) : runtime_(runtime), node_(std::move(node)) {}
