--- a/src/declared/backend/backend_admission.cpp
+++ b/src/declared/backend/backend_admission.cpp
@@ -174,11 +174,11 @@
 
 void BackendAdmission::dispatch() {
   if (is_paused()) return;
-  const bool pressed = urgent_is_under_deadline_pressure();
+  const bool under_pressure = urgent_is_under_deadline_pressure();
   auto entry = queue_.entries().begin();
   while (entry != queue_.entries().end()) {
     const auto key = entry->first;
-    if (running_ >= (pressed ? limit_for(key) : limit_.limit())) break;
+    if (running_ >= (under_pressure ? limit_for(key) : limit_.limit())) break;
     const auto waiter = entry->second;
     ++entry;
     if (latest_start(key.deadline) <= runtime_.now()) continue;  // its own timer is about to end the wait
--- a/src/declared/proxy/domain/probe_schedule.h
+++ b/src/declared/proxy/domain/probe_schedule.h
@@ -19,8 +19,8 @@
   Duration since_read{0};  ///< since the group's last read
 };
 
-/// Number of probes that a domain may make in a round if a round begins every `interval`: the domain's part
-/// of one kFreshnessProbeCoreDivisor-th of a core, divided equally among the proxy's `domains`; at least one.
+/// Number of probes that a domain may make in a round if a round begins every `interval`: what its equal
+/// part, among the proxy's `domains`, of 1 / kFreshnessProbeCoreDivisor of a core pays for; at least one.
 std::size_t probes_per_round(Duration interval, std::size_t domains);
 
 /// Returns all candidates if there are at most `allowed`. Otherwise returns at most `allowed` of those whose
--- a/tests/declared/proxy/proxy_domains_test.cpp
+++ b/tests/declared/proxy/proxy_domains_test.cpp
@@ -20,7 +20,7 @@
 const Endpoint kNorthControl{"10.0.3.1", 8000};
 const Endpoint kSouthControl{"10.0.3.2", 8000};
 constexpr const char* kSouthDatabase = "maps";
-constexpr Duration kLeaseOver = seconds(3);
+constexpr Duration kPastLeaseExpiry = seconds(3);
 
 void follow_both(ProxySettings& proxy) {
   proxy.control_endpoints.clear();
@@ -54,16 +54,16 @@
     assert_done(write_south(deployment, caller));
     assert_done(deployment.write(caller, "one"));
     south.set_answering(false);
-    deployment.world().run_for(kLeaseOver);
-    assert_lapsed_at_once(deployment, caller);
+    deployment.world().run_for(kPastLeaseExpiry);
+    assert_lease_expired_at_once(deployment, caller);
     assert_done(deployment.write(caller, "two"));
     assert_done(deployment.read(caller));
     south.set_answering(true);
-    deployment.world().run_for(kLeaseOver);
+    deployment.world().run_for(kPastLeaseExpiry);
     assert_done(write_south(deployment, caller));
     // The reverse case, in which north's lease expires.
     deployment.control().set_answering(false);
-    deployment.world().run_for(kLeaseOver);
+    deployment.world().run_for(kPastLeaseExpiry);
     assert_refused(deployment.write(caller, "three"), CallOutcome::kNotRun, ReasonCode::kLeaseExpired);
     assert_done(write_south(deployment, caller));
   }
@@ -79,7 +79,7 @@
     deployment.world().restart(ProxyWorld::proxy(0));
     deployment.world().run_for(seconds(1));
     auto& caller = deployment.add_caller(0);
-    assert_lapsed_at_once(deployment, caller);
+    assert_lease_expired_at_once(deployment, caller);
     assert_done(deployment.write(caller, "one"));
   }
 
@@ -95,7 +95,7 @@
     assert_done(lapsing);
     assert_done(lasting);
     south.set_answering(false);
-    deployment.world().run_for(kLeaseOver);
+    deployment.world().run_for(kPastLeaseExpiry);
     assert_refused(deployment.execute_in(of_south, lapsing.transaction, "one"), CallOutcome::kNotRun,
                    ReasonCode::kLeaseExpired);
     assert_refused(deployment.commit(of_south, lapsing.transaction), CallOutcome::kNotRun,
@@ -158,20 +158,20 @@
     ProxyWorld deployment(two_domains());
     auto& south = start_south(deployment);
     south.set_answering(false);
-    deployment.world().run_for(kLeaseOver);
+    deployment.world().run_for(kPastLeaseExpiry);
     CPPUNIT_ASSERT_EQUAL(std::string("0"), metric(deployment, 0, R"(lease_valid{domain="south"})"));
     CPPUNIT_ASSERT_EQUAL(std::string("1"), metric(deployment, 0, R"(lease_valid{domain="north"})"));
     const auto ready = deployment.get(0, "/readyz");
     CPPUNIT_ASSERT_EQUAL(200U, ready.status);
-    assert_holds(ready.body, R"("name":"north","ready":true)");
-    assert_holds(ready.body, R"("name":"south","ready":false)");
-    const auto lapsed = deployment.get(0, "/v1/explain?database=maps&partition_key=a&kind=write");
-    assert_holds(lapsed.body, R"("domain":"south")");
-    assert_holds(lapsed.body, R"("code":"lease_expired")");
+    assert_contains(ready.body, R"("name":"north","ready":true)");
+    assert_contains(ready.body, R"("name":"south","ready":false)");
+    const auto expired = deployment.get(0, "/v1/explain?database=maps&partition_key=a&kind=write");
+    assert_contains(expired.body, R"("domain":"south")");
+    assert_contains(expired.body, R"("code":"lease_expired")");
     const auto valid = deployment.get(0, "/v1/explain?database=decks&partition_key=a&kind=write");
-    assert_holds(valid.body, R"("domain":"north")");
+    assert_contains(valid.body, R"("domain":"north")");
     deployment.control().set_answering(false);
-    deployment.world().run_for(kLeaseOver);
+    deployment.world().run_for(kPastLeaseExpiry);
     CPPUNIT_ASSERT_EQUAL(503U, deployment.get(0, "/readyz").status);
   }
 
@@ -216,7 +216,7 @@
     return write_to(deployment, caller, kSouthDatabase);
   }
 
-  static void assert_lapsed_at_once(ProxyWorld& deployment, Caller& caller) {
+  static void assert_lease_expired_at_once(ProxyWorld& deployment, Caller& caller) {
     const TimePoint begun = deployment.world().now();
     const auto refused = write_south(deployment, caller);
     assert_refused(refused, CallOutcome::kNotRun, ReasonCode::kLeaseExpired);
@@ -224,10 +224,10 @@
     CPPUNIT_ASSERT(refused.retry_after > Duration(0));
     CPPUNIT_ASSERT(!refused.reason.peer.empty());
     CPPUNIT_ASSERT_EQUAL(std::string("admit_statement"), refused.reason.step);
-    assert_holds(refused.reason.detail, "domain south");
+    assert_contains(refused.reason.detail, "domain south");
   }
 
-  static void assert_holds(const std::string& text, const std::string& part) {
+  static void assert_contains(const std::string& text, const std::string& part) {
     CPPUNIT_ASSERT_MESSAGE(text, text.find(part) != std::string::npos);
   }
 
--- a/tests/declared/proxy/proxy_overload_test.cpp
+++ b/tests/declared/proxy/proxy_overload_test.cpp
@@ -120,9 +120,9 @@
 
  private:
   /// Sends one trip-end and `reads` map reads every `interval`, regardless of earlier answers.
-  static void offer(ProxyWorld& deployment, Caller& caller, Duration how_long, Duration interval,
+  static void offer(ProxyWorld& deployment, Caller& caller, Duration duration, Duration interval,
                     Tally& trip_ends, int reads, Tally& map_reads) {
-    for (Duration passed{0}; passed < how_long; passed += interval) {
+    for (Duration passed{0}; passed < duration; passed += interval) {
       auto trip_end = deployment.next_request(caller, StatementKind::kWrite,
                                               standins::callers::make_append_text(ProxyWorld::key(), "end"));
       trip_end.priority = Priority::kHigh;
