--- a/src/consensus/configuration.h
+++ b/src/consensus/configuration.h
@@ -1,4 +1,4 @@
-// Who is in the group, and what a quorum of it is (chapter 4).
+// Group configurations: their members and the quorum rules (chapter 4).
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 
 namespace cairnhollow::consensus {
 
-/// A member under one identity. A machine whose disk was replaced is another member of the same name.
+/// Identifies a member by name and disk identity. A machine whose disk was replaced is a different member
+/// with the same name.
 struct MemberKey {
   NodeName node;
   std::string identity;
@@ -21,27 +22,29 @@
 
 inline MemberKey key_of(const Member& member) { return MemberKey{member.node, member.identity}; }
 
-/// A group starts *unformed*: the settings name its members but no identity is known. A quorum of an
-/// unformed group is all of it, so that a disk lost during formation can't give one member two votes. The
-/// first leader learnt all identities with its votes and writes them down as the first entry.
+/// A group starts *unformed*: the settings name its members, but their identities are unknown. A quorum of an
+/// unformed group is all of its members, so that a disk lost during formation cannot give one member two
+/// votes. The first leader learns all identities from the votes it receives and appends them as the first log
+/// entry.
 struct Configuration {
   bool formed = false;
   std::vector<Member> members;
-  /// Set while in joint consensus (section 4.3): decisions then need a quorum of both lists.
+  /// Non-empty during joint consensus (section 4.3), when decisions need a quorum of both lists.
   std::vector<Member> next_members;
 
   [[nodiscard]] bool is_joint() const { return !next_members.empty(); }
   [[nodiscard]] bool empty() const { return members.empty(); }
-  /// The member of that name (and identity) in either list; null when there is none.
+  /// Returns the member with that name (and identity) from either list, or null if there is none.
   [[nodiscard]] const Member* find(const NodeName& node) const;
   [[nodiscard]] const Member* find(const MemberKey& key) const;
-  /// Whether a node under this identity is a member; in an unformed group the name alone counts.
+  /// Returns whether a node with this identity is a member. In an unformed group only the name is compared.
   [[nodiscard]] bool is_member(const MemberKey& key) const;
   [[nodiscard]] bool is_voter(const MemberKey& key) const;
-  /// Each member once, in order of name and identity; its role is that of the next list where it is in it.
+  /// Returns each member once, ordered by name and identity. A member of both lists has its role from the
+  /// next list.
   [[nodiscard]] std::vector<Member> all() const;
 
-  /// True when the voters for which `agrees` holds are a quorum.
+  /// Returns whether the voters for which `agrees` returns true form a quorum.
   [[nodiscard]] bool has_quorum(const std::function<bool(const Member&)>& agrees) const;
 
   template <class Archive>
@@ -50,13 +53,14 @@
   }
 };
 
-/// The configuration at each place of the log: the latest one in the log counts, committed or not.
+/// The configurations in the log by index. A server uses the latest one in its log, committed or not (section
+/// 4.1).
 class ConfigurationHistory {
  public:
   void reset(std::uint64_t index, Configuration configuration);
   void append(std::uint64_t index, Configuration configuration);
   void truncate_after(std::uint64_t index);
-  /// Forgets what is older than the configuration in effect at `index`.
+  /// Drops configurations older than the one in effect at `index`.
   void compact_to(std::uint64_t index);
 
   [[nodiscard]] const Configuration& latest() const { return by_index_.rbegin()->second; }
--- a/src/consensus/consensus.h
+++ b/src/consensus/consensus.h
@@ -1,5 +1,5 @@
-// Replicated log for a handful of control nodes (Raft: Ongaro and Ousterhout, USENIX ATC 2014; section
-// numbers in this folder refer to Ongaro's dissertation). Knows nothing of configuration.
+// Replicated log for a small group of control nodes (Raft: Ongaro and Ousterhout, USENIX ATC 2014; section
+// numbers in this folder refer to Ongaro's dissertation). Independent of the contents of commands.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 namespace cairnhollow::consensus {
 
-/// What the log drives. Called on the node's thread, in log order, exactly once per index and process.
+/// The state machine driven by the log. Called on the node's thread, in log order, exactly once per index and
+/// process.
 class ReplicatedStateMachine {
  public:
   virtual ~ReplicatedStateMachine() = default;
@@ -24,8 +25,8 @@
 
 enum class MemberRole : std::uint8_t { kVoter = 1, kLearner = 2 };
 
-/// A member of the consensus group. `identity` is new for every fresh disk, so that a wiped voter can
-/// never vote under its old one.
+/// A member of the consensus group. Every new disk gets a new `identity`, so that a voter whose disk was
+/// wiped cannot vote under its previous one.
 struct Member {
   NodeName node;
   std::string identity;
@@ -42,7 +43,7 @@
 
 enum class ServerState : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// For status pages and metrics.
+/// Status for status pages and metrics.
 struct ConsensusStatus {
   ServerState state = ServerState::kFollower;
   std::uint64_t term = 0;
@@ -58,31 +59,33 @@
  public:
   virtual ~Consensus() = default;
 
-  /// Appends a command; returns its index once it is committed and applied here. kNotLeader: not
-  /// appended. kOutcomeUnknown: leadership was lost while it was in flight; it may or may not commit.
+  /// Appends a command and returns its index once it is committed and applied locally. kNotLeader: not
+  /// appended. kOutcomeUnknown: leadership was lost while the command was in flight; it may or may not
+  /// commit.
   virtual Awaitable<std::optional<std::uint64_t>> propose(std::string command, TimePoint deadline,
                                                           Reason& reason) = 0;
-  /// A linearizable read index (section 6.4): a quorum round that began after this call. Works on any
-  /// member (a follower asks the leader). Returns once the local state machine has applied it. Calls
-  /// made while a round is under way share the next one.
+  /// Returns a linearizable read index (section 6.4), confirmed by a quorum round that began after this call,
+  /// once the local state machine has applied it. Works on any member: a follower asks the leader. Calls made
+  /// while a round is in progress share the next round.
   virtual Awaitable<std::optional<std::uint64_t>> read_barrier(TimePoint deadline, Reason& reason) = 0;
 
-  /// Member changes run on the leader, one at a time (section 4.2): kNotLeader names it where it is known,
-  /// kConflict: another change is under way, or the name or endpoint is taken. kOutcomeUnknown: asking again
-  /// is safe; a change that is done already succeeds.
-  /// A new voter is a learner until it has caught up; kDeadlineExceeded: it has not, and stays a learner. An
-  /// empty identity stands for that of the disk now found at the endpoint. A member's new endpoint or zone is
-  /// taken over the same way.
+  /// Membership changes run on the leader, one at a time (section 4.2). kNotLeader names the leader if known.
+  /// kConflict: another change is in progress, or the name or endpoint is in use. After kOutcomeUnknown the
+  /// call can be retried safely; a change that is already complete succeeds. A new voter is a learner until
+  /// it has caught up; if it does not catch up in time the call fails with kDeadlineExceeded and it stays a
+  /// learner. An empty identity means the identity of the disk found at the endpoint. A member's new endpoint
+  /// or zone is set by the same call.
   virtual Awaitable<bool> add_member(Member member, TimePoint deadline, Reason& reason) = 0;
-  /// A leader may remove itself; it hands over once that is committed.
+  /// A leader may remove itself; it transfers leadership once the removal is committed.
   virtual Awaitable<bool> remove_member(NodeName node, TimePoint deadline, Reason& reason) = 0;
-  /// Puts another machine, or the same one with a new disk, in place of a lost voter: a learner first, then
-  /// one joint step (section 4.3), so that a quorum never needs more voters than it did before.
+  /// Replaces a lost voter by another machine, or by the same one with a new disk. The replacement joins as a
+  /// learner and becomes a voter in one joint consensus step (section 4.3), so that the quorum size never
+  /// grows.
   virtual Awaitable<bool> replace_member(NodeName lost, Member replacement, TimePoint deadline,
                                          Reason& reason) = 0;
 
   [[nodiscard]] virtual ConsensusStatus status() const = 0;
-  /// Whether this node leads, for callers that ask often.
+  /// Returns whether this node is the leader. Cheaper than status(), for frequent calls.
   [[nodiscard]] virtual bool leads() const { return status().state == ServerState::kLeader; }
   [[nodiscard]] virtual std::uint64_t term() const { return status().term; }
 };
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -20,8 +20,8 @@
   Duration chosen = choose_timeout();
   last_campaign_ = runtime.now();
   while (!state_.halted_for_good()) {
-    // A leader that was just elected gets the usual time: its heartbeats may be further apart than the first
-    // timeout is long, and several who lose patience at once would depose it.
+    // After the first election, use the usual timeout: heartbeats may be further apart than the first
+    // timeout, and several servers timing out together would depose the new leader.
     if (is_first && !is_first_election()) chosen = choose_timeout();
     is_first = is_first_election();
     const bool may_campaign =
@@ -32,7 +32,7 @@
       transfer_requested_ = transfer_requested_ && may_campaign;
       const TimePoint wake = may_campaign ? deadline : runtime.now() + timeout;
       co_await changed_.wait_until(wake);
-      // Held up itself: what the leader said meanwhile is read before it is found silent.
+      // This server was delayed: process messages received meanwhile before declaring the leader silent.
       const Duration interval = state_.settings().heartbeat_interval;
       if (runtime.now() <= wake + interval || excused_ == since) continue;
       excused_ = since;
@@ -79,7 +79,7 @@
   }
   state_.become_candidate();
   const std::uint64_t term = state_.term();
-  const bool durable = co_await state_.persist_term_and_vote();  // until then its own vote does not count
+  const bool durable = co_await state_.persist_term_and_vote();  // its own vote counts only once durable
   if (!durable || state_.term() != term || state_.role() != ServerState::kCandidate) co_return;
   auto ballot = std::make_shared<Ballot>();
   ballot->request = make_request(false, term);
--- a/src/consensus/election.h
+++ b/src/consensus/election.h
@@ -1,4 +1,4 @@
-// Starts elections when no leader is heard (section 3.4), a pre-vote first (section 9.6).
+// Starts elections when the leader is not heard from (section 3.4), after a pre-vote (section 9.6).
 #pragma once
 
 #include <functional>
@@ -10,30 +10,31 @@
 
 namespace cairnhollow::consensus {
 
-/// Identities of the voters that granted a vote, by name: what an unformed group is formed from.
+/// Identities of the voters that granted a vote, by name. The first configuration of an unformed group is
+/// built from them.
 using VoterIdentities = std::map<NodeName, std::string>;
 
 class Election {
  public:
-  /// `elected` is called once per won election, after become_leader().
+  /// `elected` is called once for each election won, after become_leader().
   Election(RaftState& state, PeerTable& peers, std::function<void(VoterIdentities)> elected);
 
   /// Runs until the server halts.
   Awaitable<void> run();
-  /// The leader hands over: start an election at once, without pre-vote (section 3.10).
+  /// Starts an election immediately, without a pre-vote, for a leadership transfer (section 3.10).
   void start_now();
-  /// Role, term or configuration changed: look again.
+  /// Re-evaluates the election timer after a change of role, term or configuration.
   void notify() { changed_.notify_all(); }
 
  private:
-  /// Votes of one election or pre-vote. Kept by the coroutines that ask for them.
+  /// The votes of one election or pre-vote. Shared by the coroutines that request them.
   struct Ballot {
     VoteRequest request;
     VoterIdentities granted;
     std::size_t unanswered = 0;
   };
 
-  /// No leader was heard since the start, and the group was formed before it.
+  /// The group is formed and no leader has been heard from since this server started.
   [[nodiscard]] bool is_first_election() const;
   [[nodiscard]] Duration choose_timeout() const;
   void record_campaign(bool leadership_transfer) const;
@@ -49,8 +50,9 @@
   std::function<void(VoterIdentities)> elected_;
   runtime::Signal changed_;
   TimePoint last_campaign_;
-  TimePoint excused_{};      ///< the silence that began then was excused once, and is not again
-  TimePoint judged_from_{};  ///< until then this node was held up too lately to call the leader silent
+  TimePoint excused_{};  ///< start of the silence that was already excused once
+  TimePoint
+      judged_from_{};  ///< until then, this node's own delays are too recent to declare the leader silent
   bool transfer_requested_ = false;
   bool not_member_logged_ = false;
 };
--- a/src/consensus/flush_sequence.h
+++ b/src/consensus/flush_sequence.h
@@ -1,5 +1,4 @@
-// The order in which changes made in memory reach the disk: one write at a time, shared by all who wait for
-// it.
+// Writes in-memory changes to disk, one write at a time, shared by all callers waiting for it.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +11,26 @@
 
 class FlushSequence {
  public:
-  /// Writes what memory holds when it is called. False with the reason on failure.
+  /// Writes the in-memory state as of the call. Returns false and sets the reason on failure.
   using Write = std::function<Awaitable<bool>(Reason&)>;
 
-  /// What `write` refers to outlives the sequence.
+  /// Objects referenced by `write` must outlive this object.
   FlushSequence(runtime::Runtime& runtime, Write write) : write_(std::move(write)), flushed_(runtime) {}
 
-  /// Memory has changed since the last write began.
+  /// Records that memory has changed since the last write began.
   void record_change() { ++version_; }
 
-  /// Makes all changes noted before the call durable. Callers share one write. After a failure every call
-  /// fails with the same reason until retry(): what the disk holds is not known meanwhile.
+  /// Makes all changes recorded before the call durable. Concurrent callers share one write. After a failure
+  /// every call fails with the same reason until retry(), because the contents of the disk are unknown.
   Awaitable<bool> flush(Reason& reason);
-  /// Lets the next flush() write again, and write even if nothing has changed.
+  /// Allows the next flush() to write again, even if nothing has changed.
   void retry();
 
  private:
   Write write_;
   runtime::Signal flushed_;
-  std::uint64_t version_ = 0;          ///< grows with each change
-  std::uint64_t durable_version_ = 0;  ///< the last version wholly on disk
+  std::uint64_t version_ = 0;          ///< incremented by each change
+  std::uint64_t durable_version_ = 0;  ///< the latest version fully on disk
   bool writing_ = false;
   Reason failure_;
 };
--- a/src/consensus/frame_sender.h
+++ b/src/consensus/frame_sender.h
@@ -1,4 +1,4 @@
-// A bounded queue of frames in front of one connection, since a connection sends one frame at a time.
+// Bounded queue of frames for one connection, which sends one frame at a time.
 #pragma once
 
 #include <deque>
@@ -15,9 +15,10 @@
   FrameSender(runtime::Runtime& runtime, std::shared_ptr<runtime::FrameConnection> connection)
       : connection_(std::move(connection)), changed_(runtime) {}
 
-  /// False when the queue is full or the connection has ended.
+  /// Returns false if the queue is full or the connection has ended.
   bool push(std::string frame);
-  /// Sends until the connection breaks or close() is called; `self` keeps this object alive meanwhile.
+  /// Sends queued frames until the connection breaks or close() is called. `self` keeps this object alive
+  /// meanwhile.
   Awaitable<void> run(std::shared_ptr<FrameSender> self);
   /// Closes the connection and ends run().
   void close();
--- a/src/consensus/knobs.h
+++ b/src/consensus/knobs.h
@@ -9,38 +9,40 @@
 
 namespace cairnhollow::consensus {
 
-/// Proposals appended by this leader and not yet applied; further ones are refused with kOverloaded.
+/// Maximum number of proposals appended by this leader but not yet applied. Further proposals are refused
+/// with kOverloaded.
 inline constexpr std::size_t kMaxProposalsInFlight = 1024;
-/// Largest command accepted, in bytes.
+/// Maximum command size in bytes.
 inline constexpr std::size_t kMaxCommandBytes = std::size_t{4} << 20;
-/// Entries and bytes of one append request; a single larger entry still travels alone.
+/// Maximum entries and bytes of one append request. A larger single entry is sent alone.
 inline constexpr std::size_t kMaxAppendEntries = 256;
 inline constexpr std::size_t kMaxAppendBytes = std::size_t{256} << 10;
-/// Bytes of one snapshot chunk.
+/// Size of a snapshot chunk in bytes.
 inline constexpr std::size_t kSnapshotChunkBytes = std::size_t{64} << 10;
-/// Largest snapshot accepted from a leader, in bytes.
+/// Maximum size in bytes of a snapshot accepted from a leader.
 inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{1} << 30;
-/// Frames waiting for one peer's connection.
+/// Maximum number of frames queued for one peer connection.
 inline constexpr std::size_t kMaxQueuedFrames = 64;
-/// Requests of one incoming connection handled side by side.
+/// Maximum number of requests handled concurrently per incoming connection.
 inline constexpr std::size_t kMaxRequestsPerConnection = 32;
-/// Heartbeats to one peer that are not yet answered.
+/// Maximum number of unanswered heartbeats to one peer.
 inline constexpr std::size_t kMaxHeartbeatsInFlight = 4;
-/// Entries kept behind a snapshot so that a slightly slow follower needs no snapshot.
+/// Entries kept in the log after they are covered by a snapshot, so that a slightly lagging follower does not
+/// need the snapshot.
 inline constexpr std::uint64_t kLogTailEntries = 256;
-/// A learner is taken in as a voter once it lacks at most this many entries.
+/// A learner becomes a voter once it lacks at most this many entries.
 inline constexpr std::uint64_t kCaughtUpEntries = 16;
-/// Wait between attempts to connect to a peer: doubles from the first to the last value.
+/// Initial and maximum delay of the exponential backoff between connection attempts to a peer.
 inline constexpr Duration kFirstReconnectDelay = std::chrono::milliseconds(10);
 inline constexpr Duration kLastReconnectDelay = std::chrono::milliseconds(320);
-/// The same after a peer refused the Hello: one of the two must be upgraded first.
+/// Reconnect delay after a peer refused the Hello: one side must be upgraded first.
 inline constexpr Duration kRefusedReconnectDelay = std::chrono::seconds(5);
-/// Longest wait for one connection attempt.
+/// Timeout of one connection attempt.
 inline constexpr Duration kConnectTimeout = std::chrono::milliseconds(500);
-/// A disk that refused a write is tried again this often. A try costs one small file's write and sync, a
-/// leader elsewhere takes an election timeout (some 0.6 s) to come, so a few tries in that time are enough.
+/// Interval between attempts to write to a disk after a failed write. An attempt writes and syncs one small
+/// file; the interval allows several attempts within an election timeout.
 inline constexpr Duration kStorageRetryInterval = std::chrono::milliseconds(200);
-/// A connection with unanswered calls and no answer for this many election timeouts is replaced.
+/// A connection with unanswered calls is replaced after this many election timeouts without any answer.
 inline constexpr int kStalledElectionTimeouts = 3;
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/leadership.cpp
+++ b/src/consensus/leadership.cpp
@@ -16,7 +16,8 @@
 
 void Leadership::start(const std::shared_ptr<Leadership>& self, const VoterIdentities& voters) {
   if (state_.configuration().formed) {
-    append(EntryKind::kNoOperation, state_.self().value);  // the name is for people who read the log
+    append(EntryKind::kNoOperation,
+           state_.self().value);  // the name makes the entry identifiable in log dumps
   } else {
     Configuration formed = state_.configuration();
     formed.formed = true;
@@ -83,7 +84,7 @@
     const Duration interval = state_.settings().heartbeat_interval;
     const TimePoint due = state_.runtime().now() + interval;
     co_await progress_.wait_until(due);
-    // Held up itself: answers that came meanwhile are read before anyone is found silent.
+    // This server was delayed: process answers received meanwhile before declaring followers silent.
     const TimePoint now = state_.runtime().now();
     if (now > due + interval && !excused_) {
       excused_ = true;
@@ -137,7 +138,7 @@
   for (const auto& [key, replicator] : replicators_) candidates.insert(replicator->match_index());
   for (const std::uint64_t index : candidates) {
     if (index <= state_.commit_index()) return;
-    // Section 3.6.2: only entries of the leader's own term are committed by counting.
+    // Section 3.6.2: only entries of the leader's current term are committed by counting replicas.
     if (state_.log().term_at(index) != term_) return;
     // The leader applies only what is on its own disk.
     if (index > state_.log().durable_index()) continue;
@@ -164,7 +165,7 @@
 }
 
 void Leadership::step_down_if_removed() {
-  // Section 4.2.2: a leader manages the group until the configuration without it is committed.
+  // Section 4.2.2: a removed leader manages the group until the configuration without it is committed.
   if (!active() || state_.is_voter() || state_.history().latest_index() > state_.commit_index()) return;
   const auto heir = successor();
   if (heir) send_timeout_now(state_, peers_, *heir);
--- a/src/consensus/leadership.h
+++ b/src/consensus/leadership.h
@@ -1,4 +1,4 @@
-// What a leader does during one term: appends, decides what is committed, confirms that it still leads.
+// Leader duties during one term: appending entries, advancing the commit index, and confirming leadership.
 #pragma once
 
 #include <map>
@@ -14,32 +14,32 @@
  public:
   Leadership(RaftState& state, PeerTable& peers);
 
-  /// Appends the first entry of the term (no-op, or the formation of an unformed group) and starts to
-  /// replicate. `self` is kept by the loops.
+  /// Appends the first entry of the term (a no-op, or the configuration of an unformed group) and starts
+  /// replication. The loops keep `self` alive.
   void start(const std::shared_ptr<Leadership>& self, const VoterIdentities& voters);
-  /// The term of leadership is over: wakes all waiters and ends the loops.
+  /// Ends this term of leadership: wakes all waiters and ends the loops.
   void end();
   [[nodiscard]] bool active() const { return !ended_ && state_.is_leader_of(term_); }
   [[nodiscard]] std::uint64_t term() const { return term_; }
 
-  /// Appends an entry and returns its index; it is not durable and not committed yet.
+  /// Appends an entry and returns its index. The entry is neither durable nor committed on return.
   std::uint64_t append(EntryKind kind, std::string payload);
-  /// True once an entry of this term is committed: only then is the commit index known to be the
-  /// group's (section 6.4), and a member change safe (section 4.1).
+  /// Returns true once an entry of this term is committed. Only then is the commit index known to be current
+  /// for the group (section 6.4), and a membership change safe (section 4.1).
   [[nodiscard]] bool has_committed_own_entry() const;
 
-  /// Starts a round of heartbeats to all voters and returns its number.
+  /// Starts a round of heartbeats to all voters and returns the round's number.
   std::uint64_t begin_round();
-  /// True once a quorum answered a heartbeat of this round or a later one.
+  /// Returns true once a quorum has answered a heartbeat of this round or a later one.
   [[nodiscard]] bool is_round_confirmed(std::uint64_t round) const;
 
-  /// Notified when a round or the commit index may have moved on, and by end().
+  /// Notified when a round or the commit index may have advanced, and by end().
   [[nodiscard]] runtime::Signal& progress() { return progress_; }
-  /// Null when the member is not replicated to.
+  /// Returns null if there is no replication to this member.
   [[nodiscard]] std::shared_ptr<Replicator> replicator(const MemberKey& key) const;
-  /// Replicates to exactly the members of the latest configuration.
+  /// Starts and stops replicators to match the members of the latest configuration.
   void follow_configuration();
-  /// The other voter that holds most of the log and answered lately; empty when there is none.
+  /// Returns the most up-to-date other voter that answered recently, or std::nullopt if there is none.
   [[nodiscard]] std::optional<Member> successor() const;
 
  private:
@@ -60,8 +60,8 @@
   runtime::Signal appended_;
   std::map<MemberKey, std::shared_ptr<Replicator>> replicators_;
   std::uint64_t round_ = 0;
-  TimePoint judged_from_{};  ///< until then the leader was held up too lately to call others silent
-  bool excused_ = false;     ///< it was so once since it heard a quorum, and is not again
+  TimePoint judged_from_{};  ///< until then, the leader's own delays are too recent to declare others silent
+  bool excused_ = false;     ///< a delay was excused since the last quorum contact; the next one is not
   bool ended_ = false;
 };
 
--- a/src/consensus/leadership_transfer.h
+++ b/src/consensus/leadership_transfer.h
@@ -1,5 +1,5 @@
-// A leader that goes hands its place to another voter instead of leaving an election timeout of nobody
-// (section 3.10).
+// Leadership transfer to another voter (section 3.10), so that a stopping leader does not leave the group
+// without a leader for an election timeout.
 #pragma once
 
 #include <memory>
@@ -8,12 +8,12 @@
 
 namespace cairnhollow::consensus {
 
-/// Tells `heir` to start an election at once. Not waited for: a lost message costs the group one election
-/// timeout, nothing else.
+/// Tells `heir` to start an election immediately. Does not wait for an answer: if the message is lost, an
+/// election follows after the usual timeout.
 void send_timeout_now(RaftState& state, PeerTable& peers, const Member& heir);
 
-/// Brings the best successor up to date, tells it to take over and waits until it has. The caller keeps
-/// further entries out. False when there is no successor or `deadline` passed first.
+/// Brings the best successor's log up to date, tells it to take over, and waits until it has. The caller must
+/// prevent further appends. Returns false if there is no successor or if `deadline` passes first.
 Awaitable<bool> transfer_leadership(RaftState& state, PeerTable& peers,
                                     std::shared_ptr<Leadership> leadership, TimePoint deadline);
 
--- a/src/consensus/log.cpp
+++ b/src/consensus/log.cpp
@@ -12,7 +12,7 @@
   first_unwritten_ = last_index() + 1;
   durable_index_ = base_.index;
   flushes_.record_change();                         // the first flush syncs what was read
-  rewrite_ = entries_.empty() && base_.index == 0;  // no file yet, or one that holds nothing
+  rewrite_ = entries_.empty() && base_.index == 0;  // no file yet, or one without entries
   return true;
 }
 
--- a/src/consensus/log_entry.h
+++ b/src/consensus/log_entry.h
@@ -10,8 +10,8 @@
 
 enum class EntryKind : std::uint8_t {
   kNoOperation = 0,    ///< appended by a new leader so that its term has an entry (section 6.4)
-  kCommand = 1,        ///< handed to the state machine
-  kConfiguration = 2,  ///< an encoded Configuration; in effect as soon as it is in the log (section 4.1)
+  kCommand = 1,        ///< applied to the state machine
+  kConfiguration = 2,  ///< an encoded Configuration, in effect as soon as it is appended (section 4.1)
 };
 
 struct LogEntry {
--- a/src/consensus/log_file.cpp
+++ b/src/consensus/log_file.cpp
@@ -12,7 +12,7 @@
                 fmt::format("{} at offset {}: {}", kLogFileName, offset, what)};
 }
 
-/// Set when a newer build wrote the record or the command in it.
+/// Returns a reason if a newer build wrote the record or the command in it.
 std::optional<Reason> made_by_newer_build(std::uint64_t offset, const std::string& bytes) {
   const auto unreadable = wire::unreadable_format(bytes);
   if (!unreadable) return std::nullopt;
@@ -20,12 +20,12 @@
                 fmt::format("{} at offset {}: {}", kLogFileName, offset, *unreadable)};
 }
 
-/// A record without an entry, written behind entries that are synced and itself synced with the next ones.
-/// When it survives, damage to the last entries is told from a torn tail.
+/// Makes a record without an entry, written after entries that are synced and made durable by the next sync.
+/// If it survives, damage to the preceding entries is known not to be a torn tail.
 std::string make_sync_mark(std::uint64_t synced_size) { return make_record("", synced_size); }
 bool is_sync_mark(const Record& record) { return record.payload.empty(); }
 
-/// True when a record behind `offset` proves that the bytes at `offset` had been synced: what is damaged
+/// Returns whether a record after `offset` proves that the bytes at `offset` had been synced, so that damage
 /// there is not a torn tail.
 bool was_synced(const std::string& content, std::uint64_t offset) {
   for (auto later = find_record(content, offset); later; later = find_record(content, later->end)) {
@@ -55,7 +55,7 @@
   if (!reopen(reason)) return std::nullopt;
   const std::uint64_t whole_size = ends_.empty() ? header_end_ : ends_.back();
   if (file_->size() > whole_size && !file_->truncate(whole_size, reason)) return std::nullopt;
-  // What was read may sit in the system's cache only: it counts as synced after the next sync.
+  // The file contents may still be only in the page cache; they count as synced after the next sync.
   synced_size_ = header_end_;
   return log;
 }
@@ -111,7 +111,7 @@
   header_end_ = content.size();
   ends_.clear();
   for (const LogEntry& entry : entries) {
-    content += make_record(wire::encode(entry), content.size());  // the file is durable as one step
+    content += make_record(wire::encode(entry), content.size());  // the file becomes durable as a whole
     ends_.push_back(content.size());
   }
   content += make_sync_mark(content.size());
--- a/src/consensus/log_file.h
+++ b/src/consensus/log_file.h
@@ -1,5 +1,5 @@
-// The log on disk: a header record (what was compacted away), one record an entry, and marks behind what
-// was synced.
+// The on-disk log: a header record with the compacted base, one record per entry, and marks after synced
+// entries.
 #pragma once
 
 #include <deque>
@@ -13,7 +13,7 @@
 
 namespace cairnhollow::consensus {
 
-/// The last entry that is no longer in the log because a snapshot covers it; zero: none.
+/// The last entry covered by a snapshot and removed from the log; index 0 if there is none.
 struct LogBase {
   std::uint64_t index = 0;
   std::uint64_t term = 0;
@@ -29,21 +29,21 @@
   std::vector<LogEntry> entries;
 };
 
-/// One operation at a time; Log takes care of that.
+/// Not safe for concurrent operations; Log serializes them.
 class LogFile {
  public:
   explicit LogFile(runtime::Storage& storage) : storage_(storage) {}
 
-  /// Reads the file; a missing one is an empty log. A torn tail that was never synced is left out. Fails
-  /// with kCorrupt, naming file and offset, when bytes that had been synced are damaged, and with
-  /// kUnsupported when a newer build wrote an entry; the file stays as it is.
+  /// Reads the file; a missing file is an empty log. A torn tail that was never synced is dropped. Fails with
+  /// kCorrupt, naming file and offset, if synced bytes are damaged, and with kUnsupported if a newer build
+  /// wrote an entry. The file is left unchanged on failure.
   std::optional<RecoveredLog> recover(Reason& reason);
 
-  /// Replaces the whole file by `base` and `entries`, durably.
+  /// Durably replaces the whole file by `base` and `entries`.
   Awaitable<bool> rewrite(LogBase base, std::vector<LogEntry> entries, Reason& reason);
 
-  /// Cuts off entries from `first_index` on, appends `entries`, and syncs. The cut is synced before
-  /// anything is appended: a crash never leaves old entries behind new ones.
+  /// Truncates the entries from `first_index` on, appends `entries`, and syncs. The truncation is synced
+  /// before anything is appended, so that a crash never leaves old entries after new ones.
   Awaitable<bool> write_from(std::uint64_t first_index, std::vector<LogEntry> entries, Reason& reason);
 
   /// Index of the last entry in the file.
@@ -59,8 +59,8 @@
   std::unique_ptr<runtime::AppendFile> file_;
   LogBase base_;
   std::uint64_t header_end_ = 0;
-  std::deque<std::uint64_t> ends_;  ///< offset behind each entry, from base_.index + 1 on
-  std::uint64_t synced_size_ = 0;   ///< bytes of the file known to be durable
+  std::deque<std::uint64_t> ends_;  ///< end offset of each entry, from base_.index + 1 on
+  std::uint64_t synced_size_ = 0;   ///< number of bytes of the file known to be durable
 };
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/log_receiver.cpp
+++ b/src/consensus/log_receiver.cpp
@@ -20,7 +20,7 @@
 
 AppendAnswer LogReceiver::append(const NodeName& leader, std::uint64_t term, const AppendRequest& request) {
   if (!accept_leader(leader, term)) return AppendAnswer{false, 0};
-  // Committed entries are the same on every server (section 3.6.3), also where they are compacted away.
+  // Committed entries are identical on every server (section 3.6.3), including compacted ones.
   const bool matches = request.previous_index <= state_.commit_index() ||
                        state_.log().term_at(request.previous_index) == request.previous_term;
   if (!matches) return AppendAnswer{false, next_index_after_conflict(request)};
@@ -33,7 +33,7 @@
 std::uint64_t LogReceiver::next_index_after_conflict(const AppendRequest& request) const {
   const Log& log = state_.log();
   if (request.previous_index > log.last_index()) return log.last_index() + 1;
-  // Skip the whole conflicting term in one step (section 3.5, at its end).
+  // Skip the whole conflicting term in one step (end of section 3.5).
   const auto conflicting = log.term_at(request.previous_index);
   std::uint64_t index = request.previous_index;
   while (index > state_.commit_index() + 1 && log.term_at(index - 1) == conflicting) --index;
--- a/src/consensus/log_receiver.h
+++ b/src/consensus/log_receiver.h
@@ -1,4 +1,4 @@
-// The follower's side of replication (section 3.5) and of snapshot transfer (section 5.3).
+// The follower's side of log replication (section 3.5) and snapshot transfer (section 5.3).
 #pragma once
 
 #include <optional>
@@ -13,17 +13,17 @@
  public:
   explicit LogReceiver(RaftState& state) : state_(state) {}
 
-  /// Takes entries into memory; the caller persists before it answers, then calls commit().
+  /// Appends entries in memory. The caller must persist before answering, then call commit().
   AppendAnswer append(const NodeName& leader, std::uint64_t term, const AppendRequest& request);
   HeartbeatAnswer heartbeat(const NodeName& leader, std::uint64_t term, const HeartbeatRequest& request);
-  /// Commits and applies what the last messages allowed, as far as it is durable here.
+  /// Commits and applies up to the commit index received from the leader, as far as entries are durable here.
   void commit();
-  /// Takes one chunk; installs the snapshot with the last one.
+  /// Receives one chunk; the last chunk installs the snapshot.
   Awaitable<InstallSnapshotAnswer> install(NodeName leader, std::uint64_t term,
                                            InstallSnapshotRequest request);
 
  private:
-  /// Chunks of a snapshot received so far.
+  /// The chunks of a snapshot received so far.
   struct Assembly {
     LogBase last;
     std::string bytes;
@@ -36,7 +36,8 @@
 
   RaftState& state_;
   std::optional<Assembly> assembly_;
-  std::uint64_t allowed_commit_ = 0;  ///< committed by the leader and held here, maybe not yet durable
+  std::uint64_t allowed_commit_ =
+      0;  ///< commit index received from the leader, limited to entries in this log; may not be durable yet
 };
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -66,8 +66,8 @@
     co_return false;
   }
   running_ = true;
-  // A change is safe only once an entry of the leader's term is committed, and with it whatever an earlier
-  // leader left behind (Ongaro, "bug in single-server membership changes", raft-dev, 2015).
+  // A change is safe only once an entry of the leader's term is committed, together with any uncommitted
+  // change of an earlier leader (Ongaro, "bug in single-server membership changes", raft-dev, 2015).
   Leadership& leadership = *change->leadership;
   bool in_time = true;
   const auto settled = [&] {
@@ -92,7 +92,7 @@
   if (present != nullptr && present->role == MemberRole::kVoter) member.role = MemberRole::kVoter;
   if (present != nullptr && *present == member) co_return true;
   if (present == nullptr || present->role == member.role) {
-    // New, or moved to another endpoint or zone, which leaves the vote as it is.
+    // A new member joins as a learner; a change of endpoint or zone keeps the role.
     const MemberRole role = present == nullptr ? MemberRole::kLearner : member.role;
     const bool entered = co_await enter(change, member, role, reason);
     if (!entered || role == member.role) co_return entered;
@@ -128,7 +128,7 @@
     return member.node == lost && member.role == MemberRole::kVoter && key_of(member) != key;
   });
   if (found == members.end()) {
-    if (state_.configuration().is_voter(key)) co_return true;  // asked again after it was done
+    if (state_.configuration().is_voter(key)) co_return true;  // already done by an earlier call
     reason = failure(ReasonCode::kNotFound, change->step, lost, "there is no voter of this name");
     co_return false;
   }
@@ -150,7 +150,7 @@
   const std::uint64_t joint_index = state_.log().last_index() + 1;
   const bool joined = co_await commit(change, std::move(joint), reason);
   if (!joined) co_return false;
-  // Leadership appends the configuration behind the joint one as soon as that is committed.
+  // Leadership appends the final configuration once the joint one is committed.
   const std::uint64_t final_index = state_.history().latest_index();
   if (final_index == joint_index) co_return true;
   co_return co_await wait_committed(change, final_index, reason);
@@ -228,7 +228,7 @@
   while (leadership.active() && state_.commit_index() < index && in_time) {
     in_time = co_await leadership.progress().wait_until(change->deadline);
   }
-  // A leader that removed itself leads no longer, but the entry committed is still its own.
+  // A leader that removed itself is no longer leader, but the committed entry is still its own.
   const bool own = state_.log().term_at(index) == leadership.term();
   if (state_.commit_index() >= index && own) co_return true;
   reason = failure(ReasonCode::kOutcomeUnknown, change->step, NodeName{},
--- a/src/consensus/membership.h
+++ b/src/consensus/membership.h
@@ -1,4 +1,4 @@
-// Changes of the group's members, one at a time (chapter 4). Runs on the leader.
+// Membership changes, one at a time (chapter 4). Runs on the leader.
 #pragma once
 
 #include <memory>
@@ -7,27 +7,27 @@
 
 namespace cairnhollow::consensus {
 
-/// A change that fails half way leaves a whole configuration behind (at most one more learner), and asking
-/// again goes on from there. Errors: kNotLeader, kConflict (another change is under way, or the name or
-/// endpoint is taken), kNotFound, kInvalidArgument, kDeadlineExceeded (a learner has not caught up: it
-/// stays a learner), kOutcomeUnknown (appended, but leadership or time ran out before the commit).
+/// A change that fails partway leaves a valid configuration behind (with at most one additional learner), and
+/// a retry continues from there. Errors: kNotLeader, kConflict (another change is in progress, or the name or
+/// endpoint is in use), kNotFound, kInvalidArgument, kDeadlineExceeded (a learner has not caught up and stays
+/// a learner), kOutcomeUnknown (appended, but leadership or time ran out before the commit).
 class Membership {
  public:
   Membership(RaftState& state, PeerTable& peers) : state_(state), peers_(peers) {}
 
-  /// Adds a learner; for a voter, waits until it has caught up (section 4.2.1), then gives it its vote.
+  /// Adds a learner. For a voter, then waits until it has caught up (section 4.2.1) and promotes it.
   Awaitable<bool> add(std::shared_ptr<Leadership> leadership, Member member, TimePoint deadline,
                       Reason& reason);
   Awaitable<bool> remove(std::shared_ptr<Leadership> leadership, NodeName node, TimePoint deadline,
                          Reason& reason);
-  /// Swaps a voter for another machine or for another disk of its own: the replacement catches up as a
-  /// learner, then one joint step (section 4.3) gives it the lost one's vote. The number of voters, and so
-  /// the size of a quorum, stays the same throughout.
+  /// Replaces a voter by another machine, or by itself with a new disk: the replacement catches up as a
+  /// learner, then one joint consensus step (section 4.3) gives it the lost member's vote. The number of
+  /// voters, and so the quorum size, stays the same.
   Awaitable<bool> replace(std::shared_ptr<Leadership> leadership, NodeName lost, Member replacement,
                           TimePoint deadline, Reason& reason);
 
  private:
-  /// One change of this leader, kept while it runs.
+  /// A change in progress on this leader.
   struct Change {
     std::shared_ptr<Leadership> leadership;
     TimePoint deadline;
@@ -40,9 +40,9 @@
   Awaitable<bool> run_replace(std::shared_ptr<Change> change, NodeName lost, Member replacement,
                               Reason& reason);
 
-  /// Fills in the identity of the disk that answers at the member's endpoint, unless it is given.
+  /// Sets the identity to that of the disk found at the member's endpoint, unless it is given.
   Awaitable<bool> learn_identity(std::shared_ptr<Change> change, Member& member, Reason& reason);
-  /// Commits the configuration with this member, in this role, in place of what it said of it.
+  /// Commits the configuration in which `member`, with `role`, replaces its previous entry if there is one.
   Awaitable<bool> enter(std::shared_ptr<Change> change, Member member, MemberRole role, Reason& reason);
   Awaitable<bool> wait_caught_up(std::shared_ptr<Change> change, MemberKey key, Reason& reason);
   Awaitable<bool> commit(std::shared_ptr<Change> change, Configuration configuration, Reason& reason);
--- a/src/consensus/messages.h
+++ b/src/consensus/messages.h
@@ -1,5 +1,5 @@
-// What control nodes say to each other behind the Hello of Conversation::kConsensus. The side that
-// connected sends requests, the other side answers; a correlation number matches them, in any order.
+// Messages between control nodes after the Hello of Conversation::kConsensus. The connecting side sends
+// requests and the other side answers, in any order, matched by a correlation number.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace cairnhollow::consensus {
 
-/// Section 3.4; as a pre-vote section 9.6: then nothing changes at the receiver.
+/// RequestVote (section 3.4). With `pre_vote` (section 9.6) the receiver's state does not change.
 struct VoteRequest {
   bool pre_vote = false;
-  std::uint64_t term = 0;  ///< the term in which the candidate asks to lead
+  std::uint64_t term = 0;  ///< the term for which the candidate requests the vote
   std::uint64_t last_index = 0;
   std::uint64_t last_term = 0;
-  bool leadership_transfer = false;  ///< the leader asked for this election (section 3.10)
+  bool leadership_transfer = false;  ///< the leader requested this election (section 3.10)
   template <class Archive>
   void serialize(Archive& archive) {
     archive(pre_vote, term, last_index, last_term, leadership_transfer);
@@ -34,7 +34,7 @@
   }
 };
 
-/// Section 3.5.
+/// AppendEntries (section 3.5).
 struct AppendRequest {
   std::uint64_t previous_index = 0;
   std::uint64_t previous_term = 0;
@@ -47,16 +47,16 @@
 };
 struct AppendAnswer {
   bool accepted = false;
-  std::uint64_t next_index = 0;  ///< accepted: behind the last entry sent; refused: where to try next
+  std::uint64_t next_index = 0;  ///< accepted: one past the last entry sent; refused: the index to try next
   template <class Archive>
   void serialize(Archive& archive) {
     archive(accepted, next_index);
   }
 };
 
-/// Keeps the leader known and confirms it (read rounds, section 6.4).
+/// Maintains the leader's authority and confirms leadership for reads (section 6.4).
 struct HeartbeatRequest {
-  std::uint64_t commit_index = 0;  ///< not beyond what the receiver is known to hold
+  std::uint64_t commit_index = 0;  ///< not beyond the receiver's known match index
   template <class Archive>
   void serialize(Archive& archive) {
     archive(commit_index);
@@ -72,7 +72,7 @@
 
 /// One chunk of a snapshot (section 5.3).
 struct InstallSnapshotRequest {
-  std::uint64_t last_index = 0;  ///< of the snapshot
+  std::uint64_t last_index = 0;  ///< last index covered by the snapshot
   std::uint64_t last_term = 0;
   std::uint64_t offset = 0;
   std::uint64_t total_size = 0;
@@ -84,14 +84,14 @@
 };
 struct InstallSnapshotAnswer {
   bool accepted = false;
-  std::uint64_t next_offset = 0;  ///< where the leader goes on; total_size: installed
+  std::uint64_t next_offset = 0;  ///< offset to continue from; total_size once installed
   template <class Archive>
   void serialize(Archive& archive) {
     archive(accepted, next_offset);
   }
 };
 
-/// Start an election at once (section 3.10).
+/// TimeoutNow: start an election immediately (section 3.10).
 struct TimeoutNowRequest {
   template <class Archive>
   void serialize(Archive&) {}
@@ -101,7 +101,7 @@
   void serialize(Archive&) {}
 };
 
-/// A follower asks its leader for a read index.
+/// A follower's request to the leader for a read index (section 6.4).
 struct ReadIndexRequest {
   template <class Archive>
   void serialize(Archive&) {}
@@ -124,7 +124,7 @@
   std::uint64_t correlation = 0;
   NodeName from;
   std::string from_identity;
-  std::string to_identity;  ///< the identity that the sender's configuration names; empty: not known yet
+  std::string to_identity;  ///< the receiver's identity in the sender's configuration; empty if unknown
   std::uint64_t term = 0;   ///< the sender's current term
   RequestBody body;
   template <class Archive>
@@ -135,13 +135,13 @@
 
 enum class Refusal : std::uint8_t {
   kNone = 0,
-  kOtherIdentity = 1,  ///< the request was meant for this node's former disk
-  kNotMember = 2,      ///< the sender is no member under its identity: it must be added again
+  kOtherIdentity = 1,  ///< the request was addressed to this node's previous disk
+  kNotMember = 2,      ///< the sender's identity is not a member; it must be added again
 };
 
 struct PeerAnswer {
   std::uint64_t correlation = 0;
-  std::string identity;    ///< of the node that answers
+  std::string identity;    ///< identity of the answering node
   std::uint64_t term = 0;  ///< its current term
   Refusal refusal = Refusal::kNone;
   AnswerBody body;
--- a/src/consensus/metadata_file.cpp
+++ b/src/consensus/metadata_file.cpp
@@ -57,7 +57,7 @@
 }
 
 std::string MetadataFile::make_identity() {
-  // The clock is mixed in so that a generator seeded alike on every start still gives a new identity.
+  // The clock is mixed in so that a generator with the same seed on every start still yields a new identity.
   const auto clock = static_cast<std::uint64_t>(runtime_.wall_clock_microseconds());
   return fmt::format("{:016x}{:016x}", runtime_.random().next(), runtime_.random().next() ^ clock);
 }
--- a/src/consensus/metadata_file.h
+++ b/src/consensus/metadata_file.h
@@ -1,4 +1,4 @@
-// Term, vote and identity of this node (Raft's persistent state besides the log, section 3.3).
+// The persistent term, vote and identity of this node (with the log, Raft's persistent state; section 3.3).
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 namespace cairnhollow::consensus {
 
 struct Metadata {
-  std::string identity;  ///< made at first use of the data folder, never changed after
+  std::string identity;  ///< generated when the data folder is first used; never changes
   std::uint64_t term = 0;
-  NodeName voted_for;  ///< empty: no vote in `term` yet
+  NodeName voted_for;  ///< empty if no vote was given in `term`
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -19,7 +19,7 @@
   }
 };
 
-/// Like Log: memory runs ahead of the disk until flush() has returned.
+/// As in Log, memory may be ahead of the disk until flush() has returned.
 class MetadataFile {
  public:
   explicit MetadataFile(runtime::Runtime& runtime)
@@ -27,19 +27,19 @@
   MetadataFile(const MetadataFile&) = delete;
   MetadataFile& operator=(const MetadataFile&) = delete;
 
-  /// Reads the file. A data folder without one gets a new identity. kCorrupt when it is damaged,
-  /// kUnsupported when a newer build wrote it.
+  /// Reads the file, or generates a new identity if there is none. Fails with kCorrupt if the file is damaged
+  /// and kUnsupported if a newer build wrote it.
   bool recover(Reason& reason);
-  /// True when recover() found no file.
+  /// Returns whether recover() found no file.
   [[nodiscard]] bool is_new() const { return is_new_; }
 
   [[nodiscard]] const Metadata& value() const { return value_; }
-  /// Takes a higher term, without a vote.
+  /// Sets a higher term and clears the vote.
   void set_term(std::uint64_t term);
   void set_vote(NodeName candidate);
 
-  /// Makes all changes made before the call durable. Callers share one write. After a failure every call
-  /// fails until retry().
+  /// Makes all changes made before the call durable. Concurrent callers share one write. After a failure
+  /// every call fails until retry().
   Awaitable<bool> flush(Reason& reason) { return flushes_.flush(reason); }
   void retry() { flushes_.retry(); }
 
--- a/src/consensus/peer_channel.cpp
+++ b/src/consensus/peer_channel.cpp
@@ -18,7 +18,7 @@
     if (connection != nullptr && !closed_) {
       const TimePoint begun = runtime_.now();
       co_await exchange(connection);
-      // Whoever forwards connections accepts them for a peer that is down: only an answer tells that it is
+      // A forwarder may accept connections for a peer that is down; only an answer proves that the peer is
       // up.
       if (last_answer_ > begun) delay = kFirstReconnectDelay;
     }
@@ -90,7 +90,7 @@
   co_return sender_ != nullptr && !closed_;
 }
 
-/// False for the answer to the Hello, which it takes.
+/// Returns whether the frame is a PeerAnswer. A HelloAnswer is processed here.
 bool PeerChannel::is_answer(const std::string& frame) {
   Reason reason;
   const auto effect = greeting_.take(frame, settings_.peer.value, reason);
@@ -111,7 +111,7 @@
   }
   last_answer_ = runtime_.now();
   const auto pending = pending_.find(answer->correlation);
-  if (pending == pending_.end()) return;  // given up on: its deadline has passed
+  if (pending == pending_.end()) return;  // the call has already timed out
   pending->second->answer = std::move(*answer);
   pending->second->changed.notify_all();
 }
--- a/src/consensus/peer_channel.h
+++ b/src/consensus/peer_channel.h
@@ -1,4 +1,4 @@
-// This node's outgoing connection to one peer: requests with correlation numbers, answers in any order.
+// Outgoing connection to one peer: requests with correlation numbers, answered in any order.
 #pragma once
 
 #include <map>
@@ -15,20 +15,20 @@
   wire::Hello hello;
   NodeName peer;
   Endpoint endpoint;
-  Duration stall_limit{};  ///< a connection that leaves calls unanswered for this long is replaced
+  Duration stall_limit{};  ///< a connection with calls unanswered for this long is replaced
 };
 
-/// Reconnects with backoff until close(). A slow or frozen peer holds up only its own calls.
+/// Reconnects with backoff until close(). A slow or frozen peer delays only its own calls.
 class PeerChannel {
  public:
   PeerChannel(runtime::Runtime& runtime, PeerChannelSettings settings);
 
-  /// Keeps a connection open; `self` keeps this object alive meanwhile. Spawned once.
+  /// Keeps a connection open until close(). `self` keeps this object alive meanwhile. Call once.
   Awaitable<void> run(std::shared_ptr<PeerChannel> self);
   void close();
 
-  /// Sends a request and waits for its answer. kUnreachable: never sent. kConnectionLost and
-  /// kDeadlineExceeded: the peer may have handled it. kOverloaded: too many frames wait already.
+  /// Sends a request and waits for the answer. kUnreachable: never sent. kConnectionLost and
+  /// kDeadlineExceeded: the peer may have handled it. kOverloaded: the queue of frames to send is full.
   Awaitable<std::optional<PeerAnswer>> call(PeerRequest request, TimePoint deadline, Reason& reason);
 
   [[nodiscard]] const Endpoint& endpoint() const { return settings_.endpoint; }
@@ -54,11 +54,11 @@
   wire::Greeting greeting_;
   runtime::Signal connected_;
   runtime::Signal closing_;
-  std::shared_ptr<FrameSender> sender_;  ///< null while there is no connection
+  std::shared_ptr<FrameSender> sender_;  ///< null while disconnected
   std::map<std::uint64_t, std::shared_ptr<PendingCall>> pending_;
   std::uint64_t next_correlation_ = 1;
   TimePoint last_answer_;
-  bool refused_ = false;  ///< the peer speaks no protocol version that this node speaks
+  bool refused_ = false;  ///< the peer and this node have no protocol version in common
   bool closed_ = false;
 };
 
--- a/src/consensus/peer_server.cpp
+++ b/src/consensus/peer_server.cpp
@@ -50,8 +50,8 @@
   answer.body = co_await execute(request);
   answer.refusal = check_sender(request, answer.body);
   answer.term = state_.term();
-  // Whatever the answer speaks of is durable before it leaves. Only answers about the log wait for the log:
-  // a heartbeat is not held up by a slow disk behind a large append.
+  // State that the answer depends on must be durable before the answer is sent. Only answers about the log
+  // wait for the log, so that a slow disk behind a large append does not delay heartbeats.
   bool durable = co_await state_.persist_term_and_vote();
   if (durable && speaks_of_log(request.body)) durable = co_await state_.persist();
   if (!durable) co_return std::nullopt;
--- a/src/consensus/peer_server.h
+++ b/src/consensus/peer_server.h
@@ -1,4 +1,4 @@
-// Serves requests of the other members on the connections that they opened.
+// Serves requests from other members on incoming connections.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,12 @@
  public:
   PeerServer(RaftState& state, Election& election, ReadBarrier::RoundFunction read_index);
 
-  /// Serves until the connection ends or the server halts. Requests are begun in order and answered as
-  /// they are done, so that a heartbeat does not wait for the disk behind a large append.
+  /// Serves until the connection ends or the server halts. Requests are started in order and answered as they
+  /// complete, so that a heartbeat does not wait for the disk write of a large append.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection, NodeName peer);
 
  private:
-  /// What the handlers of one connection share.
+  /// State shared by the handlers of one connection.
   struct Connection {
     Connection(runtime::Runtime& runtime, std::shared_ptr<runtime::FrameConnection> frames)
         : sender(std::make_shared<FrameSender>(runtime, std::move(frames))), changed(runtime) {}
--- a/src/consensus/peer_table.h
+++ b/src/consensus/peer_table.h
@@ -1,4 +1,4 @@
-// The outgoing connections to the other members, opened when first needed.
+// Outgoing connections to the other members, opened on first use.
 #pragma once
 
 #include <map>
@@ -13,15 +13,15 @@
  public:
   explicit PeerTable(RaftState& state) : state_(state) {}
 
-  /// The channel to a member. Members of one name at two endpoints (a machine that is replaced under its own
-  /// name) have a channel each.
+  /// Returns the channel to a member. Members with the same name at different endpoints (a machine replaced
+  /// under its own name) have separate channels.
   std::shared_ptr<PeerChannel> channel(const Member& member);
-  /// Closes channels to what is not in the latest configuration. Voters connect to each other ahead of need;
-  /// other channels open with their first request.
+  /// Closes channels to nodes that are not in the latest configuration. Voters connect to each other in
+  /// advance; other channels open with their first request.
   void follow_configuration();
   void close_all();
 
-  /// A request from this node in its current term, to be sent to `member`.
+  /// Makes a request from this node in its current term, addressed to `member`.
   [[nodiscard]] PeerRequest make_request(const Member& member, RequestBody body) const;
 
  private:
--- a/src/consensus/pending_proposals.h
+++ b/src/consensus/pending_proposals.h
@@ -1,4 +1,4 @@
-// Proposals that wait until the state machine has applied them.
+// Proposals waiting for the state machine to apply them.
 #pragma once
 
 #include <map>
@@ -14,12 +14,13 @@
  public:
   explicit PendingProposals(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// Waits for the entry appended at `index` in `term`. kOutcomeUnknown: it may or may not commit.
+  /// Waits until the entry appended at `index` in `term` is applied. kOutcomeUnknown: it may or may not
+  /// commit.
   Awaitable<std::optional<std::uint64_t>> wait(std::uint64_t index, std::uint64_t term, TimePoint deadline,
                                                Reason& reason);
-  /// Entries up to `applied_index` are applied: answers those who wait for them.
+  /// Completes the waiters of entries up to `applied_index`.
   void applied(std::uint64_t applied_index, const Log& log);
-  /// Leadership is lost: the outcome of all that wait is unknown.
+  /// Fails all waiters with kOutcomeUnknown after leadership is lost.
   void fail_all(const Reason& reason);
   [[nodiscard]] std::size_t size() const { return pending_.size(); }
 
@@ -29,7 +30,7 @@
     runtime::Signal changed;
     std::uint64_t term = 0;
     bool done = false;
-    Reason reason;  ///< set when done without success
+    Reason reason;  ///< set if done without success
   };
 
   runtime::Runtime& runtime_;
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -23,7 +23,7 @@
 
 Awaitable<bool> RaftServer::start(Reason& reason) {
   if (!state_.recover(reason)) co_return false;
-  // A disk that takes no writes now is tried again while the server takes no part.
+  // After a failed write the storage is retried while the server does not participate.
   const bool durable = co_await state_.persist();
   if (!durable && state_.halted_for_good()) {
     reason = state_.halt_reason();
@@ -78,7 +78,7 @@
 }
 
 void RaftServer::configuration_changed() {
-  if (!started_) return;  // while the log is read there is nobody to talk to yet
+  if (!started_) return;  // no outgoing connections before recovery is complete
   peers_.follow_configuration();
   election_.notify();
 }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -1,4 +1,4 @@
-// Ties the parts of a Raft server together.
+// The Raft server, assembled from its components.
 #pragma once
 
 #include <memory>
@@ -51,7 +51,7 @@
   PeerServer peer_server_;
   PendingProposals proposals_;
   Membership membership_;
-  std::shared_ptr<Leadership> leadership_;  ///< null unless this server leads
+  std::shared_ptr<Leadership> leadership_;  ///< null unless this server is the leader
   bool started_ = false;
   bool stopping_ = false;
 };
--- a/src/consensus/raft_state.cpp
+++ b/src/consensus/raft_state.cpp
@@ -44,7 +44,7 @@
                                 log_.base().index, snapshot.last.index)};
     return false;
   }
-  // A crash between the write of an installed snapshot and the reset of the log leaves an older log.
+  // A crash between writing an installed snapshot and resetting the log leaves an older log.
   if (log_.term_at(snapshot.last.index) != snapshot.last.term) log_.reset(snapshot.last);
   for (auto index = snapshot.last.index + 1; index <= log_.last_index(); ++index) {
     record_configuration(log_.at(index));
@@ -264,7 +264,7 @@
 }
 
 Awaitable<bool> RaftState::install(Snapshot snapshot) {
-  if (snapshot.last.index <= commit_index_) co_return true;  // already here
+  if (snapshot.last.index <= commit_index_) co_return true;  // already covered by the committed log
   while (writing_snapshot_ && !halted()) co_await runtime_.sleep_for(settings_.heartbeat_interval);
   if (halted()) co_return false;
   if (snapshot.last.index <= commit_index_) co_return true;
--- a/src/consensus/raft_state.h
+++ b/src/consensus/raft_state.h
@@ -1,7 +1,7 @@
-// The state of one Raft server (figure 3.1) and the transitions that every role shares. Transitions are
-// synchronous and change memory only; persist() makes them durable. The one rule that keeps this safe:
-// no message leaves the node before a persist() begun after the state it speaks of has returned true; for
-// messages that speak of term and vote only, persist_term_and_vote().
+// State of one Raft server (figure 3.1) and the transitions shared by all roles. Transitions are synchronous
+// and change memory only; persist() makes them durable. Safety rule: no message may be sent before a
+// persist() that began after the state it depends on has returned true. For messages that depend only on term
+// and vote, persist_term_and_vote() suffices.
 #pragma once
 
 #include <functional>
@@ -15,17 +15,17 @@
 
 namespace cairnhollow::consensus {
 
-/// Told of what happens to the server; called synchronously, inside the transition.
+/// Observer of server state changes. Called synchronously within the transition.
 class RaftObserver {
  public:
   virtual ~RaftObserver() = default;
   /// This server stopped being the leader of `term`.
   virtual void leadership_ended(std::uint64_t term) = 0;
-  /// applied_index has grown.
+  /// applied_index has advanced.
   virtual void entries_applied() = 0;
-  /// Role, term or known leader has changed, or the server halted.
+  /// Role, term or known leader has changed, or the server has halted.
   virtual void role_changed() = 0;
-  /// The latest configuration in the log is another one.
+  /// The latest configuration in the log has changed.
   virtual void configuration_changed() = 0;
 };
 
@@ -34,49 +34,53 @@
   RaftState(runtime::Runtime& runtime, ReplicatedStateMachine& state_machine, RaftSettings settings,
             RaftObserver& observer);
 
-  /// Reads metadata, snapshot and log. Refuses a data folder whose files are damaged or don't fit together.
+  /// Reads metadata, snapshot and log. Fails if the files of the data folder are damaged or inconsistent.
   bool recover(Reason& reason);
 
-  /// Makes all transitions so far durable. When the disk fails the server takes no part until all that memory
-  /// holds is written again, which it tries on its own. It has spoken of nothing that was not durable, so
-  /// nothing has to be taken back.
+  /// Makes all transitions so far durable. After a storage failure the server does not participate until
+  /// everything in memory has been written again, which it retries itself. No message depended on state that
+  /// was not durable, so nothing has to be undone.
   Awaitable<bool> persist();
-  /// The same for term and vote alone.
+  /// Same as persist(), for term and vote only.
   Awaitable<bool> persist_term_and_vote();
-  /// Stops taking part for good: used for entries that can't be read and by stop().
+  /// Stops participating permanently. Used for unreadable entries and by stop().
   void halt(const Reason& reason);
-  /// Takes no part now: halted for good, or the disk refuses writes.
+  /// Returns whether the server does not participate: halted permanently, or suspended after a storage
+  /// failure.
   [[nodiscard]] bool halted() const { return halted_ || storage_failed_; }
   [[nodiscard]] bool halted_for_good() const { return halted_; }
-  /// Of the last halt, or of the last failure of the disk.
+  /// Reason of the last halt or storage failure.
   [[nodiscard]] const Reason& halt_reason() const { return halt_reason_; }
 
-  /// Takes over a higher term seen in a message (section 3.3). Returns whether it was higher.
+  /// Adopts a higher term seen in a message (section 3.3). Returns whether it was higher.
   bool observe_term(std::uint64_t term);
-  /// A message of the current term's leader came.
+  /// Processes a message from the leader of the current term.
   void follow_leader(const NodeName& leader);
   void become_pre_candidate();
-  /// Next term, vote for itself.
+  /// Increments the term and votes for itself.
   void become_candidate();
   void become_leader();
-  /// From any role; keeps the term.
+  /// Becomes a follower from any role, keeping the term.
   void step_down();
 
   void append(EntryKind kind, std::string payload);
   void append(LogEntry entry);
   void truncate_after(std::uint64_t index);
-  /// Moves the commit index up, never down, and applies. `index` is in the log and durable here.
+  /// Advances the commit index, never backwards, and applies entries. `index` must be in the log and durable
+  /// here.
   void commit_to(std::uint64_t index);
-  /// Enough was applied since the last snapshot, and none is being written.
+  /// Returns whether enough entries were applied since the last snapshot and none is being written.
   [[nodiscard]] bool needs_snapshot() const;
-  /// Writes a snapshot of the applied state and compacts the log behind it.
+  /// Writes a snapshot of the applied state and compacts the log up to it.
   Awaitable<void> take_snapshot();
-  /// Replaces state and log by a leader's snapshot. False when it is damaged or the server halted.
+  /// Replaces state and log with a leader's snapshot. Returns false if the snapshot is damaged or the server
+  /// halted.
   Awaitable<bool> install(Snapshot snapshot);
 
   [[nodiscard]] bool is_voter() const;
-  /// A server that its latest configuration leaves out still stands for election until that is known to be
-  /// committed (section 4.2.2): it may be the only one with that entry.
+  /// Returns whether this server may start an election. A server that is not in its latest configuration
+  /// still may until that configuration is known to be committed (section 4.2.2): it may be the only one with
+  /// that entry.
   [[nodiscard]] bool may_campaign() const;
   [[nodiscard]] std::uint64_t term() const { return metadata_.value().term; }
   [[nodiscard]] const NodeName& voted_for() const { return metadata_.value().voted_for; }
@@ -94,9 +98,9 @@
   [[nodiscard]] std::uint64_t commit_index() const { return commit_index_; }
   [[nodiscard]] std::uint64_t applied_index() const { return applied_index_; }
   [[nodiscard]] std::uint64_t snapshot_index() const { return snapshot_last_.index; }
-  /// A leader is known and was heard within the last election timeout, or is this server.
+  /// Returns whether this server is the leader or has heard from a leader within the last election timeout.
   [[nodiscard]] bool hears_leader() const;
-  /// When the leader was last heard or a vote last given: the election timeout counts from here.
+  /// When the leader was last heard from or a vote was last granted; the election timeout starts here.
   [[nodiscard]] TimePoint election_timer_start() const { return election_timer_start_; }
   [[nodiscard]] SnapshotFile& snapshot_file() { return snapshot_file_; }
 
@@ -104,14 +108,14 @@
   bool recover_log(const Snapshot& snapshot, Reason& reason);
   bool check_new_folder(Reason& reason) const;
   bool check_written(bool written, const Reason& reason);
-  /// Takes no part until the disk takes writes again.
+  /// Stops participating until the disk accepts writes again.
   void suspend(const Reason& reason);
-  /// Tries again and again to write all that memory holds, then takes part again.
+  /// Retries writing the in-memory state, then resumes participation.
   Awaitable<void> resume_when_writable();
   void set_role(ServerState role, NodeName leader);
   void apply_committed();
   void record_configuration(const LogEntry& entry);
-  /// An entry that this build can't read stays in the log; nothing behind it is applied.
+  /// Halts at an entry that this build cannot read. The entry stays in the log; nothing after it is applied.
   void halt_at(const LogEntry& entry, Reason reason);
 
   runtime::Runtime& runtime_;
@@ -130,8 +134,8 @@
   TimePoint last_leader_contact_;
   TimePoint election_timer_start_;
   bool writing_snapshot_ = false;
-  bool halted_ = false;          ///< for good
-  bool storage_failed_ = false;  ///< until the disk takes writes again
+  bool halted_ = false;          ///< permanent
+  bool storage_failed_ = false;  ///< cleared when the disk accepts writes again
   Reason halt_reason_;
 };
 
--- a/src/consensus/read_barrier.h
+++ b/src/consensus/read_barrier.h
@@ -10,18 +10,19 @@
 
 namespace cairnhollow::consensus {
 
-/// Batches callers into rounds: a round that is under way may have begun before a call, so the call shares
-/// the next one. At most one round runs at a time.
+/// Batches callers into rounds. A round in progress may have begun before a call, so the call joins the next
+/// one. At most one round runs at a time.
 class ReadBarrier {
  public:
-  /// Gets a read index by a quorum round that begins when it is called. Fails at once when it can't succeed.
+  /// Obtains a read index by a quorum round that begins with the call. Fails immediately if the round cannot
+  /// succeed.
   using RoundFunction = std::function<Awaitable<std::optional<std::uint64_t>>(Reason& reason)>;
 
   ReadBarrier(RaftState& state, RoundFunction run_round);
 
   /// See Consensus::read_barrier.
   Awaitable<std::optional<std::uint64_t>> wait(TimePoint deadline, Reason& reason);
-  /// The applied index or the role has moved.
+  /// Re-evaluates waiters after the applied index or the role has changed.
   void notify() { applied_.notify_all(); }
 
  private:
@@ -39,7 +40,7 @@
   RaftState& state_;
   RoundFunction run_round_;
   runtime::Signal applied_;
-  std::shared_ptr<Round> next_round_;  ///< not begun yet
+  std::shared_ptr<Round> next_round_;  ///< not started yet
   bool running_ = false;
 };
 
--- a/src/consensus/read_index.h
+++ b/src/consensus/read_index.h
@@ -1,4 +1,4 @@
-// One quorum round for a read index: by the leader itself, or by a follower that asks its leader.
+// Quorum rounds for read indexes: run by the leader itself, or requested from the leader by a follower.
 #pragma once
 
 #include <memory>
@@ -8,13 +8,13 @@
 
 namespace cairnhollow::consensus {
 
-/// The leader's round (section 6.4): the commit index, returned once a quorum confirmed after the call that
-/// this server still leads. kNoQuorum at once when leadership ends meanwhile.
+/// Leader side (section 6.4): returns the commit index once a quorum has confirmed, after the call, that this
+/// server is still the leader. Fails immediately with kNoQuorum if leadership ends meanwhile.
 Awaitable<std::optional<std::uint64_t>> confirm_read_index(RaftState& state,
                                                            std::shared_ptr<Leadership> leadership,
                                                            TimePoint deadline, Reason& reason);
 
-/// A follower's round: asks the leader that it knows. kNoQuorum at once when it knows none.
+/// Follower side: asks the known leader. Fails immediately with kNoQuorum if no leader is known.
 Awaitable<std::optional<std::uint64_t>> ask_leader_for_read_index(RaftState& state, PeerTable& peers,
                                                                   TimePoint deadline, Reason& reason);
 
--- a/src/consensus/record.cpp
+++ b/src/consensus/record.cpp
@@ -7,15 +7,15 @@
 namespace cairnhollow::consensus {
 namespace {
 
-/// Starts every record, so that whole records behind damaged bytes can be found.
+/// First field of every record, so that intact records after damaged bytes can be found.
 constexpr std::uint64_t kRecordMarker = 0x9d3c7a51e84b2f06;
 
-/// Encodes to a constant number of bytes.
+/// Has a fixed encoded size.
 struct RecordHeader {
   std::uint64_t marker = kRecordMarker;
   std::uint64_t payload_size = 0;
   std::uint64_t synced_size = 0;
-  std::uint64_t checksum = 0;  ///< of this header with a zero here, then the payload
+  std::uint64_t checksum = 0;  ///< over this header with a zero checksum, then the payload
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -35,7 +35,7 @@
   return checksum_of(bytes);
 }
 
-/// The bytes that every encoded header starts with.
+/// The common first bytes of every encoded header.
 std::string header_prefix() {
   const std::size_t behind_marker = sizeof(std::uint64_t) * 3;
   return wire::encode(RecordHeader{}).substr(0, header_size() - behind_marker);
--- a/src/consensus/record.h
+++ b/src/consensus/record.h
@@ -1,5 +1,5 @@
-// Records with a checksum: the unit of every file of this module. A file of one record is a sealed value
-// (metadata, snapshot); a file of many is the log.
+// Checksummed records, the unit of every file of this module. A file with one record holds a single value
+// (metadata, snapshot); a file with many records is the log.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,24 @@
 
 namespace cairnhollow::consensus {
 
-/// One whole record as found in a file.
+/// An intact record read from a file.
 struct Record {
-  std::uint64_t offset = 0;       ///< of its first byte in the file
-  std::uint64_t end = 0;          ///< offset of the first byte behind it
-  std::uint64_t synced_size = 0;  ///< bytes of the file that were durable when it was written
+  std::uint64_t offset = 0;       ///< offset of its first byte in the file
+  std::uint64_t end = 0;          ///< offset one past its last byte
+  std::uint64_t synced_size = 0;  ///< number of bytes of the file that were durable when it was written
   std::string payload;
 };
 
-/// XXH3 over the bytes: detects damage, not forgery.
+/// Returns the XXH3 hash of the bytes. Detects damage, not tampering.
 std::uint64_t checksum_of(std::string_view bytes);
 
-/// Frames a payload as one record.
+/// Encodes a payload as one record.
 std::string make_record(std::string_view payload, std::uint64_t synced_size);
 
-/// The record at `offset`; empty when there is none or it is cut short or damaged.
+/// Returns the record at `offset`, or std::nullopt if there is none or it is truncated or damaged.
 std::optional<Record> read_record(const std::string& content, std::uint64_t offset);
 
-/// The first whole record at or behind `offset`, skipping damaged bytes.
+/// Returns the first intact record at or after `offset`, skipping damaged bytes.
 std::optional<Record> find_record(const std::string& content, std::uint64_t offset);
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/replicator.cpp
+++ b/src/consensus/replicator.cpp
@@ -69,7 +69,7 @@
   const auto* result = answer ? std::get_if<AppendAnswer>(&answer->body) : nullptr;
   if (result == nullptr) co_return false;
   if (!result->accepted) {
-    // Section 3.5: step back, here to where the member says its log differs.
+    // Section 3.5: decrement nextIndex, here to the index suggested by the follower.
     next_index_ =
         std::clamp(result->next_index, match_index_ + 1, std::max(next_index_ - 1, match_index_ + 1));
     co_return true;
--- a/src/consensus/replicator.h
+++ b/src/consensus/replicator.h
@@ -1,5 +1,5 @@
-// Brings one member's log up to the leader's during one term of leadership (section 3.5), by entries or by
-// snapshot, and heartbeats it. A slow member holds up nobody else.
+// Replicates the leader's log to one member during one term (section 3.5), by entries or by snapshot, and
+// sends it heartbeats. A slow member does not delay others.
 #pragma once
 
 #include <functional>
@@ -12,23 +12,23 @@
 
 class Replicator {
  public:
-  /// `progressed` is called when an answer changed what is known of the member.
+  /// `progressed` is called after an answer changed this object's knowledge of the member.
   Replicator(RaftState& state, PeerTable& peers, Member member, std::function<void()> progressed);
 
-  /// Starts the two loops; they end with the term of leadership or by stop().
+  /// Starts the replication and heartbeat loops, which end with the term of leadership or by stop().
   void start(const std::shared_ptr<Replicator>& self);
   void stop();
-  /// New entries, a new commit index: send them.
+  /// Notifies the replicator of new entries or a new commit index to send.
   void wake() { changed_.notify_all(); }
-  /// Sends a heartbeat of this round at once.
+  /// Sends a heartbeat of this round immediately.
   void begin_round(std::uint64_t round);
 
   [[nodiscard]] const Member& member() const { return member_; }
-  /// The identity that the member answered with; empty before its first answer.
+  /// The identity in the member's answers; empty before its first answer.
   [[nodiscard]] const std::string& known_identity() const { return known_identity_; }
-  /// Entries up to here are durable at the member, as its own answers say.
+  /// Highest index known to be durable on the member, from its answers.
   [[nodiscard]] std::uint64_t match_index() const { return match_index_; }
-  /// The latest round whose heartbeat was answered.
+  /// The latest round with an answered heartbeat.
   [[nodiscard]] std::uint64_t acknowledged_round() const { return acknowledged_round_; }
   /// When the latest answered request was *sent*.
   [[nodiscard]] TimePoint last_contact() const { return last_contact_; }
@@ -43,8 +43,8 @@
   bool accept(const PeerAnswer& answer, TimePoint sent_at);
   [[nodiscard]] bool active() const { return !stopped_ && state_.is_leader_of(term_); }
   [[nodiscard]] bool has_news() const;
-  /// Learners neither vote nor elect: they hear less often, but before a new voter's election timeout is
-  /// over.
+  /// Learners do not vote or start elections, so they receive less frequent heartbeats, but within the
+  /// election timeout of a learner that becomes a voter.
   [[nodiscard]] Duration heartbeat_interval() const;
   void record_other_identity();
 
@@ -53,8 +53,8 @@
   const Member member_;
   const std::function<void()> progressed_;
   const std::uint64_t term_;
-  runtime::Signal changed_;            ///< wakes replication
-  runtime::Signal heartbeat_changed_;  ///< wakes heartbeats
+  runtime::Signal changed_;            ///< wakes the replication loop
+  runtime::Signal heartbeat_changed_;  ///< wakes the heartbeat loop
   std::string known_identity_;
   std::uint64_t next_index_;
   std::uint64_t match_index_ = 0;
--- a/src/consensus/snapshot_file.h
+++ b/src/consensus/snapshot_file.h
@@ -1,4 +1,5 @@
-// The latest snapshot on disk: the state machine's bytes and what the log said up to them.
+// The latest snapshot on disk: the state machine's state, the last entry it covers and the configuration
+// there.
 #pragma once
 
 #include <optional>
@@ -11,7 +12,7 @@
 namespace cairnhollow::consensus {
 
 struct Snapshot {
-  LogBase last;                 ///< the last entry it covers
+  LogBase last;                 ///< the last entry covered
   Configuration configuration;  ///< in effect at that entry
   std::string state;            ///< from ReplicatedStateMachine::take_snapshot
   template <class Archive>
@@ -24,14 +25,16 @@
  public:
   explicit SnapshotFile(runtime::Storage& storage) : storage_(storage) {}
 
-  /// An empty snapshot (last.index 0) when there is no file; kCorrupt when it is damaged.
+  /// Returns an empty snapshot (last.index 0) if there is no file. Fails with kCorrupt if the file is
+  /// damaged.
   std::optional<Snapshot> read(Reason& reason);
-  /// Replaces the file durably.
+  /// Durably replaces the file.
   Awaitable<bool> write(Snapshot snapshot, Reason& reason);
 
-  /// The bytes sent to a follower: the same as in the file, with their checksum.
+  /// Encodes a snapshot for transfer to a follower: identical to the file, with its checksum.
   static std::string encode(const Snapshot& snapshot);
-  /// kCorrupt when the checksum or the format is wrong, kUnsupported when a newer build wrote it.
+  /// Fails with kCorrupt if the checksum or the format is invalid, and with kUnsupported if a newer build
+  /// wrote it.
   static std::optional<Snapshot> decode(const std::string& bytes, Reason& reason);
 
  private:
--- a/src/consensus/voting.cpp
+++ b/src/consensus/voting.cpp
@@ -3,7 +3,7 @@
 namespace cairnhollow::consensus {
 namespace {
 
-/// Section 3.6.1: a candidate must have every entry that may be committed.
+/// Election restriction (section 3.6.1): a candidate's log must contain every entry that may be committed.
 bool is_up_to_date(const RaftState& state, const VoteRequest& request) {
   const Log& log = state.log();
   if (request.last_term != log.last_term()) return request.last_term > log.last_term();
@@ -18,7 +18,7 @@
 }  // namespace
 
 VoteAnswer answer_vote(RaftState& state, const NodeName& candidate, const VoteRequest& request) {
-  // Section 4.2.3: a server that hears its leader is not to be disturbed by one that doesn't.
+  // Section 4.2.3: a server that hears from a current leader rejects candidates that do not.
   if (state.hears_leader() && !request.leadership_transfer) return VoteAnswer{false};
   if (request.pre_vote) {
     return VoteAnswer{may_vote_for(state, candidate, request.term) && is_up_to_date(state, request)};
--- a/src/consensus/voting.h
+++ b/src/consensus/voting.h
@@ -1,4 +1,4 @@
-// How a server answers requests for its vote (sections 3.4, 4.2.3 and 9.6).
+// Handling of vote requests (sections 3.4, 4.2.3 and 9.6).
 #pragma once
 
 #include "consensus/messages.h"
@@ -6,7 +6,7 @@
 
 namespace cairnhollow::consensus {
 
-/// Answers a vote or a pre-vote. A given vote must be durable before the answer leaves.
+/// Answers a vote or pre-vote request. A granted vote must be durable before the answer is sent.
 VoteAnswer answer_vote(RaftState& state, const NodeName& candidate, const VoteRequest& request);
 
 }  // namespace cairnhollow::consensus
--- a/tests/consensus/cluster.h
+++ b/tests/consensus/cluster.h
@@ -1,4 +1,4 @@
-// Raft servers in a simulated world, one process and one machine each.
+// A simulated cluster of Raft servers, each with its own process and machine.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 
 namespace cairnhollow::consensus {
 
-/// The role of a control node as far as consensus goes: a listener in front of a Raft server.
+/// Minimal control node role: a listener and a Raft server.
 class ClusterRole : public runtime::Role {
  public:
   ClusterRole(runtime::Runtime& runtime, RaftSettings settings, AppliedRecord& record, RunChecks& checks);
@@ -43,8 +43,8 @@
   bool started_ = false;
 };
 
-/// What became of one call; `done` stays false when the server asked was killed or froze. A member change
-/// that succeeded has index zero.
+/// Outcome of one call. `done` stays false if the server was killed or frozen. The index of a successful
+/// membership change is zero.
 struct CallResult {
   bool done = false;
   std::optional<std::uint64_t> index;
@@ -57,7 +57,7 @@
   std::size_t voters = 3;
   std::uint64_t snapshot_after_entries = 1000;
   bool print_log = false;
-  Duration first_election_timeout{0};  ///< 0: as ever
+  Duration first_election_timeout{0};  ///< 0: use the election timeout
   Duration heartbeat_interval = RaftSettings{}.heartbeat_interval;
 };
 
@@ -66,9 +66,9 @@
  public:
   explicit Cluster(ClusterSettings settings);
 
-  /// Starts a server that is no initial member and waits to be added.
+  /// Starts a server that is not an initial member and waits to be added.
   void start_outsider(std::size_t number);
-  /// Empties the disk of a dead server.
+  /// Empties the disk of a stopped server.
   void wipe(const std::string& name) { world_.disk(name).wipe(); }
 
   simulation::World& world() { return world_; }
@@ -78,19 +78,20 @@
   ConsensusStatus status(const std::string& name) { return node(name).status(); }
   AppliedRecord& record() { return record_; }
   RunChecks& checks() { return checks_; }
-  /// Notes what every server's log holds on its disk, running or not.
+  /// Records the on-disk log of every server, running or not.
   void record_logs();
-  /// One line a server, for failure messages.
+  /// Returns one line per server, for failure messages.
   std::string describe();
-  /// Every server ever started.
+  /// Names of all servers ever started.
   [[nodiscard]] const std::vector<std::string>& names() const { return names_; }
   [[nodiscard]] std::vector<std::string> running_names() const;
-  /// A server as a member, with the identity of its present disk.
+  /// Returns the server as a member, with the identity of its current disk.
   Member member(const std::string& name, MemberRole role);
 
-  /// The running leader of the highest term; empty when there is none.
+  /// Returns the running leader with the highest term, or an empty name if there is none.
   std::string leader();
-  /// Runs until some running server leads and has applied an entry of its term; empty when time is up.
+  /// Runs until a running server is leader and has applied an entry of its term. Returns an empty name on
+  /// timeout.
   std::string wait_for_leader(Duration limit = std::chrono::seconds(10));
   /// Runs until all running servers have applied `index`.
   bool wait_applied(std::uint64_t index, Duration limit = std::chrono::seconds(10));
@@ -98,26 +99,26 @@
   /// Starts a call without waiting for it.
   std::shared_ptr<CallResult> begin_propose(const std::string& name, std::string command, Duration timeout);
   std::shared_ptr<CallResult> begin_barrier(const std::string& name, Duration timeout);
-  /// Starts a call and runs the world until it is done or `timeout` has passed twice.
+  /// Starts a call and runs the world until it completes or twice `timeout` has passed.
   CallResult propose(const std::string& name, std::string command,
                      Duration timeout = std::chrono::seconds(2));
   CallResult barrier(const std::string& name, Duration timeout = std::chrono::seconds(2));
-  /// Starts `count` proposals side by side, a hundred at a time, and waits for all; the last one's index.
-  /// Empty when one fails.
+  /// Starts `count` proposals, up to a hundred concurrently, and waits for all. Returns the last index, or
+  /// std::nullopt if any fails.
   std::optional<std::uint64_t> propose_many(const std::string& name, const std::string& prefix,
                                             std::size_t count, std::size_t command_bytes = 0);
-  /// Member changes, on whoever leads; tried again until one succeeds or `limit` has passed.
+  /// Membership changes on the current leader, retried until one succeeds or `limit` has passed.
   bool add_member(const Member& member, Duration limit = std::chrono::seconds(10));
   bool remove_member(const std::string& name, Duration limit = std::chrono::seconds(10));
   bool replace_member(const std::string& lost, const Member& replacement,
                       Duration limit = std::chrono::seconds(10));
-  /// One member change on a server, started without waiting for it.
+  /// Starts one membership change on a server without waiting for it.
   std::shared_ptr<CallResult> begin_add(const std::string& name, Member member, Duration timeout);
   std::shared_ptr<CallResult> begin_remove(const std::string& name, const std::string& node,
                                            Duration timeout);
   std::shared_ptr<CallResult> begin_replace(const std::string& name, const std::string& lost,
                                             Member replacement, Duration timeout);
-  /// Proposes to whoever leads until a proposal succeeds; false when none does in time.
+  /// Proposes to the current leader until a proposal succeeds. Returns false on timeout.
   bool propose_anywhere(const std::string& command, Duration limit = std::chrono::seconds(10));
 
  private:
@@ -133,7 +134,7 @@
   simulation::World world_;
 };
 
-/// Nothing in the run so far broke a check, and no coroutine threw.
+/// Asserts that no safety check was violated and no coroutine threw.
 void assert_sound(Cluster& cluster);
 
 }  // namespace cairnhollow::consensus
--- a/tests/consensus/file_formats_test.cpp
+++ b/tests/consensus/file_formats_test.cpp
@@ -1,5 +1,5 @@
-// The files of a control node: damaged ones are recovered or refused with file and offset, those of a newer
-// build are refused and left as they are.
+// Recovery of control node files: damaged files are recovered or refused with file and offset; files of a
+// newer build are refused and left unchanged.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 #include <rapidcheck.h>
@@ -37,7 +37,7 @@
       case 0:
         damaged.resize(at);
         break;
-      case 1:  // a part of the file stands in the wrong place
+      case 1:  // move part of the file to a different offset
         damaged = damaged.substr(0, at) + content.substr(from);
         break;
       default:
@@ -104,7 +104,7 @@
         make_record(wire::encode(LogBase{}), 0) + make_record(wire::encode(make_entry(1)), 0);
     LogEntry command = make_entry(2);
     command.payload = wire::encode(make_entry(2), kLaterFormat);
-    // The command alone, or the whole entry, is in the later format.
+    // Either the command alone or the whole entry is in the later format.
     for (const auto& payload : {wire::encode(command), wire::encode(make_entry(2), kLaterFormat)}) {
       const std::string content = before + make_record(payload, before.size());
       CPPUNIT_ASSERT(!recover_log(content));
--- a/tests/consensus/first_election_test.cpp
+++ b/tests/consensus/first_election_test.cpp
@@ -1,4 +1,5 @@
-// Servers that start together elect soon; once one leads, the others give it the usual time.
+// First election timeout: servers started together elect quickly, then use the usual timeout once there is a
+// leader.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -20,7 +21,7 @@
       ClusterSettings settings;
       settings.seed = seed;
       settings.voters = 5;
-      // Shorter than the pause between heartbeats, as on registered fleets.
+      // Shorter than the heartbeat interval, as on registered fleets.
       settings.first_election_timeout = milliseconds(60);
       settings.heartbeat_interval = milliseconds(100);
       Cluster cluster(settings);
--- a/tests/consensus/held_up_test.cpp
+++ b/tests/consensus/held_up_test.cpp
@@ -1,4 +1,4 @@
-// Servers whose every turn comes late: each excuses the others' silence once, then acts on it as ever.
+// Servers with delayed event loops: each excuses another's silence once, then acts on it as usual.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/consensus/cluster.h"
@@ -26,7 +26,7 @@
   std::unique_ptr<runtime::Timer> timer_;
 };
 
-/// All timers fire late, as on a loop that is held up again and again.
+/// Fires all timers late, like a repeatedly blocked event loop.
 class LateRuntime : public ObservedRuntime {
  public:
   explicit LateRuntime(runtime::Runtime& runtime) : ObservedRuntime(runtime, [](std::string_view) {}) {}
--- a/tests/consensus/leader_isolation_test.cpp
+++ b/tests/consensus/leader_isolation_test.cpp
@@ -1,5 +1,5 @@
-// A leader that is cut off or frozen steps down, serves no read barrier and commits nothing stale; read
-// barriers begin after the question and are batched.
+// An isolated or frozen leader steps down, serves no read barrier and commits nothing stale. Read rounds
+// begin after the call and are batched.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -159,9 +159,9 @@
     Cluster cluster(ClusterSettings{.seed = 7});
     const std::string leader = cluster.wait_for_leader();
     const auto first = cluster.begin_barrier(leader, seconds(5));
-    cluster.world().run_for(std::chrono::microseconds(100));  // its heartbeats are on their way
+    cluster.world().run_for(std::chrono::microseconds(100));  // its heartbeats are in flight
     CPPUNIT_ASSERT(!first->done);
-    isolate(cluster, leader, Direction::kOut);  // answers come in, nothing more goes out
+    isolate(cluster, leader, Direction::kOut);  // answers arrive, but nothing is sent
     const auto second = cluster.begin_barrier(leader, seconds(5));
     cluster.world().run_for(seconds(2));
     CPPUNIT_ASSERT(second->done && !second->index);
--- a/tests/consensus/leadership_transfer_test.cpp
+++ b/tests/consensus/leadership_transfer_test.cpp
@@ -1,4 +1,4 @@
-// A stopping leader hands over; learners cost little, however many there are.
+// Leadership transfer by a stopping leader; bounded heartbeat traffic to learners.
 #include "consensus/leadership_transfer.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -107,7 +107,8 @@
   }
 
  private:
-  /// Sent from one to the other in two seconds with this many barriers on the sender.
+  /// Returns the bytes sent from `from` to `to` within two seconds, with this many read barriers on the
+  /// sender.
   static std::uint64_t bytes_during(Cluster& cluster, const std::string& from, const std::string& to,
                                     std::size_t barriers) {
     const auto sent = [&] { return cluster.world().network().traffic_of(from).at(to); };
--- a/tests/consensus/log_file_test.cpp
+++ b/tests/consensus/log_file_test.cpp
@@ -1,4 +1,4 @@
-// The log on disk: a torn tail is cut, damage to what was synced is refused with file and offset.
+// The on-disk log: a torn tail is truncated; damage to synced bytes is refused with file and offset.
 #include "consensus/log_file.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -25,7 +25,7 @@
   return entries;
 }
 
-/// Creates the log and writes batches of three entries; `synced` counts those whose write was answered.
+/// Creates the log and writes batches of three entries. `synced` counts the entries of completed writes.
 Awaitable<void> write_batches(LogFile* file, std::uint64_t batches, std::uint64_t* synced) {
   Reason reason;
   const LogBase base;
@@ -72,13 +72,13 @@
       check(*log);
       lost_tails.insert(log->entries.size() - synced);
     }
-    CPPUNIT_ASSERT(lost_tails.size() > 2);  // nothing, a part and all of an unsynced batch were kept
+    CPPUNIT_ASSERT(lost_tails.size() > 2);  // none, part and all of an unsynced batch survived
   }
 
   void every_cut_of_an_unsynced_batch_recovers() {
     const std::string synced = content_of(3);
     const std::string whole = content_of(6);
-    // Without the last mark, a cut may fall anywhere behind the first batch.
+    // Without the last mark, the file may be truncated anywhere after the first batch.
     for (std::size_t size = synced.size(); size < whole.size(); ++size) {
       const auto log = recover(whole.substr(0, size));
       CPPUNIT_ASSERT(log && log->entries.size() >= 3);
@@ -107,7 +107,7 @@
     // Pages may reach the disk out of order: the end of an unsynced batch without its beginning.
     const std::string synced = content_of(3);
     std::string whole = content_of(6);
-    whole.resize(entry_end(whole, 6));  // the mark was not written: the sync had not ended
+    whole.resize(entry_end(whole, 6));  // the mark was not written because the sync had not completed
     for (std::size_t at = synced.size(); at < whole.size(); ++at) {
       std::string torn = whole;
       torn[at] = static_cast<char>(torn[at] ^ 0x20);
@@ -132,7 +132,7 @@
       runtime().spawn("write", write_batches(file_.get(), 3, &synced));
       world_->run_for(milliseconds(50));
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, synced);
-      // Another leader's entries replace 5 to 9; the crash comes somewhere in between.
+      // Another leader's entries replace 5 to 9; the crash occurs at a random point in between.
       bool done = false;
       std::vector<LogEntry> replacing = {make_entry(5), make_entry(6)};
       for (LogEntry& entry : replacing) entry.term = 2;
@@ -162,7 +162,7 @@
   }
   simulation::VirtualRuntime& runtime() { return world_->runtime("server"); }
 
-  /// The file after batches of three entries were written and synced.
+  /// Returns the file after batches of three entries were written and synced.
   std::string content_of(std::uint64_t entries) {
     build(1);
     std::uint64_t synced = 0;
@@ -172,7 +172,7 @@
     return world_->disk("server").files.at(kFile)->content;
   }
   std::size_t header_size() { return entry_end(content_of(3), 0); }
-  /// Offset behind entry number `index`, found by the shortest content that holds it.
+  /// Returns the end offset of entry `index`, from the shortest content that contains it.
   std::size_t entry_end(const std::string& content, std::size_t index) {
     for (std::size_t size = 1; size < content.size(); ++size) {
       const auto log = recover(content.substr(0, size));
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -1,4 +1,4 @@
-// Changes of the group's members: learners, one change at a time, replacement of lost voters, identities.
+// Membership changes: learners, one change at a time, replacement of lost voters, identities.
 #include "consensus/membership.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,7 +23,7 @@
   return voters;
 }
 
-/// A running server that does not lead.
+/// Returns a running server that is not the leader.
 std::string follower_of(Cluster& cluster, const std::string& leader) {
   for (const std::string& name : cluster.running_names()) {
     if (name != leader) return name;
@@ -67,7 +67,7 @@
     for (const std::string& name : cluster.names()) {
       if (name != leader && name != "node-4") cluster.world().kill(name);
     }
-    // Leader and learner are two of four members, but one of three voters.
+    // Leader and learner are two of four members but only one of three voters.
     CPPUNIT_ASSERT(!cluster.propose(leader, "unseen").index);
     cluster.world().run_for(seconds(3));
     CPPUNIT_ASSERT_EQUAL(std::string(), cluster.leader());
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT(cluster.machine("node-4").restores() > 0);
     CPPUNIT_ASSERT(cluster.status("node-4").last_index + 16 >= cluster.status(leader).last_index);
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, voters_of(cluster, leader).size());
-    // Four voters: a majority is three.
+    // With four voters a majority is three.
     cluster.world().kill(follower_of(cluster, leader));
     CPPUNIT_ASSERT(cluster.propose_anywhere("three of four"));
     assert_sound(cluster);
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, voters_of(cluster, leader).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, cluster.status(leader).members.size());
     cluster.world().restart("node-4");
-    CPPUNIT_ASSERT(cluster.add_member(member));  // goes on from the learner
+    CPPUNIT_ASSERT(cluster.add_member(member));  // continues from the learner
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, voters_of(cluster, leader).size());
     assert_sound(cluster);
   }
@@ -166,7 +166,7 @@
       CPPUNIT_ASSERT(cluster.add_member(fourth));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(leader).members.size());
-    // Without an identity, that of the disk at the endpoint counts.
+    // An empty identity means that of the disk at the endpoint.
     Member unknown = fourth;
     unknown.identity.clear();
     CPPUNIT_ASSERT(cluster.add_member(unknown));
@@ -206,7 +206,7 @@
     CPPUNIT_ASSERT(cluster.remove_member(leader));
     const TimePoint removed = cluster.world().now();
     CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-    CPPUNIT_ASSERT(cluster.world().now() - removed < milliseconds(200));  // no election timeout
+    CPPUNIT_ASSERT(cluster.world().now() - removed < milliseconds(200));  // no election timeout elapsed
     CPPUNIT_ASSERT(cluster.leader() != leader);
     CPPUNIT_ASSERT(cluster.status(leader).state != ServerState::kLeader);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, voters_of(cluster, cluster.leader()).size());
@@ -214,8 +214,9 @@
   }
 
   void a_removal_cut_short_leaves_service() {
-    // The leader of two removes itself and ends before the other has the entry: only it has the longest log,
-    // so it must still stand for election, though it is no member of its own latest configuration.
+    // The leader of two removes itself and stops before the other server has the entry. Only it has the
+    // longest log, so it must still be able to win an election, although its latest configuration excludes
+    // it.
     Cluster cluster(ClusterSettings{.seed = 14, .voters = 2});
     const std::string leader = cluster.wait_for_leader();
     const std::string other = follower_of(cluster, leader);
@@ -271,7 +272,7 @@
     CPPUNIT_ASSERT_MESSAGE(replaced->reason.to_string(), replaced->succeeded());
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, voters_of(cluster, leader).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(leader).members.size());
-    CPPUNIT_ASSERT(most_voters <= 4);  // old and new list together; each list has three
+    CPPUNIT_ASSERT(most_voters <= 4);  // old and new lists combined; each has three
     CPPUNIT_ASSERT(cluster.propose(leader, "after").succeeded());
     assert_sound(cluster);
   }
@@ -285,7 +286,7 @@
       cluster.start_outsider(4);
       cluster.world().run_for(milliseconds(100));
       CPPUNIT_ASSERT(cluster.replace_member(lost, cluster.member("node-4", MemberRole::kVoter)));
-      // At once after the answer: before the replacement may have heard that it is committed.
+      // Immediately after the answer, before the replacement may have learned of the commit.
       const std::string second = seed % 2 == 0 ? leader : follower_of(cluster, leader);
       if (second != "node-4") cluster.world().vanish(second);
       CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
@@ -314,7 +315,7 @@
       }
       cluster.world().kill(second);
       cluster.world().run_for(seconds(2));
-      // Whatever was reached, the machine's return brings service back, and the repair can be finished.
+      // Whatever step was reached, the machine's return restores service and the repair can be completed.
       cluster.world().restart(second);
       CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
       CPPUNIT_ASSERT(cluster.replace_member(lost, fourth));
@@ -362,7 +363,7 @@
     for (const std::string& name : cluster.names()) {
       if (name != leader && name != wiped) cluster.world().kill(name);
     }
-    // The wiped one's vote would be the second of three.
+    // A vote from the wiped server would be the second of three.
     CPPUNIT_ASSERT(!cluster.propose(leader, "unseen").index);
     cluster.world().run_for(seconds(10));
     CPPUNIT_ASSERT_EQUAL(std::string(), cluster.leader());
@@ -382,7 +383,7 @@
     cluster.world().restart(wiped);
     cluster.world().run_for(seconds(1));
     const Member fresh = cluster.member(wiped, MemberRole::kVoter);
-    CPPUNIT_ASSERT(!cluster.add_member(fresh, milliseconds(500)));  // it must be replaced
+    CPPUNIT_ASSERT(!cluster.add_member(fresh, milliseconds(500)));  // it must be replaced instead
     CPPUNIT_ASSERT(cluster.replace_member(wiped, fresh));
     CPPUNIT_ASSERT(cluster.machine(wiped).has("before"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(leader).members.size());
--- a/tests/consensus/newer_entry_test.cpp
+++ b/tests/consensus/newer_entry_test.cpp
@@ -1,5 +1,4 @@
-// An entry of a newer build in a running group: nobody passes over it, nothing is lost, and the reason is
-// told.
+// An entry written by a newer build: servers halt at it without skipping or losing it, and report the reason.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/consensus/cluster.h"
--- a/tests/consensus/observed_runtime.h
+++ b/tests/consensus/observed_runtime.h
@@ -1,4 +1,4 @@
-// A runtime that shows the events a server logs to a test, at the instant they are logged.
+// A runtime that reports logged events to a test synchronously.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 
 namespace cairnhollow::consensus {
 
-/// Called with the event's name, before it is logged.
+/// Called with the event name before it is logged.
 using LogObserver = std::function<void(std::string_view event)>;
 
 class ObservedLogger : public runtime::Logger {
@@ -32,7 +32,7 @@
   LogObserver observer_;
 };
 
-/// Everything but the log goes through unchanged.
+/// Forwards everything but the log unchanged.
 class ObservedRuntime : public runtime::Runtime {
  public:
   ObservedRuntime(runtime::Runtime& runtime, LogObserver observer)
--- a/tests/consensus/peer_channel_test.cpp
+++ b/tests/consensus/peer_channel_test.cpp
@@ -1,4 +1,4 @@
-// How often a channel connects to a peer that accepts connections and answers nothing on them.
+// Reconnect backoff to a peer that accepts connections without answering.
 #include "consensus/peer_channel.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,7 +14,7 @@
 
 const Endpoint kPeerEndpoint{"10.0.1.2", 7000};
 
-/// Accepts and closes, as a forwarder does in front of a process that does not listen.
+/// Accepts and closes connections, like a forwarder in front of a process that is not listening.
 Awaitable<void> accept_and_close(runtime::FrameListener* listener, int* accepted) {
   Reason reason;
   while (true) {
@@ -79,7 +79,7 @@
   void a_peer_that_accepts_and_closes_is_met_with_backoff() {
     world_->runtime("node-2").spawn("peer", accept_and_close(listener_.get(), &accepted_));
     world_->run_for(seconds(10));
-    // Each wait is at least half of the longest one; a few shorter ones come first.
+    // Each wait is at least half of the maximum; a few shorter ones precede it.
     constexpr int kShorterWaits = 6;
     const auto most = seconds(10) / (kLastReconnectDelay / 2) + kShorterWaits;
     CPPUNIT_ASSERT_MESSAGE(std::to_string(accepted_), accepted_ <= most);
--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -1,4 +1,4 @@
-// Raft servers elect, replicate, survive their leader's end and restart from disk.
+// Raft servers elect a leader, replicate, survive the loss of the leader and restart from disk.
 #include "consensus/raft.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -132,8 +132,8 @@
   }
 
   void entries_of_earlier_terms_are_committed_by_one_of_the_leaders_own() {
-    // Section 3.6.2, figure 3.7. More old entries than one request holds, so that a follower acknowledges old
-    // ones before it has the new leader's own.
+    // Section 3.6.2, figure 3.7. The old entries exceed one request, so that a follower acknowledges old
+    // entries before it has the new leader's own entry.
     constexpr int kOldEntries = 600;
     Cluster cluster(ClusterSettings{.seed = 51});
     const std::string leader = cluster.wait_for_leader();
--- a/tests/consensus/random_faults.cpp
+++ b/tests/consensus/random_faults.cpp
@@ -189,8 +189,8 @@
 }
 
 void RandomFaultRun::wipe_one() {
-  // A group can lose less than half of its disks: one at a time, none from a group of less than three, and
-  // none while a change of members is open.
+  // A group may lose fewer than half of its disks: one at a time, none from a group of fewer than three, and
+  // none during a membership change.
   const std::string leader = believed_leader();
   if (!wiped_.empty() || leader.empty() || change_ != nullptr) return;
   if (!cluster_.barrier(leader, milliseconds(300)).succeeded()) return;
@@ -214,7 +214,7 @@
   const auto up = names_where([&](const std::string& name) { return cluster_.role(name).started(); });
   const std::string subject = pick(up);
   if (!wiped_.empty()) {
-    // Repairs come first. Whether this one was done shows in the members, also when its answer is lost.
+    // Repairs have priority. The member list shows whether this one completed, even if its answer was lost.
     if (!cluster_.role(wiped_).started() || !world().running(wiped_)) return;
     const Member fresh = cluster_.member(wiped_, MemberRole::kVoter);
     const auto members = cluster_.status(leader).members;
@@ -276,7 +276,7 @@
   }
   const auto took = std::chrono::duration_cast<milliseconds>(world().now() - begun);
   if (took > seconds(8)) failures_.push_back(fmt::format("liveness: took {} ms", took.count()));
-  world().run_for(seconds(3));  // open calls end, the others catch up
+  world().run_for(seconds(3));  // calls in flight end and lagging servers catch up
   observe();
   const std::string leader = cluster_.wait_for_leader();
   if (leader.empty()) {
--- a/tests/consensus/random_faults.h
+++ b/tests/consensus/random_faults.h
@@ -1,5 +1,6 @@
-// One run of a Raft group under random faults, decided by its seed: callers propose and ask for read barriers
-// while servers are killed, frozen and wiped, disks slow, paths cut, messages lost and members changed.
+// One run of a Raft group under random faults determined by a seed: clients propose and request read barriers
+// while servers are killed, frozen and wiped, disks are slow, links are cut, messages are lost and members
+// change.
 #pragma once
 
 #include <memory>
@@ -12,7 +13,7 @@
 
 struct RandomFaultSettings {
   std::uint64_t seed = 1;
-  Duration duration = std::chrono::seconds(8);  ///< of the faults, in world time
+  Duration duration = std::chrono::seconds(8);  ///< of the fault phase, in simulated time
   bool print_log = false;
 };
 
@@ -20,7 +21,7 @@
  public:
   explicit RandomFaultRun(RandomFaultSettings settings);
 
-  /// Runs to the end: the faults, the heal, the final checks. What was violated; empty in a sound run.
+  /// Runs the faults, recovery and final checks. Returns the violations; empty if there are none.
   std::vector<std::string> run();
 
   Cluster& cluster() { return cluster_; }
@@ -69,7 +70,7 @@
   std::vector<Barrier> barriers_;
   std::shared_ptr<CallResult> change_;
   std::vector<std::string> frozen_;
-  std::string wiped_;  ///< the voter whose disk was lost and that was not replaced yet
+  std::string wiped_;  ///< the voter whose disk was lost and has not been replaced yet
   std::size_t next_command_ = 0;
   std::size_t faults_ = 0;
   std::size_t changes_done_ = 0;
--- a/tests/consensus/random_faults_test.cpp
+++ b/tests/consensus/random_faults_test.cpp
@@ -1,4 +1,4 @@
-// Raft's promises under random faults, over many seeds.
+// Raft safety under random faults, over many seeds.
 //
 // CAIRNHOLLOW_CONSENSUS_SEEDS=first-last runs these seeds instead of the short list; _LOG=1 prints the log.
 #include "tests/consensus/random_faults.h"
@@ -58,7 +58,7 @@
     fmt::print("{} seeds: {} acknowledged, {} barriers, {} leaders, {} member changes, {} faults\n",
                seeds.last - seeds.first + 1, acknowledged, barriers, leaders, changes, faults);
     CPPUNIT_ASSERT_MESSAGE(broken, broken.empty());
-    // The runs do what they are for: work goes on between the faults.
+    // Guards against vacuous runs: proposals must succeed between the faults.
     const std::uint64_t count = seeds.last - seeds.first + 1;
     CPPUNIT_ASSERT(acknowledged > 20 * count);
     CPPUNIT_ASSERT(barriers > 20 * count);
--- a/tests/consensus/recording_state_machine.h
+++ b/tests/consensus/recording_state_machine.h
@@ -1,5 +1,5 @@
-// A state machine that keeps every command with its index, and a record of the whole run against which
-// each server's applied commands are checked (state machine safety, figure 3.2).
+// A state machine that keeps every command with its index, and a record of the whole run against which each
+// server's applied commands are checked (state machine safety, figure 3.2).
 #pragma once
 
 #include <map>
@@ -10,12 +10,12 @@
 
 namespace cairnhollow::consensus {
 
-/// What any server has applied at each index, over all servers and restarts of one run.
+/// The command applied at each index, over all servers and restarts of one run.
 class AppliedRecord {
  public:
-  /// Notes a violation when another command was applied at this index before.
+  /// Reports a violation if a different command was applied at this index before.
   void record(std::uint64_t index, const std::string& command);
-  /// A restored snapshot says what was applied up to its index.
+  /// Records the commands contained in a restored snapshot.
   void record_restored(const std::map<std::uint64_t, std::string>& commands);
 
   [[nodiscard]] const std::map<std::uint64_t, std::string>& commands() const { return commands_; }
@@ -34,7 +34,7 @@
   [[nodiscard]] std::string take_snapshot() const override;
   bool restore_snapshot(const std::string& bytes, Reason& reason) override;
 
-  /// By index.
+  /// Commands by log index.
   [[nodiscard]] const std::map<std::uint64_t, std::string>& commands() const { return commands_; }
   [[nodiscard]] bool has(const std::string& command) const;
   [[nodiscard]] int restores() const { return restores_; }
--- a/tests/consensus/run_checks.h
+++ b/tests/consensus/run_checks.h
@@ -1,5 +1,5 @@
-// What must hold in every run of a Raft group (figure 3.2), checked against what servers show of themselves.
-// State machine safety is checked by AppliedRecord.
+// Checks of Raft's safety properties (figure 3.2) on the observed state of servers. State machine safety is
+// checked by AppliedRecord.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,25 @@
 
 class RunChecks {
  public:
-  /// Election safety: one leader a term. Leader completeness: its log reaches what was committed in lower
-  /// terms. (One that was frozen between its last vote and its first act may lead an old term for a moment,
-  /// without what higher terms have committed.)
+  /// Election safety: at most one leader per term. Leader completeness: its log contains everything committed
+  /// in lower terms. (A server frozen between its last vote and its first action may briefly be leader of an
+  /// old term without the entries committed in higher terms.)
   void record_leader(std::uint64_t term, const std::string& name, std::uint64_t last_index);
-  /// A server in this term says that this entry is committed: so it was in this term or a lower one.
+  /// A server in this term reported the entry as committed, so it was committed in this term or a lower one.
   void record_committed(std::uint64_t term, std::uint64_t index);
-  /// Log matching: entries of the same index and term are the same and follow the same entry. `previous_term`
-  /// is that of the entry before the first of `entries`.
+  /// Log matching: entries with the same index and term are identical and have the same predecessor.
+  /// `previous_term` is the term of the entry before the first of `entries`.
   void record_log(std::uint64_t previous_term, const std::vector<LogEntry>& entries);
 
-  /// A caller has its answer.
+  /// A client received a successful answer.
   void record_acknowledged(std::uint64_t index, const std::string& command);
-  /// A caller was told that its command was not taken and never will be.
+  /// A client was told that its command was refused and will never be applied.
   void record_refused(const std::string& command) { refused_.insert(command); }
-  /// The index that a read barrier begun now must reach.
+  /// Returns the minimum index for a read barrier that begins now.
   [[nodiscard]] std::uint64_t barrier_minimum() const { return last_acknowledged_; }
   void record_barrier(std::uint64_t minimum, std::uint64_t index, const std::string& name);
-  /// Nothing acknowledged is lost, nothing refused is applied. `applied` is the group's final state.
+  /// Checks that no acknowledged command is lost and no refused one is applied. `applied` is the group's
+  /// final state.
   void check_outcomes(const std::map<std::uint64_t, std::string>& applied);
 
   [[nodiscard]] const std::vector<std::string>& violations() const { return violations_; }
--- a/tests/consensus/run_checks_test.cpp
+++ b/tests/consensus/run_checks_test.cpp
@@ -1,4 +1,4 @@
-// Each check rejects a history that breaks it, and accepts the sound one beside it.
+// Each check rejects a history that violates it and accepts a similar valid one.
 #include "tests/consensus/run_checks.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -35,7 +35,7 @@
 
   void a_leader_without_a_committed_entry() {
     checks_.record_committed(2, 5);
-    checks_.record_leader(1, "a", 3);  // an old term's
+    checks_.record_leader(1, "a", 3);  // leader of an old term
     checks_.record_leader(3, "b", 5);
     expect(0);
     checks_.record_leader(4, "c", 4);
--- a/tests/consensus/snapshot_test.cpp
+++ b/tests/consensus/snapshot_test.cpp
@@ -1,4 +1,4 @@
-// Snapshots: taken, sent to those who fell behind, restored at restart, refused when damaged.
+// Snapshots: taken, sent to lagging followers, restored at restart, refused when damaged.
 #include "consensus/snapshot_file.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -16,7 +16,7 @@
   return ClusterSettings{.seed = seed, .voters = 3, .snapshot_after_entries = kSnapshotAfter};
 }
 
-/// Any running server but this one.
+/// Returns any running server other than `name`.
 std::string other_than(Cluster& cluster, const std::string& name) {
   for (const std::string& other : cluster.running_names()) {
     if (other != name) return other;
@@ -45,7 +45,7 @@
     for (const std::string& name : cluster.names()) {
       const ConsensusStatus status = cluster.status(name);
       CPPUNIT_ASSERT(status.snapshot_index + kSnapshotAfter >= status.applied_index);
-      // The log keeps at most a tail of kSnapshotAfter entries and what came after the snapshot.
+      // The log keeps at most kSnapshotAfter entries before the snapshot, plus those after it.
       const std::size_t bytes = cluster.world().disk(name).files.at("raft.log")->content.size();
       CPPUNIT_ASSERT(bytes < std::size_t{3} * kSnapshotAfter * 400);
     }
@@ -91,7 +91,7 @@
       const auto last = cluster.propose_many(leader, "missed", 300, 2048);
       CPPUNIT_ASSERT(last);
       cluster.world().restart(behind);
-      // The kills fall into the transfer, the write of the snapshot or the reset of the log.
+      // The kills interrupt the transfer, the write of the snapshot or the reset of the log.
       for (int kill = 0; kill < 3; ++kill) {
         const auto wait = cluster.world().random().between(Duration{0}, std::chrono::milliseconds(60));
         cluster.world().run_for(wait);
--- a/tests/consensus/storage_test.cpp
+++ b/tests/consensus/storage_test.cpp
@@ -1,4 +1,4 @@
-// Disks that lose power, fail, are slow, are damaged or were replaced by another node's.
+// Disk faults: power loss, failed or slow writes, damage, and a disk of another node.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -111,7 +111,7 @@
     CPPUNIT_ASSERT(cluster.propose_anywhere("meanwhile"));
     cluster.world().disk(leader).full = false;
     cluster.world().run_for(seconds(2));
-    // Without the one that was full there is no quorum now.
+    // Without the server whose disk was full there is now no quorum.
     const std::string other = cluster.leader() == "node-3" ? "node-2" : "node-3";
     const std::string lost = other == leader ? "node-1" : other;
     cluster.world().kill(lost);
@@ -136,7 +136,7 @@
           const std::string command = fmt::format("command-{}-{}", round, number);
           if (cluster.propose_anywhere(command)) acknowledged.push_back(command);
         }
-        // Now and then the power goes while the disk is full.
+        // In some rounds power is lost while the disk is full.
         if (round % 2 == 1) cluster.world().kill(hit);
         cluster.world().disk(hit).full = false;
         if (round % 2 == 1) cluster.world().restart(hit);
@@ -213,7 +213,7 @@
     Cluster cluster(ClusterSettings{.seed = 6});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose_many(leader, "command", 50));
-    // Later entries show that the earlier ones had been synced.
+    // Later entries prove that the earlier ones had been synced.
     const CallResult last = cluster.propose(leader, "last");
     CPPUNIT_ASSERT(last.succeeded() && cluster.wait_applied(*last.index));
     cluster.world().kill("node-2");
