--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -11,8 +11,8 @@
 
 std::uint64_t hash_of(std::string_view text) { return XXH64(text.data(), text.size(), 0); }
 
-/// Weight of a node for a key from the hashes of both. The finalizer of MurmurHash3 (Appleby, 2011), which
-/// costs a tenth of hashing the texts again.
+/// Returns the rendezvous weight of a node for a key from the hashes of both. Uses the finalizer of
+/// MurmurHash3 (Appleby, 2011), which is cheaper than hashing the names again.
 std::uint64_t mix(std::uint64_t key, std::uint64_t node) {
   std::uint64_t value = key ^ (node * 0x9e3779b97f4a7c15ULL);
   value = (value ^ (value >> 33U)) * 0xff51afd7ed558ccdULL;
@@ -20,7 +20,7 @@
   return value ^ (value >> 33U);
 }
 
-/// An entry with its weight for the key at hand; the heavier goes first.
+/// An entry with its weight for the current key; heavier entries come first.
 template <class Entry>
 struct Weighted {
   std::uint64_t weight = 0;
@@ -28,7 +28,7 @@
   bool operator<(const Weighted& other) const { return weight > other.weight; }
 };
 
-/// The heaviest first, equal ones as they came.
+/// Sorts by descending weight, keeping the order of equal entries.
 template <class Entry>
 void sort_by_weight(std::vector<Weighted<Entry>>& entries) {
   std::stable_sort(entries.begin(), entries.end());
@@ -87,7 +87,7 @@
 
 void SubsetTable::add_best(const Zone& zone, std::uint64_t key, std::uint32_t count,
                            std::vector<ProxyPointer>& subset) {
-  std::vector<Weighted<Node>> best;  // in order; mostly one
+  std::vector<Weighted<Node>> best;  // in order; usually one
   for (const auto& node : zone.nodes) {
     const Weighted<Node> candidate{mix(key, node.hash), &node};
     if (best.size() == count && !(candidate < best.back())) continue;
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -1,4 +1,4 @@
-// Which proxies serve a group: sizes, balance, what a change of membership moves, order of forwarding.
+// Subsets of serving proxies: sizes, balance, groups moved by membership changes, forwarding order.
 #include "subset/subset.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -85,7 +85,7 @@
     for (std::uint32_t number = 0; number < kGroups; ++number) {
       for (const auto& name : names(table.serving(group(number), kSubset))) ++served[name];
     }
-    const std::uint32_t mean = kGroups * kSubset / kProxies;  // 121
+    const std::uint32_t mean = kGroups * kSubset / kProxies;
     CPPUNIT_ASSERT_EQUAL(std::size_t{kProxies}, served.size());
     for (const auto& [name, count] : served) {
       CPPUNIT_ASSERT(count > mean / 2);
