--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,5 +1,5 @@
-// Encodes typed messages. Every message type has a `template <class Archive> void serialize(Archive&)`; a
-// field added later stands in wire::since(), with the format that added it.
+// Encodes and decodes typed messages. Every message type has a `template <class Archive> void
+// serialize(Archive&)`; a field added later is serialized by wire::since() with the format that added it.
 #pragma once
 
 #include <cereal/types/map.hpp>
@@ -17,7 +17,8 @@
 
 namespace cairnhollow::wire {
 
-/// Fields that `format` lacks are left out. Readers give them the value they had before the field was added.
+/// Fields that `format` lacks are omitted. Readers set them to the value that implies the earlier behaviour;
+/// see since().
 template <class Message>
 std::string encode(const Message& message, Format format = kWrittenFormat) {
   MessageWriter writer(format);
@@ -25,7 +26,7 @@
   return writer.take_bytes();
 }
 
-/// Whether readers of `format` would take the message for the same as readers of the newest.
+/// Returns whether readers of `format` decode the same message as readers of the newest format.
 template <class Message>
 bool fits_format(const Message& message, Format format) {
   MessageWriter writer(format);
@@ -33,7 +34,8 @@
   return !writer.loses_a_field();
 }
 
-/// Runs `write(writer)` in the earliest format from `level` on that loses no field, and gives the bytes.
+/// Runs `write(writer)` in the earliest format, starting at `level`, that loses no field, and returns the
+/// bytes.
 template <class Write>
 std::string write_from(Format level, const Write& write) {
   for (Format format = level;; ++format) {
@@ -48,9 +50,10 @@
   return write_from(level, [&](MessageWriter& writer) { writer(message); });
 }
 
-/// Runs `read(reader)` over the bytes in the format they say; those that say none are read in the latest
-/// format without a mark, and where they don't fit, in the one before. kCorrupt when they fit none,
-/// kUnsupported when a newer build wrote them. `read` may run twice; what it filled counts on success only.
+/// Runs `read(reader)` over the bytes in their marked format. Unmarked bytes are read in the latest unmarked
+/// format or, if they do not match it, in the one before. Fails with kCorrupt if the bytes match neither, and
+/// with kUnsupported if a newer build wrote them. `read` may run twice; its results are valid only on
+/// success.
 template <class Read>
 bool read_message(const std::string& bytes, const Read& read, Reason& reason) {
   if (auto unreadable = unreadable_format(bytes)) {
@@ -75,8 +78,8 @@
   return false;
 }
 
-/// Empty with kCorrupt when the bytes are not a whole message of this type, with kUnsupported when they are
-/// of a newer build.
+/// Returns std::nullopt with kCorrupt if the bytes are not a complete message of this type, or with
+/// kUnsupported if a newer build wrote them.
 template <class Message>
 std::optional<Message> decode(const std::string& bytes, Reason& reason) {
   std::optional<Message> message;
--- a/src/wire/compression.cpp
+++ b/src/wire/compression.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Of zlib's 1 to 9: the fastest one. Names and numbers that repeat shrink alike on all levels.
+/// The fastest of zlib's levels; repeated names and numbers compress about as well at every level.
 constexpr int kLevel = Z_BEST_SPEED;
 constexpr std::size_t kChunkBytes = std::size_t{16} << 10;
 
-/// Ends the stream whatever happens.
+/// Releases the zlib stream on destruction.
 class Inflater {
  public:
   Inflater() {
@@ -35,7 +35,7 @@
   std::string compressed(size, '\0');
   const int status = compress2(reinterpret_cast<Bytef*>(compressed.data()), &size,
                                reinterpret_cast<const Bytef*>(bytes.data()), bytes.size(), kLevel);
-  if (status != Z_OK) throw std::bad_alloc();  // the only failure with room enough
+  if (status != Z_OK) throw std::bad_alloc();  // the only possible failure, as the buffer is large enough
   compressed.resize(size);
   return compressed;
 }
--- a/src/wire/compression.h
+++ b/src/wire/compression.h
@@ -1,4 +1,4 @@
-// Makes large messages small (zlib).
+// Compression of large messages (zlib).
 #pragma once
 
 #include <optional>
@@ -8,14 +8,15 @@
 
 namespace cairnhollow::wire {
 
-/// A fleet's table of 23 KB becomes 5 KB, which takes 20 instead of 93 ms of a link of 2 Mbit/s.
+/// Reduces the size of messages with many repeated names, such as a fleet's table, on slow links.
 std::string compress(const std::string& bytes);
 
-/// Empty with kCorrupt when `bytes` are not what compress() gave, or are of more than kMostDecompressedBytes.
+/// Returns std::nullopt with kCorrupt if `bytes` are not a result of compress() or expand to more than
+/// kMostDecompressedBytes.
 std::optional<std::string> decompress(const std::string& bytes, Reason& reason);
 
-/// Bounds what one message can make a reader allocate: over three times the table of the size aimed at
-/// (1,500 proxies and 9,900 backends at 100 bytes each, 9,900 routes at 100).
+/// Limits what one message can make a reader allocate. Leaves ample room for the table of a fleet with 1,500
+/// proxies, 9,900 backends and 9,900 routes at 100 bytes each.
 inline constexpr std::size_t kMostDecompressedBytes = std::size_t{8} << 20;
 
 }  // namespace cairnhollow::wire
--- a/src/wire/connection_dispatcher.cpp
+++ b/src/wire/connection_dispatcher.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// A connection whose first frame has not come by then is closed.
+/// A connection without a first frame within this time is closed.
 constexpr Duration kHelloTimeout = std::chrono::seconds(2);
 
 }  // namespace
--- a/src/wire/connection_dispatcher.h
+++ b/src/wire/connection_dispatcher.h
@@ -1,4 +1,4 @@
-// Accepts the frame connections of one node and hands each to the part that its Hello asks for.
+// Accepts the frame connections of one node and dispatches each by the Conversation in its Hello.
 #pragma once
 
 #include <functional>
@@ -10,20 +10,20 @@
 
 namespace cairnhollow::wire {
 
-/// `runtime` outlives it; it lives until the process ends.
+/// `runtime` must outlive this object, which must live until the process ends.
 class ConnectionDispatcher {
  public:
-  /// Serves one connection until it ends; `hello` was received already.
+  /// Serves one connection until it ends. `hello` is the Hello already received on it.
   using Service =
       std::function<Awaitable<void>(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello)>;
 
   explicit ConnectionDispatcher(runtime::Runtime& runtime) : runtime_(runtime) {}
 
-  /// Set before start().
+  /// Registers the service for a conversation. Call before start().
   void route(wire::Conversation conversation, Service service);
-  /// False when the endpoint can't be bound.
+  /// Returns false if the endpoint cannot be bound.
   bool start(const Endpoint& endpoint, Reason& reason);
-  /// Accepts no more; connections being served go on.
+  /// Stops accepting connections. Connections already being served continue.
   void stop();
 
  private:
@@ -31,7 +31,8 @@
   Awaitable<void> greet(std::shared_ptr<runtime::FrameConnection> connection);
   Awaitable<void> close_unless_greeted(std::shared_ptr<runtime::FrameConnection> connection,
                                        std::shared_ptr<bool> greeted);
-  /// Answers a Hello that says a range of versions, and one that is refused. Empty when it is refused.
+  /// Negotiates the protocol version. Answers a Hello that offers a range of versions, or one that is
+  /// refused. Returns std::nullopt if the Hello is refused.
   Awaitable<std::optional<wire::Hello>> agree(std::shared_ptr<runtime::FrameConnection> connection,
                                               std::string frame, Reason& reason);
   Awaitable<void> pass_on(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
--- a/src/wire/format.cpp
+++ b/src/wire/format.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Written by cereal's portable binary archive on a little-endian machine.
+/// The first byte of cereal's portable binary archive written on a little-endian machine.
 constexpr std::string_view kUnmarked("\1", 1);
 constexpr std::string_view kMark("\2CHF", 4);
 constexpr std::size_t kFormatLength = 4;
--- a/src/wire/format.h
+++ b/src/wire/format.h
@@ -1,5 +1,4 @@
-// Formats: in which version of its types a message or record is written. docs/design/formats.md says how a
-// field is added.
+// Format versions of messages and records. docs/design/formats.md explains how to add a field.
 #pragma once
 
 #include <cstdint>
@@ -9,45 +8,45 @@
 
 namespace cairnhollow::wire {
 
-/// A later format adds fields to an earlier one, nothing else.
+/// A later format only adds fields to an earlier one.
 using Format = std::uint32_t;
 
-/// Of builds before routes had replica_wait_milliseconds.
+/// Used by builds whose routes lack replica_wait_milliseconds.
 inline constexpr Format kEarliestFormat = 1;
-/// Routes have replica_wait_milliseconds. This format and the one before do not say which of them they are.
+/// Adds replica_wait_milliseconds to routes. Messages in this format or the earlier one do not identify their
+/// format.
 inline constexpr Format kReplicaWaitFormat = 2;
-/// From here on a message says its format. Hello has the range of protocol versions.
+/// Messages in this and later formats begin with a format mark. Adds the range of protocol versions to Hello.
 inline constexpr Format kMarkedFormat = 3;
-/// The document has tenants with keys and limits, and routes that need no key; forwarded statements carry the
-/// caller's key.
+/// Adds tenants with keys and limits, routes that need no key, and the caller's key in forwarded statements.
 inline constexpr Format kTenantsFormat = 4;
 
-/// Backends tell when they started and how long they stay cold; zones can be evacuated; routes and tenants
-/// name the regions they allow.
+/// Adds backend start times and warm-up times, evacuation of zones, and the allowed regions of routes and
+/// tenants.
 inline constexpr Format kPlacesFormat = 5;
 
-/// The latest that this build reads.
+/// The latest format that this build can read.
 inline constexpr Format kNewestFormat = kPlacesFormat;
-/// What this build writes where nothing else was agreed on. Not above what the build before reads, so that
-/// builds can be mixed and an upgrade can be taken back.
+/// The format written unless another one was negotiated. Must be readable by the previous build, so that
+/// builds can be mixed and an upgrade can be rolled back.
 inline constexpr Format kWrittenFormat = kReplicaWaitFormat;
 
-/// Of messages between nodes of a registered fleet: without tenants as builds before them read it, too. What
-/// may need a later one is written by encode_from() from here on.
+/// Returns the format of messages between nodes of a registered fleet. Without tenants, earlier builds can
+/// read it too. Messages that may need a later format are written by encode_from() starting at this one.
 constexpr Format format_with_tenants(bool has_tenants) {
   return has_tenants ? kTenantsFormat : kWrittenFormat;
 }
 
-/// What stands before a message of this format.
+/// Returns the prefix that marks a message of this format.
 std::string format_mark(Format format);
 
-/// The format that the mark at the start of `bytes` names; empty when there is none.
+/// Returns the format named by the mark at the start of `bytes`, or std::nullopt if there is no mark.
 std::optional<Format> marked_format(std::string_view bytes);
 
-/// Set when `bytes` say a format that this build can't read: which one, and what to do.
+/// Returns an explanation and remedy if `bytes` are marked with a format that this build cannot read.
 std::optional<std::string> unreadable_format(std::string_view bytes);
 
-/// A field that was added by `format`. In messages of earlier formats it has the value `earlier`.
+/// Serializes a field added by `format`. In messages of earlier formats it has the value `earlier`.
 template <class Archive, class Field>
 void since(Archive& archive, Format format, Field& field, const Field& earlier) {
   if (archive.format() >= format) {
--- a/src/wire/hello.cpp
+++ b/src/wire/hello.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Neither a mark of a format nor the first byte of a message without one.
+/// Distinct from a format mark and from the first byte of an unmarked message.
 constexpr std::string_view kAnswerMark("\3CHA", 4);
 
 }  // namespace
--- a/src/wire/hello.h
+++ b/src/wire/hello.h
@@ -1,4 +1,4 @@
-// The first frame on every connection to a control node, and the answer to it: which protocol is spoken.
+// The first frame on every connection to a control node, and its answer: protocol version negotiation.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,7 @@
 
 namespace cairnhollow::wire {
 
-/// What the connecting side will speak after its Hello.
+/// The protocol that the connecting side speaks after its Hello.
 enum class Conversation : std::uint8_t {
   kConsensus = 1,          ///< control node to control node: consensus messages
   kFollow = 2,             ///< proxy or relay to control node: FollowRequest / FollowAnswer
@@ -20,12 +20,12 @@
   kServingCompressed = 7,  ///< as kServing, with the deltas of ProxyUpdate compressed
 };
 
-/// Of builds whose Hello says no range and gets no answer; messages are in formats without a mark.
+/// Used by builds whose Hello offers a single version and gets no answer. Messages use unmarked formats.
 inline constexpr std::uint32_t kFirstProtocolVersion = 1;
-/// Hello says a range and is answered; messages may be in formats with a mark.
+/// The Hello offers a version range and is answered. Messages may use marked formats.
 inline constexpr std::uint32_t kProtocolVersion = 2;
 
-/// The protocol versions that a side speaks, both ends included.
+/// The protocol versions that one side supports, inclusive at both ends.
 struct ProtocolRange {
   std::uint32_t lowest = kFirstProtocolVersion;
   std::uint32_t highest = kProtocolVersion;
@@ -38,7 +38,7 @@
 };
 
 struct Hello {
-  /// The lowest version spoken. All that an unmarked Hello says.
+  /// The lowest version supported. The only version in an unmarked Hello.
   std::uint32_t protocol_version = kFirstProtocolVersion;
   Conversation conversation = Conversation::kFollow;
   NodeName node;
@@ -53,10 +53,10 @@
   [[nodiscard]] ProtocolRange versions() const { return {protocol_version, highest_version}; }
 };
 
-/// The server's first frame to a Hello that says a range, and to every Hello that it refuses.
+/// The server's first frame after a Hello that offers a version range, and after every Hello that it refuses.
 struct HelloAnswer {
-  ProtocolRange spoken;       ///< by the server
-  std::uint32_t version = 0;  ///< the highest that both speak; 0: refused
+  ProtocolRange spoken;       ///< supported by the server
+  std::uint32_t version = 0;  ///< the highest version supported by both; 0 if refused
   Reason refusal;
 
   template <class Archive>
@@ -65,31 +65,32 @@
   }
 };
 
-/// What the server of a connection from `peer` answers to a Hello with these versions. A refusal is
-/// kUnsupported at step "hello" and names both ranges.
+/// Returns the server's answer to a Hello from `peer` that offers these versions. A refusal is kUnsupported
+/// at step "hello" and names both ranges.
 HelloAnswer answer_hello(const ProtocolRange& offered, const std::string& peer);
 
-/// The frame of an answer; no frame of a conversation starts like it.
+/// Encodes an answer as a frame that differs from the start of every frame of a conversation.
 std::string encode_hello_answer(const HelloAnswer& answer);
 bool is_hello_answer(const std::string& frame);
-/// Empty as decode() is.
+/// Fails as decode() does.
 std::optional<HelloAnswer> decode_hello_answer(const std::string& frame, Reason& reason);
 
-/// The client's side of a Hello, over all its connections to one kind of server. Control nodes of builds
-/// before the range close on a Hello with one, without a word; so after a connection that gave no frame the
-/// next Hello is as those know it, and then again one with the range.
+/// The client side of version negotiation, over all its connections to one kind of server. Control nodes of
+/// earlier builds close the connection, without an answer, on a Hello that offers a range. After a connection
+/// without any frame the next Hello is therefore in the earlier form, and the one after it offers the range
+/// again.
 class Greeting {
  public:
-  /// The first frame of the next connection.
+  /// Returns the first frame to send on the next connection.
   std::string next_frame(const Hello& hello);
 
   enum class Effect { kConversation, kAccepted, kRefused };
-  /// Of a frame received. kConversation: the frame is not the answer to a Hello. kRefused: with the server's
-  /// reason, which names `peer`; another attempt before one of the two is upgraded is in vain.
+  /// Processes a received frame. kConversation: the frame is not an answer to the Hello. kRefused: `reason`
+  /// is the server's and names `peer`; retrying is useless until one side is upgraded.
   Effect take(const std::string& frame, const std::string& peer, Reason& reason);
 
  private:
-  bool unanswered_ = false;  ///< the last Hello said a range, and no frame has come since
+  bool unanswered_ = false;  ///< the last Hello offered a range and no frame has arrived since
 };
 
 }  // namespace cairnhollow::wire
--- a/src/wire/least_size.h
+++ b/src/wire/least_size.h
@@ -1,5 +1,5 @@
-// The fewest bytes that a value of a type takes in any message, so that a list can be refused before room is
-// made for more elements than the message can hold.
+// Computes the minimum encoded size of a type in bytes, so that a list can be rejected before memory is
+// allocated for more elements than the message can hold.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 template <class Value>
 std::size_t least_size();
 
-/// Stands in for an archive; adds up the fields that every format has.
+/// Archive that adds up the sizes of the fields present in every format.
 class SizeSum {
  public:
   template <class... Fields>
@@ -50,7 +50,7 @@
   }
 };
 
-/// Texts and lists start with their length.
+/// Strings and lists begin with their length.
 struct LeastSizeOfList {
   static std::size_t get() { return sizeof(std::uint64_t); }
 };
@@ -68,7 +68,7 @@
   static std::size_t get() { return 1; }
 };
 
-/// Starts with the place of the alternative.
+/// A variant begins with the index of its alternative.
 template <class... Values>
 struct LeastSize<std::variant<Values...>> {
   static std::size_t get() { return sizeof(std::int32_t) + std::min({least_size<Values>()...}); }
--- a/src/wire/message_reader.h
+++ b/src/wire/message_reader.h
@@ -1,5 +1,5 @@
-// Reads what MessageWriter wrote, from bytes that may come from anywhere: a count is believed only as far as
-// the message can hold it, so that a frame of a few bytes can't make its reader take gigabytes.
+// Reads the output of MessageWriter from untrusted bytes. Lengths are checked against the remaining message,
+// so that a frame of a few bytes cannot make its reader allocate gigabytes.
 #pragma once
 
 #include <bit>
@@ -17,10 +17,11 @@
 
 namespace cairnhollow::wire {
 
-/// An input archive over bytes in memory, which outlive it. Throws cereal::Exception; decode() catches it.
+/// Input archive over bytes in memory, which must outlive it. Throws cereal::Exception, which decode()
+/// catches.
 class MessageReader : public cereal::InputArchive<MessageReader, cereal::AllowEmptyClassElision> {
  public:
-  /// `bytes` are those of a message; `format` counts when they do not say theirs.
+  /// `bytes` is a whole message. `format` applies if they are not marked.
   MessageReader(std::string_view bytes, Format format)
       : InputArchive(this), format_(marked_format(bytes).value_or(format)), unread_(bytes) {
     const std::string mark = format_mark(format_);
@@ -35,7 +36,7 @@
     unread_.remove_prefix(size);
   }
 
-  /// Throws when `count` elements of `least_size` bytes at least are more than what is left.
+  /// Throws if `count` elements of at least `least_size` bytes exceed the remaining bytes.
   void check_holds(std::uint64_t count, std::size_t least_size) const {
     const std::size_t size = least_size > 0 ? least_size : 1;
     if (count > unread_.size() / size) throw cereal::Exception("a length says more than the message holds");
@@ -53,7 +54,7 @@
   std::string_view unread_;
 };
 
-// What cereal calls for the basic types; found by argument-dependent lookup.
+// Overloads called by cereal for the basic types, found by argument-dependent lookup.
 
 template <class Value>
 requires std::is_arithmetic_v<Value>
@@ -66,7 +67,7 @@
   value = byte == 1;
 }
 
-/// Texts and maps: cereal reads map entries one by one, and takes room for a text's bytes at once.
+/// Length of strings and maps: cereal reads map entries one by one and allocates a string at once.
 template <class Size>
 void load(MessageReader& reader, cereal::SizeTag<Size>& tag) {
   std::uint64_t size = 0;
@@ -85,7 +86,7 @@
   reader(pair.value);
 }
 
-/// Lists take room for all their elements at once; cereal's own would do so for any count of bytes.
+/// Lists are allocated as a whole; cereal's own overload would do so for an unchecked length.
 template <class List>
 void load_list(MessageReader& reader, List& list) {
   std::uint64_t count = 0;
@@ -108,7 +109,7 @@
 
 }  // namespace cairnhollow::wire
 
-// Which archive writes what the other reads.
+// Tells cereal which input and output archives belong together.
 template <>
 struct cereal::traits::detail::get_output_from_input<cairnhollow::wire::MessageReader> {
   using type = cairnhollow::wire::MessageWriter;
--- a/src/wire/message_writer.h
+++ b/src/wire/message_writer.h
@@ -1,4 +1,4 @@
-// Writes the bytes of cereal's portable binary archive on a little-endian machine, behind the mark of a
+// Writes cereal's portable binary format on a little-endian machine, prefixed by the mark of the message
 // format.
 #pragma once
 
@@ -24,7 +24,7 @@
   void take_absent(const Field& field, const Field& earlier) {
     loses_a_field_ = loses_a_field_ || !(field == earlier);
   }
-  /// Whether a field that the format lacks has another value than readers of the format will take it to have.
+  /// Returns whether a field omitted by the format differs from the value that readers of the format assume.
   [[nodiscard]] bool loses_a_field() const { return loses_a_field_; }
   std::string take_bytes() { return std::move(bytes_); }
 
@@ -34,7 +34,7 @@
   std::string bytes_;
 };
 
-// What cereal calls for the basic types; found by argument-dependent lookup.
+// Overloads called by cereal for the basic types, found by argument-dependent lookup.
 
 template <class Value>
 requires std::is_arithmetic_v<Value>
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -1,4 +1,4 @@
-// Messages between the processes: bytes that are no message are a fault, whatever they claim.
+// Message decoding rejects invalid bytes, whatever lengths they claim.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -22,7 +22,7 @@
   }
 };
 
-/// Counts how many were made. At least 24 bytes in a message.
+/// Counts constructed instances. Takes at least 24 bytes in a message.
 struct Counted {
   static inline std::uint64_t made = 0;
   std::string first, second, third;
@@ -62,10 +62,10 @@
 namespace cairnhollow::wire {
 namespace {
 
-/// What encode() writes before a message: the byte order.
+/// The byte-order flag that encode() writes before a message.
 std::string start_of_message() { return std::string(1, '\1'); }
 
-/// A count of elements or bytes as the archive writes it.
+/// A length as the archive writes it.
 std::string count(std::uint64_t value) {
   std::string bytes;
   for (int byte = 0; byte < 8; ++byte) bytes.push_back(static_cast<char>(value >> (8 * byte)));
@@ -82,7 +82,7 @@
   CPPUNIT_ASSERT_MESSAGE(reason.detail, reason.detail.find(detail) != std::string::npos);
 }
 
-/// Decodes `bytes` and what comes of them when some are changed, cut off or added.
+/// Decodes `bytes`, and variants of them with changed, removed or added bytes.
 template <class Message>
 void assert_survives_damage(const std::string& bytes) {
   std::string damaged = bytes;
@@ -125,7 +125,7 @@
     }));
   }
 
-  /// A frame of a few bytes must not make its reader take gigabytes.
+  /// A frame of a few bytes must not make its reader allocate gigabytes.
   void text_longer_than_the_message_is_refused() {
     const std::string flag(1, '\0');
     for (const std::uint64_t claimed : {std::uint64_t{3}, std::uint64_t{1} << 31U, ~std::uint64_t{0}}) {
@@ -140,14 +140,14 @@
     }
   }
 
-  /// A megabyte that claims a million elements must not make room for them.
+  /// A one-megabyte message that claims a million elements must not allocate them.
   void room_is_made_only_for_elements_that_the_message_can_hold() {
     const std::uint64_t claimed = 1'000'000;
     const std::string bytes = start_of_message() + count(claimed) + std::string(claimed, '\0');
     Counted::made = 0;
     assert_fault<Holder<std::vector<Counted>>>(bytes, "more than the message holds");
     assert_fault<Holder<std::deque<Counted>>>(bytes, "more than the message holds");
-    // One is made to learn its least size.
+    // One instance is made to determine the least size.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(Counted::made), Counted::made <= 1);
   }
 
@@ -171,7 +171,7 @@
     consensus::PeerRequest request;
     request.body = consensus::TimeoutNowRequest{};
     CPPUNIT_ASSERT_EQUAL(encode(request).size() - mark, least_size<consensus::PeerRequest>());
-    // The field that an earlier format lacks is not counted.
+    // A field that an earlier format lacks is not counted.
     CPPUNIT_ASSERT_EQUAL(encode(declared::config::RouteSpec{}, kEarliestFormat).size() - mark,
                          least_size<declared::config::RouteSpec>());
   }
--- a/tests/wire/compression_test.cpp
+++ b/tests/wire/compression_test.cpp
@@ -1,4 +1,4 @@
-// Compressed messages come back as they were; anything else is refused.
+// Compressed messages decompress to the original bytes; invalid input is refused.
 #include "wire/compression.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/wire/format_fuzz_test.cpp
+++ b/tests/wire/format_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Damaged bytes of every message and record: a value or a typed refusal, never a crash; what has a checksum
-// is never accepted altered.
+// Damaged bytes of every message and record decode to a value or a typed refusal without crashing. Altered
+// bytes with a checksum are never accepted.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -22,7 +22,7 @@
   return names.contains(name);
 }
 
-/// Record frames tell damage by giving nothing.
+/// A damaged record frame decodes to std::nullopt.
 bool is_frame(const std::string& name) { return name.ends_with("record_frame"); }
 
 void check_damaged(const FormatSample& sample, const std::string& damaged) {
@@ -72,7 +72,7 @@
  public:
   void every_cut_is_refused() {
     for (const auto& sample : tests::format_samples()) {
-      if (sample.name == "forwarded_resolve") continue;  // text: read by HTTP and JSON
+      if (sample.name == "forwarded_resolve") continue;  // text, read by the HTTP and JSON parsers
       for (std::size_t size = 0; size < sample.bytes.size(); ++size) {
         Reason reason;
         const bool accepted = sample.read_again(sample.bytes.substr(0, size), reason).has_value();
@@ -118,7 +118,7 @@
     }));
   }
 
-  /// Both formats without a mark are told apart by what fits.
+  /// The two unmarked formats are distinguished by which one matches the bytes.
   void requests_of_the_earliest_format_read_back() {
     CPPUNIT_ASSERT(rc::check("requests of the earliest format read back", [] {
       declared::config::ChangeRequest request{"id", *rc::gen::arbitrary<std::uint64_t>(), "alice",
--- a/tests/wire/format_samples.cpp
+++ b/tests/wire/format_samples.cpp
@@ -173,7 +173,7 @@
   return consensus::SnapshotFile::encode(*snapshot);
 }
 
-/// What the files of a control node hold: each record's content, and one whole record.
+/// The files of a control node: the content of each record, and one complete record.
 void add_control_files(Samples& samples) {
   add(samples, "change_request", change_request());
   add(samples, "log_entry", log_entry());
@@ -212,7 +212,7 @@
   return text.append(request.body);
 }
 
-/// The hop is HTTP; it has no decoder of its own.
+/// Forwarding uses HTTP and has no decoder of its own.
 void add_forward_hop(Samples& samples) {
   const auto unread = [](const std::string& bytes, Reason&) { return std::optional<std::string>(bytes); };
   declared::proxy::LedgerQuestion question{{SessionName("session"), 8}, DatabaseName("decks"), "key", {}, {}};
--- a/tests/wire/format_samples.h
+++ b/tests/wire/format_samples.h
@@ -1,4 +1,4 @@
-// One sample of every durable record and every message between our processes, for the tests of their formats.
+// Samples of every durable record and every message between processes, for the format tests.
 #pragma once
 
 #include <functional>
@@ -10,18 +10,19 @@
 
 namespace cairnhollow::tests {
 
-/// `name` is also that of the file in tests/fixtures/formats that holds the bytes.
+/// `name` is also the name of the file in tests/fixtures/formats with the bytes.
 struct FormatSample {
   std::string name;
-  std::string bytes;  ///< as this build writes it
-  /// Decodes bytes of this type and encodes what came of them; empty with the reason when they are refused.
+  std::string bytes;  ///< as written by this build
+  /// Decodes bytes of this type and encodes the result. Returns std::nullopt and sets the reason if they are
+  /// refused.
   std::function<std::optional<std::string>(const std::string& bytes, Reason& reason)> read_again;
 };
 
-/// Those of a registered fleet; part of format_samples().
+/// The samples of a registered fleet; included in format_samples().
 std::vector<FormatSample> registered_samples();
 
-/// Each type that crosses a connection or outlives a process, with every alternative of its variants.
+/// One sample of each type that is sent over a connection or stored, with every alternative of its variants.
 std::vector<FormatSample> format_samples();
 
 }  // namespace cairnhollow::tests
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -1,4 +1,4 @@
-// Formats: bytes committed with the tests must stay readable, and are what this build writes.
+// Format compatibility: the committed fixture bytes stay readable and equal what this build writes.
 #include "wire/format.h"
 
 #include <cppunit/TestFixture.h>
@@ -40,7 +40,7 @@
   return names;
 }
 
-/// A message type of two builds: the later one has one field more.
+/// A message type in two builds; the later one adds a field.
 struct Grown {
   std::uint32_t old_field = 0;
   std::uint32_t new_field = 5;
@@ -106,7 +106,8 @@
     const auto route = route_of(*request);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4000}, route.max_staleness_milliseconds);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{200}, route.replica_wait_milliseconds);
-    // At feature level 1 this build writes what an earlier one reads, and refuses what that would drop.
+    // At feature level 1 this build writes what an earlier build can read, and refuses changes that would
+    // lose fields.
     const auto command = declared::control::encode_change(*request, kEarliestFormat, reason);
     CPPUNIT_ASSERT(command == from_hex_file(folder + "change_request.hex"));
     std::get<declared::config::RouteSpec>(request->changes[3].object.spec).replica_wait_milliseconds = 7;
@@ -115,7 +116,7 @@
     CPPUNIT_ASSERT(declared::control::encode_change(*request, kReplicaWaitFormat, reason));
   }
 
-  /// To proxies of a build before, at feature level 1.
+  /// Updates to proxies of an earlier build, at feature level 1.
   void updates_are_written_as_an_earlier_build_reads_them() {
     for (const char* name : {"follow_update_changes", "follow_update_snapshot"}) {
       const auto earlier = from_hex_file(kFixtures + "before_replica_wait/" + name + ".hex");
@@ -141,7 +142,7 @@
     }
     CPPUNIT_ASSERT(machine.apply(request).accepted);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, machine.revision());
-    // Another wait than the default is another change: the earlier build could not have been told of it.
+    // A non-default wait makes it a different change, which an earlier build cannot have received.
     std::get<declared::config::RouteSpec>(request.changes.back().object.spec).replica_wait_milliseconds = 7;
     CPPUNIT_ASSERT(machine.apply(request).reason.code == ReasonCode::kAlreadyExists);
   }
--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -1,4 +1,4 @@
-// Samples of what the processes of a registered fleet say to each other and keep.
+// Samples of the messages and records of a registered fleet.
 #include "registered/proxy/forwarding/forward_messages.h"
 #include "registered/registry/messages.h"
 #include "registered/registry/state_machine.h"
@@ -103,7 +103,7 @@
   add(samples, "registry_batch", LoggedCommand{batch});
 }
 
-/// Messages that builds before cold backends can't read.
+/// Messages that builds without cold backends cannot read.
 template <class Message>
 void add_with_places(Samples& samples, const std::string& name, const Message& message) {
   const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
@@ -114,7 +114,7 @@
   samples.push_back({name, wire::encode(message, wire::kPlacesFormat), read_again});
 }
 
-/// Messages that builds before tenants can't read.
+/// Messages that builds without tenants cannot read.
 template <class Message>
 void add_with_tenants(Samples& samples, const std::string& name, const Message& message) {
   const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
@@ -159,7 +159,7 @@
   add_with_tenants(samples, "session_forward_answer_with_grant", answer);
 }
 
-/// Messages that tell incarnations of backends, which builds before can't read.
+/// Messages with backend incarnations, which earlier builds cannot read.
 template <class Message>
 void add_with_incarnations(Samples& samples, const std::string& name, const Message& message) {
   const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
