--- a/src/consensus/consensus.h
+++ b/src/consensus/consensus.h
@@ -1,5 +1,5 @@
 // Replicated log for a small group of control nodes (Raft: Ongaro and Ousterhout, USENIX ATC 2014; section
-// numbers in this folder refer to Ongaro's dissertation). Independent of the contents of commands.
+// numbers in this folder refer to Ongaro's dissertation). Does not interpret commands.
 #pragma once
 
 #include <cstdint>
--- a/src/runtime/asio/asio_lines.cpp
+++ b/src/runtime/asio/asio_lines.cpp
@@ -30,11 +30,11 @@
   [[nodiscard]] std::string peer() const override { return stream_->peer(); }
 
  private:
-  /// The first line of what was read; empty while there is no whole one.
+  /// Removes and returns the first complete line, or std::nullopt if there is none.
   std::optional<std::string> take_line();
 
   std::shared_ptr<ByteStream> stream_;
-  std::size_t searched_ = 0;  ///< bytes of the unread that hold no line end
+  std::size_t searched_ = 0;  ///< number of unread bytes known to contain no line end
 };
 
 std::optional<std::string> AsioLineConnection::take_line() {
--- a/src/runtime/asio/asio_lines.h
+++ b/src/runtime/asio/asio_lines.h
@@ -1,4 +1,4 @@
-// The real LineTransport: TCP.
+// LineTransport over TCP.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/runtime/asio/asio_network.cpp
+++ b/src/runtime/asio/asio_network.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-/// Small frames are read together with what follows them; also the step in which room for a large frame
-/// grows, so that a false length does not take the memory that it names.
+/// Small frames are read in chunks together with the data after them. The buffer for a large frame grows in
+/// steps, so that a false length does not allocate the memory that it claims.
 constexpr std::size_t kReadChunkBytes = std::size_t{16} * 1024;
 constexpr std::size_t kGrowthBytes = std::size_t{1024} * 1024;
 
--- a/src/runtime/asio/asio_network.h
+++ b/src/runtime/asio/asio_network.h
@@ -1,4 +1,4 @@
-// Frames over TCP. A frame is a 4-byte big-endian length and that many bytes.
+// Frames over TCP: a 4-byte big-endian length followed by that many bytes.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,7 +13,7 @@
 namespace cairnhollow::runtime {
 
 inline constexpr std::size_t kFrameHeaderBytes = 4;
-/// Larger frames are refused by the sender, and end the connection at the receiver.
+/// Maximum frame size in bytes. The sender refuses larger frames; the receiver closes the connection.
 inline constexpr std::uint32_t kMaximumFrameBytes = 64U * 1024U * 1024U;
 
 class AsioNetwork : public Network {
--- a/src/runtime/asio/asio_timer.h
+++ b/src/runtime/asio/asio_timer.h
@@ -1,4 +1,4 @@
-// Timer on Boost.Asio's steady clock.
+// Timer based on Boost.Asio's steady clock.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -8,10 +8,10 @@
 
 namespace cairnhollow::runtime {
 
-/// The steady clock as the project's TimePoint.
+/// Returns the steady clock's time as a TimePoint.
 inline TimePoint steady_now() { return TimePoint(std::chrono::steady_clock::now().time_since_epoch()); }
 
-/// A TimePoint as the steady clock's.
+/// Converts a TimePoint to the steady clock's type.
 inline std::chrono::steady_clock::time_point to_steady(TimePoint time) {
   return std::chrono::steady_clock::time_point(time.time_since_epoch());
 }
--- a/src/runtime/asio/byte_stream.h
+++ b/src/runtime/asio/byte_stream.h
@@ -1,5 +1,5 @@
-// A TCP connection as both ends of HTTP and of line protocols need it: always reading, so that the peer's
-// closing is seen at once also while a request is being handled or the connection is idle.
+// TCP byte stream used by both ends of HTTP and of line protocols. Always reads ahead, so that a close by the
+// peer is noticed immediately, even while a request is being handled or the connection is idle.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,36 +17,37 @@
 
 namespace cairnhollow::runtime {
 
-/// One writer and one waiting reader at a time. Closed once, for good, with the reason why.
+/// Supports one writer and one waiting reader at a time. Once closed, it stays closed, with the reason.
 class ByteStream : public std::enable_shared_from_this<ByteStream> {
  public:
   explicit ByteStream(boost::asio::ip::tcp::socket socket);
 
-  /// Begins reading. `on_closed` is called once, whatever ends the connection.
+  /// Starts reading. `on_closed` is called once, whatever closes the stream.
   void start(std::function<void()> on_closed);
 
   [[nodiscard]] std::string_view unread() const { return buffer_.unread(); }
   void consume(std::size_t count);
-  /// Goes on reading although so much is unread, since the reader needs more of it at once; else reading
-  /// rests at kReadAheadBytes, and TCP slows the peer down.
+  /// Raises the read-ahead limit to more than `unread` bytes for a reader that needs more data at once. By
+  /// default reading pauses at kReadAheadBytes, and TCP flow control slows the peer down.
   void read_beyond(std::size_t unread);
-  /// Returns true once more bytes came in, false when the stream is closed.
+  /// Returns true once more bytes have arrived, or false if the stream is closed.
   Awaitable<bool> wait_for_bytes();
-  /// False when not all bytes were taken; `any_sent` says whether any byte may have left.
+  /// Returns false if not all bytes were written; `any_sent` is set if any of them may have been sent.
   Awaitable<bool> write(std::string_view bytes, bool& any_sent);
 
-  /// Closes the stream with kDeadlineExceeded when `deadline` passes.
+  /// Closes the stream with kDeadlineExceeded once `deadline` passes.
   void set_deadline(TimePoint deadline) { deadline_.set(deadline); }
   void clear_deadline() { deadline_.clear(); }
 
-  /// Sends the end of the stream and drops what still comes in, until the peer closes or the deadline passes.
+  /// Shuts down sending and discards incoming bytes until the peer closes or the deadline passes.
   Awaitable<void> finish();
   void close(Reason why);
   [[nodiscard]] bool is_open() const { return !closed_.failed(); }
-  /// Why it was closed.
+  /// The reason for which the stream was closed.
   [[nodiscard]] const Reason& closed() const { return closed_; }
   [[nodiscard]] const std::string& peer() const { return peer_; }
-  /// The peer ended the stream in the usual way: what it sent before is whole and may still be unread.
+  /// Returns whether the peer closed the stream normally. Data sent before is complete and may still be
+  /// unread.
   [[nodiscard]] bool ended_by_peer() const { return ended_by_peer_; }
 
  private:
@@ -64,7 +65,7 @@
   Reason closed_;
   std::size_t read_ahead_limit_ = kReadAheadBytes;
   bool reading_ = false;
-  bool last_read_filled_ = false;  ///< much is coming in: read in larger steps
+  bool last_read_filled_ = false;  ///< much data is arriving: read in larger chunks
   bool ended_by_peer_ = false;
 };
 
--- a/src/runtime/asio/lazy_deadline.h
+++ b/src/runtime/asio/lazy_deadline.h
@@ -1,4 +1,4 @@
-// A deadline that is moved often and passes rarely.
+// A deadline that is moved often and rarely expires.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -10,8 +10,8 @@
 
 namespace cairnhollow::runtime {
 
-/// Calls back once when the deadline passes. Moving it later, or clearing it, costs no timer operation: the
-/// wait already armed finds the new deadline when it fires and waits on.
+/// Calls back once when the deadline passes. Moving it later or clearing it needs no timer operation: the
+/// timer already armed checks the deadline when it fires and is armed again.
 class LazyDeadline {
  public:
   /// `on_expired` is called on the executor, never from within set().
@@ -21,7 +21,8 @@
 
   void set(TimePoint deadline);
   void clear() { deadline_ = TimePoint::max(); }
-  /// Ends the armed wait too, so that nothing keeps the executor busy. It may be set again.
+  /// Also cancels the armed timer, so that it does not keep the executor running. The deadline may be set
+  /// again.
   void cancel();
 
  private:
@@ -32,7 +33,8 @@
   std::function<void()> on_expired_;
   TimePoint deadline_ = TimePoint::max();
   TimePoint armed_until_ = TimePoint::max();
-  std::shared_ptr<LazyDeadline*> self_;  ///< its weak pointers tell a late callback that this is gone
+  std::shared_ptr<LazyDeadline*>
+      self_;  ///< a late callback detects the destruction of this object by its weak pointer
 };
 
 }  // namespace cairnhollow::runtime
--- a/src/runtime/asio/posix_storage.cpp
+++ b/src/runtime/asio/posix_storage.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t kReadBytes = std::size_t{1024} * 1024;
 constexpr std::string_view kTemporarySuffix = ".tmp";
 
-/// The system's error number of a failed call, 0 for success.
+/// Returns errno if a system call failed, or 0 on success.
 int error_of(int result) { return result < 0 ? errno : 0; }
 
 Reason storage_reason(std::string_view step, const std::string& name, std::string_view call, int error) {
@@ -50,8 +50,8 @@
   return 0;
 }
 
-/// Runs `work` on the pool and resumes the caller on its own executor with the error number returned.
-/// Not a coroutine itself: the arguments are copied before it returns.
+/// Runs `work` on the pool and resumes the caller on its own executor with the error number that `work`
+/// returned. Not a coroutine itself: the arguments are copied before it returns.
 Awaitable<int> run_on_pool(asio::thread_pool& pool, const asio::any_io_executor& executor,
                            const std::function<int()>& work) {
   const auto initiate = [&pool, executor, work](auto handler) {
@@ -90,7 +90,7 @@
   asio::any_io_executor executor_;
   std::string name_;
   std::shared_ptr<FileDescriptor> file_;
-  std::shared_ptr<FileDescriptor> folder_;  ///< reset once the folder's entry is durable
+  std::shared_ptr<FileDescriptor> folder_;  ///< reset once the directory entry is durable
   std::uint64_t size_;
   bool failed_ = false;
 };
@@ -113,7 +113,7 @@
   if (!admit("append", reason)) return false;
   const int error = write_all(file_->number(), bytes);
   if (error != 0) {
-    // A short write leaves a torn tail; take it back so that the file is what it was before the call.
+    // Undo a short write, so that the file is as before the call.
     const bool restored = ::ftruncate(file_->number(), static_cast<off_t>(size_)) == 0;
     if (!restored) return fail("append", "write", error, reason);
     reason = storage_reason("append", name_, "write", error);
@@ -131,7 +131,7 @@
     return error_of(::fsync(folder->number()));
   };
   const int error = co_await run_on_pool(pool_, executor_, std::move(work));
-  // After a failed fsync the system may have dropped the unwritten pages: no later sync can be trusted.
+  // After a failed fsync the kernel may have dropped dirty pages, so no later sync can be trusted.
   if (error != 0) co_return fail("sync", "fsync", error, reason);
   folder_.reset();
   co_return true;
@@ -149,7 +149,7 @@
   return true;
 }
 
-/// Writes and syncs a temporary file, moves it over `path`, and syncs the folder.
+/// Writes and syncs a temporary file, renames it to `path`, and syncs the folder.
 int replace_file(const std::string& path, const std::string& content, int folder) {
   const std::string temporary = path + std::string(kTemporarySuffix);
   const FileDescriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
@@ -250,7 +250,7 @@
 }
 
 Awaitable<bool> PosixStorage::write_atomically(const std::string& name, std::string content, Reason& reason) {
-  // A copy: `name` may end while this coroutine waits.
+  // Copied because `name` may be destroyed while this coroutine is suspended.
   const std::string file_name = name;  // NOLINT(performance-unnecessary-copy-initialization)
   if (!admit("write_file", file_name, reason)) co_return false;
   auto work = [path = path_of(file_name), content = std::move(content), folder = folder_descriptor_] {
@@ -262,7 +262,7 @@
 }
 
 Awaitable<bool> PosixStorage::remove(const std::string& name, Reason& reason) {
-  // A copy: `name` may end while this coroutine waits.
+  // Copied because `name` may be destroyed while this coroutine is suspended.
   const std::string file_name = name;  // NOLINT(performance-unnecessary-copy-initialization)
   if (!admit("remove_file", file_name, reason)) co_return false;
   auto work = [path = path_of(file_name), folder = folder_descriptor_] {
--- a/src/runtime/asio/posix_storage.h
+++ b/src/runtime/asio/posix_storage.h
@@ -1,5 +1,5 @@
-// Files of one folder by POSIX calls. fsync runs on a thread of its own, so that a slow disk never stops the
-// program's one thread.
+// Storage in one folder by POSIX calls. fsync runs on a separate thread, so that a slow disk never blocks the
+// program's only thread.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -11,7 +11,7 @@
 
 namespace cairnhollow::runtime {
 
-/// A file descriptor, closed with its last owner.
+/// A shared file descriptor, closed with its last owner.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int number) : number_(number) {}
@@ -25,9 +25,9 @@
   int number_;
 };
 
-/// The folder is created when missing and locked against a second process for as long as this lives; when
-/// that fails every operation is refused with kStorage and the cause. Names hold no '/' and do not end in
-/// ".tmp". A file whose write or sync failed refuses all further work: its content is then unknown.
+/// Creates the folder if it is missing and locks it against other processes for the lifetime of this object.
+/// If that fails, every operation fails with kStorage and the cause. File names must not contain '/' or end
+/// in ".tmp". A file whose write or sync failed refuses further operations, because its contents are unknown.
 class PosixStorage : public Storage {
  public:
   PosixStorage(boost::asio::any_io_executor executor, std::string folder);
@@ -41,14 +41,14 @@
 
  private:
   [[nodiscard]] std::string path_of(const std::string& name) const { return folder_ + "/" + name; }
-  /// False with the reason when the folder cannot be used or the name is not allowed.
+  /// Returns false and sets the reason if the folder cannot be used or the name is invalid.
   bool admit(std::string_view step, const std::string& name, Reason& reason) const;
   void prepare_folder();
 
   boost::asio::any_io_executor executor_;
   std::string folder_;
   std::shared_ptr<FileDescriptor> folder_descriptor_;
-  std::string refusal_;  ///< why the folder cannot be used; empty when it can
+  std::string refusal_;  ///< why the folder cannot be used; empty if it can
   boost::asio::thread_pool pool_;
 };
 
--- a/src/runtime/asio/read_buffer.h
+++ b/src/runtime/asio/read_buffer.h
@@ -1,4 +1,4 @@
-// Bytes that were read from a socket and not yet used.
+// Buffer of bytes read from a socket but not yet consumed.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -8,19 +8,19 @@
 
 namespace cairnhollow::runtime {
 
-/// Room is taken when it is first needed, and given back by release() when nothing is left unread.
+/// Allocates memory when it is first needed; release() frees it when nothing is unread.
 class ReadBuffer {
  public:
   [[nodiscard]] std::string_view unread() const { return {storage_.get() + begin_, end_ - begin_}; }
-  /// Drops bytes from the front of unread(). Views of the rest stay valid.
+  /// Removes bytes from the front of unread(). Views of the remaining bytes stay valid.
   void consume(std::size_t count) { begin_ += count; }
 
-  /// Room for at least `at_least` bytes behind the unread ones. Moves them: views become invalid.
+  /// Returns space for at least `at_least` bytes after the unread ones. May move them, invalidating views.
   boost::asio::mutable_buffer room(std::size_t at_least);
-  /// Says how much of the room was filled.
+  /// Adds `count` bytes written into the space returned by room().
   void commit(std::size_t count) { end_ += count; }
 
-  /// Gives the memory back when it holds nothing unread and is larger than `keep` bytes.
+  /// Frees the memory if nothing is unread and the capacity exceeds `keep` bytes.
   void release(std::size_t keep);
 
  private:
--- a/src/runtime/asio/tcp.h
+++ b/src/runtime/asio/tcp.h
@@ -1,4 +1,4 @@
-// TCP sockets as the frame and HTTP transports need them: connect with a deadline, listen, accept.
+// TCP sockets for the frame, line and HTTP transports: connect with a deadline, listen, accept.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,26 +13,27 @@
 
 namespace cairnhollow::runtime {
 
-/// How long accepting rests after the system refused a connection (no file descriptors left).
+/// Pause before accepting again after an accept failed because no file descriptors were available.
 inline constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
 
-/// An open socket without Nagle's delay. Empty with kUnreachable, kDeadlineExceeded or kInvalidArgument.
+/// Connects a socket with Nagle's algorithm disabled. Fails with kUnreachable, kDeadlineExceeded or
+/// kInvalidArgument.
 Awaitable<std::optional<boost::asio::ip::tcp::socket>> connect_tcp(boost::asio::any_io_executor executor,
                                                                    Endpoint endpoint, TimePoint deadline,
                                                                    Reason& reason);
 
-/// A listening socket that may be bound again at once after a restart (SO_REUSEADDR).
+/// Opens a listening socket with SO_REUSEADDR, so that the address can be bound again right after a restart.
 std::optional<boost::asio::ip::tcp::acceptor> listen_tcp(const boost::asio::any_io_executor& executor,
                                                          const Endpoint& endpoint, Reason& reason);
 
-/// The next connection, without Nagle's delay; rests and goes on when the system is out of descriptors.
-/// Empty with kCancelled once the acceptor is closed.
+/// Accepts the next connection and disables Nagle's algorithm on it. Pauses and retries when no file
+/// descriptors are available. Fails with kCancelled once the acceptor is closed.
 Awaitable<std::optional<boost::asio::ip::tcp::socket>> accept_tcp(boost::asio::ip::tcp::acceptor& acceptor,
                                                                   Reason& reason);
 
 Endpoint to_endpoint(const boost::asio::ip::tcp::endpoint& endpoint);
 
-/// "address:port" of the other end; "unknown" when the connection is already gone.
+/// Returns "address:port" of the peer, or "unknown" if the connection is closed already.
 std::string peer_name(const boost::asio::ip::tcp::socket& socket);
 
 }  // namespace cairnhollow::runtime
--- a/src/runtime/asio/wakeup.h
+++ b/src/runtime/asio/wakeup.h
@@ -1,4 +1,4 @@
-// Lets one coroutine wait until a callback of the same thread resumes it.
+// Lets one coroutine wait until a callback on the same thread resumes it.
 #pragma once
 
 #include <boost/asio/async_result.hpp>
@@ -10,7 +10,7 @@
 
 namespace cairnhollow::runtime {
 
-/// At most one coroutine waits at a time.
+/// At most one coroutine may wait at a time.
 class Wakeup {
  public:
   Awaitable<void> wait() {
@@ -21,7 +21,7 @@
         keep, boost::asio::use_awaitable);
   }
 
-  /// Resumes the waiting coroutine within this call. Only from a callback of the executor, never from
+  /// Resumes the waiting coroutine before returning. Must be called from an executor callback, never from
   /// within a coroutine.
   void notify() {
     if (const auto waiter = std::exchange(waiter_, nullptr)) waiter->resume();
--- a/src/runtime/awaitable.h
+++ b/src/runtime/awaitable.h
@@ -1,4 +1,4 @@
-// The coroutine type of the whole project.
+// The coroutine return type used throughout the project.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/runtime/http.h
+++ b/src/runtime/http.h
@@ -1,5 +1,5 @@
-// HTTP exchanges as typed requests and responses (RFC 9110). Production carries them as HTTP/1.1 by
-// Boost.Beast (src/http); the simulator carries the same values without text framing.
+// HTTP requests and responses as typed values (RFC 9110). In production they are carried as HTTP/1.1 by
+// Boost.Beast (src/http); the simulator passes the same values without text encoding.
 #pragma once
 
 #include <cstdint>
@@ -37,18 +37,18 @@
   unsigned status = 200;
   HttpHeaders headers;
   std::string body;
-  bool close_connection = false;  ///< server side: send "Connection: close" and close after the answer
+  bool close_connection = false;  ///< server side: send "Connection: close" and close after the response
 };
 
-/// Whether the peer may have seen a request whose exchange failed. Decides whether a retry is safe.
+/// Whether the peer may have received a request whose exchange failed. Determines whether a retry is safe.
 enum class SendState : std::uint8_t { kNotSent, kMaybeSent };
 
-/// One keep-alive connection to a server; one exchange at a time.
+/// A keep-alive connection to a server, with one exchange at a time.
 class HttpConnection {
  public:
   virtual ~HttpConnection() = default;
-  /// On failure (also when `deadline` passes) returns empty, sets `sent`, and the connection is closed
-  /// for good: a late answer can never reach another exchange.
+  /// On failure, including when `deadline` passes, returns std::nullopt, sets `sent`, and closes the
+  /// connection, so that a late response can never be taken for that of another exchange.
   virtual Awaitable<std::optional<HttpResponse>> exchange(HttpRequest request, TimePoint deadline,
                                                           SendState& sent, Reason& reason) = 0;
   [[nodiscard]] virtual bool is_open() const = 0;
@@ -58,21 +58,21 @@
 
 using HttpConnectionId = std::uint64_t;
 
-/// Serves requests. Exchanges of one connection are handled one after another; connections side by side.
+/// Handles requests. Exchanges of one connection are handled sequentially, connections concurrently.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
   virtual Awaitable<HttpResponse> handle(HttpRequest request, HttpConnectionId connection) = 0;
-  /// Called once when a client connection has ended, also with a request of it still being handled.
+  /// Called once after a client connection has ended, even while one of its requests is being handled.
   virtual void connection_closed(HttpConnectionId /*connection*/) {}
 };
 
 class HttpServer {
  public:
   virtual ~HttpServer() = default;
-  /// Stops accepting; exchanges in flight are answered, with "Connection: close".
+  /// Stops accepting connections. Exchanges in flight are answered with "Connection: close".
   virtual void stop_accepting() = 0;
-  /// Closes every connection at once.
+  /// Closes every connection immediately.
   virtual void close() = 0;
   [[nodiscard]] virtual Endpoint endpoint() const = 0;
 };
@@ -80,10 +80,10 @@
 class HttpTransport {
  public:
   virtual ~HttpTransport() = default;
-  /// Null on failure.
+  /// Returns null on failure.
   virtual Awaitable<std::shared_ptr<HttpConnection>> connect(Endpoint endpoint, TimePoint deadline,
                                                              Reason& reason) = 0;
-  /// Null on failure. `handler` outlives the server.
+  /// Returns null on failure. `handler` must outlive the server.
   virtual std::unique_ptr<HttpServer> serve(const Endpoint& endpoint, HttpHandler& handler,
                                             Reason& reason) = 0;
 };
--- a/src/runtime/json_logger.cpp
+++ b/src/runtime/json_logger.cpp
@@ -16,7 +16,8 @@
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
 constexpr std::string_view kReplacementCharacter = "\xEF\xBF\xBD";
 
-/// Length of the UTF-8 sequence at the start of `text` (RFC 3629), 0 when there is none.
+/// Returns the length in bytes of the UTF-8 sequence at the start of `text` (RFC 3629), or 0 if it is
+/// invalid.
 std::size_t utf8_sequence_length(std::string_view text) {
   const auto byte = [&](std::size_t index) { return static_cast<unsigned char>(text[index]); };
   const unsigned char first = byte(0);
@@ -83,7 +84,7 @@
   return [](std::string_view line) {
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
     if (::poll(&output, 1, 0) != 1 || (output.revents & POLLOUT) == 0) return;
-    // A pipe that says so has room for PIPE_BUF bytes at least; lines are shorter.
+    // poll() reports a pipe as writable only if it has room for PIPE_BUF bytes; lines are shorter.
     [[maybe_unused]] const auto written = ::write(STDOUT_FILENO, line.data(), line.size());
   };
 }
--- a/src/runtime/json_logger.h
+++ b/src/runtime/json_logger.h
@@ -1,4 +1,4 @@
-// Log as JSON lines (one RFC 8259 object a line, UTF-8), written by fmt.
+// Logger that writes JSON lines (one RFC 8259 object per line, UTF-8), formatted by fmt.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +11,31 @@
 
 namespace cairnhollow::runtime {
 
-/// Fields that stand in every line of one process.
+/// Fields present in every log line of a process.
 struct LogIdentity {
   std::string program;
   std::string node;
   std::string zone;
 };
 
-/// Takes one whole line, its newline included.
+/// Receives one complete line, including its newline.
 using LogSink = std::function<void(std::string_view line)>;
-/// Microseconds since the Unix epoch.
+/// Returns microseconds since the Unix epoch.
 using WallClock = std::function<std::int64_t()>;
 
-/// Writes to standard output, one write a line, and never waits: a line that nobody takes is dropped.
+/// Returns a sink that writes each line to standard output in one write and never blocks: lines are dropped
+/// while the reader does not keep up.
 LogSink standard_output_sink();
 
-/// Lower-case name of a level, e.g. "warning".
+/// Returns the lower-case name of a level, e.g. "warning".
 std::string_view log_level_name(LogLevel level);
 
-/// Appends `text` as a quoted JSON string. Bytes that are not UTF-8 become U+FFFD.
+/// Appends `text` as a quoted JSON string. Bytes that are not valid UTF-8 are replaced by U+FFFD.
 void append_json_string(std::string& line, std::string_view text);
 
-/// Fields come in this order: time (RFC 3339, UTC), level, program, node, zone, event, then step, peer,
-/// reason and detail when there is a Reason, then the caller's fields, then left_out where lines of the same
-/// event were left out before (LogLimiter). Empty fields of the Reason are left out.
+/// Field order: time (RFC 3339, UTC), level, program, node, zone, event; then step, peer, reason and detail
+/// if there is a Reason; then the caller's fields; then left_out if earlier lines of the event were
+/// suppressed (LogLimiter). Empty fields of the Reason are omitted.
 class JsonLogger : public Logger {
  public:
   JsonLogger(const LogIdentity& identity, LogLevel lowest, WallClock wall_clock, LogSink sink);
@@ -48,7 +49,7 @@
   void write(LogLevel level, std::string_view event, const Reason* reason,
              std::initializer_list<LogField> fields);
 
-  std::string identity_fields_;  ///< ready to append
+  std::string identity_fields_;  ///< encoded once, appended to every line
   LogLevel lowest_;
   WallClock wall_clock_;
   LogSink sink_;
--- a/src/runtime/lines.h
+++ b/src/runtime/lines.h
@@ -1,4 +1,4 @@
-// Streams of text lines, for protocols that speak in lines ended by CR LF.
+// Streams of text lines, for protocols with lines terminated by CR LF.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,20 @@
 
 namespace cairnhollow::runtime {
 
-/// Longest line that is read, in bytes; a peer that sends a longer one is cut off.
+/// Maximum length of a received line in bytes. The connection is closed if the peer sends a longer one.
 inline constexpr std::size_t kMaximumLineBytes = std::size_t{1} << 20;
 
-/// One ordered stream. At most one read and one write are in flight at a time. A broken connection never
-/// heals. Closing by the peer is noticed also while nobody reads.
+/// An ordered stream of lines. At most one read and one write may be in flight at a time. A broken connection
+/// stays broken. A close by the peer is noticed even if no read is in flight.
 class LineConnection {
  public:
   virtual ~LineConnection() = default;
-  /// The next line without its end. Empty when the connection ended or broke, or when `deadline` passed,
-  /// which closes it: a late line can never be taken for the answer to another question.
+  /// Returns the next line without its terminator, or std::nullopt if the connection has ended or broken, or
+  /// `deadline` has passed. Passing the deadline closes the connection, so that a late line is never taken
+  /// for the answer to a later request.
   virtual Awaitable<std::optional<std::string>> read_line(TimePoint deadline, Reason& reason) = 0;
-  /// Hands `lines`, their ends included, to the transport; no proof that the peer received them.
+  /// Passes `lines`, including their terminators, to the transport. Success does not mean that the peer
+  /// received them.
   virtual Awaitable<bool> write(std::string lines, Reason& reason) = 0;
   /// Ends reads and writes in flight. May be called more than once.
   virtual void close() = 0;
@@ -34,7 +36,7 @@
 class LineListener {
  public:
   virtual ~LineListener() = default;
-  /// The next connection; empty once the listener is closed.
+  /// Returns the next connection, or null once the listener is closed.
   virtual Awaitable<std::shared_ptr<LineConnection>> accept(Reason& reason) = 0;
   virtual void close() = 0;
   [[nodiscard]] virtual Endpoint endpoint() const = 0;
@@ -43,10 +45,10 @@
 class LineTransport {
  public:
   virtual ~LineTransport() = default;
-  /// Null on failure.
+  /// Returns null on failure.
   virtual Awaitable<std::shared_ptr<LineConnection>> connect(Endpoint endpoint, TimePoint deadline,
                                                              Reason& reason) = 0;
-  /// Null on failure.
+  /// Returns null on failure.
   virtual std::unique_ptr<LineListener> listen(const Endpoint& endpoint, Reason& reason) = 0;
 };
 
--- a/src/runtime/log_limiter.h
+++ b/src/runtime/log_limiter.h
@@ -1,5 +1,5 @@
-// Bounds how many lines of each event a process logs, so that a storm of one event hides neither itself nor
-// others.
+// Limits the log lines per event, so that a flood of one event hides neither other events nor its own later
+// lines.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,13 @@
 
 namespace cairnhollow::runtime {
 
-/// Lines of one event in one second at most; more are counted instead.
+/// Maximum number of lines of one event per second; further lines are only counted.
 inline constexpr std::uint32_t kLogLinesPerSecond = 60;
 
 class LogLimiter {
  public:
-  /// Empty: the line is not to be written. Else how many lines of this event were left out before it.
+  /// Returns std::nullopt if the line must be suppressed, else the number of lines of this event suppressed
+  /// since the last one written.
   std::optional<std::uint64_t> admit(std::string_view event, std::int64_t now_microseconds);
 
  private:
@@ -24,7 +25,7 @@
     std::uint32_t written = 0;
     std::uint64_t left_out = 0;
   };
-  std::map<std::string, Budget, std::less<>> budgets_;  ///< events are a closed list
+  std::map<std::string, Budget, std::less<>> budgets_;  ///< bounded, as event names come from a fixed set
 };
 
 }  // namespace cairnhollow::runtime
--- a/src/runtime/logger.h
+++ b/src/runtime/logger.h
@@ -1,4 +1,4 @@
-// Structured log: one JSON object a line. Never carries callers' data.
+// Structured log with one JSON object per line. Must not contain callers' data.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarning, kError };
 
-/// One named field of a log line.
+/// A named field of a log line.
 struct LogField {
   std::string_view name;
   std::string value;
@@ -21,11 +21,11 @@
 class Logger {
  public:
   virtual ~Logger() = default;
-  /// Whether lines of this level are written at all; for callers whose fields take time to make.
+  /// Returns whether lines of this level are written. Lets callers skip computing expensive fields.
   [[nodiscard]] virtual bool writes(LogLevel /*level*/) const { return true; }
   /// `event` is a stable snake_case name, e.g. "primary_promoted".
   virtual void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) = 0;
-  /// As log(), with the reason's code, step, peer and detail as fields.
+  /// Same as above, with the code, step, peer and detail of the reason as fields.
   virtual void log(LogLevel level, std::string_view event, const Reason& reason,
                    std::initializer_list<LogField> fields) = 0;
 };
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -1,9 +1,10 @@
-// Metrics of one process: counters, gauges and histograms by name and labels, shown as text for a scraper
-// (Prometheus text exposition format 0.0.4, by prometheus-cpp's core).
+// Metrics of one process: counters, gauges and histograms by name and labels, rendered as Prometheus text
+// exposition format 0.0.4 (by prometheus-cpp's core library).
 //
 //   Metrics metrics;
-//   auto& refused = metrics.counter("cairnhollow_proxy_refusals_total", "Statements refused.", {{"reason",
-//   "too_stale"}}); refused.Increment();
+//   auto& refused = metrics.counter("cairnhollow_proxy_refusals_total", "Statements refused.",
+//                                   {{"reason", "too_stale"}});
+//   refused.Increment();
 #pragma once
 
 #include <prometheus/counter.h>
@@ -17,18 +18,18 @@
 
 namespace cairnhollow::runtime {
 
-/// Label name to value. Values come from closed lists (reasons, backends, zones), never from callers.
+/// Label values by label name. Values must come from fixed sets (reasons, backends, zones), never from
+/// callers.
 using MetricLabels = std::map<std::string, std::string>;
-/// Upper bounds of a histogram's buckets, rising; one without bound is added.
+/// Upper bounds of a histogram's buckets in ascending order; an unbounded bucket is added.
 using HistogramBuckets = std::vector<double>;
 
-/// Latencies in seconds, from 0.25 ms to 10 s.
+/// Returns bucket bounds for latencies in seconds, from 0.25 ms to 10 s.
 HistogramBuckets latency_buckets_seconds();
 
-/// The references returned stay valid as long as this lives; keep them rather than ask again on each event.
-/// The same name and labels give the same metric again. Names are snake_case with the unit as suffix, and
-/// "_total" behind a counter's; a wrong name, or one name for two kinds of metric, throws
-/// std::invalid_argument.
+/// Returned references stay valid for the lifetime of this object; keep them instead of looking them up per
+/// event. The same name and labels return the same metric. Names are snake_case with the unit as suffix, and
+/// "_total" for counters. An invalid name, or one name for two kinds of metric, throws std::invalid_argument.
 class Metrics {
  public:
   prometheus::Counter& counter(const std::string& name, const std::string& help,
@@ -37,7 +38,7 @@
   prometheus::Histogram& histogram(const std::string& name, const std::string& help,
                                    const HistogramBuckets& buckets, const MetricLabels& labels = {});
 
-  /// The body of an answer to a scraper; kMetricsContentType is its type.
+  /// Returns the response body for a scrape; its content type is kMetricsContentType.
   [[nodiscard]] std::string render() const;
 
  private:
--- a/src/runtime/network.h
+++ b/src/runtime/network.h
@@ -12,40 +12,40 @@
 
 namespace cairnhollow::runtime {
 
-/// One ordered, reliable stream of frames. At most one send and one receive are in flight at a time.
-/// Frames arrive whole and in order or the connection breaks; a broken connection never heals.
+/// An ordered, reliable stream of frames. At most one send and one receive may be in flight at a time. Frames
+/// arrive complete and in order or the connection breaks; a broken connection stays broken.
 class FrameConnection {
  public:
   virtual ~FrameConnection() = default;
-  /// True once the frame was handed to the transport; this is no proof that the peer received it.
+  /// Returns true once the frame was passed to the transport, which does not mean that the peer received it.
   virtual Awaitable<bool> send(std::string frame, Reason& reason) = 0;
-  /// The next frame; empty when the connection was closed or broke.
+  /// Returns the next frame, or std::nullopt if the connection was closed or broke.
   virtual Awaitable<std::optional<std::string>> receive(Reason& reason) = 0;
   /// Ends sends and receives in flight with kConnectionLost. May be called more than once.
   virtual void close() = 0;
   [[nodiscard]] virtual std::string peer() const = 0;
-  /// Bytes that have come so far, those of a frame that is not yet whole included: shows that a large one is
-  /// on its way. Zero where it can't be told.
+  /// Returns the number of bytes received so far, including those of an incomplete frame, so that the
+  /// progress of a large frame can be observed. Zero if unknown.
   [[nodiscard]] virtual std::uint64_t bytes_received() const { return 0; }
 };
 
 class FrameListener {
  public:
   virtual ~FrameListener() = default;
-  /// The next connection; empty once the listener is closed.
+  /// Returns the next connection, or null once the listener is closed.
   virtual Awaitable<std::shared_ptr<FrameConnection>> accept(Reason& reason) = 0;
   virtual void close() = 0;
-  /// The bound endpoint (the port chosen by the system when 0 was asked for).
+  /// The bound endpoint, with the actual port if port 0 was requested.
   [[nodiscard]] virtual Endpoint endpoint() const = 0;
 };
 
 class Network {
  public:
   virtual ~Network() = default;
-  /// Null on failure.
+  /// Returns null on failure.
   virtual Awaitable<std::shared_ptr<FrameConnection>> connect(Endpoint endpoint, TimePoint deadline,
                                                               Reason& reason) = 0;
-  /// Null on failure.
+  /// Returns null on failure.
   virtual std::unique_ptr<FrameListener> listen(const Endpoint& endpoint, Reason& reason) = 0;
 };
 
--- a/src/runtime/role.h
+++ b/src/runtime/role.h
@@ -1,5 +1,5 @@
-// What every process of the fleet runs: a proxy, a control node, a stand-in. The programs start one Role
-// on the real runtime; the simulator starts many, each on a runtime of its own.
+// Interface of a process of the fleet: a proxy, a control node, a simulated backend. Programs start one Role
+// on the real runtime; the simulator starts many, each on its own runtime.
 #pragma once
 
 #include "base/reason.h"
@@ -10,9 +10,9 @@
 class Role {
  public:
   virtual ~Role() = default;
-  /// Reads its files, opens its listeners and starts its loops.
+  /// Reads the role's files, opens its listeners and starts its loops.
   virtual Awaitable<bool> start(Reason& reason) = 0;
-  /// Planned stop (SIGTERM): takes no new work, returns when nothing is in flight. Ends every loop.
+  /// Graceful shutdown (SIGTERM): accepts no new work and returns once nothing is in flight. Ends every loop.
   virtual Awaitable<void> drain() = 0;
 };
 
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -1,6 +1,6 @@
-// Everything a role may touch outside its own memory: clock, timers, network, disk, randomness, log.
-// A role runs unchanged on the real implementation (runtime/asio, http) and on the simulator's.
-// One process of the fleet is one Runtime; all its coroutines run on one thread.
+// A role's access to its environment: clock, timers, network, disk, randomness and log. A role runs unchanged
+// on the real implementation (runtime/asio, http) and on the simulator's. Each process of the fleet has one
+// Runtime, and all its coroutines run on one thread.
 #pragma once
 
 #include <memory>
@@ -17,11 +17,12 @@
 
 namespace cairnhollow::runtime {
 
-/// One wait at a time. Destroying a Timer with a wait in flight is not allowed: cancel and let it return.
+/// Supports one wait at a time. A Timer must not be destroyed while a wait is in flight: cancel it and let
+/// the wait return first.
 class Timer {
  public:
   virtual ~Timer() = default;
-  /// Returns true when `deadline` has passed, false when cancel() came first.
+  /// Returns true once `deadline` has passed, or false if cancel() came first.
   virtual Awaitable<bool> wait_until(TimePoint deadline) = 0;
   virtual void cancel() = 0;
 };
@@ -30,13 +31,13 @@
  public:
   virtual ~Runtime() = default;
 
-  /// This process's monotonic clock. In the simulator it may drift against other processes' clocks.
+  /// The process's monotonic clock. In the simulator it may drift relative to other processes' clocks.
   [[nodiscard]] virtual TimePoint now() const = 0;
-  /// Microseconds since the Unix epoch, for log lines and event times shown to people only.
+  /// Microseconds since the Unix epoch. Only for log lines and event times shown to users.
   [[nodiscard]] virtual std::int64_t wall_clock_microseconds() const = 0;
   virtual std::unique_ptr<Timer> make_timer() = 0;
-  /// Starts a coroutine that nobody waits for. An exception that leaves it is logged as a fault.
-  /// The caller keeps what the coroutine refers to alive until the process ends.
+  /// Starts a detached coroutine. An exception that escapes it is logged as a fault. The caller must keep
+  /// objects that the coroutine refers to alive until the process ends.
   virtual void spawn(std::string_view name, Awaitable<void> task) = 0;
 
   virtual Network& network() = 0;
--- a/src/runtime/seeded_random.h
+++ b/src/runtime/seeded_random.h
@@ -1,4 +1,4 @@
-// Random numbers from a seed: the same seed gives the same numbers on every platform.
+// Seeded random numbers: the same seed gives the same sequence on every platform.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -7,7 +7,7 @@
 
 namespace cairnhollow::runtime {
 
-/// A 64-bit Mersenne twister (Boost.Random mt19937_64). Not for secrets.
+/// 64-bit Mersenne Twister (Boost.Random mt19937_64). Not cryptographically secure.
 class SeededRandom : public Random {
  public:
   explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
--- a/src/runtime/signal.h
+++ b/src/runtime/signal.h
@@ -1,4 +1,4 @@
-// Wakes coroutines that wait for a condition, in the manner of a condition variable on one thread.
+// Condition variable for the coroutines of one thread.
 #pragma once
 
 #include <list>
@@ -8,18 +8,18 @@
 
 namespace cairnhollow::runtime {
 
-/// The waiter checks its condition in a loop: `while (!ready) co_await signal.wait_until(deadline);`
+/// Waiters check their condition in a loop: `while (!ready) co_await signal.wait_until(deadline);`
 class Signal {
  public:
   explicit Signal(Runtime& runtime) : runtime_(runtime) {}
 
-  /// Returns true when notified, false when `deadline` has passed first.
+  /// Returns true if notified, or false if `deadline` passed first.
   Awaitable<bool> wait_until(TimePoint deadline);
   /// Waits without a deadline.
   Awaitable<void> wait();
   /// Wakes all current waiters.
   void notify_all();
-  /// Wakes the waiter that has waited longest.
+  /// Wakes the longest-waiting coroutine.
   void notify_one();
   [[nodiscard]] std::size_t waiting() const { return waiters_.size(); }
 
--- a/tests/runtime/frames_test.cpp
+++ b/tests/runtime/frames_test.cpp
@@ -1,4 +1,4 @@
-// Frames over TCP, whole ones and torn, oversize and meaningless ones.
+// Frames over TCP: complete, truncated, oversized and malformed ones.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -140,7 +140,7 @@
 
   Awaitable<void> accept() { connection_ = co_await listener_->accept(reason_); }
 
-  /// Keeps at most `count` frames, fewer when the connection ends.
+  /// Receives at most `count` frames, fewer if the connection ends.
   Awaitable<void> receive_frames(std::size_t count) {
     received_.clear();
     if (!connection_) co_await accept();
--- a/tests/runtime/json_logger_test.cpp
+++ b/tests/runtime/json_logger_test.cpp
@@ -1,4 +1,4 @@
-// Which lines are written at all.
+// Log lines below the configured level are not written.
 #include "runtime/json_logger.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/runtime/lines_test.cpp
+++ b/tests/runtime/lines_test.cpp
@@ -1,4 +1,4 @@
-// Lines over real sockets: whole however they are cut, up to the longest, and an end to what has none.
+// Lines over TCP: reassembled across reads up to the maximum length; the connection is closed on longer ones.
 #include "runtime/lines.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -69,7 +69,7 @@
   }
 
  private:
-  /// Sends the bytes in pieces, and receives so many lines at the other end.
+  /// Sends the bytes in pieces of `piece` bytes and receives `count` lines at the other end.
   Awaitable<void> exchange(std::string bytes, std::size_t piece, std::size_t count) {
     received_.clear();
     Reason reason;
--- a/tests/runtime/log_limiter_test.cpp
+++ b/tests/runtime/log_limiter_test.cpp
@@ -1,4 +1,4 @@
-// A storm of one event is counted, and hides no other.
+// Excess lines of one event are counted and suppressed without affecting other events.
 #include "runtime/log_limiter.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/tests/runtime/posix_storage_test.cpp
+++ b/tests/runtime/posix_storage_test.cpp
@@ -1,4 +1,4 @@
-// Files of a real folder, also when the system refuses a write in the middle.
+// Storage in a real folder, including writes that the system cuts short.
 #include "runtime/asio/posix_storage.h"
 
 #include <cppunit/TestFixture.h>
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// While this lives no file of the process may grow beyond `bytes`: a write ends short, as on a full disk.
+/// Limits the size of this process's files to `bytes` while it exists, so that writes end short as on a full
+/// disk.
 class FileSizeLimit {
  public:
   explicit FileSizeLimit(rlim_t bytes) : earlier_handler_(std::signal(SIGXFSZ, SIG_IGN)) {
@@ -154,7 +155,7 @@
  private:
   Storage& storage() { return loopback_->runtime().storage(); }
 
-  /// The folder as a restarted process finds it.
+  /// Reopens the folder as a restarted process would.
   void open_folder() {
     loopback_.reset();
     host::AsioRuntimeSettings settings;
