--- a/src/consensus/leadership.cpp
+++ b/src/consensus/leadership.cpp
@@ -16,8 +16,7 @@
 
 void Leadership::start(const std::shared_ptr<Leadership>& self, const VoterIdentities& voters) {
   if (state_.configuration().formed) {
-    append(EntryKind::kNoOperation,
-           state_.self().value);  // the name makes the entry identifiable in log dumps
+    append(EntryKind::kNoOperation, state_.self().value);  // the payload only identifies the leader
   } else {
     Configuration formed = state_.configuration();
     formed.formed = true;
@@ -155,7 +154,7 @@
 }
 
 void Leadership::complete_joint_change() {
-  // Section 4.3: once the joint configuration is committed, whoever leads goes on to the next one.
+  // Section 4.3: once the joint configuration is committed, the current leader appends the next one.
   const Configuration& joint = state_.configuration();
   if (!active() || !joint.is_joint() || state_.history().latest_index() > state_.commit_index()) return;
   Configuration next;
