--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -148,7 +148,7 @@
   if (not_member_logged_) return;
   not_member_logged_ = true;
   const Reason reason{ReasonCode::kNotFound, "request_vote", member.node.value,
-                      "this node is no member under its identity: it must be added again"};
+                      "the group has no member with this node's identity; the node must be added again"};
   state_.runtime().logger().log(runtime::LogLevel::kWarning, "consensus_not_member", reason,
                                 {{"identity", state_.identity()}});
 }
--- a/src/consensus/leadership.cpp
+++ b/src/consensus/leadership.cpp
@@ -92,7 +92,8 @@
     if (!active()) continue;
     if (hears_quorum()) excused_ = false;
     if (now < judged_from_ || hears_quorum()) continue;
-    const Reason reason{ReasonCode::kNoQuorum, "check_quorum", "", "no majority answered in time"};
+    const Reason reason{ReasonCode::kNoQuorum, "check_quorum", "",
+                        "no quorum answered within the election timeout; stepping down"};
     state_.runtime().logger().log(runtime::LogLevel::kWarning, "consensus_leader_steps_down", reason, {});
     state_.step_down();
   }
--- a/src/consensus/log_file.cpp
+++ b/src/consensus/log_file.cpp
@@ -46,7 +46,7 @@
   }
   const auto header = read_record(*content, 0);
   if (!header) {
-    reason = corrupt(0, "the header is damaged");
+    reason = corrupt(0, "the log header is damaged");
     return std::nullopt;
   }
   RecoveredLog log;
@@ -65,7 +65,7 @@
   Reason ignored;
   const auto base = wire::decode<LogBase>(header.payload, ignored);
   if (!base) {
-    reason = newer ? *newer : corrupt(header.offset, "the header is damaged");
+    reason = newer ? *newer : corrupt(header.offset, "the log header is damaged");
     return false;
   }
   log.base = base_ = *base;
@@ -87,7 +87,7 @@
       return false;
     }
     if (!entry || entry->index != last_index() + 1) {
-      reason = corrupt(offset, "the entry does not follow the one before");
+      reason = corrupt(offset, "the entry is invalid or does not follow the previous index");
       return false;
     }
     log.entries.push_back(std::move(*entry));
@@ -95,7 +95,7 @@
     offset = record->end;
   }
   if (offset == content.size() || !was_synced(content, offset)) return true;
-  reason = corrupt(offset, "a synced entry is damaged");
+  reason = corrupt(offset, "an entry that had been synced is damaged");
   return false;
 }
 
--- a/src/consensus/log_receiver.cpp
+++ b/src/consensus/log_receiver.cpp
@@ -10,7 +10,8 @@
   if (term < state_.term()) return false;
   state_.observe_term(term);
   if (state_.role() == ServerState::kLeader) {
-    const Reason reason{ReasonCode::kInternal, "append_entries", leader.value, "two leaders of one term"};
+    const Reason reason{ReasonCode::kInternal, "append_entries", leader.value,
+                        "rejected a request from a second leader of the current term"};
     state_.runtime().logger().log(runtime::LogLevel::kError, "consensus_two_leaders", reason, {});
     return false;
   }
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -58,11 +58,12 @@
 
 Awaitable<bool> Membership::begin(std::shared_ptr<Change> change, Reason& reason) {
   if (change->leadership == nullptr) {
-    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "this node does not lead");
+    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "this node is not the leader");
     co_return false;
   }
   if (running_) {
-    reason = failure(ReasonCode::kConflict, change->step, NodeName{}, "another member change is under way");
+    reason =
+        failure(ReasonCode::kConflict, change->step, NodeName{}, "another membership change is in progress");
     co_return false;
   }
   running_ = true;
@@ -80,7 +81,7 @@
   if (leadership.active() && settled()) co_return true;
   running_ = false;
   reason = failure(leadership.active() ? ReasonCode::kNoQuorum : ReasonCode::kNotLeader, change->step,
-                   state_.leader(), "the change before is not committed yet");
+                   state_.leader(), "an earlier entry or membership change was not committed");
   co_return false;
 }
 
@@ -105,13 +106,13 @@
 Awaitable<bool> Membership::run_remove(std::shared_ptr<Change> change, NodeName node, Reason& reason) {
   const Member* present = state_.configuration().find(node);
   if (present == nullptr) {
-    reason = failure(ReasonCode::kNotFound, change->step, node, "there is no member of this name");
+    reason = failure(ReasonCode::kNotFound, change->step, node, "no member has this name");
     co_return false;
   }
   Configuration next = state_.configuration();
   next.members = without(next.members, key_of(*present));
   if (count_voters(next.members) == 0) {
-    reason = failure(ReasonCode::kInvalidArgument, change->step, node, "the last voter can't be removed");
+    reason = failure(ReasonCode::kInvalidArgument, change->step, node, "cannot remove the last voter");
     co_return false;
   }
   co_return co_await commit(change, std::move(next), reason);
@@ -129,12 +130,13 @@
   });
   if (found == members.end()) {
     if (state_.configuration().is_voter(key)) co_return true;  // already done by an earlier call
-    reason = failure(ReasonCode::kNotFound, change->step, lost, "there is no voter of this name");
+    reason = failure(ReasonCode::kNotFound, change->step, lost, "no voter has this name");
     co_return false;
   }
   const MemberKey lost_key = key_of(*found);
   if (state_.configuration().is_voter(key)) {
-    reason = failure(ReasonCode::kInvalidArgument, change->step, replacement.node, "it is a voter already");
+    reason = failure(ReasonCode::kInvalidArgument, change->step, replacement.node,
+                     "the replacement is already a voter");
     co_return false;
   }
   if (!check_free(*change, replacement, lost, reason)) co_return false;
@@ -172,11 +174,12 @@
     if (key_of(other) == key_of(member) || other.node == replaced) continue;
     if (other.node == member.node) {
       reason = failure(ReasonCode::kConflict, change.step, member.node,
-                       "a member of this name has another disk: replace or remove it");
+                       "a member with this name has a different identity; replace or remove it");
       return false;
     }
     if (other.endpoint == member.endpoint) {
-      reason = failure(ReasonCode::kConflict, change.step, other.node, "this member has the same endpoint");
+      reason =
+          failure(ReasonCode::kConflict, change.step, other.node, "this member already uses the endpoint");
       return false;
     }
   }
@@ -201,19 +204,21 @@
     if (match > 0 && match + kCaughtUpEntries >= state_.log().last_index()) co_return true;
     if (!in_time) {
       reason = failure(ReasonCode::kDeadlineExceeded, change->step, key.node,
-                       "the learner has not caught up; it stays a learner");
+                       "the learner did not catch up before the deadline and remains a learner");
       co_return false;
     }
     in_time = co_await leadership.progress().wait_until(change->deadline);
   }
-  reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "leadership was lost meanwhile");
+  reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(),
+                   "leadership was lost during the membership change");
   co_return false;
 }
 
 Awaitable<bool> Membership::commit(std::shared_ptr<Change> change, Configuration configuration,
                                    Reason& reason) {
   if (!change->leadership->active()) {
-    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "leadership was lost meanwhile");
+    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(),
+                     "leadership was lost during the membership change");
     co_return false;
   }
   std::string payload = wire::encode(configuration);
@@ -232,7 +237,7 @@
   const bool own = state_.log().term_at(index) == leadership.term();
   if (state_.commit_index() >= index && own) co_return true;
   reason = failure(ReasonCode::kOutcomeUnknown, change->step, NodeName{},
-                   "leadership or time ran out before the change was committed");
+                   "leadership was lost or the deadline passed before the change was committed");
   co_return false;
 }
 
--- a/src/consensus/metadata_file.cpp
+++ b/src/consensus/metadata_file.cpp
@@ -31,7 +31,7 @@
     const auto newer = record ? wire::unreadable_format(record->payload) : std::nullopt;
     reason = Reason{
         newer ? ReasonCode::kUnsupported : ReasonCode::kCorrupt, "recover_metadata", "",
-        fmt::format("{} at offset 0: {}", kMetadataFileName, newer.value_or("checksum or format is wrong"))};
+        fmt::format("{} at offset 0: {}", kMetadataFileName, newer.value_or("invalid checksum or format"))};
     return false;
   }
   value_ = std::move(*metadata);
--- a/src/consensus/peer_channel.cpp
+++ b/src/consensus/peer_channel.cpp
@@ -60,13 +60,13 @@
                                                        Reason& reason) {
   const bool connected = co_await wait_connected(deadline);
   if (!connected) {
-    reason = make_reason(ReasonCode::kUnreachable, "there is no connection to the peer");
+    reason = make_reason(ReasonCode::kUnreachable, "not connected to the peer; request not sent");
     co_return std::nullopt;
   }
   const std::uint64_t correlation = next_correlation_++;
   request.correlation = correlation;
   if (!sender_->push(wire::encode(request))) {
-    reason = make_reason(ReasonCode::kOverloaded, "too many frames wait for the peer");
+    reason = make_reason(ReasonCode::kOverloaded, "send queue to the peer is full; request not sent");
     co_return std::nullopt;
   }
   auto call = std::make_shared<PendingCall>(runtime_);
@@ -76,9 +76,9 @@
   pending_.erase(correlation);
   if (call->answer) co_return std::move(call->answer);
   if (call->lost) {
-    reason = make_reason(ReasonCode::kConnectionLost, "the connection ended before the answer");
+    reason = make_reason(ReasonCode::kConnectionLost, "connection closed before the answer arrived");
   } else {
-    reason = make_reason(ReasonCode::kDeadlineExceeded, "no answer in time");
+    reason = make_reason(ReasonCode::kDeadlineExceeded, "no answer before the deadline");
     replace_stalled_connection();
   }
   co_return std::nullopt;
--- a/src/consensus/peer_server.cpp
+++ b/src/consensus/peer_server.cpp
@@ -86,8 +86,9 @@
   if (state_.role() == ServerState::kLeader) {
     result.index = co_await read_index_(result.reason);
   } else {
-    result.reason = Reason{ReasonCode::kNoQuorum, "read_barrier", state_.self().value,
-                           "the node asked by " + request.from.value + " leads no longer"};
+    result.reason = Reason{
+        ReasonCode::kNoQuorum, "read_barrier", state_.self().value,
+        "read index requested by " + request.from.value + " refused: this node is no longer the leader"};
   }
   co_return result;
 }
--- a/src/consensus/pending_proposals.cpp
+++ b/src/consensus/pending_proposals.cpp
@@ -16,7 +16,8 @@
   }
   const auto entry = pending_.find(index);
   if (entry != pending_.end() && entry->second == proposal) pending_.erase(entry);
-  reason = Reason{ReasonCode::kOutcomeUnknown, "propose", "", "the deadline passed before the commit"};
+  reason =
+      Reason{ReasonCode::kOutcomeUnknown, "propose", "", "the deadline passed before the entry was applied"};
   co_return std::nullopt;
 }
 
@@ -27,9 +28,11 @@
     pending_.erase(pending_.begin());
     const auto term = log.term_at(index);
     if (!term) {
-      proposal->reason = Reason{ReasonCode::kOutcomeUnknown, "propose", "", "a snapshot covers the entry"};
+      proposal->reason = Reason{ReasonCode::kOutcomeUnknown, "propose", "",
+                                "the entry was replaced by a snapshot before its term could be checked"};
     } else if (*term != proposal->term) {
-      proposal->reason = Reason{ReasonCode::kNotLeader, "propose", "", "another leader's entry replaced it"};
+      proposal->reason = Reason{ReasonCode::kNotLeader, "propose", "",
+                                "the entry was overwritten by another leader's entry"};
     }
     proposal->done = true;
     proposal->changed.notify_all();
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -59,7 +59,8 @@
   const auto ended = std::move(leadership_);
   leadership_ = nullptr;
   ended->end();
-  proposals_.fail_all(Reason{ReasonCode::kOutcomeUnknown, "propose", "", "leadership was lost meanwhile"});
+  proposals_.fail_all(
+      Reason{ReasonCode::kOutcomeUnknown, "propose", "", "leadership was lost before the entry was applied"});
   runtime_.logger().log(runtime::LogLevel::kInfo, "consensus_leadership_ended",
                         {{"term", std::to_string(term)}});
 }
@@ -93,13 +94,14 @@
 
 bool RaftServer::check_proposal(const std::string& command, Reason& reason) const {
   if (command.size() > kMaxCommandBytes) {
-    reason = Reason{ReasonCode::kInvalidArgument, "propose", "", "the command is too large"};
+    reason = Reason{ReasonCode::kInvalidArgument, "propose", "", "the command exceeds the size limit"};
   } else if (!check_running("propose", reason)) {
     return false;
   } else if (leadership_ == nullptr) {
-    reason = Reason{ReasonCode::kNotLeader, "propose", state_.leader().value, "this node does not lead"};
+    reason = Reason{ReasonCode::kNotLeader, "propose", state_.leader().value, "this node is not the leader"};
   } else if (!leadership_->has_committed_own_entry() && !state_.configuration().formed) {
-    reason = Reason{ReasonCode::kNoQuorum, "propose", "", "the group is not formed yet"};
+    reason =
+        Reason{ReasonCode::kNoQuorum, "propose", "", "the group's first configuration is not committed yet"};
   } else if (state_.log().last_index() - state_.applied_index() >= kMaxProposalsInFlight) {
     reason = Reason{ReasonCode::kOverloaded, "propose", "", "too many proposals are in flight"};
   } else {
--- a/src/consensus/raft_state.cpp
+++ b/src/consensus/raft_state.cpp
@@ -40,7 +40,7 @@
   if (!log_.recover(reason)) return false;
   if (log_.base().index > snapshot.last.index) {
     reason = Reason{ReasonCode::kCorrupt, "recover_log", "",
-                    fmt::format("raft.log starts behind entry {}, raft.snapshot ends at entry {}",
+                    fmt::format("raft.log starts after entry {}, but raft.snapshot ends at entry {}",
                                 log_.base().index, snapshot.last.index)};
     return false;
   }
@@ -56,7 +56,7 @@
 bool RaftState::check_new_folder(Reason& reason) const {
   if (!metadata_.is_new() || (log_.last_index() == 0 && snapshot_last_.index == 0)) return true;
   reason = Reason{ReasonCode::kCorrupt, "recover_metadata", "",
-                  "raft.metadata is missing beside a log or a snapshot: the vote is lost"};
+                  "raft.metadata is missing although a log or snapshot exists; term and vote are lost"};
   return false;
 }
 
--- a/src/consensus/read_barrier.cpp
+++ b/src/consensus/read_barrier.cpp
@@ -15,7 +15,8 @@
   bool in_time = true;
   while (!round->done && in_time) in_time = co_await round->changed.wait_until(deadline);
   if (!round->done) {
-    reason = Reason{ReasonCode::kDeadlineExceeded, "read_barrier", "", "the round took too long"};
+    reason = Reason{ReasonCode::kDeadlineExceeded, "read_barrier", "",
+                    "no read index was confirmed before the deadline"};
     co_return std::nullopt;
   }
   if (!round->index) {
@@ -48,7 +49,8 @@
     co_return false;
   }
   if (state_.applied_index() >= index) co_return true;
-  reason = Reason{ReasonCode::kDeadlineExceeded, "read_barrier", "", "the entries are not applied here yet"};
+  reason = Reason{ReasonCode::kDeadlineExceeded, "read_barrier", "",
+                  "entries up to the read index were not applied before the deadline"};
   co_return false;
 }
 
--- a/src/consensus/read_index.cpp
+++ b/src/consensus/read_index.cpp
@@ -22,7 +22,8 @@
     in_time = co_await leadership->progress().wait_until(deadline);
   }
   if (leadership->active() && in_time) co_return index;
-  reason = no_quorum(in_time ? "leadership was lost during the round" : "no majority answered in time");
+  reason =
+      no_quorum(in_time ? "leadership was lost during the round" : "no quorum answered before the deadline");
   co_return std::nullopt;
 }
 
@@ -40,7 +41,7 @@
   if (!answer) co_return std::nullopt;
   const auto* result = std::get_if<ReadIndexAnswer>(&answer->body);
   if (result == nullptr || answer->refusal != Refusal::kNone) {
-    reason = no_quorum("the leader refused the request");
+    reason = no_quorum("the leader refused the read index request");
     reason.peer = member.node.value;
     co_return std::nullopt;
   }
--- a/src/consensus/snapshot_file.cpp
+++ b/src/consensus/snapshot_file.cpp
@@ -34,7 +34,7 @@
   const auto newer = record ? wire::unreadable_format(record->payload) : std::nullopt;
   reason = Reason{
       newer ? ReasonCode::kUnsupported : ReasonCode::kCorrupt, "read_snapshot", "",
-      fmt::format("{} at offset 0: {}", kSnapshotFileName, newer.value_or("checksum or format is wrong"))};
+      fmt::format("{} at offset 0: {}", kSnapshotFileName, newer.value_or("invalid checksum or format"))};
   return snapshot;
 }
 
--- a/src/runtime/asio/asio_lines.cpp
+++ b/src/runtime/asio/asio_lines.cpp
@@ -24,7 +24,7 @@
   Awaitable<std::optional<std::string>> read_line(TimePoint deadline, Reason& reason) override;
   Awaitable<bool> write(std::string lines, Reason& reason) override;
   void close() override {
-    stream_->close(Reason{ReasonCode::kCancelled, "close", stream_->peer(), "closed by this side"});
+    stream_->close(Reason{ReasonCode::kCancelled, "close", stream_->peer(), "connection closed locally"});
   }
   [[nodiscard]] bool is_open() const override { return stream_->is_open(); }
   [[nodiscard]] std::string peer() const override { return stream_->peer(); }
@@ -65,7 +65,7 @@
   if (too_long) {
     line.reset();
     stream->close(Reason{ReasonCode::kInvalidArgument, "read_line", stream->peer(),
-                         "the line is longer than " + std::to_string(kMaximumLineBytes) + " bytes"});
+                         "received line exceeds " + std::to_string(kMaximumLineBytes) + " bytes"});
   }
   if (!line) reason = stream->closed();
   co_return line;
--- a/src/runtime/asio/asio_network.cpp
+++ b/src/runtime/asio/asio_network.cpp
@@ -59,7 +59,7 @@
   const auto self = shared_from_this();
   if (frame.size() > kMaximumFrameBytes) {
     reason = Reason{ReasonCode::kInvalidArgument, "send_frame", peer_,
-                    "the frame is longer than the limit of " + std::to_string(kMaximumFrameBytes) + " bytes"};
+                    "frame exceeds the limit of " + std::to_string(kMaximumFrameBytes) + " bytes"};
     co_return false;
   }
   const auto length = boost::endian::native_to_big(static_cast<std::uint32_t>(frame.size()));
--- a/src/runtime/asio/byte_stream.cpp
+++ b/src/runtime/asio/byte_stream.cpp
@@ -24,7 +24,8 @@
 
 ByteStream::ByteStream(tcp::socket socket)
     : socket_(std::move(socket)), peer_(peer_name(socket_)), deadline_(socket_.get_executor(), [this] {
-        close({ReasonCode::kDeadlineExceeded, "exchange", peer_, "not finished in time"});
+        close(
+            {ReasonCode::kDeadlineExceeded, "exchange", peer_, "exchange not finished before the deadline"});
       }) {}
 
 void ByteStream::start(std::function<void()> on_closed) {
--- a/src/runtime/asio/posix_storage.cpp
+++ b/src/runtime/asio/posix_storage.cpp
@@ -140,7 +140,8 @@
 bool PosixAppendFile::truncate(std::uint64_t size, Reason& reason) {
   if (!admit("truncate", reason)) return false;
   if (size > size_) {
-    reason = Reason{ReasonCode::kInvalidArgument, "truncate", "", name_ + ": longer than the file"};
+    reason = Reason{ReasonCode::kInvalidArgument, "truncate", "",
+                    name_ + ": cannot truncate beyond the end of the file"};
     return false;
   }
   const int error = error_of(::ftruncate(file_->number(), static_cast<off_t>(size)));
@@ -171,7 +172,7 @@
 PosixStorage::PosixStorage(asio::any_io_executor executor, std::string folder)
     : executor_(std::move(executor)), folder_(std::move(folder)), pool_(kStorageThreads) {
   if (folder_.empty()) {
-    refusal_ = "no data folder is set";
+    refusal_ = "no data folder is configured";
   } else {
     prepare_folder();
   }
@@ -206,7 +207,7 @@
   const bool bad_name = name.empty() || name == "." || name == ".." || is_temporary(name) ||
                         name.find('/') != std::string::npos || name.find('\0') != std::string::npos;
   if (bad_name) {
-    reason = Reason{ReasonCode::kInvalidArgument, std::string(step), "", "not a file name: " + name};
+    reason = Reason{ReasonCode::kInvalidArgument, std::string(step), "", "invalid file name: " + name};
   }
   return !bad_name;
 }
--- a/src/runtime/asio/tcp.cpp
+++ b/src/runtime/asio/tcp.cpp
@@ -46,8 +46,8 @@
   co_await socket.async_connect(*target, asio::redirect_error(asio::use_awaitable, error));
   timeout.cancel();
   if (expired) {
-    reason =
-        Reason{ReasonCode::kDeadlineExceeded, "open_connection", endpoint.to_string(), "not opened in time"};
+    reason = Reason{ReasonCode::kDeadlineExceeded, "open_connection", endpoint.to_string(),
+                    "connection not established before the deadline"};
     co_return std::nullopt;
   }
   if (!error) socket.set_option(tcp::no_delay(true), error);
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -63,7 +63,7 @@
   const Format earliest = marked_format(bytes) ? kReplicaWaitFormat : kEarliestFormat;
   Reason first_reason;
   for (Format format = kReplicaWaitFormat; format >= earliest; --format) {
-    std::string fault = "bytes are left over behind the message";
+    std::string fault = "bytes left over after the end of the message";
     try {
       MessageReader reader(bytes, format);
       read(reader);
--- a/src/wire/compression.cpp
+++ b/src/wire/compression.cpp
@@ -56,7 +56,8 @@
   }
   const bool is_whole = status == Z_STREAM_END && stream.avail_in == 0;
   if (is_whole && whole.size() <= kMostDecompressedBytes) return whole;
-  reason = Reason{ReasonCode::kCorrupt, "decompress", "", "not a whole compressed message of a usual size"};
+  reason =
+      Reason{ReasonCode::kCorrupt, "decompress", "", "compressed message is truncated, invalid or too large"};
   return std::nullopt;
 }
 
--- a/src/wire/connection_dispatcher.cpp
+++ b/src/wire/connection_dispatcher.cpp
@@ -48,7 +48,7 @@
   *greeted = true;
   if (!frame && runtime_.now() - begun >= kHelloTimeout) {
     reason = Reason{ReasonCode::kDeadlineExceeded, "hello", connection->peer(),
-                    "no whole first frame came in time"};
+                    "no complete first frame within the timeout; closing the connection"};
   }
   std::optional<wire::Hello> hello;
   if (frame) hello = co_await agree(connection, *frame, reason);
@@ -82,7 +82,7 @@
   const auto service = services_.find(hello.conversation);
   if (service == services_.end()) {
     const Reason reason{ReasonCode::kUnsupported, "hello", connection->peer(),
-                        "no such conversation is served here"};
+                        "this node does not serve the requested conversation"};
     runtime_.logger().log(runtime::LogLevel::kWarning, "connection_refused", reason, {});
     co_return;
   }
--- a/src/wire/hello.cpp
+++ b/src/wire/hello.cpp
@@ -41,7 +41,7 @@
 
 std::optional<HelloAnswer> decode_hello_answer(const std::string& frame, Reason& reason) {
   if (is_hello_answer(frame)) return decode<HelloAnswer>(frame.substr(kAnswerMark.size()), reason);
-  reason = Reason{ReasonCode::kCorrupt, "decode_message", "", "the frame is no answer to a Hello"};
+  reason = Reason{ReasonCode::kCorrupt, "decode_message", "", "the frame is not an answer to a Hello"};
   return std::nullopt;
 }
 
--- a/src/wire/message_reader.h
+++ b/src/wire/message_reader.h
@@ -26,7 +26,8 @@
       : InputArchive(this), format_(marked_format(bytes).value_or(format)), unread_(bytes) {
     const std::string mark = format_mark(format_);
     if (!unread_.starts_with(mark))
-      throw cereal::Exception("neither a mark of a format nor little-endian byte order");
+      throw cereal::Exception(
+          "message starts with neither a format mark nor the little-endian byte order flag");
     unread_.remove_prefix(mark.size());
   }
 
@@ -39,7 +40,8 @@
   /// Throws if `count` elements of at least `least_size` bytes exceed the remaining bytes.
   void check_holds(std::uint64_t count, std::size_t least_size) const {
     const std::size_t size = least_size > 0 ? least_size : 1;
-    if (count > unread_.size() / size) throw cereal::Exception("a length says more than the message holds");
+    if (count > unread_.size() / size)
+      throw cereal::Exception("encoded length is more than the message holds");
   }
 
   [[nodiscard]] Format format() const { return format_; }
@@ -63,7 +65,7 @@
 inline void load(MessageReader& reader, bool& value) {
   std::uint8_t byte = 0;
   reader.read(&byte, sizeof byte);
-  if (byte > 1) throw cereal::Exception("a flag is neither true nor false");
+  if (byte > 1) throw cereal::Exception("encoded bool is neither true nor false");
   value = byte == 1;
 }
 
@@ -98,7 +100,7 @@
 
 template <class Value, class Allocator>
 void load(MessageReader& reader, std::vector<Value, Allocator>& list) {
-  static_assert(!std::is_same_v<Value, bool>, "has no elements to refer to");
+  static_assert(!std::is_same_v<Value, bool>, "std::vector<bool> has no references to its elements");
   load_list(reader, list);
 }
 
--- a/src/wire/message_writer.h
+++ b/src/wire/message_writer.h
@@ -14,7 +14,7 @@
 class MessageWriter : public cereal::OutputArchive<MessageWriter, cereal::AllowEmptyClassElision> {
  public:
   explicit MessageWriter(Format format) : OutputArchive(this), format_(format), bytes_(format_mark(format)) {
-    static_assert(std::endian::native == std::endian::little, "values are written as they stand in memory");
+    static_assert(std::endian::native == std::endian::little, "values are written in native byte order");
   }
 
   void write(const void* from, std::size_t size) { bytes_.append(static_cast<const char*>(from), size); }
--- a/tests/consensus/random_faults.cpp
+++ b/tests/consensus/random_faults.cpp
@@ -271,7 +271,7 @@
   repair();
   const TimePoint begun = world().now();
   if (!cluster_.propose_anywhere("last", kSettleLimit)) {
-    failures_.push_back("liveness: no proposal succeeds after the heal\n" + cluster_.describe());
+    failures_.push_back("liveness: no proposal succeeded after the faults ended\n" + cluster_.describe());
     return;
   }
   const auto took = std::chrono::duration_cast<milliseconds>(world().now() - begun);
@@ -280,14 +280,14 @@
   observe();
   const std::string leader = cluster_.wait_for_leader();
   if (leader.empty()) {
-    failures_.push_back("liveness: no leader after the heal\n" + cluster_.describe());
+    failures_.push_back("liveness: no leader after the faults ended\n" + cluster_.describe());
     return;
   }
   for (const Member& member : cluster_.status(leader).members) {
     const std::string& name = member.node.value;
     const bool present = cluster_.node(name).identity() == member.identity;
     if (present && !cluster_.machine(name).has("last")) {
-      failures_.push_back(fmt::format("liveness: {} does not catch up with {}", name, leader));
+      failures_.push_back(fmt::format("liveness: {} did not catch up with {}", name, leader));
     }
   }
   cluster_.checks().check_outcomes(cluster_.machine(leader).commands());
--- a/tests/consensus/recording_state_machine.cpp
+++ b/tests/consensus/recording_state_machine.cpp
@@ -11,7 +11,8 @@
 void AppliedRecord::record(std::uint64_t index, const std::string& command) {
   const auto [known, inserted] = commands_.emplace(index, command);
   if (!inserted && known->second != command) {
-    violations_.push_back(fmt::format("index {}: {} applied, {} before", index, command, known->second));
+    violations_.push_back(
+        fmt::format("index {}: {} was applied, but {} was applied before", index, command, known->second));
   }
 }
 
--- a/tests/consensus/run_checks.cpp
+++ b/tests/consensus/run_checks.cpp
@@ -9,14 +9,14 @@
 void RunChecks::record_leader(std::uint64_t term, const std::string& name, std::uint64_t last_index) {
   const auto [known, inserted] = leaders_.emplace(term, name);
   if (!inserted) {
-    violations_.push_back(
-        fmt::format("election safety: {} leads term {}, {} did", name, term, known->second));
+    violations_.push_back(fmt::format("election safety: {} is leader of term {}, but {} was already", name,
+                                      term, known->second));
   }
   for (const auto& [lower_term, committed] : last_committed_) {
     if (lower_term >= term || committed <= last_index) continue;
-    violations_.push_back(
-        fmt::format("leader completeness: {} leads term {} with a log up to {}, term {} has committed {}",
-                    name, term, last_index, lower_term, committed));
+    violations_.push_back(fmt::format(
+        "leader completeness: {} is leader of term {} with last index {}, but term {} committed index {}",
+        name, term, last_index, lower_term, committed));
     return;
   }
 }
@@ -33,7 +33,7 @@
     const auto [known, inserted] = entries_.emplace(Place{entry.index, entry.term}, seen);
     if (inserted || known->second == seen) continue;
     violations_.push_back(
-        fmt::format("log matching: two entries at index {} of term {}", entry.index, entry.term));
+        fmt::format("log matching: different entries at index {} of term {}", entry.index, entry.term));
   }
 }
 
@@ -46,18 +46,20 @@
   ++barriers_;
   if (index >= minimum) return;
   violations_.push_back(
-      fmt::format("read barrier: {} answered {}, {} was acknowledged before it began", name, index, minimum));
+      fmt::format("read barrier: {} returned index {}, but index {} was acknowledged before it began", name,
+                  index, minimum));
 }
 
 void RunChecks::check_outcomes(const std::map<std::uint64_t, std::string>& applied) {
   for (const auto& [index, command] : acknowledged_) {
     const auto found = applied.find(index);
     if (found != applied.end() && found->second == command) continue;
-    violations_.push_back(fmt::format("durability: {} was acknowledged at {} and is lost", command, index));
+    violations_.push_back(
+        fmt::format("durability: {} was acknowledged at index {} but lost", command, index));
   }
   for (const auto& [index, command] : applied) {
     if (!refused_.contains(command)) continue;
-    violations_.push_back(fmt::format("outcome: {} was refused and is applied at {}", command, index));
+    violations_.push_back(fmt::format("outcome: {} was refused but applied at index {}", command, index));
   }
 }
 
--- a/tests/runtime/frames_test.cpp
+++ b/tests/runtime/frames_test.cpp
@@ -73,7 +73,7 @@
   }
 
   void frames_arrive_alike_however_they_are_cut() {
-    CPPUNIT_ASSERT(rc::check("frames arrive alike however they are cut",
+    CPPUNIT_ASSERT(rc::check("frames are reassembled from any fragments",
                              [this](const std::vector<std::string>& frames, std::size_t piece) {
                                const std::size_t length = piece % 40 + 1;
                                loopback_->run(send_in_pieces(frames, length));
--- a/tests/runtime/lines_test.cpp
+++ b/tests/runtime/lines_test.cpp
@@ -47,7 +47,7 @@
       loopback_->run(exchange(bytes, piece % 40 + 1, lines.size()));
       RC_ASSERT(received_ == lines);
     };
-    declared::config::assert_property("lines arrive alike however they are cut", property, 50);
+    declared::config::assert_property("lines are reassembled from any fragments", property, 50);
   }
 
   void the_longest_line_arrives() {
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -115,7 +115,7 @@
 
  public:
   void messages_read_back() {
-    CPPUNIT_ASSERT(rc::check("messages read back", [](const Flagged& message) {
+    CPPUNIT_ASSERT(rc::check("messages round-trip", [](const Flagged& message) {
       Reason reason;
       const auto read = decode<Flagged>(encode(message), reason);
       RC_ASSERT(read.has_value());
@@ -182,10 +182,12 @@
 
   void other_byte_order_is_refused() { assert_fault<Flagged>(std::string(20, '\0'), "byte order"); }
 
-  void bytes_left_over_are_refused() { assert_fault<Flagged>(encode(Flagged{}) + "x", "left over"); }
+  void bytes_left_over_are_refused() {
+    assert_fault<Flagged>(encode(Flagged{}) + "x", "bytes left over after the end of the message");
+  }
 
   void any_bytes_give_a_message_or_a_fault() {
-    CPPUNIT_ASSERT(rc::check("any bytes give a message or a fault", [](const std::string& noise) {
+    CPPUNIT_ASSERT(rc::check("any bytes decode to a message or are refused", [](const std::string& noise) {
       const std::string bytes = start_of_message() + noise;
       Reason reason;
       const bool good = decode<declared::follow::FollowAnswer>(bytes, reason) ||
@@ -208,7 +210,7 @@
     news.known_nodes.resize(2);
     const std::string request_bytes = encode(request);
     const std::string news_bytes = encode(news);
-    CPPUNIT_ASSERT(rc::check("damaged messages give a message or a fault", [&] {
+    CPPUNIT_ASSERT(rc::check("damaged messages decode to a message or are refused", [&] {
       assert_survives_damage<consensus::PeerRequest>(request_bytes);
       assert_survives_damage<declared::control::NewsMessage>(news_bytes);
     }));
--- a/tests/wire/format_fuzz_test.cpp
+++ b/tests/wire/format_fuzz_test.cpp
@@ -94,7 +94,7 @@
 
   void any_damage_gives_a_value_or_a_refusal() {
     const auto samples = tests::format_samples();
-    CPPUNIT_ASSERT(rc::check("any damage gives a value or a refusal", [&] {
+    CPPUNIT_ASSERT(rc::check("damaged bytes decode to a value or are refused", [&] {
       for (const auto& sample : samples) {
         if (sample.name != "forwarded_resolve") check_damaged(sample, any_damage(samples, sample.bytes));
       }
@@ -107,7 +107,7 @@
     const std::string marked = encode(hello, kMarkedFormat);
     const std::string answer = encode_hello_answer(answer_hello(hello.versions(), "peer"));
     const std::vector<FormatSample> samples{{"hello", marked, nullptr}, {"answer", answer, nullptr}};
-    CPPUNIT_ASSERT(rc::check("any hello frame gives an effect", [&] {
+    CPPUNIT_ASSERT(rc::check("any Hello frame has a defined effect", [&] {
       Reason reason;
       const bool read = decode<Hello>(any_damage(samples, marked), reason).has_value();
       RC_ASSERT(read || reason.failed());
@@ -120,7 +120,7 @@
 
   /// The two unmarked formats are distinguished by which one matches the bytes.
   void requests_of_the_earliest_format_read_back() {
-    CPPUNIT_ASSERT(rc::check("requests of the earliest format read back", [] {
+    CPPUNIT_ASSERT(rc::check("requests in the earliest format round-trip", [] {
       declared::config::ChangeRequest request{"id", *rc::gen::arbitrary<std::uint64_t>(), "alice",
                                               *declared::config::any_changes()};
       for (auto& change : request.changes) {
