--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -5,8 +5,8 @@
 
 namespace cairnhollow::consensus {
 
-Election::Election(RaftState& state, PeerTable& peers, std::function<void(VoterIdentities)> elected)
-    : state_(state), peers_(peers), elected_(std::move(elected)), changed_(state.runtime()) {}
+Election::Election(RaftState& state, PeerTable& peers, std::function<void(VoterIdentities)> on_elected)
+    : state_(state), peers_(peers), on_elected_(std::move(on_elected)), changed_(state.runtime()) {}
 
 void Election::start_now() {
   transfer_requested_ = true;
@@ -19,7 +19,7 @@
   bool is_first = is_first_election();
   Duration chosen = choose_timeout();
   last_campaign_ = runtime.now();
-  while (!state_.halted_for_good()) {
+  while (!state_.halted_permanently()) {
     // After the first election, use the usual timeout: heartbeats may be further apart than the first
     // timeout, and several servers timing out together would depose the new leader.
     if (is_first && !is_first_election()) chosen = choose_timeout();
@@ -27,16 +27,16 @@
     const bool may_campaign =
         !state_.halted() && state_.role() != ServerState::kLeader && state_.may_campaign();
     const TimePoint since = std::max(state_.election_timer_start(), last_campaign_);
-    const TimePoint deadline = std::max(since + chosen, judged_from_);
+    const TimePoint deadline = std::max(since + chosen, ignore_silence_until_);
     if (!may_campaign || (runtime.now() < deadline && !transfer_requested_)) {
       transfer_requested_ = transfer_requested_ && may_campaign;
       const TimePoint wake = may_campaign ? deadline : runtime.now() + timeout;
       co_await changed_.wait_until(wake);
       // This server was delayed: process messages received meanwhile before declaring the leader silent.
       const Duration interval = state_.settings().heartbeat_interval;
-      if (runtime.now() <= wake + interval || excused_ == since) continue;
-      excused_ = since;
-      judged_from_ = runtime.now() + interval;
+      if (runtime.now() <= wake + interval || excused_silence_start_ == since) continue;
+      excused_silence_start_ = since;
+      ignore_silence_until_ = runtime.now() + interval;
       continue;
     }
     const bool transfer = transfer_requested_;
@@ -59,7 +59,7 @@
   return state_.runtime().random().between(timeout, timeout * 2);
 }
 
-void Election::record_campaign(bool leadership_transfer) const {
+void Election::log_campaign(bool leadership_transfer) const {
   const std::int64_t silence = in_ms(state_.runtime().now() - state_.election_timer_start());
   state_.runtime().logger().log(runtime::LogLevel::kInfo, "consensus_campaign",
                                 {{"term", std::to_string(state_.term())},
@@ -69,12 +69,12 @@
 }
 
 Awaitable<void> Election::campaign(bool leadership_transfer) {
-  record_campaign(leadership_transfer);
+  log_campaign(leadership_transfer);
   if (!leadership_transfer) {
     state_.become_pre_candidate();
     auto ballot = std::make_shared<Ballot>();
     ballot->request = make_request(true, state_.term() + 1);
-    const bool likely = co_await gather_votes(ballot, ServerState::kPreCandidate);
+    const bool likely = co_await collect_votes(ballot, ServerState::kPreCandidate);
     if (!likely) co_return;
   }
   state_.become_candidate();
@@ -84,13 +84,13 @@
   auto ballot = std::make_shared<Ballot>();
   ballot->request = make_request(false, term);
   ballot->request.leadership_transfer = leadership_transfer;
-  const bool won = co_await gather_votes(ballot, ServerState::kCandidate);
+  const bool won = co_await collect_votes(ballot, ServerState::kCandidate);
   if (!won) co_return;
   state_.become_leader();
-  elected_(ballot->granted);
+  on_elected_(ballot->granted);
 }
 
-Awaitable<bool> Election::gather_votes(std::shared_ptr<Ballot> ballot, ServerState role) {
+Awaitable<bool> Election::collect_votes(std::shared_ptr<Ballot> ballot, ServerState role) {
   const std::uint64_t term = state_.term();
   const TimePoint deadline = state_.runtime().now() + state_.settings().election_timeout;
   for (const Member& member : state_.configuration().all()) {
@@ -100,7 +100,7 @@
       continue;
     }
     ++ballot->unanswered;
-    state_.runtime().spawn("consensus_vote", ask(ballot, member, deadline));
+    state_.runtime().spawn("consensus_vote", request_vote(ballot, member, deadline));
   }
   bool in_time = true;
   while (state_.term() == term && state_.role() == role && !state_.halted()) {
@@ -112,14 +112,14 @@
   co_return false;
 }
 
-Awaitable<void> Election::ask(std::shared_ptr<Ballot> ballot, Member member, TimePoint deadline) {
+Awaitable<void> Election::request_vote(std::shared_ptr<Ballot> ballot, Member member, TimePoint deadline) {
   PeerRequest request = peers_.make_request(member, ballot->request);
   const auto channel = peers_.channel(member);
   Reason reason;
   const auto answer = co_await channel->call(std::move(request), deadline, reason);
   --ballot->unanswered;
   const bool same_identity = answer && (member.identity.empty() || answer->identity == member.identity);
-  if (same_identity && answer->refusal == Refusal::kNotMember) record_not_member(member);
+  if (same_identity && answer->refusal == Refusal::kNotMember) log_not_member(member);
   const auto* vote = same_identity ? std::get_if<VoteAnswer>(&answer->body) : nullptr;
   if (vote != nullptr && vote->granted) ballot->granted.emplace(member.node, answer->identity);
   if (vote != nullptr && !vote->granted) state_.observe_term(answer->term);
@@ -144,7 +144,7 @@
   });
 }
 
-void Election::record_not_member(const Member& member) {
+void Election::log_not_member(const Member& member) {
   if (not_member_logged_) return;
   not_member_logged_ = true;
   const Reason reason{ReasonCode::kNotFound, "request_vote", member.node.value,
--- a/src/consensus/election.h
+++ b/src/consensus/election.h
@@ -16,8 +16,8 @@
 
 class Election {
  public:
-  /// `elected` is called once for each election won, after become_leader().
-  Election(RaftState& state, PeerTable& peers, std::function<void(VoterIdentities)> elected);
+  /// `on_elected` is called once for each election won, after become_leader().
+  Election(RaftState& state, PeerTable& peers, std::function<void(VoterIdentities)> on_elected);
 
   /// Runs until the server halts.
   Awaitable<void> run();
@@ -37,22 +37,21 @@
   /// The group is formed and no leader has been heard from since this server started.
   [[nodiscard]] bool is_first_election() const;
   [[nodiscard]] Duration choose_timeout() const;
-  void record_campaign(bool leadership_transfer) const;
+  void log_campaign(bool leadership_transfer) const;
   Awaitable<void> campaign(bool leadership_transfer);
-  Awaitable<bool> gather_votes(std::shared_ptr<Ballot> ballot, ServerState role);
-  Awaitable<void> ask(std::shared_ptr<Ballot> ballot, Member member, TimePoint deadline);
+  Awaitable<bool> collect_votes(std::shared_ptr<Ballot> ballot, ServerState role);
+  Awaitable<void> request_vote(std::shared_ptr<Ballot> ballot, Member member, TimePoint deadline);
   [[nodiscard]] VoteRequest make_request(bool pre_vote, std::uint64_t term) const;
   [[nodiscard]] bool has_quorum(const Ballot& ballot) const;
-  void record_not_member(const Member& member);
+  void log_not_member(const Member& member);
 
   RaftState& state_;
   PeerTable& peers_;
-  std::function<void(VoterIdentities)> elected_;
+  std::function<void(VoterIdentities)> on_elected_;
   runtime::Signal changed_;
   TimePoint last_campaign_;
-  TimePoint excused_{};  ///< start of the silence that was already excused once
-  TimePoint
-      judged_from_{};  ///< until then, this node's own delays are too recent to declare the leader silent
+  TimePoint excused_silence_start_{};  ///< start of the silence that was already excused once
+  TimePoint ignore_silence_until_{};   ///< until then, own delays are too recent to declare the leader silent
   bool transfer_requested_ = false;
   bool not_member_logged_ = false;
 };
--- a/src/consensus/knobs.h
+++ b/src/consensus/knobs.h
@@ -29,12 +29,12 @@
 inline constexpr std::size_t kMaxHeartbeatsInFlight = 4;
 /// Entries kept in the log after they are covered by a snapshot, so that a slightly lagging follower does not
 /// need the snapshot.
-inline constexpr std::uint64_t kLogTailEntries = 256;
+inline constexpr std::uint64_t kRetainedLogEntries = 256;
 /// A learner becomes a voter once it lacks at most this many entries.
-inline constexpr std::uint64_t kCaughtUpEntries = 16;
+inline constexpr std::uint64_t kMaxLearnerLagEntries = 16;
 /// Initial and maximum delay of the exponential backoff between connection attempts to a peer.
-inline constexpr Duration kFirstReconnectDelay = std::chrono::milliseconds(10);
-inline constexpr Duration kLastReconnectDelay = std::chrono::milliseconds(320);
+inline constexpr Duration kInitialReconnectDelay = std::chrono::milliseconds(10);
+inline constexpr Duration kMaxReconnectDelay = std::chrono::milliseconds(320);
 /// Reconnect delay after a peer refused the Hello: one side must be upgraded first.
 inline constexpr Duration kRefusedReconnectDelay = std::chrono::seconds(5);
 /// Timeout of one connection attempt.
--- a/src/consensus/leadership.cpp
+++ b/src/consensus/leadership.cpp
@@ -26,7 +26,7 @@
     }
     append(EntryKind::kConfiguration, wire::encode(formed));
   }
-  follow_configuration();
+  update_replicators();
   state_.runtime().spawn("consensus_flush", run_flush(self));
   state_.runtime().spawn("consensus_quorum_check", run_quorum_check(self));
 }
@@ -41,13 +41,13 @@
 
 std::uint64_t Leadership::append(EntryKind kind, std::string payload) {
   state_.append(kind, std::move(payload));
-  if (kind == EntryKind::kConfiguration) follow_configuration();
+  if (kind == EntryKind::kConfiguration) update_replicators();
   for (auto& [key, replicator] : replicators_) replicator->wake();
   appended_.notify_all();
   return state_.log().last_index();
 }
 
-void Leadership::follow_configuration() {
+void Leadership::update_replicators() {
   std::map<MemberKey, std::shared_ptr<Replicator>> kept;
   for (const Member& member : state_.configuration().all()) {
     if (is_self(member)) continue;
@@ -85,13 +85,13 @@
     co_await progress_.wait_until(due);
     // This server was delayed: process answers received meanwhile before declaring followers silent.
     const TimePoint now = state_.runtime().now();
-    if (now > due + interval && !excused_) {
-      excused_ = true;
-      judged_from_ = now + interval;
+    if (now > due + interval && !delay_excused_) {
+      delay_excused_ = true;
+      ignore_silence_until_ = now + interval;
     }
     if (!active()) continue;
-    if (hears_quorum()) excused_ = false;
-    if (now < judged_from_ || hears_quorum()) continue;
+    if (has_recent_quorum_contact()) delay_excused_ = false;
+    if (now < ignore_silence_until_ || has_recent_quorum_contact()) continue;
     const Reason reason{ReasonCode::kNoQuorum, "check_quorum", "",
                         "no quorum answered within the election timeout; stepping down"};
     state_.runtime().logger().log(runtime::LogLevel::kWarning, "consensus_leader_steps_down", reason, {});
@@ -99,7 +99,7 @@
   }
 }
 
-bool Leadership::hears_quorum() const {
+bool Leadership::has_recent_quorum_contact() const {
   const TimePoint since = state_.runtime().now() - state_.settings().election_timeout;
   return state_.configuration().has_quorum([&](const Member& member) {
     if (is_self(member)) return true;
@@ -167,12 +167,12 @@
 void Leadership::step_down_if_removed() {
   // Section 4.2.2: a removed leader manages the group until the configuration without it is committed.
   if (!active() || state_.is_voter() || state_.history().latest_index() > state_.commit_index()) return;
-  const auto heir = successor();
-  if (heir) send_timeout_now(state_, peers_, *heir);
+  const auto target = choose_transfer_target();
+  if (target) send_timeout_now(state_, peers_, *target);
   state_.step_down();
 }
 
-std::optional<Member> Leadership::successor() const {
+std::optional<Member> Leadership::choose_transfer_target() const {
   const TimePoint since = state_.runtime().now() - state_.settings().election_timeout;
   std::optional<Member> best;
   std::uint64_t best_match = 0;
--- a/src/consensus/leadership.h
+++ b/src/consensus/leadership.h
@@ -38,9 +38,9 @@
   /// Returns null if there is no replication to this member.
   [[nodiscard]] std::shared_ptr<Replicator> replicator(const MemberKey& key) const;
   /// Starts and stops replicators to match the members of the latest configuration.
-  void follow_configuration();
+  void update_replicators();
   /// Returns the most up-to-date other voter that answered recently, or std::nullopt if there is none.
-  [[nodiscard]] std::optional<Member> successor() const;
+  [[nodiscard]] std::optional<Member> choose_transfer_target() const;
 
  private:
   Awaitable<void> run_flush(std::shared_ptr<Leadership> self);
@@ -49,7 +49,7 @@
   void complete_joint_change();
   void step_down_if_removed();
   [[nodiscard]] std::uint64_t match_index(const Member& member) const;
-  [[nodiscard]] bool hears_quorum() const;
+  [[nodiscard]] bool has_recent_quorum_contact() const;
   [[nodiscard]] bool is_self(const Member& member) const;
   void record_progress();
 
@@ -60,8 +60,8 @@
   runtime::Signal appended_;
   std::map<MemberKey, std::shared_ptr<Replicator>> replicators_;
   std::uint64_t round_ = 0;
-  TimePoint judged_from_{};  ///< until then, the leader's own delays are too recent to declare others silent
-  bool excused_ = false;     ///< a delay was excused since the last quorum contact; the next one is not
+  TimePoint ignore_silence_until_{};  ///< until then, own delays are too recent to declare others silent
+  bool delay_excused_ = false;  ///< a delay was excused since the last quorum contact; the next one is not
   bool ended_ = false;
 };
 
--- a/src/consensus/leadership_transfer.cpp
+++ b/src/consensus/leadership_transfer.cpp
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-void send_timeout_now(RaftState& state, PeerTable& peers, const Member& heir) {
-  PeerRequest request = peers.make_request(heir, TimeoutNowRequest{});
+void send_timeout_now(RaftState& state, PeerTable& peers, const Member& target) {
+  PeerRequest request = peers.make_request(target, TimeoutNowRequest{});
   const TimePoint deadline = state.runtime().now() + state.settings().election_timeout;
-  state.runtime().spawn("consensus_hand_over", send(peers.channel(heir), std::move(request), deadline));
+  state.runtime().spawn("consensus_hand_over", send(peers.channel(target), std::move(request), deadline));
 }
 
 Awaitable<bool> transfer_leadership(RaftState& state, PeerTable& peers,
@@ -21,11 +21,11 @@
   bool in_time = true;
   bool told = false;
   while (leadership->active() && in_time) {
-    const auto heir = leadership->successor();
-    if (!heir) co_return false;
-    const auto replicator = leadership->replicator(key_of(*heir));
+    const auto target = leadership->choose_transfer_target();
+    if (!target) co_return false;
+    const auto replicator = leadership->replicator(key_of(*target));
     if (!told && replicator->match_index() == state.log().last_index()) {
-      send_timeout_now(state, peers, *heir);
+      send_timeout_now(state, peers, *target);
       told = true;
     }
     in_time = co_await leadership->progress().wait_until(deadline);
--- a/src/consensus/leadership_transfer.h
+++ b/src/consensus/leadership_transfer.h
@@ -8,12 +8,12 @@
 
 namespace cairnhollow::consensus {
 
-/// Tells `heir` to start an election immediately. Does not wait for an answer: if the message is lost, an
+/// Tells `target` to start an election immediately. Does not wait for an answer: if the message is lost, an
 /// election follows after the usual timeout.
-void send_timeout_now(RaftState& state, PeerTable& peers, const Member& heir);
+void send_timeout_now(RaftState& state, PeerTable& peers, const Member& target);
 
-/// Brings the best successor's log up to date, tells it to take over, and waits until it has. The caller must
-/// prevent further appends. Returns false if there is no successor or if `deadline` passes first.
+/// Chooses a target, brings its log up to date, tells it to take over, and waits until it has. The caller
+/// must prevent further appends. Returns false if there is no eligible target or if `deadline` passes first.
 Awaitable<bool> transfer_leadership(RaftState& state, PeerTable& peers,
                                     std::shared_ptr<Leadership> leadership, TimePoint deadline);
 
--- a/src/consensus/log_file.cpp
+++ b/src/consensus/log_file.cpp
@@ -13,7 +13,7 @@
 }
 
 /// Returns a reason if a newer build wrote the record or the command in it.
-std::optional<Reason> made_by_newer_build(std::uint64_t offset, const std::string& bytes) {
+std::optional<Reason> newer_build_reason(std::uint64_t offset, const std::string& bytes) {
   const auto unreadable = wire::unreadable_format(bytes);
   if (!unreadable) return std::nullopt;
   return Reason{ReasonCode::kUnsupported, "recover_log", "",
@@ -53,7 +53,7 @@
   if (!read_header(*header, log, reason)) return std::nullopt;
   if (!read_entries(*content, header->end, log, reason)) return std::nullopt;
   if (!reopen(reason)) return std::nullopt;
-  const std::uint64_t whole_size = ends_.empty() ? header_end_ : ends_.back();
+  const std::uint64_t whole_size = entry_ends_.empty() ? header_end_ : entry_ends_.back();
   if (file_->size() > whole_size && !file_->truncate(whole_size, reason)) return std::nullopt;
   // The file contents may still be only in the page cache; they count as synced after the next sync.
   synced_size_ = header_end_;
@@ -61,7 +61,7 @@
 }
 
 bool LogFile::read_header(const Record& header, RecoveredLog& log, Reason& reason) {
-  const auto newer = made_by_newer_build(header.offset, header.payload);
+  const auto newer = newer_build_reason(header.offset, header.payload);
   Reason ignored;
   const auto base = wire::decode<LogBase>(header.payload, ignored);
   if (!base) {
@@ -82,7 +82,7 @@
     }
     Reason ignored;
     auto entry = wire::decode<LogEntry>(record->payload, ignored);
-    if (const auto newer = made_by_newer_build(offset, entry ? entry->payload : record->payload)) {
+    if (const auto newer = newer_build_reason(offset, entry ? entry->payload : record->payload)) {
       reason = *newer;
       return false;
     }
@@ -91,7 +91,7 @@
       return false;
     }
     log.entries.push_back(std::move(*entry));
-    ends_.push_back(record->end);
+    entry_ends_.push_back(record->end);
     offset = record->end;
   }
   if (offset == content.size() || !was_synced(content, offset)) return true;
@@ -109,10 +109,10 @@
   std::string content = make_record(wire::encode(base), 0);
   base_ = base;
   header_end_ = content.size();
-  ends_.clear();
+  entry_ends_.clear();
   for (const LogEntry& entry : entries) {
     content += make_record(wire::encode(entry), content.size());  // the file becomes durable as a whole
-    ends_.push_back(content.size());
+    entry_ends_.push_back(content.size());
   }
   content += make_sync_mark(content.size());
   const std::uint64_t size = content.size();
@@ -125,14 +125,14 @@
 Awaitable<bool> LogFile::write_from(std::uint64_t first_index, std::vector<LogEntry> entries,
                                     Reason& reason) {
   if (last_index() >= first_index) {
-    const bool cut = co_await cut_after(first_index - 1, reason);
-    if (!cut) co_return false;
+    const bool truncated = co_await truncate_after(first_index - 1, reason);
+    if (!truncated) co_return false;
   }
   std::string bytes;
   const std::uint64_t size = file_->size();
   for (const LogEntry& entry : entries) {
     bytes += make_record(wire::encode(entry), synced_size_);
-    ends_.push_back(size + bytes.size());
+    entry_ends_.push_back(size + bytes.size());
   }
   if (!file_->append(bytes, reason)) co_return false;
   const std::uint64_t appended_size = file_->size();
@@ -142,9 +142,9 @@
   co_return file_->append(make_sync_mark(synced_size_), reason);
 }
 
-Awaitable<bool> LogFile::cut_after(std::uint64_t index, Reason& reason) {
-  ends_.resize(index - base_.index);
-  const std::uint64_t size = ends_.empty() ? header_end_ : ends_.back();
+Awaitable<bool> LogFile::truncate_after(std::uint64_t index, Reason& reason) {
+  entry_ends_.resize(index - base_.index);
+  const std::uint64_t size = entry_ends_.empty() ? header_end_ : entry_ends_.back();
   if (!file_->truncate(size, reason)) co_return false;
   const bool synced = co_await file_->sync(reason);
   if (synced) synced_size_ = size;
--- a/src/consensus/log_file.h
+++ b/src/consensus/log_file.h
@@ -47,20 +47,20 @@
   Awaitable<bool> write_from(std::uint64_t first_index, std::vector<LogEntry> entries, Reason& reason);
 
   /// Index of the last entry in the file.
-  [[nodiscard]] std::uint64_t last_index() const { return base_.index + ends_.size(); }
+  [[nodiscard]] std::uint64_t last_index() const { return base_.index + entry_ends_.size(); }
 
  private:
   bool read_entries(const std::string& content, std::uint64_t offset, RecoveredLog& log, Reason& reason);
   bool read_header(const Record& header, RecoveredLog& log, Reason& reason);
   bool reopen(Reason& reason);
-  Awaitable<bool> cut_after(std::uint64_t index, Reason& reason);
+  Awaitable<bool> truncate_after(std::uint64_t index, Reason& reason);
 
   runtime::Storage& storage_;
   std::unique_ptr<runtime::AppendFile> file_;
   LogBase base_;
   std::uint64_t header_end_ = 0;
-  std::deque<std::uint64_t> ends_;  ///< end offset of each entry, from base_.index + 1 on
-  std::uint64_t synced_size_ = 0;   ///< number of bytes of the file known to be durable
+  std::deque<std::uint64_t> entry_ends_;  ///< end offset of each entry, from base_.index + 1 on
+  std::uint64_t synced_size_ = 0;         ///< number of bytes of the file known to be durable
 };
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/log_receiver.cpp
+++ b/src/consensus/log_receiver.cpp
@@ -25,9 +25,9 @@
   const bool matches = request.previous_index <= state_.commit_index() ||
                        state_.log().term_at(request.previous_index) == request.previous_term;
   if (!matches) return AppendAnswer{false, next_index_after_conflict(request)};
-  take_entries(request.entries);
+  append_new_entries(request.entries);
   const std::uint64_t last_sent = request.previous_index + request.entries.size();
-  allow_commit(std::min(request.commit_index, last_sent));
+  observe_commit_index(std::min(request.commit_index, last_sent));
   return AppendAnswer{true, last_sent + 1};
 }
 
@@ -41,7 +41,7 @@
   return index;
 }
 
-void LogReceiver::take_entries(const std::vector<LogEntry>& entries) {
+void LogReceiver::append_new_entries(const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
     if (entry.index <= state_.commit_index()) continue;
     if (state_.log().term_at(entry.index) == entry.term) continue;
@@ -53,30 +53,33 @@
 HeartbeatAnswer LogReceiver::heartbeat(const NodeName& leader, std::uint64_t term,
                                        const HeartbeatRequest& request) {
   if (!accept_leader(leader, term)) return HeartbeatAnswer{false};
-  allow_commit(request.commit_index);
+  observe_commit_index(request.commit_index);
   return HeartbeatAnswer{true};
 }
 
-void LogReceiver::allow_commit(std::uint64_t index) { allowed_commit_ = std::max(allowed_commit_, index); }
+void LogReceiver::observe_commit_index(std::uint64_t index) {
+  known_commit_index_ = std::max(known_commit_index_, index);
+}
 
-void LogReceiver::commit() { state_.commit_to(std::min(allowed_commit_, state_.log().durable_index())); }
+void LogReceiver::commit() { state_.commit_to(std::min(known_commit_index_, state_.log().durable_index())); }
 
 Awaitable<InstallSnapshotAnswer> LogReceiver::install(NodeName leader, std::uint64_t term,
                                                       InstallSnapshotRequest request) {
   if (!accept_leader(leader, term)) co_return InstallSnapshotAnswer{false, 0};
   const LogBase last{request.last_index, request.last_term};
   if (last.index <= state_.commit_index()) co_return InstallSnapshotAnswer{true, request.total_size};
-  const bool same = assembly_ && assembly_->last.index == last.index && assembly_->last.term == last.term;
-  if (!same || request.offset == 0) assembly_ = Assembly{last, ""};
-  if (request.offset != assembly_->bytes.size() || request.total_size > kMaxSnapshotBytes) {
-    co_return InstallSnapshotAnswer{true, assembly_->bytes.size()};
+  const bool same = partial_snapshot_ && partial_snapshot_->last.index == last.index &&
+                    partial_snapshot_->last.term == last.term;
+  if (!same || request.offset == 0) partial_snapshot_ = PartialSnapshot{last, ""};
+  if (request.offset != partial_snapshot_->bytes.size() || request.total_size > kMaxSnapshotBytes) {
+    co_return InstallSnapshotAnswer{true, partial_snapshot_->bytes.size()};
   }
-  assembly_->bytes += request.bytes;
-  if (assembly_->bytes.size() < request.total_size) {
-    co_return InstallSnapshotAnswer{true, assembly_->bytes.size()};
+  partial_snapshot_->bytes += request.bytes;
+  if (partial_snapshot_->bytes.size() < request.total_size) {
+    co_return InstallSnapshotAnswer{true, partial_snapshot_->bytes.size()};
   }
-  const std::string bytes = std::move(assembly_->bytes);
-  assembly_.reset();
+  const std::string bytes = std::move(partial_snapshot_->bytes);
+  partial_snapshot_.reset();
   Reason reason;
   auto snapshot = SnapshotFile::decode(bytes, reason);
   if (!snapshot) {
--- a/src/consensus/log_receiver.h
+++ b/src/consensus/log_receiver.h
@@ -24,19 +24,19 @@
 
  private:
   /// The chunks of a snapshot received so far.
-  struct Assembly {
+  struct PartialSnapshot {
     LogBase last;
     std::string bytes;
   };
 
   bool accept_leader(const NodeName& leader, std::uint64_t term);
   [[nodiscard]] std::uint64_t next_index_after_conflict(const AppendRequest& request) const;
-  void take_entries(const std::vector<LogEntry>& entries);
-  void allow_commit(std::uint64_t index);
+  void append_new_entries(const std::vector<LogEntry>& entries);
+  void observe_commit_index(std::uint64_t index);
 
   RaftState& state_;
-  std::optional<Assembly> assembly_;
-  std::uint64_t allowed_commit_ =
+  std::optional<PartialSnapshot> partial_snapshot_;
+  std::uint64_t known_commit_index_ =
       0;  ///< commit index received from the leader, limited to entries in this log; may not be durable yet
 };
 
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -86,21 +86,21 @@
 }
 
 Awaitable<bool> Membership::run_add(std::shared_ptr<Change> change, Member member, Reason& reason) {
-  const bool known = co_await learn_identity(change, member, reason);
+  const bool known = co_await resolve_identity(change, member, reason);
   if (!known) co_return false;
-  if (!check_free(*change, member, NodeName{}, reason)) co_return false;
+  if (!check_no_conflict(*change, member, NodeName{}, reason)) co_return false;
   const Member* present = state_.configuration().find(key_of(member));
   if (present != nullptr && present->role == MemberRole::kVoter) member.role = MemberRole::kVoter;
   if (present != nullptr && *present == member) co_return true;
   if (present == nullptr || present->role == member.role) {
     // A new member joins as a learner; a change of endpoint or zone keeps the role.
     const MemberRole role = present == nullptr ? MemberRole::kLearner : member.role;
-    const bool entered = co_await enter(change, member, role, reason);
+    const bool entered = co_await commit_member(change, member, role, reason);
     if (!entered || role == member.role) co_return entered;
   }
   const bool caught_up = co_await wait_caught_up(change, key_of(member), reason);
   if (!caught_up) co_return false;
-  co_return co_await enter(change, std::move(member), MemberRole::kVoter, reason);
+  co_return co_await commit_member(change, std::move(member), MemberRole::kVoter, reason);
 }
 
 Awaitable<bool> Membership::run_remove(std::shared_ptr<Change> change, NodeName node, Reason& reason) {
@@ -120,7 +120,7 @@
 
 Awaitable<bool> Membership::run_replace(std::shared_ptr<Change> change, NodeName lost, Member replacement,
                                         Reason& reason) {
-  const bool known = co_await learn_identity(change, replacement, reason);
+  const bool known = co_await resolve_identity(change, replacement, reason);
   if (!known) co_return false;
   replacement.role = MemberRole::kVoter;
   const MemberKey key = key_of(replacement);
@@ -139,9 +139,9 @@
                      "the replacement is already a voter");
     co_return false;
   }
-  if (!check_free(*change, replacement, lost, reason)) co_return false;
+  if (!check_no_conflict(*change, replacement, lost, reason)) co_return false;
   if (state_.configuration().find(key) == nullptr) {
-    const bool added = co_await enter(change, replacement, MemberRole::kLearner, reason);
+    const bool added = co_await commit_member(change, replacement, MemberRole::kLearner, reason);
     if (!added) co_return false;
   }
   const bool caught_up = co_await wait_caught_up(change, key, reason);
@@ -158,7 +158,7 @@
   co_return co_await wait_committed(change, final_index, reason);
 }
 
-Awaitable<bool> Membership::learn_identity(std::shared_ptr<Change> change, Member& member, Reason& reason) {
+Awaitable<bool> Membership::resolve_identity(std::shared_ptr<Change> change, Member& member, Reason& reason) {
   if (!member.identity.empty()) co_return true;
   PeerRequest request = peers_.make_request(member, HeartbeatRequest{});
   const auto channel = peers_.channel(member);
@@ -168,8 +168,8 @@
   co_return change->leadership->active();
 }
 
-bool Membership::check_free(const Change& change, const Member& member, const NodeName& replaced,
-                            Reason& reason) const {
+bool Membership::check_no_conflict(const Change& change, const Member& member, const NodeName& replaced,
+                                   Reason& reason) const {
   for (const Member& other : state_.configuration().members) {
     if (key_of(other) == key_of(member) || other.node == replaced) continue;
     if (other.node == member.node) {
@@ -186,8 +186,8 @@
   return true;
 }
 
-Awaitable<bool> Membership::enter(std::shared_ptr<Change> change, Member member, MemberRole role,
-                                  Reason& reason) {
+Awaitable<bool> Membership::commit_member(std::shared_ptr<Change> change, Member member, MemberRole role,
+                                          Reason& reason) {
   member.role = role;
   Configuration next = state_.configuration();
   next.members = without(next.members, key_of(member));
@@ -201,7 +201,7 @@
   while (leadership.active()) {
     const auto replicator = leadership.replicator(key);
     const std::uint64_t match = replicator == nullptr ? 0 : replicator->match_index();
-    if (match > 0 && match + kCaughtUpEntries >= state_.log().last_index()) co_return true;
+    if (match > 0 && match + kMaxLearnerLagEntries >= state_.log().last_index()) co_return true;
     if (!in_time) {
       reason = failure(ReasonCode::kDeadlineExceeded, change->step, key.node,
                        "the learner did not catch up before the deadline and remains a learner");
--- a/src/consensus/membership.h
+++ b/src/consensus/membership.h
@@ -41,13 +41,15 @@
                               Reason& reason);
 
   /// Sets the identity to that of the disk found at the member's endpoint, unless it is given.
-  Awaitable<bool> learn_identity(std::shared_ptr<Change> change, Member& member, Reason& reason);
+  Awaitable<bool> resolve_identity(std::shared_ptr<Change> change, Member& member, Reason& reason);
   /// Commits the configuration in which `member`, with `role`, replaces its previous entry if there is one.
-  Awaitable<bool> enter(std::shared_ptr<Change> change, Member member, MemberRole role, Reason& reason);
+  Awaitable<bool> commit_member(std::shared_ptr<Change> change, Member member, MemberRole role,
+                                Reason& reason);
   Awaitable<bool> wait_caught_up(std::shared_ptr<Change> change, MemberKey key, Reason& reason);
   Awaitable<bool> commit(std::shared_ptr<Change> change, Configuration configuration, Reason& reason);
   Awaitable<bool> wait_committed(std::shared_ptr<Change> change, std::uint64_t index, Reason& reason);
-  bool check_free(const Change& change, const Member& member, const NodeName& replaced, Reason& reason) const;
+  bool check_no_conflict(const Change& change, const Member& member, const NodeName& replaced,
+                         Reason& reason) const;
 
   RaftState& state_;
   PeerTable& peers_;
--- a/src/consensus/peer_channel.cpp
+++ b/src/consensus/peer_channel.cpp
@@ -10,29 +10,29 @@
     : runtime_(runtime), settings_(std::move(settings)), connected_(runtime), closing_(runtime) {}
 
 Awaitable<void> PeerChannel::run(std::shared_ptr<PeerChannel> /*self*/) {
-  Duration delay = kFirstReconnectDelay;
+  Duration delay = kInitialReconnectDelay;
   while (!closed_) {
     Reason reason;
     auto connection =
         co_await runtime_.network().connect(settings_.endpoint, runtime_.now() + kConnectTimeout, reason);
     if (connection != nullptr && !closed_) {
-      const TimePoint begun = runtime_.now();
-      co_await exchange(connection);
+      const TimePoint connected_at = runtime_.now();
+      co_await run_connection(connection);
       // A forwarder may accept connections for a peer that is down; only an answer proves that the peer is
       // up.
-      if (last_answer_ > begun) delay = kFirstReconnectDelay;
+      if (last_answer_ > connected_at) delay = kInitialReconnectDelay;
     }
     if (connection != nullptr) connection->close();
     if (closed_) co_return;
     const Duration longest = refused_ ? kRefusedReconnectDelay : delay;
     co_await closing_.wait_until(runtime_.now() + runtime_.random().between(longest / 2, longest));
-    delay = std::min(delay * 2, kLastReconnectDelay);
+    delay = std::min(delay * 2, kMaxReconnectDelay);
   }
 }
 
-Awaitable<void> PeerChannel::exchange(std::shared_ptr<runtime::FrameConnection> connection) {
+Awaitable<void> PeerChannel::run_connection(std::shared_ptr<runtime::FrameConnection> connection) {
   auto sender = std::make_shared<FrameSender>(runtime_, connection);
-  sender->push(greeting_.next_frame(settings_.hello));
+  sender->push(handshake_.next_frame(settings_.hello));
   runtime_.spawn("consensus_peer_sender", sender->run(sender));
   sender_ = sender;
   last_answer_ = runtime_.now();
@@ -41,7 +41,7 @@
     Reason reason;
     const auto frame = co_await connection->receive(reason);
     if (!frame) break;
-    if (is_answer(*frame)) take_answer(*frame);
+    if (is_answer(*frame)) complete_call(*frame);
   }
   sender_.reset();
   sender->close();
@@ -72,10 +72,11 @@
   auto call = std::make_shared<PendingCall>(runtime_);
   pending_.emplace(correlation, call);
   bool in_time = true;
-  while (!call->answer && !call->lost && in_time) in_time = co_await call->changed.wait_until(deadline);
+  while (!call->answer && !call->connection_lost && in_time)
+    in_time = co_await call->changed.wait_until(deadline);
   pending_.erase(correlation);
   if (call->answer) co_return std::move(call->answer);
-  if (call->lost) {
+  if (call->connection_lost) {
     reason = make_reason(ReasonCode::kConnectionLost, "connection closed before the answer arrived");
   } else {
     reason = make_reason(ReasonCode::kDeadlineExceeded, "no answer before the deadline");
@@ -93,16 +94,16 @@
 /// Returns whether the frame is a PeerAnswer. A HelloAnswer is processed here.
 bool PeerChannel::is_answer(const std::string& frame) {
   Reason reason;
-  const auto effect = greeting_.take(frame, settings_.peer.value, reason);
-  refused_ = effect == wire::Greeting::Effect::kRefused;
+  const auto outcome = handshake_.handle_frame(frame, settings_.peer.value, reason);
+  refused_ = outcome == wire::ClientHandshake::Outcome::kRefused;
   if (refused_) {
     runtime_.logger().log(runtime::LogLevel::kError, "consensus_peer_refused", reason, {});
     if (sender_ != nullptr) sender_->close();
   }
-  return effect == wire::Greeting::Effect::kConversation;
+  return outcome == wire::ClientHandshake::Outcome::kConversation;
 }
 
-void PeerChannel::take_answer(const std::string& frame) {
+void PeerChannel::complete_call(const std::string& frame) {
   Reason reason;
   auto answer = wire::decode<PeerAnswer>(frame, reason);
   if (!answer) {
@@ -118,7 +119,7 @@
 
 void PeerChannel::fail_pending() {
   for (auto& [correlation, call] : pending_) {
-    call->lost = true;
+    call->connection_lost = true;
     call->changed.notify_all();
   }
 }
--- a/src/consensus/peer_channel.h
+++ b/src/consensus/peer_channel.h
@@ -38,12 +38,12 @@
     explicit PendingCall(runtime::Runtime& runtime) : changed(runtime) {}
     runtime::Signal changed;
     std::optional<PeerAnswer> answer;
-    bool lost = false;
+    bool connection_lost = false;
   };
 
-  Awaitable<void> exchange(std::shared_ptr<runtime::FrameConnection> connection);
+  Awaitable<void> run_connection(std::shared_ptr<runtime::FrameConnection> connection);
   Awaitable<bool> wait_connected(TimePoint deadline);
-  void take_answer(const std::string& frame);
+  void complete_call(const std::string& frame);
   [[nodiscard]] bool is_answer(const std::string& frame);
   void fail_pending();
   void replace_stalled_connection();
@@ -51,7 +51,7 @@
 
   runtime::Runtime& runtime_;
   PeerChannelSettings settings_;
-  wire::Greeting greeting_;
+  wire::ClientHandshake handshake_;
   runtime::Signal connected_;
   runtime::Signal closing_;
   std::shared_ptr<FrameSender> sender_;  ///< null while disconnected
--- a/src/consensus/peer_server.cpp
+++ b/src/consensus/peer_server.cpp
@@ -6,7 +6,7 @@
 namespace cairnhollow::consensus {
 namespace {
 
-bool speaks_of_log(const RequestBody& body) {
+bool depends_on_log(const RequestBody& body) {
   return std::holds_alternative<AppendRequest>(body) || std::holds_alternative<InstallSnapshotRequest>(body);
 }
 
@@ -53,7 +53,7 @@
   // State that the answer depends on must be durable before the answer is sent. Only answers about the log
   // wait for the log, so that a slow disk behind a large append does not delay heartbeats.
   bool durable = co_await state_.persist_term_and_vote();
-  if (durable && speaks_of_log(request.body)) durable = co_await state_.persist();
+  if (durable && depends_on_log(request.body)) durable = co_await state_.persist();
   if (!durable) co_return std::nullopt;
   receiver_.commit();
   co_return answer;
--- a/src/consensus/peer_table.cpp
+++ b/src/consensus/peer_table.cpp
@@ -21,7 +21,7 @@
   return channel;
 }
 
-void PeerTable::follow_configuration() {
+void PeerTable::update_channels() {
   if (state_.halted()) return;
   std::set<Address> wanted;
   for (const Member& member : state_.configuration().all()) {
--- a/src/consensus/peer_table.h
+++ b/src/consensus/peer_table.h
@@ -18,7 +18,7 @@
   std::shared_ptr<PeerChannel> channel(const Member& member);
   /// Closes channels to nodes that are not in the latest configuration. Voters connect to each other in
   /// advance; other channels open with their first request.
-  void follow_configuration();
+  void update_channels();
   void close_all();
 
   /// Makes a request from this node in its current term, addressed to `member`.
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -15,7 +15,7 @@
     : runtime_(runtime),
       state_(runtime, state_machine, std::move(settings), *this),
       peers_(state_),
-      election_(state_, peers_, [this](const VoterIdentities& voters) { elected(voters); }),
+      election_(state_, peers_, [this](const VoterIdentities& voters) { on_elected(voters); }),
       read_barrier_(state_, [this](Reason& reason) { return run_read_round(reason); }),
       peer_server_(state_, election_, [this](Reason& reason) { return run_read_round(reason); }),
       proposals_(runtime),
@@ -25,12 +25,12 @@
   if (!state_.recover(reason)) co_return false;
   // After a failed write the storage is retried while the server does not participate.
   const bool durable = co_await state_.persist();
-  if (!durable && state_.halted_for_good()) {
+  if (!durable && state_.halted_permanently()) {
     reason = state_.halt_reason();
     co_return false;
   }
   started_ = true;
-  peers_.follow_configuration();
+  peers_.update_channels();
   runtime_.spawn("consensus_election", election_.run());
   co_return true;
 }
@@ -47,7 +47,7 @@
   peers_.close_all();
 }
 
-void RaftServer::elected(const VoterIdentities& voters) {
+void RaftServer::on_elected(const VoterIdentities& voters) {
   leadership_ = std::make_shared<Leadership>(state_, peers_);
   leadership_->start(leadership_, voters);
   runtime_.logger().log(runtime::LogLevel::kInfo, "consensus_leader_elected",
@@ -80,7 +80,7 @@
 
 void RaftServer::configuration_changed() {
   if (!started_) return;  // no outgoing connections before recovery is complete
-  peers_.follow_configuration();
+  peers_.update_channels();
   election_.notify();
 }
 
@@ -124,7 +124,7 @@
   if (leadership_ != nullptr) {
     index = co_await confirm_read_index(state_, leadership_, deadline, reason);
   } else {
-    index = co_await ask_leader_for_read_index(state_, peers_, deadline, reason);
+    index = co_await request_read_index(state_, peers_, deadline, reason);
   }
   co_return index;
 }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -38,7 +38,7 @@
   void role_changed() override;
   void configuration_changed() override;
 
-  void elected(const VoterIdentities& voters);
+  void on_elected(const VoterIdentities& voters);
   Awaitable<std::optional<std::uint64_t>> run_read_round(Reason& reason);
   bool check_proposal(const std::string& command, Reason& reason) const;
   bool check_running(const std::string& step, Reason& reason) const;
--- a/src/consensus/raft_state.cpp
+++ b/src/consensus/raft_state.cpp
@@ -90,10 +90,10 @@
                          {"durable_index", std::to_string(log_.durable_index())}});
   set_role(ServerState::kFollower, NodeName{});
   observer_.role_changed();
-  runtime_.spawn("consensus_storage_retry", resume_when_writable());
+  runtime_.spawn("consensus_storage_retry", retry_storage());
 }
 
-Awaitable<void> RaftState::resume_when_writable() {
+Awaitable<void> RaftState::retry_storage() {
   const TimePoint failed_at = runtime_.now();
   bool written = false;
   while (!written && !halted_) {
@@ -108,10 +108,10 @@
   if (halted_) co_return;
   storage_failed_ = false;
   election_timer_start_ = runtime_.now();
-  const std::int64_t away = in_ms(runtime_.now() - failed_at);
+  const std::int64_t outage_ms = in_ms(runtime_.now() - failed_at);
   runtime_.logger().log(
       runtime::LogLevel::kInfo, "consensus_storage_recovered",
-      {{"after_ms", std::to_string(away)}, {"last_index", std::to_string(log_.last_index())}});
+      {{"after_ms", std::to_string(outage_ms)}, {"last_index", std::to_string(log_.last_index())}});
   observer_.configuration_changed();
   observer_.role_changed();
 }
@@ -177,7 +177,7 @@
   election_timer_start_ = runtime_.now();
 }
 
-bool RaftState::hears_leader() const {
+bool RaftState::has_recent_leader_contact() const {
   if (leader_.empty()) return false;
   if (role_ == ServerState::kLeader) return true;
   return runtime_.now() - last_leader_contact_ < settings_.election_timeout;
@@ -257,7 +257,7 @@
     co_return;
   }
   snapshot_last_ = last;
-  const std::uint64_t tail = std::min(kLogTailEntries, settings_.snapshot_after_entries);
+  const std::uint64_t tail = std::min(kRetainedLogEntries, settings_.snapshot_after_entries);
   if (last.index > tail) log_.compact_to(last.index - tail);
   history_.compact_to(log_.base().index);
   co_await persist();
--- a/src/consensus/raft_state.h
+++ b/src/consensus/raft_state.h
@@ -48,7 +48,7 @@
   /// Returns whether the server does not participate: halted permanently, or suspended after a storage
   /// failure.
   [[nodiscard]] bool halted() const { return halted_ || storage_failed_; }
-  [[nodiscard]] bool halted_for_good() const { return halted_; }
+  [[nodiscard]] bool halted_permanently() const { return halted_; }
   /// Reason of the last halt or storage failure.
   [[nodiscard]] const Reason& halt_reason() const { return halt_reason_; }
 
@@ -99,7 +99,7 @@
   [[nodiscard]] std::uint64_t applied_index() const { return applied_index_; }
   [[nodiscard]] std::uint64_t snapshot_index() const { return snapshot_last_.index; }
   /// Returns whether this server is the leader or has heard from a leader within the last election timeout.
-  [[nodiscard]] bool hears_leader() const;
+  [[nodiscard]] bool has_recent_leader_contact() const;
   /// When the leader was last heard from or a vote was last granted; the election timeout starts here.
   [[nodiscard]] TimePoint election_timer_start() const { return election_timer_start_; }
   [[nodiscard]] SnapshotFile& snapshot_file() { return snapshot_file_; }
@@ -111,7 +111,7 @@
   /// Stops participating until the disk accepts writes again.
   void suspend(const Reason& reason);
   /// Retries writing the in-memory state, then resumes participation.
-  Awaitable<void> resume_when_writable();
+  Awaitable<void> retry_storage();
   void set_role(ServerState role, NodeName leader);
   void apply_committed();
   void record_configuration(const LogEntry& entry);
--- a/src/consensus/read_index.cpp
+++ b/src/consensus/read_index.cpp
@@ -27,8 +27,8 @@
   co_return std::nullopt;
 }
 
-Awaitable<std::optional<std::uint64_t>> ask_leader_for_read_index(RaftState& state, PeerTable& peers,
-                                                                  TimePoint deadline, Reason& reason) {
+Awaitable<std::optional<std::uint64_t>> request_read_index(RaftState& state, PeerTable& peers,
+                                                           TimePoint deadline, Reason& reason) {
   const Member* leader = state.configuration().find(state.leader());
   if (state.leader().empty() || leader == nullptr) {
     reason = no_quorum("no leader is known");
--- a/src/consensus/read_index.h
+++ b/src/consensus/read_index.h
@@ -15,7 +15,7 @@
                                                            TimePoint deadline, Reason& reason);
 
 /// Follower side: asks the known leader. Fails immediately with kNoQuorum if no leader is known.
-Awaitable<std::optional<std::uint64_t>> ask_leader_for_read_index(RaftState& state, PeerTable& peers,
-                                                                  TimePoint deadline, Reason& reason);
+Awaitable<std::optional<std::uint64_t>> request_read_index(RaftState& state, PeerTable& peers,
+                                                           TimePoint deadline, Reason& reason);
 
 }  // namespace cairnhollow::consensus
--- a/src/consensus/record.cpp
+++ b/src/consensus/record.cpp
@@ -37,8 +37,8 @@
 
 /// The common first bytes of every encoded header.
 std::string header_prefix() {
-  const std::size_t behind_marker = sizeof(std::uint64_t) * 3;
-  return wire::encode(RecordHeader{}).substr(0, header_size() - behind_marker);
+  const std::size_t bytes_after_marker = sizeof(std::uint64_t) * 3;
+  return wire::encode(RecordHeader{}).substr(0, header_size() - bytes_after_marker);
 }
 
 }  // namespace
--- a/src/consensus/replicator.cpp
+++ b/src/consensus/replicator.cpp
@@ -6,11 +6,11 @@
 
 namespace cairnhollow::consensus {
 
-Replicator::Replicator(RaftState& state, PeerTable& peers, Member member, std::function<void()> progressed)
+Replicator::Replicator(RaftState& state, PeerTable& peers, Member member, std::function<void()> on_progress)
     : state_(state),
       peers_(peers),
       member_(std::move(member)),
-      progressed_(std::move(progressed)),
+      on_progress_(std::move(on_progress)),
       term_(state.term()),
       changed_(state.runtime()),
       heartbeat_changed_(state.runtime()),
@@ -29,18 +29,18 @@
 }
 
 void Replicator::begin_round(std::uint64_t round) {
-  wanted_round_ = round;
+  requested_round_ = round;
   heartbeat_changed_.notify_all();
 }
 
-bool Replicator::has_news() const {
+bool Replicator::has_pending_updates() const {
   return next_index_ <= state_.log().last_index() || match_index_ == 0 ||
          std::min(state_.commit_index(), match_index_) > sent_commit_index_;
 }
 
 Awaitable<void> Replicator::run_replication(std::shared_ptr<Replicator> /*self*/) {
   while (active()) {
-    if (!has_news()) {
+    if (!has_pending_updates()) {
       co_await changed_.wait();
       continue;
     }
@@ -77,7 +77,7 @@
   match_index_ = std::max(match_index_, last_sent);
   next_index_ = std::max(next_index_, match_index_ + 1);
   sent_commit_index_ = std::max(sent_commit_index_, std::min(commit_sent, match_index_));
-  progressed_();
+  on_progress_();
   co_return true;
 }
 
@@ -106,7 +106,7 @@
   if (!active()) co_return false;
   match_index_ = std::max(match_index_, snapshot->last.index);
   next_index_ = match_index_ + 1;
-  progressed_();
+  on_progress_();
   co_return true;
 }
 
@@ -125,7 +125,7 @@
   const std::string& expected = member_.identity.empty() ? known_identity_ : member_.identity;
   const bool other = !expected.empty() && answer.identity != expected;
   if (other || answer.refusal == Refusal::kOtherIdentity) {
-    record_other_identity();
+    log_other_identity();
     return false;
   }
   if (state_.observe_term(answer.term)) return false;
@@ -144,14 +144,14 @@
   while (active()) {
     const TimePoint next = state_.runtime().now() + heartbeat_interval();
     if (heartbeats_in_flight_ < kMaxHeartbeatsInFlight) {
-      sent_round_ = wanted_round_;
+      sent_round_ = requested_round_;
       ++heartbeats_in_flight_;
       state_.runtime().spawn("consensus_heartbeat", send_heartbeat(self, sent_round_));
     }
     bool in_time = true;
     while (active() && in_time) {
       const bool may_send = heartbeats_in_flight_ < kMaxHeartbeatsInFlight;
-      if (wanted_round_ > sent_round_ && may_send) break;
+      if (requested_round_ > sent_round_ && may_send) break;
       in_time = co_await heartbeat_changed_.wait_until(next);
     }
   }
@@ -168,10 +168,10 @@
   if (result == nullptr || !result->accepted) co_return;
   acknowledged_round_ = std::max(acknowledged_round_, round);
   sent_commit_index_ = std::max(sent_commit_index_, heartbeat.commit_index);
-  progressed_();
+  on_progress_();
 }
 
-void Replicator::record_other_identity() {
+void Replicator::log_other_identity() {
   if (other_identity_logged_) return;
   other_identity_logged_ = true;
   const Reason reason{ReasonCode::kConflict, "replicate", member_.node.value,
--- a/src/consensus/replicator.h
+++ b/src/consensus/replicator.h
@@ -12,8 +12,8 @@
 
 class Replicator {
  public:
-  /// `progressed` is called after an answer changed this object's knowledge of the member.
-  Replicator(RaftState& state, PeerTable& peers, Member member, std::function<void()> progressed);
+  /// `on_progress` is called after an answer changed this object's knowledge of the member.
+  Replicator(RaftState& state, PeerTable& peers, Member member, std::function<void()> on_progress);
 
   /// Starts the replication and heartbeat loops, which end with the term of leadership or by stop().
   void start(const std::shared_ptr<Replicator>& self);
@@ -42,16 +42,16 @@
   Awaitable<std::optional<PeerAnswer>> call(RequestBody body);
   bool accept(const PeerAnswer& answer, TimePoint sent_at);
   [[nodiscard]] bool active() const { return !stopped_ && state_.is_leader_of(term_); }
-  [[nodiscard]] bool has_news() const;
+  [[nodiscard]] bool has_pending_updates() const;
   /// Learners do not vote or start elections, so they receive less frequent heartbeats, but within the
   /// election timeout of a learner that becomes a voter.
   [[nodiscard]] Duration heartbeat_interval() const;
-  void record_other_identity();
+  void log_other_identity();
 
   RaftState& state_;
   PeerTable& peers_;
   const Member member_;
-  const std::function<void()> progressed_;
+  const std::function<void()> on_progress_;
   const std::uint64_t term_;
   runtime::Signal changed_;            ///< wakes the replication loop
   runtime::Signal heartbeat_changed_;  ///< wakes the heartbeat loop
@@ -59,7 +59,7 @@
   std::uint64_t next_index_;
   std::uint64_t match_index_ = 0;
   std::uint64_t sent_commit_index_ = 0;
-  std::uint64_t wanted_round_ = 0;
+  std::uint64_t requested_round_ = 0;
   std::uint64_t sent_round_ = 0;
   std::uint64_t acknowledged_round_ = 0;
   TimePoint last_contact_;
--- a/src/consensus/voting.cpp
+++ b/src/consensus/voting.cpp
@@ -19,7 +19,7 @@
 
 VoteAnswer answer_vote(RaftState& state, const NodeName& candidate, const VoteRequest& request) {
   // Section 4.2.3: a server that hears from a current leader rejects candidates that do not.
-  if (state.hears_leader() && !request.leadership_transfer) return VoteAnswer{false};
+  if (state.has_recent_leader_contact() && !request.leadership_transfer) return VoteAnswer{false};
   if (request.pre_vote) {
     return VoteAnswer{may_vote_for(state, candidate, request.term) && is_up_to_date(state, request)};
   }
--- a/src/declared/control/news/news_exchange.cpp
+++ b/src/declared/control/news/news_exchange.cpp
@@ -83,8 +83,8 @@
     Reason reason;
     const auto frame = co_await connection->receive(reason);
     if (!frame) break;
-    const auto effect = outgoing->greeting.take(*frame, connection->peer(), reason);
-    outgoing->refused = effect == wire::Greeting::Effect::kRefused;
+    const auto effect = outgoing->greeting.handle_frame(*frame, connection->peer(), reason);
+    outgoing->refused = effect == wire::ClientHandshake::Outcome::kRefused;
     if (outgoing->refused) {
       runtime_.logger().log(runtime::LogLevel::kError, "news_refused", reason, {});
       break;
--- a/src/declared/control/news/news_exchange.h
+++ b/src/declared/control/news/news_exchange.h
@@ -49,7 +49,7 @@
     std::vector<follow::SuspectPrimary> suspects;          ///< to be sent
     std::vector<Endpoint> known_nodes_sent;                ///< on this connection
     TimePoint connected_at{};                              ///< when it was last connected, or named first
-    wire::Greeting greeting;
+    wire::ClientHandshake greeting;
     bool refused = false;  ///< the other side speaks no protocol version that this node speaks
   };
 
--- a/src/declared/follow/follow_client.cpp
+++ b/src/declared/follow/follow_client.cpp
@@ -216,9 +216,9 @@
     const std::string frame = std::move(link.frames.front());
     link.frames.pop_front();
     Reason reason;
-    const auto greeted = greeting_.take(frame, link.connection->peer(), reason);
-    if (greeted == wire::Greeting::Effect::kAccepted) continue;
-    const bool refused = greeted == wire::Greeting::Effect::kRefused;
+    const auto greeted = greeting_.handle_frame(frame, link.connection->peer(), reason);
+    if (greeted == wire::ClientHandshake::Outcome::kAccepted) continue;
+    const bool refused = greeted == wire::ClientHandshake::Outcome::kRefused;
     auto answer = refused ? std::nullopt : wire::decode<FollowAnswer>(frame, reason);
     if (!answer) {
       last_failure_ = reason;
--- a/src/declared/follow/follow_client.h
+++ b/src/declared/follow/follow_client.h
@@ -117,7 +117,7 @@
   runtime::Runtime& runtime_;
   FollowClientSettings settings_;
   ServingConfiguration current_;
-  wire::Greeting greeting_;
+  wire::ClientHandshake greeting_;
   std::function<void(const AnswerEffect&)> on_change_;
   runtime::Signal answered_;
   runtime::Signal wake_;
--- a/src/declared/routing/view_builder.cpp
+++ b/src/declared/routing/view_builder.cpp
@@ -178,14 +178,14 @@
 }
 
 void ViewBuilder::set_proxies(GroupView& group) const {
-  const auto size = subset::subset_size(group.spec.connections_per_backend, subsets_.proxies());
+  const auto size = subset::subset_size(group.spec.connections_per_backend, subsets_.proxy_count());
   group.serving_proxies = subsets_.serving(group.name, size);
   group.proxies_serving = std::max(size, 1U);
   // Before few proxies each serves each group, also one that leaves and is not among them any more; but not
   // one of another domain.
   const bool belongs_here = domain_.empty() || this_proxy_object() != nullptr;
   group.served_here =
-      (belongs_here && size == subsets_.proxies()) ||
+      (belongs_here && size == subsets_.proxy_count()) ||
       std::any_of(group.serving_proxies.begin(), group.serving_proxies.end(),
                   [&](const subset::ProxyPointer& proxy) { return proxy->name == this_proxy_; });
 }
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -52,7 +52,7 @@
   } else if (!append_request(out_, request, peer())) {
     fail(ReasonCode::kInvalidArgument, "the request's target or a field of its header is malformed");
   }
-  if (!stream_->is_open()) reason = stream_->closed();
+  if (!stream_->is_open()) reason = stream_->close_reason();
   return stream_->is_open();
 }
 
@@ -72,7 +72,7 @@
   in_exchange_ = false;
   stream_->clear_deadline();
   if (out_.capacity() > kKeptRequestBytes) out_ = std::string();
-  if (!response) reason = stream_->closed();
+  if (!response) reason = stream_->close_reason();
   co_return response;
 }
 
--- a/src/registered/proxy/forwarding/forward_messages.h
+++ b/src/registered/proxy/forwarding/forward_messages.h
@@ -85,7 +85,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(tenant, needed, ahead);
-    wire::since(archive, wire::kPlacesFormat, cold_backend, BackendName());
+    wire::since(archive, wire::kPlacementFormat, cold_backend, BackendName());
   }
 };
 
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -152,7 +152,7 @@
 }
 
 void StatefulPool::log_use(const StatefulLink& link) const {
-  if (!runtime_.logger().writes(runtime::LogLevel::kDebug)) return;
+  if (!runtime_.logger().is_enabled(runtime::LogLevel::kDebug)) return;
   const auto held = std::chrono::duration_cast<std::chrono::microseconds>(runtime_.now() - link.taken_at());
   runtime_.logger().log(runtime::LogLevel::kDebug, "link_used",
                         {{"group", address_.group.value},
--- a/src/registered/registry/commands.h
+++ b/src/registered/registry/commands.h
@@ -34,7 +34,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name);
-    wire::since(archive, wire::kPlacesFormat, born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacementFormat, born_ms, std::uint64_t{0});
   }
 };
 
@@ -77,7 +77,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, epoch, term, primary);
-    wire::since(archive, wire::kPlacesFormat, primary_born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacementFormat, primary_born_ms, std::uint64_t{0});
   }
 };
 
--- a/src/registered/registry/delta.h
+++ b/src/registered/registry/delta.h
@@ -36,8 +36,8 @@
     wire::since(archive, wire::kTenantsFormat, requires_keys, false);
     wire::since(archive, wire::kTenantsFormat, tenants, std::vector<TenantRule>());
     wire::since(archive, wire::kTenantsFormat, removed_tenants, std::vector<TenantName>());
-    wire::since(archive, wire::kPlacesFormat, evacuations, std::vector<Evacuation>());
-    wire::since(archive, wire::kPlacesFormat, ended_evacuations, std::vector<ZoneName>());
+    wire::since(archive, wire::kPlacementFormat, evacuations, std::vector<Evacuation>());
+    wire::since(archive, wire::kPlacementFormat, ended_evacuations, std::vector<ZoneName>());
   }
 };
 
--- a/src/registered/registry/model.h
+++ b/src/registered/registry/model.h
@@ -39,7 +39,7 @@
     archive(name, database, path_prefix, group, reads, timeout_ms, target_latency_ms, priority,
             max_staleness_ms);
     wire::since(archive, wire::kTenantsFormat, is_public, false);
-    wire::since(archive, wire::kPlacesFormat, allowed_regions, std::vector<RegionName>());
+    wire::since(archive, wire::kPlacementFormat, allowed_regions, std::vector<RegionName>());
   }
 };
 
@@ -55,8 +55,8 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name, max_connections, synchronous_replicas);
-    wire::since(archive, wire::kPlacesFormat, cold_start_ms, std::uint64_t{0});
-    wire::since(archive, wire::kPlacesFormat, cold_rate_per_s, 0.0);
+    wire::since(archive, wire::kPlacementFormat, cold_start_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacementFormat, cold_rate_per_s, 0.0);
   }
 };
 
@@ -75,7 +75,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name, keys, rate_per_s, burst, priority);
-    wire::since(archive, wire::kPlacesFormat, allowed_regions, std::vector<RegionName>());
+    wire::since(archive, wire::kPlacementFormat, allowed_regions, std::vector<RegionName>());
   }
 };
 
@@ -148,8 +148,8 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(name, group, endpoint, zone, slots, leaving, sequence);
-    wire::since(archive, wire::kPlacesFormat, born_ms, std::uint64_t{0});
-    wire::since(archive, wire::kPlacesFormat, cold_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacementFormat, born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacementFormat, cold_ms, std::uint64_t{0});
   }
 };
 
@@ -176,7 +176,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(group, term, primary, open, epoch, opened_at);
-    wire::since(archive, wire::kPlacesFormat, primary_born_ms, std::uint64_t{0});
+    wire::since(archive, wire::kPlacementFormat, primary_born_ms, std::uint64_t{0});
   }
 };
 
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -121,8 +121,8 @@
               backends, terms, proxies, proxy_lost_at);
       wire::since(archive, wire::kTenantsFormat, requires_keys, false);
       wire::since(archive, wire::kTenantsFormat, tenants, RevisedTable<TenantName, TenantRule>());
-      wire::since(archive, wire::kPlacesFormat, ended_births, std::map<BackendName, std::uint64_t>());
-      wire::since(archive, wire::kPlacesFormat, evacuations, RevisedTable<ZoneName, Evacuation>());
+      wire::since(archive, wire::kPlacementFormat, ended_births, std::map<BackendName, std::uint64_t>());
+      wire::since(archive, wire::kPlacementFormat, evacuations, RevisedTable<ZoneName, Evacuation>());
     }
   };
 
--- a/src/runtime/asio/asio_lines.cpp
+++ b/src/runtime/asio/asio_lines.cpp
@@ -67,7 +67,7 @@
     stream->close(Reason{ReasonCode::kInvalidArgument, "read_line", stream->peer(),
                          "received line exceeds " + std::to_string(kMaximumLineBytes) + " bytes"});
   }
-  if (!line) reason = stream->closed();
+  if (!line) reason = stream->close_reason();
   co_return line;
 }
 
@@ -75,7 +75,7 @@
   const auto stream = stream_;
   bool any_sent = false;
   const bool sent = co_await stream->write(lines, any_sent);
-  if (!sent) reason = stream->closed();
+  if (!sent) reason = stream->close_reason();
   co_return sent;
 }
 
--- a/src/runtime/asio/asio_network.cpp
+++ b/src/runtime/asio/asio_network.cpp
@@ -22,7 +22,7 @@
 /// Small frames are read in chunks together with the data after them. The buffer for a large frame grows in
 /// steps, so that a false length does not allocate the memory that it claims.
 constexpr std::size_t kReadChunkBytes = std::size_t{16} * 1024;
-constexpr std::size_t kGrowthBytes = std::size_t{1024} * 1024;
+constexpr std::size_t kFrameGrowthBytes = std::size_t{1024} * 1024;
 
 std::uint32_t read_length(std::string_view header) {
   return boost::endian::load_big_u32(reinterpret_cast<const unsigned char*>(header.data()));
@@ -78,8 +78,8 @@
   received_.commit(count);
   bytes_received_ += count;
   if (error) {
-    const bool cut = error == asio::error::eof && !received_.unread().empty();
-    reason = lost("receive_frame", cut ? "closed in the middle of a frame" : error.message());
+    const bool truncated = error == asio::error::eof && !received_.unread().empty();
+    reason = lost("receive_frame", truncated ? "closed in the middle of a frame" : error.message());
   }
   co_return !error;
 }
@@ -108,7 +108,7 @@
   received_.consume(frame.size());
   while (frame.size() < length) {
     const std::size_t had = frame.size();
-    frame.resize(std::min(length, had + kGrowthBytes));
+    frame.resize(std::min(length, had + kFrameGrowthBytes));
     error_code error;
     const auto room = asio::buffer(frame.data() + had, frame.size() - had);
     const std::size_t count =
@@ -116,8 +116,8 @@
     frame.resize(had + count);
     bytes_received_ += count;
     if (!error) continue;
-    const bool cut = error == asio::error::eof;
-    reason = lost("receive_frame", cut ? "closed in the middle of a frame" : error.message());
+    const bool truncated = error == asio::error::eof;
+    reason = lost("receive_frame", truncated ? "closed in the middle of a frame" : error.message());
     co_return false;
   }
   co_return true;
--- a/src/runtime/asio/byte_stream.cpp
+++ b/src/runtime/asio/byte_stream.cpp
@@ -102,7 +102,7 @@
 
 void ByteStream::close(Reason why) {
   if (!is_open()) return;
-  closed_ = std::move(why);
+  close_reason_ = std::move(why);
   deadline_.cancel();
   error_code ignored;
   socket_.close(ignored);
--- a/src/runtime/asio/byte_stream.h
+++ b/src/runtime/asio/byte_stream.h
@@ -42,9 +42,9 @@
   /// Shuts down sending and discards incoming bytes until the peer closes or the deadline passes.
   Awaitable<void> finish();
   void close(Reason why);
-  [[nodiscard]] bool is_open() const { return !closed_.failed(); }
+  [[nodiscard]] bool is_open() const { return !close_reason_.failed(); }
   /// The reason for which the stream was closed.
-  [[nodiscard]] const Reason& closed() const { return closed_; }
+  [[nodiscard]] const Reason& close_reason() const { return close_reason_; }
   [[nodiscard]] const std::string& peer() const { return peer_; }
   /// Returns whether the peer closed the stream normally. Data sent before is complete and may still be
   /// unread.
@@ -62,7 +62,7 @@
   LazyDeadline deadline_;
   Wakeup reader_;
   std::function<void()> on_closed_;
-  Reason closed_;
+  Reason close_reason_;
   std::size_t read_ahead_limit_ = kReadAheadBytes;
   bool reading_ = false;
   bool last_read_filled_ = false;  ///< much data is arriving: read in larger chunks
--- a/src/runtime/asio/posix_storage.cpp
+++ b/src/runtime/asio/posix_storage.cpp
@@ -83,7 +83,7 @@
   [[nodiscard]] std::uint64_t size() const override { return size_; }
 
  private:
-  bool admit(std::string_view step, Reason& reason) const;
+  bool check_usable(std::string_view step, Reason& reason) const;
   bool fail(std::string_view step, std::string_view call, int error, Reason& reason);
 
   asio::thread_pool& pool_;
@@ -95,7 +95,7 @@
   bool failed_ = false;
 };
 
-bool PosixAppendFile::admit(std::string_view step, Reason& reason) const {
+bool PosixAppendFile::check_usable(std::string_view step, Reason& reason) const {
   if (failed_) {
     reason = Reason{ReasonCode::kStorage, std::string(step), "",
                     name_ + ": refused because an earlier write or sync of this file failed"};
@@ -110,7 +110,7 @@
 }
 
 bool PosixAppendFile::append(std::string_view bytes, Reason& reason) {
-  if (!admit("append", reason)) return false;
+  if (!check_usable("append", reason)) return false;
   const int error = write_all(file_->number(), bytes);
   if (error != 0) {
     // Undo a short write, so that the file is as before the call.
@@ -124,7 +124,7 @@
 }
 
 Awaitable<bool> PosixAppendFile::sync(Reason& reason) {
-  if (!admit("sync", reason)) co_return false;
+  if (!check_usable("sync", reason)) co_return false;
   auto work = [file = file_, folder = folder_] {
     const int error = error_of(::fdatasync(file->number()));
     if (error != 0 || !folder) return error;
@@ -138,7 +138,7 @@
 }
 
 bool PosixAppendFile::truncate(std::uint64_t size, Reason& reason) {
-  if (!admit("truncate", reason)) return false;
+  if (!check_usable("truncate", reason)) return false;
   if (size > size_) {
     reason = Reason{ReasonCode::kInvalidArgument, "truncate", "",
                     name_ + ": cannot truncate beyond the end of the file"};
@@ -172,7 +172,7 @@
 PosixStorage::PosixStorage(asio::any_io_executor executor, std::string folder)
     : executor_(std::move(executor)), folder_(std::move(folder)), pool_(kStorageThreads) {
   if (folder_.empty()) {
-    refusal_ = "no data folder is configured";
+    unusable_reason_ = "no data folder is configured";
   } else {
     prepare_folder();
   }
@@ -186,11 +186,11 @@
   folder_descriptor_ =
       std::make_shared<FileDescriptor>(::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!folder_descriptor_->is_open()) {
-    refusal_ = folder_ + ": " + std::generic_category().message(errno);
+    unusable_reason_ = folder_ + ": " + std::generic_category().message(errno);
     return;
   }
   if (::flock(folder_descriptor_->number(), LOCK_EX | LOCK_NB) != 0) {
-    refusal_ = folder_ + ": in use by another process";
+    unusable_reason_ = folder_ + ": in use by another process";
     return;
   }
   for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
@@ -199,9 +199,9 @@
   }
 }
 
-bool PosixStorage::admit(std::string_view step, const std::string& name, Reason& reason) const {
-  if (!refusal_.empty()) {
-    reason = Reason{ReasonCode::kStorage, std::string(step), "", refusal_};
+bool PosixStorage::check_usable(std::string_view step, const std::string& name, Reason& reason) const {
+  if (!unusable_reason_.empty()) {
+    reason = Reason{ReasonCode::kStorage, std::string(step), "", unusable_reason_};
     return false;
   }
   const bool bad_name = name.empty() || name == "." || name == ".." || is_temporary(name) ||
@@ -213,7 +213,7 @@
 }
 
 std::unique_ptr<AppendFile> PosixStorage::open(const std::string& name, Reason& reason) {
-  if (!admit("open_file", name, reason)) return nullptr;
+  if (!check_usable("open_file", name, reason)) return nullptr;
   const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC;
   auto file = std::make_shared<FileDescriptor>(::open(path_of(name).c_str(), flags, kFileMode));
   if (!file->is_open()) {
@@ -230,7 +230,7 @@
 }
 
 std::optional<std::string> PosixStorage::read(const std::string& name, Reason& reason) {
-  if (!admit("read_file", name, reason)) return std::nullopt;
+  if (!check_usable("read_file", name, reason)) return std::nullopt;
   const FileDescriptor file(::open(path_of(name).c_str(), O_RDONLY | O_CLOEXEC));
   if (!file.is_open()) {
     reason = storage_reason("read_file", name, "open", errno);
@@ -253,7 +253,7 @@
 Awaitable<bool> PosixStorage::write_atomically(const std::string& name, std::string content, Reason& reason) {
   // Copied because `name` may be destroyed while this coroutine is suspended.
   const std::string file_name = name;  // NOLINT(performance-unnecessary-copy-initialization)
-  if (!admit("write_file", file_name, reason)) co_return false;
+  if (!check_usable("write_file", file_name, reason)) co_return false;
   auto work = [path = path_of(file_name), content = std::move(content), folder = folder_descriptor_] {
     return replace_file(path, content, folder->number());
   };
@@ -265,7 +265,7 @@
 Awaitable<bool> PosixStorage::remove(const std::string& name, Reason& reason) {
   // Copied because `name` may be destroyed while this coroutine is suspended.
   const std::string file_name = name;  // NOLINT(performance-unnecessary-copy-initialization)
-  if (!admit("remove_file", file_name, reason)) co_return false;
+  if (!check_usable("remove_file", file_name, reason)) co_return false;
   auto work = [path = path_of(file_name), folder = folder_descriptor_] {
     const int error = error_of(::unlink(path.c_str()));
     return error != 0 ? error : error_of(::fsync(folder->number()));
@@ -277,7 +277,7 @@
 
 std::vector<std::string> PosixStorage::list() {
   std::vector<std::string> names;
-  if (!refusal_.empty()) return names;
+  if (!unusable_reason_.empty()) return names;
   std::error_code error;
   for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
     const std::string name = entry.path().filename().string();
--- a/src/runtime/asio/posix_storage.h
+++ b/src/runtime/asio/posix_storage.h
@@ -42,13 +42,13 @@
  private:
   [[nodiscard]] std::string path_of(const std::string& name) const { return folder_ + "/" + name; }
   /// Returns false and sets the reason if the folder cannot be used or the name is invalid.
-  bool admit(std::string_view step, const std::string& name, Reason& reason) const;
+  bool check_usable(std::string_view step, const std::string& name, Reason& reason) const;
   void prepare_folder();
 
   boost::asio::any_io_executor executor_;
   std::string folder_;
   std::shared_ptr<FileDescriptor> folder_descriptor_;
-  std::string refusal_;  ///< why the folder cannot be used; empty if it can
+  std::string unusable_reason_;  ///< why the folder cannot be used; empty if it can
   boost::asio::thread_pool pool_;
 };
 
--- a/src/runtime/asio/tcp.cpp
+++ b/src/runtime/asio/tcp.cpp
@@ -88,8 +88,8 @@
       co_return std::move(socket);
     }
     if (error == asio::error::operation_aborted) break;
-    AsioTimer rest(acceptor.get_executor());
-    co_await rest.wait_until(steady_now() + kAcceptRetryDelay);
+    AsioTimer retry_timer(acceptor.get_executor());
+    co_await retry_timer.wait_until(steady_now() + kAcceptRetryDelay);
   }
   reason = Reason{ReasonCode::kCancelled, "accept", "", "the listener was closed"};
   co_return std::nullopt;
--- a/src/runtime/json_logger.cpp
+++ b/src/runtime/json_logger.cpp
@@ -133,10 +133,10 @@
 
 void JsonLogger::write(LogLevel level, std::string_view event, const Reason* reason,
                        std::initializer_list<LogField> fields) {
-  if (!writes(level)) return;
+  if (!is_enabled(level)) return;
   const std::int64_t now = wall_clock_();
-  const auto left_out = limiter_.admit(event, now);
-  if (!left_out) return;
+  const auto suppressed = limiter_.admit(event, now);
+  if (!suppressed) return;
   std::string line = "{\"time\":\"";
   append_time(line, now);
   line += '"';
@@ -145,7 +145,7 @@
   append_field(line, "event", event);
   if (reason != nullptr) append_reason(line, *reason);
   for (const LogField& field : fields) append_field(line, field.name, field.value);
-  if (*left_out > 0) append_field(line, "left_out", std::to_string(*left_out));
+  if (*suppressed > 0) append_field(line, "left_out", std::to_string(*suppressed));
   line += "}\n";
   sink_(line);
 }
--- a/src/runtime/json_logger.h
+++ b/src/runtime/json_logger.h
@@ -23,8 +23,8 @@
 /// Returns microseconds since the Unix epoch.
 using WallClock = std::function<std::int64_t()>;
 
-/// Returns a sink that writes each line to standard output in one write and never blocks: lines are dropped
-/// while the reader does not keep up.
+/// Returns a sink that writes each line to standard output in one write and never blocks: lines are
+/// dropped while the reader does not keep up.
 LogSink standard_output_sink();
 
 /// Returns the lower-case name of a level, e.g. "warning".
@@ -40,7 +40,7 @@
  public:
   JsonLogger(const LogIdentity& identity, LogLevel lowest, WallClock wall_clock, LogSink sink);
 
-  [[nodiscard]] bool writes(LogLevel level) const override { return level >= lowest_; }
+  [[nodiscard]] bool is_enabled(LogLevel level) const override { return level >= lowest_; }
   void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) override;
   void log(LogLevel level, std::string_view event, const Reason& reason,
            std::initializer_list<LogField> fields) override;
--- a/src/runtime/log_limiter.cpp
+++ b/src/runtime/log_limiter.cpp
@@ -20,11 +20,11 @@
     budget.written = 0;
   }
   if (budget.written >= kLogLinesPerSecond) {
-    ++budget.left_out;
+    ++budget.suppressed;
     return std::nullopt;
   }
   ++budget.written;
-  return std::exchange(budget.left_out, 0);
+  return std::exchange(budget.suppressed, 0);
 }
 
 }  // namespace cairnhollow::runtime
--- a/src/runtime/log_limiter.h
+++ b/src/runtime/log_limiter.h
@@ -23,7 +23,7 @@
   struct Budget {
     std::int64_t second = 0;
     std::uint32_t written = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed = 0;
   };
   std::map<std::string, Budget, std::less<>> budgets_;  ///< bounded, as event names come from a fixed set
 };
--- a/src/runtime/logger.h
+++ b/src/runtime/logger.h
@@ -22,7 +22,7 @@
  public:
   virtual ~Logger() = default;
   /// Returns whether lines of this level are written. Lets callers skip computing expensive fields.
-  [[nodiscard]] virtual bool writes(LogLevel /*level*/) const { return true; }
+  [[nodiscard]] virtual bool is_enabled(LogLevel /*level*/) const { return true; }
   /// `event` is a stable snake_case name, e.g. "primary_promoted".
   virtual void log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) = 0;
   /// Same as above, with the code, step, peer and detail of the reason as fields.
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -37,12 +37,11 @@
 }  // namespace
 
 std::uint32_t subset_size(std::uint32_t connections_per_backend, std::size_t proxies) {
-  const auto wanted =
-      std::max(connections_per_backend / kLeastConnectionsOfServingProxy, kLeastServingProxies);
+  const auto wanted = std::max(connections_per_backend / kMinConnectionsPerServingProxy, kMinServingProxies);
   return static_cast<std::uint32_t>(std::min<std::size_t>(wanted, proxies));
 }
 
-SubsetTable::SubsetTable(const std::vector<ProxyPointer>& proxies) : proxies_(proxies.size()) {
+SubsetTable::SubsetTable(const std::vector<ProxyPointer>& proxies) : proxy_count_(proxies.size()) {
   std::map<ZoneName, Zone> by_zone;
   for (const auto& proxy : proxies) {
     by_zone[proxy->zone].nodes.push_back(Node{hash_of(proxy->name.value), proxy});
@@ -77,16 +76,16 @@
   std::vector<const Zone*> zone_order;
   zone_order.reserve(weighted.size());
   for (const auto& zone : weighted) zone_order.push_back(zone.entry);
-  const auto shares = SubsetTable::shares(zone_order, std::min<std::size_t>(size, proxies_));
+  const auto shares = SubsetTable::shares(zone_order, std::min<std::size_t>(size, proxy_count_));
   std::vector<ProxyPointer> subset;
   for (std::size_t zone = 0; zone < zone_order.size() && shares[zone] > 0; ++zone) {
-    add_best(*zone_order[zone], key, shares[zone], subset);
+    add_heaviest(*zone_order[zone], key, shares[zone], subset);
   }
   return subset;
 }
 
-void SubsetTable::add_best(const Zone& zone, std::uint64_t key, std::uint32_t count,
-                           std::vector<ProxyPointer>& subset) {
+void SubsetTable::add_heaviest(const Zone& zone, std::uint64_t key, std::uint32_t count,
+                               std::vector<ProxyPointer>& subset) {
   std::vector<Weighted<Node>> best;  // in order; usually one
   for (const auto& node : zone.nodes) {
     const Weighted<Node> candidate{mix(key, node.hash), &node};
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -16,9 +16,9 @@
 
 /// Minimum number of connections of a serving proxy to each backend of its groups, if the connection limit
 /// allows.
-inline constexpr std::uint32_t kLeastConnectionsOfServingProxy = 3;
+inline constexpr std::uint32_t kMinConnectionsPerServingProxy = 3;
 /// Minimum number of serving proxies of a group whatever the connection limit, so that one of them may fail.
-inline constexpr std::uint32_t kLeastServingProxies = 2;
+inline constexpr std::uint32_t kMinServingProxies = 2;
 
 /// A proxy available for work: its object exists, it is not draining, and the platform does not list it as
 /// leaving.
@@ -31,7 +31,7 @@
 using ProxyPointer = std::shared_ptr<const ProxyView>;
 
 /// Returns the number of `proxies` that serve a group with this many connections per backend: all of them as
-/// long as each has kLeastConnectionsOfServingProxy.
+/// long as each has kMinConnectionsPerServingProxy.
 std::uint32_t subset_size(std::uint32_t connections_per_backend, std::size_t proxies);
 
 /// The proxies by zone with their hashes. Built once per membership and used for every group.
@@ -45,7 +45,7 @@
   /// multiplication per proxy of the zones used.
   [[nodiscard]] std::vector<ProxyPointer> serving(const GroupName& group, std::uint32_t size) const;
   /// Number of proxies in all zones.
-  [[nodiscard]] std::size_t proxies() const { return proxies_; }
+  [[nodiscard]] std::size_t proxy_count() const { return proxy_count_; }
 
  private:
   struct Node {
@@ -59,11 +59,11 @@
 
   /// Returns the number of proxies to take from each zone, in the order of `zone_order`.
   static std::vector<std::uint32_t> shares(const std::vector<const Zone*>& zone_order, std::size_t wanted);
-  static void add_best(const Zone& zone, std::uint64_t key, std::uint32_t count,
-                       std::vector<ProxyPointer>& subset);
+  static void add_heaviest(const Zone& zone, std::uint64_t key, std::uint32_t count,
+                           std::vector<ProxyPointer>& subset);
 
   std::vector<Zone> zones_;
-  std::size_t proxies_ = 0;
+  std::size_t proxy_count_ = 0;
 };
 
 /// Orders `subset`, a result of serving(), for forwarding by the proxy `from`: proxies of its own zone first,
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -31,7 +31,7 @@
 bool fits_format(const Message& message, Format format) {
   MessageWriter writer(format);
   writer(message);
-  return !writer.loses_a_field();
+  return !writer.loses_field();
 }
 
 /// Runs `write(writer)` in the earliest format, starting at `level`, that loses no field, and returns the
@@ -41,7 +41,7 @@
   for (Format format = level;; ++format) {
     MessageWriter writer(format);
     write(writer);
-    if (!writer.loses_a_field() || format >= kNewestFormat) return writer.take_bytes();
+    if (!writer.loses_field() || format >= kNewestFormat) return writer.take_bytes();
   }
 }
 
--- a/src/wire/compression.cpp
+++ b/src/wire/compression.cpp
@@ -48,14 +48,14 @@
   std::string whole;
   std::array<char, kChunkBytes> chunk{};
   int status = Z_OK;
-  while (status == Z_OK && whole.size() <= kMostDecompressedBytes) {
+  while (status == Z_OK && whole.size() <= kMaxDecompressedBytes) {
     stream.next_out = reinterpret_cast<Bytef*>(chunk.data());
     stream.avail_out = static_cast<uInt>(chunk.size());
     status = inflate(&stream, Z_NO_FLUSH);
     whole.append(chunk.data(), chunk.size() - stream.avail_out);
   }
   const bool is_whole = status == Z_STREAM_END && stream.avail_in == 0;
-  if (is_whole && whole.size() <= kMostDecompressedBytes) return whole;
+  if (is_whole && whole.size() <= kMaxDecompressedBytes) return whole;
   reason =
       Reason{ReasonCode::kCorrupt, "decompress", "", "compressed message is truncated, invalid or too large"};
   return std::nullopt;
--- a/src/wire/compression.h
+++ b/src/wire/compression.h
@@ -12,11 +12,11 @@
 std::string compress(const std::string& bytes);
 
 /// Returns std::nullopt with kCorrupt if `bytes` are not a result of compress() or expand to more than
-/// kMostDecompressedBytes.
+/// kMaxDecompressedBytes.
 std::optional<std::string> decompress(const std::string& bytes, Reason& reason);
 
 /// Limits what one message can make a reader allocate. Leaves ample room for the table of a fleet with 1,500
 /// proxies, 9,900 backends and 9,900 routes at 100 bytes each.
-inline constexpr std::size_t kMostDecompressedBytes = std::size_t{8} << 20;
+inline constexpr std::size_t kMaxDecompressedBytes = std::size_t{8} << 20;
 
 }  // namespace cairnhollow::wire
--- a/src/wire/connection_dispatcher.cpp
+++ b/src/wire/connection_dispatcher.cpp
@@ -29,32 +29,33 @@
     Reason reason;
     auto connection = co_await listener_->accept(reason);
     if (!connection) co_return;
-    runtime_.spawn("control_greet", greet(std::move(connection)));
+    runtime_.spawn("control_greet", perform_handshake(std::move(connection)));
   }
 }
 
-Awaitable<void> ConnectionDispatcher::close_unless_greeted(
-    std::shared_ptr<runtime::FrameConnection> connection, std::shared_ptr<bool> greeted) {
+Awaitable<void> ConnectionDispatcher::close_on_hello_timeout(
+    std::shared_ptr<runtime::FrameConnection> connection, std::shared_ptr<bool> hello_received) {
   co_await runtime_.sleep_for(kHelloTimeout);
-  if (!*greeted) connection->close();
+  if (!*hello_received) connection->close();
 }
 
-Awaitable<void> ConnectionDispatcher::greet(std::shared_ptr<runtime::FrameConnection> connection) {
-  const auto greeted = std::make_shared<bool>(false);
-  runtime_.spawn("control_hello_timeout", close_unless_greeted(connection, greeted));
+Awaitable<void> ConnectionDispatcher::perform_handshake(
+    std::shared_ptr<runtime::FrameConnection> connection) {
+  const auto hello_received = std::make_shared<bool>(false);
+  runtime_.spawn("control_hello_timeout", close_on_hello_timeout(connection, hello_received));
   Reason reason;
   const TimePoint begun = runtime_.now();
   const auto frame = co_await connection->receive(reason);
-  *greeted = true;
+  *hello_received = true;
   if (!frame && runtime_.now() - begun >= kHelloTimeout) {
     reason = Reason{ReasonCode::kDeadlineExceeded, "hello", connection->peer(),
                     "no complete first frame within the timeout; closing the connection"};
   }
   std::optional<wire::Hello> hello;
-  if (frame) hello = co_await agree(connection, *frame, reason);
+  if (frame) hello = co_await negotiate(connection, *frame, reason);
   if (hello) {
     wire::Hello accepted = std::move(*hello);
-    co_await pass_on(connection, std::move(accepted));
+    co_await dispatch(connection, std::move(accepted));
   } else {
     if (reason.peer.empty()) reason.peer = connection->peer();
     runtime_.logger().log(runtime::LogLevel::kWarning, "connection_refused", reason, {});
@@ -62,7 +63,7 @@
   connection->close();
 }
 
-Awaitable<std::optional<wire::Hello>> ConnectionDispatcher::agree(
+Awaitable<std::optional<wire::Hello>> ConnectionDispatcher::negotiate(
     std::shared_ptr<runtime::FrameConnection> connection, std::string frame, Reason& reason) {
   auto hello = wire::decode<wire::Hello>(frame, reason);
   if (!hello) co_return std::nullopt;
@@ -77,8 +78,8 @@
   co_return hello;
 }
 
-Awaitable<void> ConnectionDispatcher::pass_on(std::shared_ptr<runtime::FrameConnection> connection,
-                                              wire::Hello hello) {
+Awaitable<void> ConnectionDispatcher::dispatch(std::shared_ptr<runtime::FrameConnection> connection,
+                                               wire::Hello hello) {
   const auto service = services_.find(hello.conversation);
   if (service == services_.end()) {
     const Reason reason{ReasonCode::kUnsupported, "hello", connection->peer(),
--- a/src/wire/connection_dispatcher.h
+++ b/src/wire/connection_dispatcher.h
@@ -28,14 +28,14 @@
 
  private:
   Awaitable<void> accept_connections();
-  Awaitable<void> greet(std::shared_ptr<runtime::FrameConnection> connection);
-  Awaitable<void> close_unless_greeted(std::shared_ptr<runtime::FrameConnection> connection,
-                                       std::shared_ptr<bool> greeted);
+  Awaitable<void> perform_handshake(std::shared_ptr<runtime::FrameConnection> connection);
+  Awaitable<void> close_on_hello_timeout(std::shared_ptr<runtime::FrameConnection> connection,
+                                         std::shared_ptr<bool> hello_received);
   /// Negotiates the protocol version. Answers a Hello that offers a range of versions, or one that is
   /// refused. Returns std::nullopt if the Hello is refused.
-  Awaitable<std::optional<wire::Hello>> agree(std::shared_ptr<runtime::FrameConnection> connection,
-                                              std::string frame, Reason& reason);
-  Awaitable<void> pass_on(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
+  Awaitable<std::optional<wire::Hello>> negotiate(std::shared_ptr<runtime::FrameConnection> connection,
+                                                  std::string frame, Reason& reason);
+  Awaitable<void> dispatch(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
 
   runtime::Runtime& runtime_;
   std::map<wire::Conversation, Service> services_;
--- a/src/wire/format.h
+++ b/src/wire/format.h
@@ -23,10 +23,10 @@
 
 /// Adds backend start times and warm-up times, evacuation of zones, and the allowed regions of routes and
 /// tenants.
-inline constexpr Format kPlacesFormat = 5;
+inline constexpr Format kPlacementFormat = 5;
 
 /// The latest format that this build can read.
-inline constexpr Format kNewestFormat = kPlacesFormat;
+inline constexpr Format kNewestFormat = kPlacementFormat;
 /// The format written unless another one was negotiated. Must be readable by the previous build, so that
 /// builds can be mixed and an upgrade can be rolled back.
 inline constexpr Format kWrittenFormat = kReplicaWaitFormat;
@@ -52,7 +52,7 @@
   if (archive.format() >= format) {
     archive(field);
   } else {
-    archive.take_absent(field, earlier);
+    archive.handle_absent_field(field, earlier);
   }
 }
 
--- a/src/wire/hello.cpp
+++ b/src/wire/hello.cpp
@@ -15,16 +15,16 @@
 
 HelloAnswer answer_hello(const ProtocolRange& offered, const std::string& peer) {
   HelloAnswer answer;
-  const std::uint32_t version = std::min(offered.highest, answer.spoken.highest);
-  if (version >= std::max(offered.lowest, answer.spoken.lowest)) {
+  const std::uint32_t version = std::min(offered.highest, answer.supported.highest);
+  if (version >= std::max(offered.lowest, answer.supported.lowest)) {
     answer.version = version;
     return answer;
   }
-  answer.refusal =
-      Reason{ReasonCode::kUnsupported, "hello", peer,
-             fmt::format("{} speaks protocol versions {} to {}, and the control node {} to {}: "
-                         "upgrade the older of the two",
-                         peer, offered.lowest, offered.highest, answer.spoken.lowest, answer.spoken.highest)};
+  answer.refusal = Reason{
+      ReasonCode::kUnsupported, "hello", peer,
+      fmt::format("{} speaks protocol versions {} to {}, and the control node {} to {}: "
+                  "upgrade the older of the two",
+                  peer, offered.lowest, offered.highest, answer.supported.lowest, answer.supported.highest)};
   return answer;
 }
 
@@ -34,7 +34,7 @@
 
 bool is_hello_answer(const std::string& frame) { return frame.starts_with(kAnswerMark); }
 
-std::string Greeting::next_frame(const Hello& hello) {
+std::string ClientHandshake::next_frame(const Hello& hello) {
   unanswered_ = !unanswered_;
   return encode(hello, unanswered_ ? kMarkedFormat : kWrittenFormat);
 }
@@ -45,15 +45,16 @@
   return std::nullopt;
 }
 
-Greeting::Effect Greeting::take(const std::string& frame, const std::string& peer, Reason& reason) {
+ClientHandshake::Outcome ClientHandshake::handle_frame(const std::string& frame, const std::string& peer,
+                                                       Reason& reason) {
   unanswered_ = false;
-  if (!is_hello_answer(frame)) return Effect::kConversation;
+  if (!is_hello_answer(frame)) return Outcome::kConversation;
   Reason decode_reason;
   const auto answer = decode_hello_answer(frame, decode_reason);
-  if (answer && answer->version > 0) return Effect::kAccepted;
+  if (answer && answer->version > 0) return Outcome::kAccepted;
   reason = answer ? answer->refusal : decode_reason;
   reason.peer = peer;
-  return Effect::kRefused;
+  return Outcome::kRefused;
 }
 
 }  // namespace cairnhollow::wire
--- a/src/wire/hello.h
+++ b/src/wire/hello.h
@@ -55,13 +55,13 @@
 
 /// The server's first frame after a Hello that offers a version range, and after every Hello that it refuses.
 struct HelloAnswer {
-  ProtocolRange spoken;       ///< supported by the server
+  ProtocolRange supported;    ///< by the server
   std::uint32_t version = 0;  ///< the highest version supported by both; 0 if refused
   Reason refusal;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(spoken, version, refusal);
+    archive(supported, version, refusal);
   }
 };
 
@@ -79,15 +79,15 @@
 /// earlier builds close the connection, without an answer, on a Hello that offers a range. After a connection
 /// without any frame the next Hello is therefore in the earlier form, and the one after it offers the range
 /// again.
-class Greeting {
+class ClientHandshake {
  public:
   /// Returns the first frame to send on the next connection.
   std::string next_frame(const Hello& hello);
 
-  enum class Effect { kConversation, kAccepted, kRefused };
+  enum class Outcome { kConversation, kAccepted, kRefused };
   /// Processes a received frame. kConversation: the frame is not an answer to the Hello. kRefused: `reason`
   /// is the server's and names `peer`; retrying is useless until one side is upgraded.
-  Effect take(const std::string& frame, const std::string& peer, Reason& reason);
+  Outcome handle_frame(const std::string& frame, const std::string& peer, Reason& reason);
 
  private:
   bool unanswered_ = false;  ///< the last Hello offered a range and no frame has arrived since
--- a/src/wire/message_reader.h
+++ b/src/wire/message_reader.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "wire/format.h"
-#include "wire/least_size.h"
 #include "wire/message_writer.h"
+#include "wire/min_encoded_size.h"
 
 namespace cairnhollow::wire {
 
@@ -32,21 +32,21 @@
   }
 
   void read(void* to, std::size_t size) {
-    check_holds(size, 1);
+    check_remaining(size, 1);
     if (size > 0) std::memcpy(to, unread_.data(), size);
     unread_.remove_prefix(size);
   }
 
-  /// Throws if `count` elements of at least `least_size` bytes exceed the remaining bytes.
-  void check_holds(std::uint64_t count, std::size_t least_size) const {
-    const std::size_t size = least_size > 0 ? least_size : 1;
+  /// Throws if `count` elements of at least `min_encoded_size` bytes each exceed the remaining bytes.
+  void check_remaining(std::uint64_t count, std::size_t min_encoded_size) const {
+    const std::size_t size = min_encoded_size > 0 ? min_encoded_size : 1;
     if (count > unread_.size() / size)
       throw cereal::Exception("encoded length is more than the message holds");
   }
 
   [[nodiscard]] Format format() const { return format_; }
   template <class Field>
-  void take_absent(Field& field, const Field& earlier) const {
+  void handle_absent_field(Field& field, const Field& earlier) const {
     field = earlier;
   }
   [[nodiscard]] bool at_end() const { return unread_.empty(); }
@@ -74,7 +74,7 @@
 void load(MessageReader& reader, cereal::SizeTag<Size>& tag) {
   std::uint64_t size = 0;
   reader.read(&size, sizeof size);
-  reader.check_holds(size, 1);
+  reader.check_remaining(size, 1);
   tag.size = static_cast<std::remove_reference_t<Size>>(size);
 }
 
@@ -93,7 +93,7 @@
 void load_list(MessageReader& reader, List& list) {
   std::uint64_t count = 0;
   reader.read(&count, sizeof count);
-  reader.check_holds(count, least_size<typename List::value_type>());
+  reader.check_remaining(count, min_encoded_size<typename List::value_type>());
   list.resize(static_cast<std::size_t>(count));
   for (auto& element : list) reader(element);
 }
--- a/src/wire/message_writer.h
+++ b/src/wire/message_writer.h
@@ -21,16 +21,16 @@
 
   [[nodiscard]] Format format() const { return format_; }
   template <class Field>
-  void take_absent(const Field& field, const Field& earlier) {
-    loses_a_field_ = loses_a_field_ || !(field == earlier);
+  void handle_absent_field(const Field& field, const Field& earlier) {
+    loses_field_ = loses_field_ || !(field == earlier);
   }
   /// Returns whether a field omitted by the format differs from the value that readers of the format assume.
-  [[nodiscard]] bool loses_a_field() const { return loses_a_field_; }
+  [[nodiscard]] bool loses_field() const { return loses_field_; }
   std::string take_bytes() { return std::move(bytes_); }
 
  private:
   Format format_;
-  bool loses_a_field_ = false;
+  bool loses_field_ = false;
   std::string bytes_;
 };
 
--- a/src/wire/least_size.h
+++ b/src/wire/min_encoded_size.h
@@ -17,19 +17,20 @@
 
 namespace cairnhollow::wire {
 
+/// Returns the minimum encoded size of a value in bytes.
 template <class Value>
-std::size_t least_size();
+std::size_t min_encoded_size();
 
 /// Archive that adds up the sizes of the fields present in every format.
-class SizeSum {
+class FieldSizeSum {
  public:
   template <class... Fields>
   void operator()(Fields&... /*fields*/) {
-    ((size_ += least_size<std::remove_cv_t<Fields>>()), ...);
+    ((size_ += min_encoded_size<std::remove_cv_t<Fields>>()), ...);
   }
   [[nodiscard]] static Format format() { return kEarliestFormat; }
   template <class Field>
-  void take_absent(Field& /*field*/, const Field& /*earlier*/) {}
+  void handle_absent_field(Field& /*field*/, const Field& /*earlier*/) {}
   [[nodiscard]] std::size_t size() const { return size_; }
 
  private:
@@ -37,12 +38,12 @@
 };
 
 template <class Value>
-struct LeastSize {
+struct MinEncodedSize {
   static std::size_t get() {
     if constexpr (std::is_arithmetic_v<Value> || std::is_enum_v<Value>) {
       return sizeof(Value);
     } else {
-      SizeSum sum;
+      FieldSizeSum sum;
       Value value{};
       value.serialize(sum);
       return sum.size();
@@ -51,32 +52,32 @@
 };
 
 /// Strings and lists begin with their length.
-struct LeastSizeOfList {
+struct MinEncodedSizeOfList {
   static std::size_t get() { return sizeof(std::uint64_t); }
 };
 template <>
-struct LeastSize<std::string> : LeastSizeOfList {};
+struct MinEncodedSize<std::string> : MinEncodedSizeOfList {};
 template <class Value>
-struct LeastSize<std::vector<Value>> : LeastSizeOfList {};
+struct MinEncodedSize<std::vector<Value>> : MinEncodedSizeOfList {};
 template <class Value>
-struct LeastSize<std::deque<Value>> : LeastSizeOfList {};
+struct MinEncodedSize<std::deque<Value>> : MinEncodedSizeOfList {};
 template <class Key, class Value>
-struct LeastSize<std::map<Key, Value>> : LeastSizeOfList {};
+struct MinEncodedSize<std::map<Key, Value>> : MinEncodedSizeOfList {};
 
 template <class Value>
-struct LeastSize<std::optional<Value>> {
+struct MinEncodedSize<std::optional<Value>> {
   static std::size_t get() { return 1; }
 };
 
 /// A variant begins with the index of its alternative.
 template <class... Values>
-struct LeastSize<std::variant<Values...>> {
-  static std::size_t get() { return sizeof(std::int32_t) + std::min({least_size<Values>()...}); }
+struct MinEncodedSize<std::variant<Values...>> {
+  static std::size_t get() { return sizeof(std::int32_t) + std::min({min_encoded_size<Values>()...}); }
 };
 
 template <class Value>
-std::size_t least_size() {
-  static const std::size_t size = LeastSize<Value>::get();
+std::size_t min_encoded_size() {
+  static const std::size_t size = MinEncodedSize<Value>::get();
   return size;
 }
 
--- a/tests/consensus/cluster.cpp
+++ b/tests/consensus/cluster.cpp
@@ -118,7 +118,7 @@
   for (std::size_t number = 1; number <= settings.voters; ++number) start(number, members);
 }
 
-void Cluster::start_outsider(std::size_t number) { start(number, {}); }
+void Cluster::start_nonmember(std::size_t number) { start(number, {}); }
 
 void Cluster::start(std::size_t number, std::vector<Member> initial_members) {
   RaftSettings settings;
@@ -232,7 +232,7 @@
   return finish(begin_barrier(name, timeout), timeout);
 }
 
-bool Cluster::propose_anywhere(const std::string& command, Duration limit) {
+bool Cluster::propose_to_leader(const std::string& command, Duration limit) {
   const TimePoint end = world_.now() + limit;
   while (world_.now() < end) {
     const std::string name = leader();
@@ -287,7 +287,7 @@
   return result;
 }
 
-bool Cluster::change_anywhere(const BeginChange& begin, Duration limit) {
+bool Cluster::change_on_leader(const BeginChange& begin, Duration limit) {
   const TimePoint end = world_.now() + limit;
   while (world_.now() < end) {
     const std::string name = leader();
@@ -298,15 +298,16 @@
 }
 
 bool Cluster::add_member(const Member& member, Duration limit) {
-  return change_anywhere([&](const std::string& leader) { return begin_add(leader, member, limit); }, limit);
+  return change_on_leader([&](const std::string& leader) { return begin_add(leader, member, limit); }, limit);
 }
 
 bool Cluster::remove_member(const std::string& name, Duration limit) {
-  return change_anywhere([&](const std::string& leader) { return begin_remove(leader, name, limit); }, limit);
+  return change_on_leader([&](const std::string& leader) { return begin_remove(leader, name, limit); },
+                          limit);
 }
 
 bool Cluster::replace_member(const std::string& lost, const Member& replacement, Duration limit) {
-  return change_anywhere(
+  return change_on_leader(
       [&](const std::string& leader) { return begin_replace(leader, lost, replacement, limit); }, limit);
 }
 
@@ -329,7 +330,7 @@
   }
 }
 
-void assert_sound(Cluster& cluster) {
+void assert_no_violations(Cluster& cluster) {
   cluster.record_logs();
   for (const auto& violations : {cluster.record().violations(), cluster.checks().violations()}) {
     CPPUNIT_ASSERT_MESSAGE(violations.empty() ? "" : violations.front(), violations.empty());
--- a/tests/consensus/cluster.h
+++ b/tests/consensus/cluster.h
@@ -67,7 +67,7 @@
   explicit Cluster(ClusterSettings settings);
 
   /// Starts a server that is not an initial member and waits to be added.
-  void start_outsider(std::size_t number);
+  void start_nonmember(std::size_t number);
   /// Empties the disk of a stopped server.
   void wipe(const std::string& name) { world_.disk(name).wipe(); }
 
@@ -119,12 +119,12 @@
   std::shared_ptr<CallResult> begin_replace(const std::string& name, const std::string& lost,
                                             Member replacement, Duration timeout);
   /// Proposes to the current leader until a proposal succeeds. Returns false on timeout.
-  bool propose_anywhere(const std::string& command, Duration limit = std::chrono::seconds(10));
+  bool propose_to_leader(const std::string& command, Duration limit = std::chrono::seconds(10));
 
  private:
   void start(std::size_t number, std::vector<Member> initial_members);
   using BeginChange = std::function<std::shared_ptr<CallResult>(const std::string& leader)>;
-  bool change_anywhere(const BeginChange& begin, Duration limit);
+  bool change_on_leader(const BeginChange& begin, Duration limit);
   CallResult finish(const std::shared_ptr<CallResult>& result, Duration timeout);
 
   ClusterSettings settings_;
@@ -135,6 +135,6 @@
 };
 
 /// Asserts that no safety check was violated and no coroutine threw.
-void assert_sound(Cluster& cluster);
+void assert_no_violations(Cluster& cluster);
 
 }  // namespace cairnhollow::consensus
--- a/tests/consensus/configuration_test.cpp
+++ b/tests/consensus/configuration_test.cpp
@@ -25,10 +25,10 @@
 class ConfigurationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigurationTest);
   CPPUNIT_TEST(a_quorum_is_a_majority_of_voters);
-  CPPUNIT_TEST(an_unformed_group_needs_all);
-  CPPUNIT_TEST(a_joint_group_needs_both_majorities);
+  CPPUNIT_TEST(unformed_group_needs_all_voters);
+  CPPUNIT_TEST(joint_consensus_needs_both_majorities);
   CPPUNIT_TEST(an_empty_group_has_no_quorum);
-  CPPUNIT_TEST(a_new_disk_is_no_member);
+  CPPUNIT_TEST(new_disk_is_not_a_member);
   CPPUNIT_TEST(history_follows_the_log);
   CPPUNIT_TEST_SUITE_END();
 
@@ -40,14 +40,14 @@
     CPPUNIT_ASSERT(!quorum_of(configuration, {"a", "learner"}));
   }
 
-  void an_unformed_group_needs_all() {
+  void unformed_group_needs_all_voters() {
     Configuration configuration = make_formed();
     configuration.formed = false;
     CPPUNIT_ASSERT(!quorum_of(configuration, {"a", "b"}));
     CPPUNIT_ASSERT(quorum_of(configuration, {"a", "b", "c"}));
   }
 
-  void a_joint_group_needs_both_majorities() {
+  void joint_consensus_needs_both_majorities() {
     Configuration configuration = make_formed();
     configuration.next_members = {make_member("a"), make_member("b"), make_member("d")};
     CPPUNIT_ASSERT(quorum_of(configuration, {"a", "b"}));
@@ -58,7 +58,7 @@
 
   void an_empty_group_has_no_quorum() { CPPUNIT_ASSERT(!quorum_of(Configuration{}, {})); }
 
-  void a_new_disk_is_no_member() {
+  void new_disk_is_not_a_member() {
     Configuration configuration = make_formed();
     CPPUNIT_ASSERT(configuration.is_voter(MemberKey{NodeName{"a"}, "a-disk"}));
     CPPUNIT_ASSERT(!configuration.is_voter(MemberKey{NodeName{"a"}, "other-disk"}));
--- a/tests/consensus/held_up_test.cpp
+++ b/tests/consensus/delayed_timers_test.cpp
@@ -10,14 +10,14 @@
 using std::chrono::seconds;
 
 /// Longer than a heartbeat interval.
-constexpr Duration kLateness = milliseconds(60);
+constexpr Duration kTimerDelay = milliseconds(60);
 
-class LateTimer : public runtime::Timer {
+class DelayedTimer : public runtime::Timer {
  public:
-  explicit LateTimer(std::unique_ptr<runtime::Timer> timer) : timer_(std::move(timer)) {}
+  explicit DelayedTimer(std::unique_ptr<runtime::Timer> timer) : timer_(std::move(timer)) {}
   Awaitable<bool> wait_until(TimePoint deadline) override {
     const bool passed =
-        co_await timer_->wait_until(std::min(deadline, TimePoint::max() - kLateness) + kLateness);
+        co_await timer_->wait_until(std::min(deadline, TimePoint::max() - kTimerDelay) + kTimerDelay);
     co_return passed;
   }
   void cancel() override { timer_->cancel(); }
@@ -27,29 +27,30 @@
 };
 
 /// Fires all timers late, like a repeatedly blocked event loop.
-class LateRuntime : public ObservedRuntime {
+class DelayedRuntime : public ObservedRuntime {
  public:
-  explicit LateRuntime(runtime::Runtime& runtime) : ObservedRuntime(runtime, [](std::string_view) {}) {}
+  explicit DelayedRuntime(runtime::Runtime& runtime) : ObservedRuntime(runtime, [](std::string_view) {}) {}
   std::unique_ptr<runtime::Timer> make_timer() override {
-    return std::make_unique<LateTimer>(ObservedRuntime::make_timer());
+    return std::make_unique<DelayedTimer>(ObservedRuntime::make_timer());
   }
 };
 
-class LateRole : public runtime::Role {
+class DelayedRole : public runtime::Role {
  public:
-  LateRole(runtime::Runtime& runtime, const RaftSettings& settings, AppliedRecord& record, RunChecks& checks)
+  DelayedRole(runtime::Runtime& runtime, const RaftSettings& settings, AppliedRecord& record,
+              RunChecks& checks)
       : runtime_(runtime), role_(runtime_, settings, record, checks) {}
   Awaitable<bool> start(Reason& reason) override { return role_.start(reason); }
   Awaitable<void> drain() override { return role_.drain(); }
   RaftNode& node() { return role_.node(); }
 
  private:
-  LateRuntime runtime_;
+  DelayedRuntime runtime_;
   ClusterRole role_;
 };
 
-class HeldUpTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(HeldUpTest);
+class DelayedTimersTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DelayedTimersTest);
   CPPUNIT_TEST(a_leader_is_elected_and_one_without_a_quorum_steps_down);
   CPPUNIT_TEST_SUITE_END();
 
@@ -71,7 +72,7 @@
       settings.initial_members = members_;
       world_->start({member.node.value, member.endpoint.address, member.zone},
                     [this, settings](runtime::Runtime& runtime) {
-                      return std::make_unique<LateRole>(runtime, settings, record_, checks_);
+                      return std::make_unique<DelayedRole>(runtime, settings, record_, checks_);
                     });
     }
   }
@@ -93,7 +94,7 @@
 
  private:
   ConsensusStatus status(const std::string& name) {
-    return dynamic_cast<LateRole&>(world_->role(name)).node().status();
+    return dynamic_cast<DelayedRole&>(world_->role(name)).node().status();
   }
 
   AppliedRecord record_;
@@ -102,7 +103,7 @@
   std::unique_ptr<simulation::World> world_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(HeldUpTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DelayedTimersTest);
 
 }  // namespace
 }  // namespace cairnhollow::consensus
--- a/tests/consensus/first_election_test.cpp
+++ b/tests/consensus/first_election_test.cpp
@@ -12,11 +12,11 @@
 
 class FirstElectionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FirstElectionTest);
-  CPPUNIT_TEST(a_leader_elected_after_a_common_restart_stays);
+  CPPUNIT_TEST(first_leader_after_a_group_restart_is_not_deposed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_leader_elected_after_a_common_restart_stays() {
+  void first_leader_after_a_group_restart_is_not_deposed() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       ClusterSettings settings;
       settings.seed = seed;
--- a/tests/consensus/leader_isolation_test.cpp
+++ b/tests/consensus/leader_isolation_test.cpp
@@ -30,17 +30,17 @@
 
 class LeaderIsolationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeaderIsolationTest);
-  CPPUNIT_TEST(a_leader_cut_off_either_way_steps_down);
-  CPPUNIT_TEST(a_leader_cut_off_serves_no_barrier_and_commits_nothing);
-  CPPUNIT_TEST(a_leader_frozen_for_minutes_serves_nothing_stale);
-  CPPUNIT_TEST(a_follower_cut_off_does_not_disturb_the_leader);
-  CPPUNIT_TEST(a_follower_that_hears_nothing_does_not_raise_the_term);
+  CPPUNIT_TEST(leader_isolated_in_either_direction_steps_down);
+  CPPUNIT_TEST(isolated_leader_serves_no_barrier_and_commits_nothing);
+  CPPUNIT_TEST(frozen_leader_serves_no_stale_reads);
+  CPPUNIT_TEST(isolated_follower_does_not_disrupt_the_leader);
+  CPPUNIT_TEST(follower_without_leader_contact_does_not_raise_the_term);
   CPPUNIT_TEST(barriers_are_batched);
   CPPUNIT_TEST(a_barrier_is_not_answered_by_an_earlier_round);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_leader_cut_off_either_way_steps_down() {
+  void leader_isolated_in_either_direction_steps_down() {
     for (const Direction direction : {Direction::kBoth, Direction::kIn, Direction::kOut}) {
       Cluster cluster(ClusterSettings{.seed = 1});
       const std::string leader = cluster.wait_for_leader();
@@ -50,12 +50,12 @@
       const auto other_leads = [&] { return !cluster.leader().empty() && cluster.leader() != leader; };
       CPPUNIT_ASSERT(cluster.world().run_until(other_leads, seconds(5)));
       cluster.world().heal();
-      CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-      assert_sound(cluster);
+      CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
+      assert_no_violations(cluster);
     }
   }
 
-  void a_leader_cut_off_serves_no_barrier_and_commits_nothing() {
+  void isolated_leader_serves_no_barrier_and_commits_nothing() {
     Cluster cluster(ClusterSettings{.seed = 2, .voters = 5});
     const std::string old_leader = cluster.wait_for_leader();
     isolate(cluster, old_leader, Direction::kBoth);
@@ -72,10 +72,10 @@
     CPPUNIT_ASSERT(after.succeeded() && cluster.wait_applied(*after.index));
     CPPUNIT_ASSERT(!cluster.machine(old_leader).has("lost"));
     CPPUNIT_ASSERT(cluster.machine(old_leader).has("kept"));
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_leader_frozen_for_minutes_serves_nothing_stale() {
+  void frozen_leader_serves_no_stale_reads() {
     for (std::uint64_t seed = 30; seed < 38; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed});
       const std::string old_leader = cluster.wait_for_leader();
@@ -99,11 +99,11 @@
       if (in_flight->succeeded()) CPPUNIT_ASSERT(cluster.machine(new_leader).has("in-flight"));
       CPPUNIT_ASSERT(!cluster.machine(new_leader).has("stale"));
       CPPUNIT_ASSERT(cluster.machine(old_leader).has("newer"));
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
-  void a_follower_cut_off_does_not_disturb_the_leader() {
+  void isolated_follower_does_not_disrupt_the_leader() {
     for (const Direction direction : {Direction::kBoth, Direction::kIn, Direction::kOut}) {
       Cluster cluster(ClusterSettings{.seed = 4});
       const std::string leader = cluster.wait_for_leader();
@@ -118,7 +118,7 @@
     }
   }
 
-  void a_follower_that_hears_nothing_does_not_raise_the_term() {
+  void follower_without_leader_contact_does_not_raise_the_term() {
     Cluster cluster(ClusterSettings{.seed = 5, .voters = 5});
     const std::string leader = cluster.wait_for_leader();
     const std::uint64_t term = cluster.status(leader).term;
--- a/tests/consensus/leadership_transfer_test.cpp
+++ b/tests/consensus/leadership_transfer_test.cpp
@@ -14,15 +14,15 @@
 
 class LeadershipTransferTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeadershipTransferTest);
-  CPPUNIT_TEST(a_stopping_leader_hands_over_without_an_election_timeout);
-  CPPUNIT_TEST(what_was_in_flight_at_the_stop_is_committed);
+  CPPUNIT_TEST(stopping_leader_transfers_leadership_without_an_election_timeout);
+  CPPUNIT_TEST(proposals_in_flight_at_the_stop_are_committed);
   CPPUNIT_TEST(a_stopping_leader_without_followers_stops);
   CPPUNIT_TEST(a_stopping_follower_changes_nothing);
   CPPUNIT_TEST(a_hundred_learners_cost_no_barrier_traffic_and_few_heartbeats);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_stopping_leader_hands_over_without_an_election_timeout() {
+  void stopping_leader_transfers_leadership_without_an_election_timeout() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed, .voters = 5});
       const std::string leader = cluster.wait_for_leader();
@@ -34,12 +34,12 @@
       CPPUNIT_ASSERT(cluster.world().now() - begun < milliseconds(60));
       cluster.world().run_for(milliseconds(100));
       CPPUNIT_ASSERT(drained);
-      CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-      assert_sound(cluster);
+      CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
+      assert_no_violations(cluster);
     }
   }
 
-  void what_was_in_flight_at_the_stop_is_committed() {
+  void proposals_in_flight_at_the_stop_are_committed() {
     Cluster cluster(ClusterSettings{.seed = 20});
     const std::string leader = cluster.wait_for_leader();
     constexpr int kCalls = 100;
@@ -84,7 +84,7 @@
     constexpr std::size_t kLearners = 100;
     Cluster cluster(ClusterSettings{.seed = 40});
     const std::string leader = cluster.wait_for_leader();
-    for (std::size_t number = 4; number < 4 + kLearners; ++number) cluster.start_outsider(number);
+    for (std::size_t number = 4; number < 4 + kLearners; ++number) cluster.start_nonmember(number);
     cluster.world().run_for(milliseconds(100));
     for (std::size_t number = 4; number < 4 + kLearners; ++number) {
       CPPUNIT_ASSERT(
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT(idle_to_learner > 0 && idle_to_learner * 2 < idle_to_voter);
     CPPUNIT_ASSERT(busy_to_learner <= idle_to_learner + idle_to_learner / 5);
     CPPUNIT_ASSERT(busy_to_voter > idle_to_voter * 5);
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
  private:
--- a/tests/consensus/log_file_test.cpp
+++ b/tests/consensus/log_file_test.cpp
@@ -46,16 +46,16 @@
 
 class LogFileTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogFileTest);
-  CPPUNIT_TEST(crashes_lose_nothing_synced_and_recover);
-  CPPUNIT_TEST(every_cut_of_an_unsynced_batch_recovers);
+  CPPUNIT_TEST(synced_entries_survive_crashes);
+  CPPUNIT_TEST(recovers_from_every_truncation_of_an_unsynced_batch);
   CPPUNIT_TEST(every_damaged_byte_of_synced_entries_is_refused);
   CPPUNIT_TEST(holes_in_an_unsynced_batch_are_a_torn_tail);
   CPPUNIT_TEST(a_damaged_header_is_refused);
-  CPPUNIT_TEST(replaced_entries_do_not_come_back);
+  CPPUNIT_TEST(replaced_entries_do_not_reappear);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void crashes_lose_nothing_synced_and_recover() {
+  void synced_entries_survive_crashes() {
     std::set<std::uint64_t> lost_tails;
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
       build(seed);
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT(lost_tails.size() > 2);  // none, part and all of an unsynced batch survived
   }
 
-  void every_cut_of_an_unsynced_batch_recovers() {
+  void recovers_from_every_truncation_of_an_unsynced_batch() {
     const std::string synced = content_of(3);
     const std::string whole = content_of(6);
     // Without the last mark, the file may be truncated anywhere after the first batch.
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(!recover(""));
   }
 
-  void replaced_entries_do_not_come_back() {
+  void replaced_entries_do_not_reappear() {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       build(seed);
       std::uint64_t synced = 0;
--- a/tests/consensus/membership_test.cpp
+++ b/tests/consensus/membership_test.cpp
@@ -35,30 +35,30 @@
 
 class MembershipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipTest);
-  CPPUNIT_TEST(a_learner_follows_but_does_not_count);
-  CPPUNIT_TEST(a_new_voter_catches_up_first);
-  CPPUNIT_TEST(a_learner_that_can_not_catch_up_gets_no_vote);
-  CPPUNIT_TEST(one_change_at_a_time);
-  CPPUNIT_TEST(changes_are_refused_with_reasons);
-  CPPUNIT_TEST(asking_again_succeeds);
-  CPPUNIT_TEST(a_member_moves_to_another_endpoint);
-  CPPUNIT_TEST(a_removed_follower_does_not_disturb);
-  CPPUNIT_TEST(a_removed_leader_hands_over);
-  CPPUNIT_TEST(a_removal_cut_short_leaves_service);
+  CPPUNIT_TEST(learner_replicates_but_is_not_counted_in_the_quorum);
+  CPPUNIT_TEST(new_voter_is_promoted_after_catching_up);
+  CPPUNIT_TEST(lagging_learner_is_not_promoted);
+  CPPUNIT_TEST(concurrent_changes_are_refused);
+  CPPUNIT_TEST(invalid_changes_are_refused_with_reasons);
+  CPPUNIT_TEST(repeated_changes_succeed);
+  CPPUNIT_TEST(member_endpoint_can_be_changed);
+  CPPUNIT_TEST(removed_follower_does_not_disrupt_the_group);
+  CPPUNIT_TEST(removed_leader_transfers_leadership);
+  CPPUNIT_TEST(group_recovers_from_an_interrupted_leader_removal);
   CPPUNIT_TEST(grows_from_one_to_five_and_shrinks_to_one);
-  CPPUNIT_TEST(a_lost_voter_is_replaced_by_another_machine);
-  CPPUNIT_TEST(a_second_machine_lost_after_the_repair_leaves_service);
-  CPPUNIT_TEST(a_second_machine_lost_during_the_repair_recovers);
-  CPPUNIT_TEST(a_leader_killed_during_the_repair_leaves_no_joint_group);
-  CPPUNIT_TEST(a_wiped_voter_does_not_count_under_its_old_identity);
-  CPPUNIT_TEST(a_wiped_voter_is_replaced_by_itself);
+  CPPUNIT_TEST(lost_voter_is_replaced_by_another_machine);
+  CPPUNIT_TEST(survives_a_second_loss_after_replacement);
+  CPPUNIT_TEST(recovers_from_a_second_loss_during_replacement);
+  CPPUNIT_TEST(leader_killed_during_replacement_leaves_no_joint_configuration);
+  CPPUNIT_TEST(wiped_voter_is_not_counted_under_its_old_identity);
+  CPPUNIT_TEST(wiped_voter_can_replace_itself);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_learner_follows_but_does_not_count() {
+  void learner_replicates_but_is_not_counted_in_the_quorum() {
     Cluster cluster(ClusterSettings{.seed = 1});
     const std::string leader = cluster.wait_for_leader();
-    cluster.start_outsider(4);
+    cluster.start_nonmember(4);
     cluster.world().run_for(milliseconds(100));
     CPPUNIT_ASSERT(cluster.add_member(cluster.member("node-4", MemberRole::kLearner)));
     const CallResult proposal = cluster.propose(leader, "command");
@@ -71,14 +71,14 @@
     CPPUNIT_ASSERT(!cluster.propose(leader, "unseen").index);
     cluster.world().run_for(seconds(3));
     CPPUNIT_ASSERT_EQUAL(std::string(), cluster.leader());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_new_voter_catches_up_first() {
+  void new_voter_is_promoted_after_catching_up() {
     Cluster cluster(ClusterSettings{.seed = 2, .voters = 3, .snapshot_after_entries = 100});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose_many(leader, "command", 500));
-    cluster.start_outsider(4);
+    cluster.start_nonmember(4);
     cluster.world().run_for(milliseconds(100));
     CPPUNIT_ASSERT(cluster.add_member(cluster.member("node-4", MemberRole::kVoter)));
     CPPUNIT_ASSERT(cluster.machine("node-4").restores() > 0);
@@ -86,14 +86,14 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, voters_of(cluster, leader).size());
     // With four voters a majority is three.
     cluster.world().kill(follower_of(cluster, leader));
-    CPPUNIT_ASSERT(cluster.propose_anywhere("three of four"));
-    assert_sound(cluster);
+    CPPUNIT_ASSERT(cluster.propose_to_leader("three of four"));
+    assert_no_violations(cluster);
   }
 
-  void a_learner_that_can_not_catch_up_gets_no_vote() {
+  void lagging_learner_is_not_promoted() {
     Cluster cluster(ClusterSettings{.seed = 3});
     const std::string leader = cluster.wait_for_leader();
-    cluster.start_outsider(4);
+    cluster.start_nonmember(4);
     cluster.world().run_for(milliseconds(100));
     const Member member = cluster.member("node-4", MemberRole::kVoter);
     cluster.world().kill("node-4");
@@ -106,13 +106,13 @@
     cluster.world().restart("node-4");
     CPPUNIT_ASSERT(cluster.add_member(member));  // continues from the learner
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, voters_of(cluster, leader).size());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void one_change_at_a_time() {
+  void concurrent_changes_are_refused() {
     Cluster cluster(ClusterSettings{.seed = 4});
     const std::string leader = cluster.wait_for_leader();
-    for (const std::size_t number : {4, 5}) cluster.start_outsider(number);
+    for (const std::size_t number : {4, 5}) cluster.start_nonmember(number);
     cluster.world().run_for(milliseconds(100));
     const Member fourth = cluster.member("node-4", MemberRole::kVoter);
     const Member fifth = cluster.member("node-5", MemberRole::kVoter);
@@ -125,10 +125,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, voters_of(cluster, leader).size());
   }
 
-  void changes_are_refused_with_reasons() {
+  void invalid_changes_are_refused_with_reasons() {
     Cluster cluster(ClusterSettings{.seed = 5});
     const std::string leader = cluster.wait_for_leader();
-    cluster.start_outsider(4);
+    cluster.start_nonmember(4);
     cluster.world().run_for(milliseconds(100));
     const auto code_of = [&](const std::shared_ptr<CallResult>& result) {
       cluster.world().run_for(seconds(2));
@@ -153,10 +153,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(leader).members.size());
   }
 
-  void asking_again_succeeds() {
+  void repeated_changes_succeed() {
     Cluster cluster(ClusterSettings{.seed = 6});
     const std::string leader = cluster.wait_for_leader();
-    cluster.start_outsider(4);
+    cluster.start_nonmember(4);
     cluster.world().run_for(milliseconds(100));
     const Member fourth = cluster.member("node-4", MemberRole::kVoter);
     const std::string lost = follower_of(cluster, leader);
@@ -173,7 +173,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(leader).members.size());
   }
 
-  void a_member_moves_to_another_endpoint() {
+  void member_endpoint_can_be_changed() {
     Cluster cluster(ClusterSettings{.seed = 7});
     const std::string leader = cluster.wait_for_leader();
     const std::string follower = follower_of(cluster, leader);
@@ -185,7 +185,7 @@
     CPPUNIT_ASSERT(std::find(members.begin(), members.end(), moved) != members.end());
   }
 
-  void a_removed_follower_does_not_disturb() {
+  void removed_follower_does_not_disrupt_the_group() {
     Cluster cluster(ClusterSettings{.seed = 8, .voters = 5});
     const std::string leader = cluster.wait_for_leader();
     const std::string removed = follower_of(cluster, leader);
@@ -200,20 +200,20 @@
     CPPUNIT_ASSERT(!cluster.barrier(removed).index);
   }
 
-  void a_removed_leader_hands_over() {
+  void removed_leader_transfers_leadership() {
     Cluster cluster(ClusterSettings{.seed = 9});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.remove_member(leader));
     const TimePoint removed = cluster.world().now();
-    CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
     CPPUNIT_ASSERT(cluster.world().now() - removed < milliseconds(200));  // no election timeout elapsed
     CPPUNIT_ASSERT(cluster.leader() != leader);
     CPPUNIT_ASSERT(cluster.status(leader).state != ServerState::kLeader);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, voters_of(cluster, cluster.leader()).size());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_removal_cut_short_leaves_service() {
+  void group_recovers_from_an_interrupted_leader_removal() {
     // The leader of two removes itself and stops before the other server has the entry. Only it has the
     // longest log, so it must still be able to win an election, although its latest configuration excludes
     // it.
@@ -227,40 +227,40 @@
     CPPUNIT_ASSERT(voters_of(cluster, leader) == Names{other});
     cluster.world().kill(leader);
     for (const std::string& name : cluster.names()) cluster.world().restart(name);
-    CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
     CPPUNIT_ASSERT(voters_of(cluster, cluster.leader()) == Names{other});
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
   void grows_from_one_to_five_and_shrinks_to_one() {
     Cluster cluster(ClusterSettings{.seed = 10, .voters = 1});
     CPPUNIT_ASSERT(!cluster.wait_for_leader().empty());
     for (std::size_t number = 2; number <= 5; ++number) {
-      cluster.start_outsider(number);
+      cluster.start_nonmember(number);
       cluster.world().run_for(milliseconds(100));
       CPPUNIT_ASSERT(cluster.add_member(cluster.member(cluster.names().back(), MemberRole::kVoter)));
-      CPPUNIT_ASSERT(cluster.propose_anywhere(fmt::format("grown-{}", number)));
+      CPPUNIT_ASSERT(cluster.propose_to_leader(fmt::format("grown-{}", number)));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, voters_of(cluster, cluster.leader()).size());
     CPPUNIT_ASSERT(!cluster.remove_member("node-9", seconds(1)));
     for (std::size_t number = 1; number <= 4; ++number) {
       CPPUNIT_ASSERT(cluster.remove_member(fmt::format("node-{}", number)));
-      CPPUNIT_ASSERT(cluster.propose_anywhere(fmt::format("shrunk-{}", number)));
+      CPPUNIT_ASSERT(cluster.propose_to_leader(fmt::format("shrunk-{}", number)));
     }
     CPPUNIT_ASSERT(voters_of(cluster, "node-5") == Names{"node-5"});
     const auto last = cluster.begin_remove("node-5", "node-5", seconds(1));
     cluster.world().run_for(seconds(2));
     CPPUNIT_ASSERT(last->done && last->reason.code == ReasonCode::kInvalidArgument);
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_lost_voter_is_replaced_by_another_machine() {
+  void lost_voter_is_replaced_by_another_machine() {
     Cluster cluster(ClusterSettings{.seed = 11, .voters = 3, .snapshot_after_entries = 100});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose_many(leader, "command", 300));
     const std::string lost = follower_of(cluster, leader);
     cluster.world().vanish(lost);
-    cluster.start_outsider(4);
+    cluster.start_nonmember(4);
     cluster.world().run_for(milliseconds(100));
     const Member fourth = cluster.member("node-4", MemberRole::kVoter);
     const auto replaced = cluster.begin_replace(leader, lost, fourth, seconds(10));
@@ -274,34 +274,34 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(leader).members.size());
     CPPUNIT_ASSERT(most_voters <= 4);  // old and new lists combined; each has three
     CPPUNIT_ASSERT(cluster.propose(leader, "after").succeeded());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_second_machine_lost_after_the_repair_leaves_service() {
+  void survives_a_second_loss_after_replacement() {
     for (std::uint64_t seed = 20; seed < 30; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed});
       const std::string leader = cluster.wait_for_leader();
       const std::string lost = follower_of(cluster, leader);
       cluster.world().vanish(lost);
-      cluster.start_outsider(4);
+      cluster.start_nonmember(4);
       cluster.world().run_for(milliseconds(100));
       CPPUNIT_ASSERT(cluster.replace_member(lost, cluster.member("node-4", MemberRole::kVoter)));
       // Immediately after the answer, before the replacement may have learned of the commit.
       const std::string second = seed % 2 == 0 ? leader : follower_of(cluster, leader);
       if (second != "node-4") cluster.world().vanish(second);
-      CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-      assert_sound(cluster);
+      CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
+      assert_no_violations(cluster);
     }
   }
 
-  void a_second_machine_lost_during_the_repair_recovers() {
+  void recovers_from_a_second_loss_during_replacement() {
     for (std::uint64_t seed = 40; seed < 60; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed});
       const std::string leader = cluster.wait_for_leader();
       CPPUNIT_ASSERT(cluster.propose(leader, "before").succeeded());
       const std::string lost = follower_of(cluster, leader);
       cluster.world().vanish(lost);
-      cluster.start_outsider(4);
+      cluster.start_nonmember(4);
       cluster.world().run_for(milliseconds(100));
       const Member fourth = cluster.member("node-4", MemberRole::kVoter);
       const auto replaced = cluster.begin_replace(leader, lost, fourth, seconds(3));
@@ -317,38 +317,38 @@
       cluster.world().run_for(seconds(2));
       // Whatever step was reached, the machine's return restores service and the repair can be completed.
       cluster.world().restart(second);
-      CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
+      CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
       CPPUNIT_ASSERT(cluster.replace_member(lost, fourth));
-      CPPUNIT_ASSERT(cluster.propose_anywhere("repaired"));
+      CPPUNIT_ASSERT(cluster.propose_to_leader("repaired"));
       const std::string new_leader = cluster.wait_for_leader();
       CPPUNIT_ASSERT(cluster.machine(new_leader).has("before"));
       CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cluster.status(new_leader).members.size());
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
-  void a_leader_killed_during_the_repair_leaves_no_joint_group() {
+  void leader_killed_during_replacement_leaves_no_joint_configuration() {
     for (std::uint64_t seed = 80; seed < 100; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed, .voters = 5});
       const std::string leader = cluster.wait_for_leader();
       const std::string lost = follower_of(cluster, leader);
       cluster.world().vanish(lost);
-      cluster.start_outsider(6);
+      cluster.start_nonmember(6);
       cluster.world().run_for(milliseconds(100));
       const Member sixth = cluster.member("node-6", MemberRole::kVoter);
       cluster.begin_replace(leader, lost, sixth, seconds(3));
       const auto wait = cluster.world().random().between(Duration{0}, milliseconds(40));
       cluster.world().run_for(wait);
       cluster.world().kill(leader);
-      CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
+      CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
       cluster.world().run_for(seconds(1));
       const Names voters = voters_of(cluster, cluster.leader());
       CPPUNIT_ASSERT_EQUAL(std::size_t{5}, voters.size());
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
-  void a_wiped_voter_does_not_count_under_its_old_identity() {
+  void wiped_voter_is_not_counted_under_its_old_identity() {
     Cluster cluster(ClusterSettings{.seed = 12});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose(leader, "before").succeeded());
@@ -373,7 +373,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), cluster.leader());
   }
 
-  void a_wiped_voter_is_replaced_by_itself() {
+  void wiped_voter_can_replace_itself() {
     Cluster cluster(ClusterSettings{.seed = 13});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose(leader, "before").succeeded());
@@ -390,8 +390,8 @@
     for (const std::string& name : cluster.names()) {
       if (name != leader && name != wiped) cluster.world().kill(name);
     }
-    CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-    assert_sound(cluster);
+    CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
+    assert_no_violations(cluster);
   }
 };
 
--- a/tests/consensus/newer_entry_test.cpp
+++ b/tests/consensus/newer_entry_test.cpp
@@ -10,11 +10,11 @@
 
 class NewerEntryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NewerEntryTest);
-  CPPUNIT_TEST(halts_before_it_and_keeps_the_log);
+  CPPUNIT_TEST(halts_at_the_entry_and_keeps_the_log);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void halts_before_it_and_keeps_the_log() {
+  void halts_at_the_entry_and_keeps_the_log() {
     Cluster cluster(ClusterSettings{.seed = 8});
     const std::string leader = cluster.wait_for_leader();
     const CallResult before = cluster.propose(leader, "before");
--- a/tests/consensus/peer_channel_test.cpp
+++ b/tests/consensus/peer_channel_test.cpp
@@ -48,15 +48,15 @@
   while (true) {
     Reason reason;
     const PeerRequest request;
-    co_await channel->call(request, runtime->now() + kLastReconnectDelay, reason);
-    co_await runtime->sleep_for(kFirstReconnectDelay);
+    co_await channel->call(request, runtime->now() + kMaxReconnectDelay, reason);
+    co_await runtime->sleep_for(kInitialReconnectDelay);
   }
 }
 
 class PeerChannelTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerChannelTest);
-  CPPUNIT_TEST(a_peer_that_accepts_and_closes_is_met_with_backoff);
-  CPPUNIT_TEST(an_answer_ends_the_backoff);
+  CPPUNIT_TEST(backs_off_when_the_peer_accepts_and_closes);
+  CPPUNIT_TEST(answer_resets_the_backoff);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -76,21 +76,20 @@
     node.spawn("caller", call_without_end(&node, channel));
   }
 
-  void a_peer_that_accepts_and_closes_is_met_with_backoff() {
+  void backs_off_when_the_peer_accepts_and_closes() {
     world_->runtime("node-2").spawn("peer", accept_and_close(listener_.get(), &accepted_));
     world_->run_for(seconds(10));
     // Each wait is at least half of the maximum; a few shorter ones precede it.
     constexpr int kShorterWaits = 6;
-    const auto most = seconds(10) / (kLastReconnectDelay / 2) + kShorterWaits;
+    const auto most = seconds(10) / (kMaxReconnectDelay / 2) + kShorterWaits;
     CPPUNIT_ASSERT_MESSAGE(std::to_string(accepted_), accepted_ <= most);
-    CPPUNIT_ASSERT(accepted_ >= seconds(10) / kLastReconnectDelay / 2);
+    CPPUNIT_ASSERT(accepted_ >= seconds(10) / kMaxReconnectDelay / 2);
   }
 
-  void an_answer_ends_the_backoff() {
+  void answer_resets_the_backoff() {
     world_->runtime("node-2").spawn("peer", answer_once_and_close(listener_.get(), &accepted_));
     world_->run_for(seconds(10));
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(accepted_),
-                           accepted_ > seconds(10) / (kLastReconnectDelay / 2) * 2);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(accepted_), accepted_ > seconds(10) / (kMaxReconnectDelay / 2) * 2);
   }
 
  private:
--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -17,11 +17,11 @@
   CPPUNIT_TEST(three_and_five_servers_replicate);
   CPPUNIT_TEST(a_single_server_replicates);
   CPPUNIT_TEST(a_follower_refuses_proposals_and_names_the_leader);
-  CPPUNIT_TEST(survives_the_leaders_kill);
+  CPPUNIT_TEST(survives_loss_of_the_leader);
   CPPUNIT_TEST(restarts_from_disk);
   CPPUNIT_TEST(a_minority_commits_nothing);
-  CPPUNIT_TEST(barriers_work_on_every_server);
-  CPPUNIT_TEST(entries_of_earlier_terms_are_committed_by_one_of_the_leaders_own);
+  CPPUNIT_TEST(read_barriers_work_on_every_server);
+  CPPUNIT_TEST(entries_of_earlier_terms_are_committed_indirectly);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{20}, cluster.machine(name).commands().size());
         CPPUNIT_ASSERT(cluster.machine(name).commands() == cluster.machine(leader).commands());
       }
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
@@ -51,7 +51,7 @@
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT_EQUAL(std::string("node-1"), leader);
     CPPUNIT_ASSERT(cluster.propose(leader, "alone").succeeded());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
   void a_follower_refuses_proposals_and_names_the_leader() {
@@ -66,7 +66,7 @@
     }
   }
 
-  void survives_the_leaders_kill() {
+  void survives_loss_of_the_leader() {
     for (const std::size_t voters : {3, 5}) {
       Cluster cluster(ClusterSettings{.seed = 10 + voters, .voters = voters});
       std::string leader = cluster.wait_for_leader();
@@ -80,14 +80,14 @@
         CPPUNIT_ASSERT(cluster.machine(leader).has(fmt::format("before-{}", round)));
         CPPUNIT_ASSERT(cluster.propose(leader, fmt::format("after-{}", round)).succeeded());
       }
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
   void restarts_from_disk() {
     Cluster cluster(ClusterSettings{.seed = 21});
-    CPPUNIT_ASSERT(cluster.propose_anywhere("first"));
-    CPPUNIT_ASSERT(cluster.propose_anywhere("second"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("first"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("second"));
     const std::string identity = cluster.node("node-2").identity();
     for (const std::string& name : cluster.names()) cluster.world().kill(name);
     cluster.world().run_for(seconds(1));
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT(cluster.machine(leader).has("second"));
     CPPUNIT_ASSERT(cluster.propose(leader, "third").succeeded());
     CPPUNIT_ASSERT_EQUAL(identity, cluster.node("node-2").identity());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
   void a_minority_commits_nothing() {
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT(!cluster.machine(leader).has("unseen"));
   }
 
-  void barriers_work_on_every_server() {
+  void read_barriers_work_on_every_server() {
     Cluster cluster(ClusterSettings{.seed = 41, .voters = 5});
     const std::string leader = cluster.wait_for_leader();
     for (int number = 0; number < 10; ++number) {
@@ -128,10 +128,10 @@
         CPPUNIT_ASSERT(cluster.machine(name).has(fmt::format("command-{}", number)));
       }
     }
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void entries_of_earlier_terms_are_committed_by_one_of_the_leaders_own() {
+  void entries_of_earlier_terms_are_committed_indirectly() {
     // Section 3.6.2, figure 3.7. The old entries exceed one request, so that a follower acknowledges old
     // entries before it has the new leader's own entry.
     constexpr int kOldEntries = 600;
@@ -155,7 +155,7 @@
       CPPUNIT_ASSERT_MESSAGE(fmt::format("{} committed", index), index <= committed || index >= own);
     }
     CPPUNIT_ASSERT(cluster.machine(leader).has(fmt::format("old-{}", kOldEntries - 1)));
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 };
 
--- a/tests/consensus/random_faults.cpp
+++ b/tests/consensus/random_faults.cpp
@@ -10,11 +10,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kOutsiders = 2;
+constexpr std::size_t kNonmembers = 2;
 constexpr Duration kStep = milliseconds(2);
 constexpr Duration kCallTimeout = milliseconds(1500);
 constexpr Duration kSettleLimit = seconds(20);
-constexpr std::size_t kMostOpenCalls = 40;
+constexpr std::size_t kMaxOpenCalls = 40;
 
 ClusterSettings cluster_settings(const RandomFaultSettings& settings) {
   ClusterSettings cluster;
@@ -31,8 +31,8 @@
     : settings_(settings), cluster_(cluster_settings(settings)) {}
 
 std::vector<std::string> RandomFaultRun::run() {
-  for (std::size_t number = 1; number <= kOutsiders; ++number) {
-    cluster_.start_outsider(cluster_.names().size() + 1);
+  for (std::size_t number = 1; number <= kNonmembers; ++number) {
+    cluster_.start_nonmember(cluster_.names().size() + 1);
   }
   const TimePoint end = world().now() + settings_.duration;
   while (world().now() < end) step();
@@ -81,14 +81,14 @@
   if (running.empty()) return;
   const std::string leader = believed_leader();
   const std::string target = leader.empty() || chance(0.1) ? pick(running) : leader;
-  if (proposals_.size() < kMostOpenCalls) {
+  if (proposals_.size() < kMaxOpenCalls) {
     std::string command = fmt::format("command-{}", next_command_++);
     proposals_.push_back({command, cluster_.begin_propose(target, command, kCallTimeout)});
   }
-  if (barriers_.size() >= kMostOpenCalls) return;
-  const std::string asked = pick(running);
+  if (barriers_.size() >= kMaxOpenCalls) return;
+  const std::string queried = pick(running);
   barriers_.push_back(
-      {asked, cluster_.checks().barrier_minimum(), cluster_.begin_barrier(asked, kCallTimeout)});
+      {queried, cluster_.checks().barrier_minimum(), cluster_.begin_barrier(queried, kCallTimeout)});
 }
 
 void RandomFaultRun::begin_fault() {
@@ -270,7 +270,7 @@
   observe();
   repair();
   const TimePoint begun = world().now();
-  if (!cluster_.propose_anywhere("last", kSettleLimit)) {
+  if (!cluster_.propose_to_leader("last", kSettleLimit)) {
     failures_.push_back("liveness: no proposal succeeded after the faults ended\n" + cluster_.describe());
     return;
   }
--- a/tests/consensus/random_faults_test.cpp
+++ b/tests/consensus/random_faults_test.cpp
@@ -30,12 +30,12 @@
 
 class RandomFaultsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RandomFaultsTest);
-  CPPUNIT_TEST(every_promise_holds_for_every_seed);
-  CPPUNIT_TEST(a_seed_repeats_its_run);
+  CPPUNIT_TEST(safety_and_liveness_hold_for_every_seed);
+  CPPUNIT_TEST(same_seed_repeats_the_run);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_promise_holds_for_every_seed() {
+  void safety_and_liveness_hold_for_every_seed() {
     const SeedRange seeds = chosen_seeds();
     std::size_t acknowledged = 0;
     std::size_t barriers = 0;
@@ -65,7 +65,7 @@
     CPPUNIT_ASSERT(leaders > 2 * count);
   }
 
-  void a_seed_repeats_its_run() {
+  void same_seed_repeats_the_run() {
     const auto hash_of = [](std::uint64_t seed) {
       RandomFaultSettings settings;
       settings.seed = seed;
--- a/tests/consensus/record_test.cpp
+++ b/tests/consensus/record_test.cpp
@@ -7,14 +7,14 @@
 
 class RecordTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecordTest);
-  CPPUNIT_TEST(reads_back_what_was_made);
+  CPPUNIT_TEST(records_round_trip);
   CPPUNIT_TEST(every_flipped_byte_is_detected);
-  CPPUNIT_TEST(every_cut_is_detected);
-  CPPUNIT_TEST(finds_the_record_behind_damage);
+  CPPUNIT_TEST(every_truncation_is_detected);
+  CPPUNIT_TEST(finds_the_record_after_damage);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void reads_back_what_was_made() {
+  void records_round_trip() {
     const std::string content = make_record("first", 7) + make_record("", 9);
     const auto first = read_record(content, 0);
     CPPUNIT_ASSERT_EQUAL(std::string("first"), first->payload);
@@ -34,14 +34,14 @@
     }
   }
 
-  void every_cut_is_detected() {
+  void every_truncation_is_detected() {
     const std::string whole = make_record("payload", 3);
     for (std::size_t size = 0; size < whole.size(); ++size) {
       CPPUNIT_ASSERT(!read_record(whole.substr(0, size), 0));
     }
   }
 
-  void finds_the_record_behind_damage() {
+  void finds_the_record_after_damage() {
     std::string content = make_record("first", 0);
     const std::uint64_t second_offset = content.size();
     content += make_record("second", second_offset);
--- a/tests/consensus/run_checks.cpp
+++ b/tests/consensus/run_checks.cpp
@@ -30,7 +30,7 @@
   for (const LogEntry& entry : entries) {
     KnownEntry seen{previous_term, entry.kind, entry.payload};
     previous_term = entry.term;
-    const auto [known, inserted] = entries_.emplace(Place{entry.index, entry.term}, seen);
+    const auto [known, inserted] = entries_.emplace(EntryId{entry.index, entry.term}, seen);
     if (inserted || known->second == seen) continue;
     violations_.push_back(
         fmt::format("log matching: different entries at index {} of term {}", entry.index, entry.term));
--- a/tests/consensus/run_checks.h
+++ b/tests/consensus/run_checks.h
@@ -47,14 +47,14 @@
     std::string payload;
     auto operator<=>(const KnownEntry&) const = default;
   };
-  struct Place {
+  struct EntryId {
     std::uint64_t index = 0;
     std::uint64_t term = 0;
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const EntryId&) const = default;
   };
 
   std::map<std::uint64_t, std::string> leaders_;  ///< by term
-  std::map<Place, KnownEntry> entries_;
+  std::map<EntryId, KnownEntry> entries_;
   std::map<std::uint64_t, std::string> acknowledged_;
   std::set<std::string> refused_;
   std::map<std::uint64_t, std::uint64_t> last_committed_;  ///< by term
--- a/tests/consensus/run_checks_test.cpp
+++ b/tests/consensus/run_checks_test.cpp
@@ -14,18 +14,18 @@
 
 class RunChecksTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RunChecksTest);
-  CPPUNIT_TEST(two_leaders_of_a_term);
-  CPPUNIT_TEST(a_leader_without_a_committed_entry);
-  CPPUNIT_TEST(two_entries_at_one_place);
-  CPPUNIT_TEST(one_entry_behind_two_others);
-  CPPUNIT_TEST(a_barrier_before_an_acknowledged_entry);
-  CPPUNIT_TEST(a_lost_acknowledged_command);
-  CPPUNIT_TEST(a_refused_command_that_is_applied);
-  CPPUNIT_TEST(two_commands_applied_at_one_index);
+  CPPUNIT_TEST(rejects_two_leaders_in_one_term);
+  CPPUNIT_TEST(rejects_leader_without_a_committed_entry);
+  CPPUNIT_TEST(rejects_different_entries_at_one_index_and_term);
+  CPPUNIT_TEST(rejects_one_entry_with_two_predecessors);
+  CPPUNIT_TEST(rejects_barrier_before_an_acknowledged_entry);
+  CPPUNIT_TEST(rejects_lost_acknowledged_command);
+  CPPUNIT_TEST(rejects_applied_refused_command);
+  CPPUNIT_TEST(rejects_two_commands_applied_at_one_index);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void two_leaders_of_a_term() {
+  void rejects_two_leaders_in_one_term() {
     checks_.record_leader(1, "a", 0);
     checks_.record_leader(2, "b", 0);
     expect(0);
@@ -33,7 +33,7 @@
     expect(1);
   }
 
-  void a_leader_without_a_committed_entry() {
+  void rejects_leader_without_a_committed_entry() {
     checks_.record_committed(2, 5);
     checks_.record_leader(1, "a", 3);  // leader of an old term
     checks_.record_leader(3, "b", 5);
@@ -48,7 +48,7 @@
     expect(2);
   }
 
-  void two_entries_at_one_place() {
+  void rejects_different_entries_at_one_index_and_term() {
     checks_.record_log(0, {make_entry(1, 1, "x"), make_entry(2, 1, "y")});
     checks_.record_log(1, {make_entry(2, 1, "y")});
     checks_.record_log(1, {make_entry(2, 2, "z")});
@@ -57,14 +57,14 @@
     expect(1);
   }
 
-  void one_entry_behind_two_others() {
+  void rejects_one_entry_with_two_predecessors() {
     checks_.record_log(0, {make_entry(1, 1, "x"), make_entry(2, 3, "y")});
     expect(0);
     checks_.record_log(0, {make_entry(1, 2, "w"), make_entry(2, 3, "y")});
     expect(1);
   }
 
-  void a_barrier_before_an_acknowledged_entry() {
+  void rejects_barrier_before_an_acknowledged_entry() {
     checks_.record_acknowledged(7, "x");
     checks_.record_barrier(checks_.barrier_minimum(), 7, "a");
     expect(0);
@@ -72,7 +72,7 @@
     expect(1);
   }
 
-  void a_lost_acknowledged_command() {
+  void rejects_lost_acknowledged_command() {
     checks_.record_acknowledged(7, "x");
     checks_.check_outcomes({{7, "x"}});
     expect(0);
@@ -82,7 +82,7 @@
     expect(2);
   }
 
-  void a_refused_command_that_is_applied() {
+  void rejects_applied_refused_command() {
     checks_.record_refused("x");
     checks_.check_outcomes({{1, "y"}});
     expect(0);
@@ -90,7 +90,7 @@
     expect(1);
   }
 
-  void two_commands_applied_at_one_index() {
+  void rejects_two_commands_applied_at_one_index() {
     AppliedRecord record;
     record.record(1, "x");
     record.record(1, "x");
--- a/tests/consensus/snapshot_test.cpp
+++ b/tests/consensus/snapshot_test.cpp
@@ -26,17 +26,17 @@
 
 class SnapshotTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SnapshotTest);
-  CPPUNIT_TEST(log_is_compacted_behind_snapshots);
-  CPPUNIT_TEST(follower_passed_by_500_changes_gets_a_snapshot);
-  CPPUNIT_TEST(large_snapshot_travels_in_chunks);
-  CPPUNIT_TEST(follower_killed_during_install_gets_it_again);
+  CPPUNIT_TEST(log_is_compacted_after_snapshots);
+  CPPUNIT_TEST(lagging_follower_receives_a_snapshot);
+  CPPUNIT_TEST(large_snapshot_is_sent_in_chunks);
+  CPPUNIT_TEST(follower_killed_during_install_receives_it_again);
   CPPUNIT_TEST(all_restart_from_snapshot_and_log);
   CPPUNIT_TEST(every_flipped_byte_of_a_snapshot_is_refused);
-  CPPUNIT_TEST(damaged_snapshot_file_refuses_to_start);
+  CPPUNIT_TEST(server_with_damaged_snapshot_refuses_to_start);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void log_is_compacted_behind_snapshots() {
+  void log_is_compacted_after_snapshots() {
     Cluster cluster(snapshot_settings(1));
     const std::string leader = cluster.wait_for_leader();
     const auto last = cluster.propose_many(leader, "command", 1000, 200);
@@ -49,10 +49,10 @@
       const std::size_t bytes = cluster.world().disk(name).files.at("raft.log")->content.size();
       CPPUNIT_ASSERT(bytes < std::size_t{3} * kSnapshotAfter * 400);
     }
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void follower_passed_by_500_changes_gets_a_snapshot() {
+  void lagging_follower_receives_a_snapshot() {
     Cluster cluster(snapshot_settings(2));
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose(leader, "first").succeeded());
@@ -65,10 +65,10 @@
     CPPUNIT_ASSERT(cluster.machine(behind).restores() > 0);
     CPPUNIT_ASSERT(cluster.machine(behind).commands() == cluster.machine(leader).commands());
     CPPUNIT_ASSERT_EQUAL(std::size_t{602}, cluster.machine(behind).commands().size());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void large_snapshot_travels_in_chunks() {
+  void large_snapshot_is_sent_in_chunks() {
     Cluster cluster(snapshot_settings(3));
     const std::string leader = cluster.wait_for_leader();
     const std::string behind = other_than(cluster, leader);
@@ -79,10 +79,10 @@
     CPPUNIT_ASSERT(cluster.wait_applied(*last));
     CPPUNIT_ASSERT(cluster.machine(behind).restores() > 0);
     CPPUNIT_ASSERT(cluster.machine(behind).commands() == cluster.machine(leader).commands());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void follower_killed_during_install_gets_it_again() {
+  void follower_killed_during_install_receives_it_again() {
     for (std::uint64_t seed = 10; seed < 18; ++seed) {
       Cluster cluster(snapshot_settings(seed));
       const std::string leader = cluster.wait_for_leader();
@@ -100,7 +100,7 @@
       }
       CPPUNIT_ASSERT(cluster.wait_applied(*last));
       CPPUNIT_ASSERT(cluster.machine(behind).commands() == cluster.machine(leader).commands());
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
@@ -118,8 +118,8 @@
       CPPUNIT_ASSERT_EQUAL(std::size_t{350}, cluster.machine(name).commands().size());
       CPPUNIT_ASSERT(cluster.status(name).snapshot_index >= 300);
     }
-    CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-    assert_sound(cluster);
+    CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
+    assert_no_violations(cluster);
   }
 
   void every_flipped_byte_of_a_snapshot_is_refused() {
@@ -137,7 +137,7 @@
     }
   }
 
-  void damaged_snapshot_file_refuses_to_start() {
+  void server_with_damaged_snapshot_refuses_to_start() {
     Cluster cluster(snapshot_settings(5));
     const std::string leader = cluster.wait_for_leader();
     const auto last = cluster.propose_many(leader, "command", 350);
--- a/tests/consensus/storage_test.cpp
+++ b/tests/consensus/storage_test.cpp
@@ -12,22 +12,22 @@
 
 class StorageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StorageTest);
-  CPPUNIT_TEST(power_loss_of_all_loses_nothing_acknowledged);
+  CPPUNIT_TEST(power_loss_of_all_servers_keeps_acknowledged_entries);
   CPPUNIT_TEST(power_loss_during_formation_recovers);
-  CPPUNIT_TEST(a_failing_disk_halts_its_server_only);
-  CPPUNIT_TEST(a_failing_disk_of_the_leader_lets_another_lead);
-  CPPUNIT_TEST(a_disk_that_takes_writes_again_brings_its_server_back);
-  CPPUNIT_TEST(full_disks_come_and_go_and_lose_nothing);
+  CPPUNIT_TEST(failing_disk_stops_only_its_server);
+  CPPUNIT_TEST(failing_leader_disk_causes_an_election);
+  CPPUNIT_TEST(server_resumes_when_its_disk_accepts_writes);
+  CPPUNIT_TEST(temporarily_full_disks_lose_no_entries);
   CPPUNIT_TEST(a_server_starts_on_a_full_disk);
-  CPPUNIT_TEST(a_snapshot_that_found_no_room_is_taken_later);
-  CPPUNIT_TEST(a_slow_disk_of_a_follower_slows_nobody_else);
-  CPPUNIT_TEST(slow_disks_everywhere_keep_their_leader);
-  CPPUNIT_TEST(a_damaged_log_refuses_to_start);
-  CPPUNIT_TEST(a_lost_metadata_file_refuses_to_start);
+  CPPUNIT_TEST(snapshot_is_retried_after_a_full_disk);
+  CPPUNIT_TEST(slow_follower_disk_does_not_slow_others);
+  CPPUNIT_TEST(slow_disks_do_not_cause_elections);
+  CPPUNIT_TEST(server_with_damaged_log_refuses_to_start);
+  CPPUNIT_TEST(server_without_metadata_refuses_to_start);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void power_loss_of_all_loses_nothing_acknowledged() {
+  void power_loss_of_all_servers_keeps_acknowledged_entries() {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed, .voters = 3, .snapshot_after_entries = 20});
       std::vector<std::string> acknowledged;
@@ -53,7 +53,7 @@
       for (const std::string& command : acknowledged) {
         CPPUNIT_ASSERT_MESSAGE(command, cluster.machine(leader).has(command));
       }
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
@@ -66,12 +66,12 @@
         for (const std::string& name : cluster.names()) cluster.world().kill(name);
         for (const std::string& name : cluster.names()) cluster.world().restart(name);
       }
-      CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
-      assert_sound(cluster);
+      CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
+      assert_no_violations(cluster);
     }
   }
 
-  void a_failing_disk_halts_its_server_only() {
+  void failing_disk_stops_only_its_server() {
     Cluster cluster(ClusterSettings{.seed = 2});
     const std::string leader = cluster.wait_for_leader();
     const std::string failing = leader == "node-1" ? "node-2" : "node-1";
@@ -88,41 +88,41 @@
     const CallResult proposal = cluster.propose(leader, "with it");
     CPPUNIT_ASSERT(proposal.succeeded() && cluster.wait_applied(*proposal.index));
     CPPUNIT_ASSERT(cluster.machine(failing).has("without it"));
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_failing_disk_of_the_leader_lets_another_lead() {
+  void failing_leader_disk_causes_an_election() {
     Cluster cluster(ClusterSettings{.seed = 3});
     const std::string leader = cluster.wait_for_leader();
     cluster.world().disk(leader).failing = true;
     const CallResult proposal = cluster.propose(leader, "maybe");
     CPPUNIT_ASSERT(proposal.done && !proposal.index);
     CPPUNIT_ASSERT(proposal.reason.code == ReasonCode::kOutcomeUnknown);
-    CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
     CPPUNIT_ASSERT(cluster.leader() != leader);
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_disk_that_takes_writes_again_brings_its_server_back() {
+  void server_resumes_when_its_disk_accepts_writes() {
     Cluster cluster(ClusterSettings{.seed = 11});
     const std::string leader = cluster.wait_for_leader();
     cluster.world().disk(leader).full = true;
     CPPUNIT_ASSERT(!cluster.propose(leader, "maybe").succeeded());
-    CPPUNIT_ASSERT(cluster.propose_anywhere("meanwhile"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("meanwhile"));
     cluster.world().disk(leader).full = false;
     cluster.world().run_for(seconds(2));
     // Without the server whose disk was full there is now no quorum.
     const std::string other = cluster.leader() == "node-3" ? "node-2" : "node-3";
     const std::string lost = other == leader ? "node-1" : other;
     cluster.world().kill(lost);
-    CPPUNIT_ASSERT(cluster.propose_anywhere("after"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("after"));
     cluster.world().run_for(seconds(1));
     CPPUNIT_ASSERT(cluster.machine(leader).has("meanwhile"));
     CPPUNIT_ASSERT(cluster.machine(leader).has("after"));
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void full_disks_come_and_go_and_lose_nothing() {
+  void temporarily_full_disks_lose_no_entries() {
     for (std::uint64_t seed = 200; seed < 230; ++seed) {
       Cluster cluster(ClusterSettings{.seed = seed, .voters = 3, .snapshot_after_entries = 15});
       std::vector<std::string> acknowledged;
@@ -130,16 +130,16 @@
       CPPUNIT_ASSERT(!cluster.wait_for_leader().empty());
       for (int round = 0; round < 6; ++round) {
         const std::size_t place = cluster.world().random().below(cluster.names().size());
-        const std::string& hit = cluster.names()[place];
-        cluster.world().disk(hit).full = true;
+        const std::string& affected = cluster.names()[place];
+        cluster.world().disk(affected).full = true;
         for (int number = 0; number < 8; ++number) {
           const std::string command = fmt::format("command-{}-{}", round, number);
-          if (cluster.propose_anywhere(command)) acknowledged.push_back(command);
+          if (cluster.propose_to_leader(command)) acknowledged.push_back(command);
         }
         // In some rounds power is lost while the disk is full.
-        if (round % 2 == 1) cluster.world().kill(hit);
-        cluster.world().disk(hit).full = false;
-        if (round % 2 == 1) cluster.world().restart(hit);
+        if (round % 2 == 1) cluster.world().kill(affected);
+        cluster.world().disk(affected).full = false;
+        if (round % 2 == 1) cluster.world().restart(affected);
         cluster.world().run_for(milliseconds(700));
       }
       CPPUNIT_ASSERT_EQUAL_MESSAGE(fmt::format("seed {}: {}", seed, cluster.describe()), std::size_t{48},
@@ -147,42 +147,42 @@
       const std::string leader = cluster.wait_for_leader();
       for (const std::string& command : acknowledged)
         CPPUNIT_ASSERT_MESSAGE(command, cluster.machine(leader).has(command));
-      assert_sound(cluster);
+      assert_no_violations(cluster);
     }
   }
 
   void a_server_starts_on_a_full_disk() {
     Cluster cluster(ClusterSettings{.seed = 12});
     const std::string leader = cluster.wait_for_leader();
-    const std::string hit = leader == "node-1" ? "node-2" : "node-1";
-    cluster.world().kill(hit);
-    cluster.world().disk(hit).full = true;
-    cluster.world().restart(hit);
+    const std::string affected = leader == "node-1" ? "node-2" : "node-1";
+    cluster.world().kill(affected);
+    cluster.world().disk(affected).full = true;
+    cluster.world().restart(affected);
     CPPUNIT_ASSERT(cluster.propose(leader, "meanwhile").succeeded());
-    CPPUNIT_ASSERT(cluster.role(hit).started());
-    cluster.world().disk(hit).full = false;
+    CPPUNIT_ASSERT(cluster.role(affected).started());
+    cluster.world().disk(affected).full = false;
     const CallResult proposal = cluster.propose(leader, "after");
     CPPUNIT_ASSERT(proposal.succeeded() && cluster.wait_applied(*proposal.index));
-    CPPUNIT_ASSERT(cluster.machine(hit).has("meanwhile"));
-    assert_sound(cluster);
+    CPPUNIT_ASSERT(cluster.machine(affected).has("meanwhile"));
+    assert_no_violations(cluster);
   }
 
-  void a_snapshot_that_found_no_room_is_taken_later() {
+  void snapshot_is_retried_after_a_full_disk() {
     Cluster cluster(ClusterSettings{.seed = 13, .voters = 3, .snapshot_after_entries = 20});
     const std::string leader = cluster.wait_for_leader();
-    const std::string hit = leader == "node-1" ? "node-2" : "node-1";
+    const std::string affected = leader == "node-1" ? "node-2" : "node-1";
     CPPUNIT_ASSERT(cluster.propose_many(leader, "first", 15));
-    cluster.world().disk(hit).full = true;
+    cluster.world().disk(affected).full = true;
     CPPUNIT_ASSERT(cluster.propose_many(leader, "second", 30));
-    cluster.world().disk(hit).full = false;
+    cluster.world().disk(affected).full = false;
     const auto last = cluster.propose_many(leader, "third", 30);
     CPPUNIT_ASSERT(last && cluster.wait_applied(*last));
     cluster.world().run_for(seconds(1));
-    CPPUNIT_ASSERT(cluster.status(hit).snapshot_index > 0);
-    assert_sound(cluster);
+    CPPUNIT_ASSERT(cluster.status(affected).snapshot_index > 0);
+    assert_no_violations(cluster);
   }
 
-  void a_slow_disk_of_a_follower_slows_nobody_else() {
+  void slow_follower_disk_does_not_slow_others() {
     Cluster cluster(ClusterSettings{.seed = 4});
     const std::string leader = cluster.wait_for_leader();
     const std::string slow = leader == "node-1" ? "node-2" : "node-1";
@@ -193,10 +193,10 @@
     cluster.world().run_for(seconds(20));
     CPPUNIT_ASSERT_EQUAL(leader, cluster.leader());
     CPPUNIT_ASSERT(cluster.machine(slow).commands() == cluster.machine(leader).commands());
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void slow_disks_everywhere_keep_their_leader() {
+  void slow_disks_do_not_cause_elections() {
     Cluster cluster(ClusterSettings{.seed = 5});
     const std::string leader = cluster.wait_for_leader();
     const std::uint64_t term = cluster.status(leader).term;
@@ -206,10 +206,10 @@
       CPPUNIT_ASSERT_MESSAGE(proposal.reason.to_string(), proposal.succeeded());
     }
     CPPUNIT_ASSERT_EQUAL(term, cluster.status(leader).term);
-    assert_sound(cluster);
+    assert_no_violations(cluster);
   }
 
-  void a_damaged_log_refuses_to_start() {
+  void server_with_damaged_log_refuses_to_start() {
     Cluster cluster(ClusterSettings{.seed = 6});
     const std::string leader = cluster.wait_for_leader();
     CPPUNIT_ASSERT(cluster.propose_many(leader, "command", 50));
@@ -222,7 +222,7 @@
     expect_refusal(cluster, "node-2", "raft.log at offset ");
   }
 
-  void a_lost_metadata_file_refuses_to_start() {
+  void server_without_metadata_refuses_to_start() {
     Cluster cluster(ClusterSettings{.seed = 7});
     const std::string leader = cluster.wait_for_leader();
     const auto last = cluster.propose_many(leader, "command", 50);
@@ -240,7 +240,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cluster.world().faults().size());
     const std::string& fault = cluster.world().faults().front();
     CPPUNIT_ASSERT_MESSAGE(fault, fault.find(detail) != std::string::npos);
-    CPPUNIT_ASSERT(cluster.propose_anywhere("the others go on"));
+    CPPUNIT_ASSERT(cluster.propose_to_leader("the others go on"));
   }
 };
 
--- a/tests/declared/control/hello_test.cpp
+++ b/tests/declared/control/hello_test.cpp
@@ -84,7 +84,7 @@
   visits->with_range += with_range ? 1 : 0;
   if (hello && build == OtherBuild::kLater) {
     wire::HelloAnswer answer;
-    answer.spoken = {7, 9};
+    answer.supported = {7, 9};
     answer.refusal = Reason{ReasonCode::kUnsupported, "hello", "", "the control node speaks 7 to 9"};
     std::string frame = wire::encode_hello_answer(answer);
     co_await connection->send(std::move(frame), reason);
@@ -154,9 +154,9 @@
     send(wire::encode(hello({1, 9}), wire::kMarkedFormat));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, received_.size());
     Reason reason;
-    wire::Greeting greeting;
-    const auto effect = greeting.take(received_.front(), "server", reason);
-    CPPUNIT_ASSERT(effect == wire::Greeting::Effect::kAccepted);
+    wire::ClientHandshake greeting;
+    const auto effect = greeting.handle_frame(received_.front(), "server", reason);
+    CPPUNIT_ASSERT(effect == wire::ClientHandshake::Outcome::kAccepted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, server().served.size());
   }
 
@@ -174,9 +174,9 @@
     CPPUNIT_ASSERT(closed_);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, received_.size());
     Reason reason;
-    wire::Greeting greeting;
-    const auto effect = greeting.take(received_.front(), "server", reason);
-    CPPUNIT_ASSERT(effect == wire::Greeting::Effect::kRefused);
+    wire::ClientHandshake greeting;
+    const auto effect = greeting.handle_frame(received_.front(), "server", reason);
+    CPPUNIT_ASSERT(effect == wire::ClientHandshake::Outcome::kRefused);
     CPPUNIT_ASSERT(reason.code == ReasonCode::kUnsupported);
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), reason.step);
     CPPUNIT_ASSERT_EQUAL(std::string("server"), reason.peer);
--- a/tests/registered/control/failover/region_preference_test.cpp
+++ b/tests/registered/control/failover/region_preference_test.cpp
@@ -82,7 +82,7 @@
     command.document.routes = std::move(routes);
     command.document.groups = {registry::GroupRule{GroupName("records"), 30, 1}};
     fleet_->apply(version,
-                  wire::encode(registry::LoggedCommand{registry::Command{command}}, wire::kPlacesFormat));
+                  wire::encode(registry::LoggedCommand{registry::Command{command}}, wire::kPlacementFormat));
   }
   std::size_t at(const std::string& name) {
     return preference_->allowing_routes(GroupName("records"), members_)[BackendName(name)];
--- a/tests/runtime/frames_test.cpp
+++ b/tests/runtime/frames_test.cpp
@@ -29,14 +29,14 @@
 
 class FramesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FramesTest);
-  CPPUNIT_TEST(frames_arrive_whole_and_in_order);
-  CPPUNIT_TEST(a_large_frame_arrives_whole);
-  CPPUNIT_TEST(frames_arrive_alike_however_they_are_cut);
-  CPPUNIT_TEST(a_frame_torn_in_its_body_is_lost);
-  CPPUNIT_TEST(a_frame_torn_in_its_length_is_lost);
-  CPPUNIT_TEST(an_oversize_length_ends_the_connection);
-  CPPUNIT_TEST(bytes_that_are_no_frames_end_the_connection);
-  CPPUNIT_TEST(an_oversize_frame_is_not_sent);
+  CPPUNIT_TEST(frames_arrive_complete_and_in_order);
+  CPPUNIT_TEST(large_frame_arrives_complete);
+  CPPUNIT_TEST(frames_are_reassembled_from_any_fragments);
+  CPPUNIT_TEST(connection_closed_within_a_frame_body_is_lost);
+  CPPUNIT_TEST(connection_closed_within_a_frame_header_is_lost);
+  CPPUNIT_TEST(oversized_length_closes_the_connection);
+  CPPUNIT_TEST(malformed_bytes_close_the_connection);
+  CPPUNIT_TEST(oversized_frame_is_not_sent);
   CPPUNIT_TEST(closing_ends_a_receive_in_flight);
   CPPUNIT_TEST(nothing_is_received_after_closing);
   CPPUNIT_TEST(a_closed_listener_accepts_nothing);
@@ -54,7 +54,7 @@
     loopback_->run_to_end();
   }
 
-  void frames_arrive_whole_and_in_order() {
+  void frames_arrive_complete_and_in_order() {
     loopback_->run(send_by_connection({"first", "", "third"}));
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, received_.size());
     CPPUNIT_ASSERT_EQUAL(std::string("first"), received_[0]);
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("third"), received_[2]);
   }
 
-  void a_large_frame_arrives_whole() {
+  void large_frame_arrives_complete() {
     std::string large(std::size_t{5} * 1024 * 1024, 'a');
     for (std::size_t at = 0; at < large.size(); at += 997) large[at] = static_cast<char>(at);
     loopback_->runtime().spawn("send", send_bytes(framed(large) + framed("next")));
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("next"), received_[1]);
   }
 
-  void frames_arrive_alike_however_they_are_cut() {
+  void frames_are_reassembled_from_any_fragments() {
     CPPUNIT_ASSERT(rc::check("frames are reassembled from any fragments",
                              [this](const std::vector<std::string>& frames, std::size_t piece) {
                                const std::size_t length = piece % 40 + 1;
@@ -81,27 +81,27 @@
                              }));
   }
 
-  void a_frame_torn_in_its_body_is_lost() {
+  void connection_closed_within_a_frame_body_is_lost() {
     loopback_->run(receive_after(header_for(10) + "abc"));
     assert_lost("closed in the middle of a frame");
   }
 
-  void a_frame_torn_in_its_length_is_lost() {
+  void connection_closed_within_a_frame_header_is_lost() {
     loopback_->run(receive_after(header_for(10).substr(0, 2)));
     assert_lost("closed in the middle of a frame");
   }
 
-  void an_oversize_length_ends_the_connection() {
+  void oversized_length_closes_the_connection() {
     loopback_->run(receive_after(header_for(kMaximumFrameBytes + 1) + "abc"));
     assert_lost("the peer announced a frame of");
   }
 
-  void bytes_that_are_no_frames_end_the_connection() {
+  void malformed_bytes_close_the_connection() {
     loopback_->run(receive_after("GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n"));
     assert_lost("the peer announced a frame of");
   }
 
-  void an_oversize_frame_is_not_sent() {
+  void oversized_frame_is_not_sent() {
     std::vector<std::string> frames{std::string(kMaximumFrameBytes + 1U, 'a')};
     loopback_->run(send_by_connection(std::move(frames)));
     CPPUNIT_ASSERT(received_.empty());
--- a/tests/runtime/json_logger_test.cpp
+++ b/tests/runtime/json_logger_test.cpp
@@ -11,17 +11,17 @@
 
 class JsonLoggerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(JsonLoggerTest);
-  CPPUNIT_TEST(says_beforehand_which_levels_it_writes);
+  CPPUNIT_TEST(writes_only_enabled_levels);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void says_beforehand_which_levels_it_writes() {
+  void writes_only_enabled_levels() {
     std::vector<std::string> lines;
     JsonLogger logger(
         {}, LogLevel::kInfo, [] { return std::int64_t{0}; },
         [&lines](std::string_view line) { lines.emplace_back(line); });
-    CPPUNIT_ASSERT(!logger.writes(LogLevel::kDebug));
-    CPPUNIT_ASSERT(logger.writes(LogLevel::kInfo));
+    CPPUNIT_ASSERT(!logger.is_enabled(LogLevel::kDebug));
+    CPPUNIT_ASSERT(logger.is_enabled(LogLevel::kInfo));
     logger.log(LogLevel::kDebug, "left_out", {});
     CPPUNIT_ASSERT(lines.empty());
     logger.log(LogLevel::kInfo, "written", {});
--- a/tests/runtime/lines_test.cpp
+++ b/tests/runtime/lines_test.cpp
@@ -18,9 +18,9 @@
 
 class LinesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LinesTest);
-  CPPUNIT_TEST(lines_arrive_alike_however_they_are_cut);
-  CPPUNIT_TEST(the_longest_line_arrives);
-  CPPUNIT_TEST(a_longer_line_ends_the_connection);
+  CPPUNIT_TEST(lines_are_reassembled_from_any_fragments);
+  CPPUNIT_TEST(line_of_maximum_length_arrives);
+  CPPUNIT_TEST(longer_line_closes_the_connection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -35,7 +35,7 @@
     loopback_.reset();
   }
 
-  void lines_arrive_alike_however_they_are_cut() {
+  void lines_are_reassembled_from_any_fragments() {
     const auto property = [this](const std::vector<std::string>& texts, std::size_t piece) {
       std::vector<std::string> lines;
       std::string bytes;
@@ -50,7 +50,7 @@
     declared::config::assert_property("lines are reassembled from any fragments", property, 50);
   }
 
-  void the_longest_line_arrives() {
+  void line_of_maximum_length_arrives() {
     for (const std::size_t size :
          {std::size_t{1000}, std::size_t{70'000}, std::size_t{300'000}, kMaximumLineBytes}) {
       const std::string line(size, 'x');
@@ -61,7 +61,7 @@
     }
   }
 
-  void a_longer_line_ends_the_connection() {
+  void longer_line_closes_the_connection() {
     loopback_->run(
         exchange(std::string(kMaximumLineBytes + 100, 'x') + "\r\nnext\r\n", kMaximumLineBytes, 2));
     CPPUNIT_ASSERT(received_.empty());
--- a/tests/runtime/log_limiter_test.cpp
+++ b/tests/runtime/log_limiter_test.cpp
@@ -7,12 +7,12 @@
 
 class LogLimiterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogLimiterTest);
-  CPPUNIT_TEST(lines_beyond_the_budget_are_counted);
-  CPPUNIT_TEST(events_have_budgets_of_their_own);
+  CPPUNIT_TEST(lines_over_the_limit_are_counted);
+  CPPUNIT_TEST(events_have_separate_limits);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void lines_beyond_the_budget_are_counted() {
+  void lines_over_the_limit_are_counted() {
     LogLimiter limiter;
     for (std::uint32_t line = 0; line < kLogLinesPerSecond; ++line)
       CPPUNIT_ASSERT(limiter.admit("refused", 5'000'000) == std::uint64_t{0});
@@ -22,7 +22,7 @@
     CPPUNIT_ASSERT(limiter.admit("refused", 6'000'001) == std::uint64_t{0});
   }
 
-  void events_have_budgets_of_their_own() {
+  void events_have_separate_limits() {
     LogLimiter limiter;
     for (std::uint32_t line = 0; line <= kLogLinesPerSecond; ++line) limiter.admit("refused", 5'000'000);
     CPPUNIT_ASSERT(limiter.admit("lease_lost", 5'000'000));
--- a/tests/runtime/posix_storage_test.cpp
+++ b/tests/runtime/posix_storage_test.cpp
@@ -44,14 +44,14 @@
 class PosixStorageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PosixStorageTest);
   CPPUNIT_TEST(appended_bytes_are_read_back_after_reopening);
-  CPPUNIT_TEST(truncating_cuts_the_end);
-  CPPUNIT_TEST(a_write_that_fails_halfway_leaves_no_torn_tail);
+  CPPUNIT_TEST(truncate_removes_the_end);
+  CPPUNIT_TEST(partial_write_is_rolled_back);
   CPPUNIT_TEST(an_atomic_write_replaces_the_whole_file);
-  CPPUNIT_TEST(an_atomic_write_that_fails_leaves_the_old_file);
+  CPPUNIT_TEST(failed_atomic_write_keeps_the_old_file);
   CPPUNIT_TEST(left_over_temporary_files_are_removed);
   CPPUNIT_TEST(a_removed_file_is_not_found);
-  CPPUNIT_TEST(a_folder_serves_one_process);
-  CPPUNIT_TEST(names_do_not_leave_the_folder);
+  CPPUNIT_TEST(folder_is_locked_by_one_process);
+  CPPUNIT_TEST(names_outside_the_folder_are_refused);
   CPPUNIT_TEST(without_a_folder_everything_is_refused);
   CPPUNIT_TEST_SUITE_END();
 
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("kia ora"), content_of("log"));
   }
 
-  void truncating_cuts_the_end() {
+  void truncate_removes_the_end() {
     const auto file = storage().open("log", reason_);
     CPPUNIT_ASSERT(file->append("kia ora", reason_));
     CPPUNIT_ASSERT(file->truncate(3, reason_));
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("kia!"), content_of("log"));
   }
 
-  void a_write_that_fails_halfway_leaves_no_torn_tail() {
+  void partial_write_is_rolled_back() {
     const auto file = storage().open("log", reason_);
     CPPUNIT_ASSERT(file->append("whole;", reason_));
     {
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, storage().list().size());
   }
 
-  void an_atomic_write_that_fails_leaves_the_old_file() {
+  void failed_atomic_write_keeps_the_old_file() {
     loopback_->run(write("meta", "first"));
     {
       const FileSizeLimit limit(10);
@@ -132,14 +132,14 @@
     CPPUNIT_ASSERT(reason_.code == ReasonCode::kNotFound);
   }
 
-  void a_folder_serves_one_process() {
+  void folder_is_locked_by_one_process() {
     PosixStorage second(loopback_->context().get_executor(), folder_);
     CPPUNIT_ASSERT(!second.open("log", reason_));
     CPPUNIT_ASSERT(reason_.code == ReasonCode::kStorage);
     CPPUNIT_ASSERT(reason_.detail.find("in use by another process") != std::string::npos);
   }
 
-  void names_do_not_leave_the_folder() {
+  void names_outside_the_folder_are_refused() {
     for (const char* name : {"", ".", "..", "../log", "a/b", "log.tmp"}) {
       CPPUNIT_ASSERT_MESSAGE(name, !storage().open(name, reason_));
       CPPUNIT_ASSERT(reason_.code == ReasonCode::kInvalidArgument);
--- a/tests/subset/subset_test.cpp
+++ b/tests/subset/subset_test.cpp
@@ -38,21 +38,21 @@
 
 class SubsetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SubsetTest);
-  CPPUNIT_TEST(test_every_proxy_serves_at_the_sizes_of_today);
-  CPPUNIT_TEST(test_serving_proxies_have_connections);
-  CPPUNIT_TEST(test_few_connections_leave_two_proxies);
+  CPPUNIT_TEST(test_every_proxy_serves_in_small_fleets);
+  CPPUNIT_TEST(test_serving_proxies_have_the_minimum_of_connections);
+  CPPUNIT_TEST(test_at_least_two_proxies_serve);
   CPPUNIT_TEST(test_groups_are_balanced_over_proxies);
   CPPUNIT_TEST(test_zones_take_turns);
   CPPUNIT_TEST(test_lost_proxy_moves_its_own_groups_only);
   CPPUNIT_TEST(test_added_proxy_takes_groups_only_for_itself);
   CPPUNIT_TEST(test_proxies_without_zone);
-  CPPUNIT_TEST(test_no_proxy);
-  CPPUNIT_TEST(test_own_zone_is_forwarded_to_first);
-  CPPUNIT_TEST(test_forwarders_spread);
+  CPPUNIT_TEST(test_no_proxies_give_an_empty_subset);
+  CPPUNIT_TEST(test_forwarding_prefers_the_own_zone);
+  CPPUNIT_TEST(test_forwarders_use_different_orders);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void test_every_proxy_serves_at_the_sizes_of_today() {
+  void test_every_proxy_serves_in_small_fleets() {
     for (const std::uint32_t connections : {35U, 60U}) {
       for (std::uint32_t count = 1; count <= 8; ++count) {
         const SubsetTable table(make_proxies(count, 3));
@@ -62,17 +62,17 @@
     }
   }
 
-  void test_serving_proxies_have_connections() {
+  void test_serving_proxies_have_the_minimum_of_connections() {
     CPPUNIT_ASSERT_EQUAL(11U, subset_size(35, 1500));
     CPPUNIT_ASSERT_EQUAL(20U, subset_size(60, 1500));
     for (std::uint32_t connections = 6; connections <= 100; ++connections) {
       for (const std::size_t count : {3U, 12U, 40U, 1500U}) {
-        CPPUNIT_ASSERT(subset_size(connections, count) * kLeastConnectionsOfServingProxy <= connections);
+        CPPUNIT_ASSERT(subset_size(connections, count) * kMinConnectionsPerServingProxy <= connections);
       }
     }
   }
 
-  void test_few_connections_leave_two_proxies() {
+  void test_at_least_two_proxies_serve() {
     CPPUNIT_ASSERT_EQUAL(2U, subset_size(1, 1500));
     CPPUNIT_ASSERT_EQUAL(2U, subset_size(8, 3));
     CPPUNIT_ASSERT_EQUAL(1U, subset_size(8, 1));
@@ -152,9 +152,11 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{kSubset}, names(subset).size());
   }
 
-  void test_no_proxy() { CPPUNIT_ASSERT(SubsetTable().serving(group(1), subset_size(35, 0)).empty()); }
+  void test_no_proxies_give_an_empty_subset() {
+    CPPUNIT_ASSERT(SubsetTable().serving(group(1), subset_size(35, 0)).empty());
+  }
 
-  void test_own_zone_is_forwarded_to_first() {
+  void test_forwarding_prefers_the_own_zone() {
     const auto proxies = make_proxies(kProxies, kZones);
     const auto subset = SubsetTable(proxies).serving(group(3), kSubset);
     const auto& near = subset[5];
@@ -163,7 +165,7 @@
     CPPUNIT_ASSERT(names(subset) == names(order));
   }
 
-  void test_forwarders_spread() {
+  void test_forwarders_use_different_orders() {
     const auto proxies = make_proxies(kProxies, kZones);
     const auto subset = SubsetTable(proxies).serving(group(3), kSubset);
     std::map<std::string, std::uint32_t> first;
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -100,21 +100,21 @@
 
 class CodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CodecTest);
-  CPPUNIT_TEST(messages_read_back);
+  CPPUNIT_TEST(messages_round_trip);
   CPPUNIT_TEST(text_longer_than_the_message_is_refused);
   CPPUNIT_TEST(list_longer_than_the_message_is_refused);
-  CPPUNIT_TEST(room_is_made_only_for_elements_that_the_message_can_hold);
+  CPPUNIT_TEST(allocates_only_elements_that_the_message_can_hold);
   CPPUNIT_TEST(lists_that_fill_the_message_are_read);
-  CPPUNIT_TEST(least_sizes_are_those_of_empty_values);
+  CPPUNIT_TEST(min_encoded_sizes_are_those_of_empty_values);
   CPPUNIT_TEST(flag_that_is_neither_true_nor_false_is_refused);
   CPPUNIT_TEST(other_byte_order_is_refused);
-  CPPUNIT_TEST(bytes_left_over_are_refused);
-  CPPUNIT_TEST(any_bytes_give_a_message_or_a_fault);
-  CPPUNIT_TEST(damaged_messages_give_a_message_or_a_fault);
+  CPPUNIT_TEST(trailing_bytes_are_refused);
+  CPPUNIT_TEST(any_bytes_decode_to_a_message_or_are_refused);
+  CPPUNIT_TEST(damaged_messages_decode_to_a_message_or_are_refused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void messages_read_back() {
+  void messages_round_trip() {
     CPPUNIT_ASSERT(rc::check("messages round-trip", [](const Flagged& message) {
       Reason reason;
       const auto read = decode<Flagged>(encode(message), reason);
@@ -141,7 +141,7 @@
   }
 
   /// A one-megabyte message that claims a million elements must not allocate them.
-  void room_is_made_only_for_elements_that_the_message_can_hold() {
+  void allocates_only_elements_that_the_message_can_hold() {
     const std::uint64_t claimed = 1'000'000;
     const std::string bytes = start_of_message() + count(claimed) + std::string(claimed, '\0');
     Counted::made = 0;
@@ -163,17 +163,18 @@
     CPPUNIT_ASSERT(decode<Holder<std::vector<consensus::PeerRequest>>>(encode(requests), reason));
   }
 
-  void least_sizes_are_those_of_empty_values() {
+  void min_encoded_sizes_are_those_of_empty_values() {
     const std::size_t mark = start_of_message().size();
-    CPPUNIT_ASSERT_EQUAL(encode(consensus::LogEntry{}).size() - mark, least_size<consensus::LogEntry>());
+    CPPUNIT_ASSERT_EQUAL(encode(consensus::LogEntry{}).size() - mark,
+                         min_encoded_size<consensus::LogEntry>());
     CPPUNIT_ASSERT_EQUAL(encode(declared::config::StoredObject{}).size() - mark,
-                         least_size<declared::config::StoredObject>());
+                         min_encoded_size<declared::config::StoredObject>());
     consensus::PeerRequest request;
     request.body = consensus::TimeoutNowRequest{};
-    CPPUNIT_ASSERT_EQUAL(encode(request).size() - mark, least_size<consensus::PeerRequest>());
+    CPPUNIT_ASSERT_EQUAL(encode(request).size() - mark, min_encoded_size<consensus::PeerRequest>());
     // A field that an earlier format lacks is not counted.
     CPPUNIT_ASSERT_EQUAL(encode(declared::config::RouteSpec{}, kEarliestFormat).size() - mark,
-                         least_size<declared::config::RouteSpec>());
+                         min_encoded_size<declared::config::RouteSpec>());
   }
 
   void flag_that_is_neither_true_nor_false_is_refused() {
@@ -182,11 +183,11 @@
 
   void other_byte_order_is_refused() { assert_fault<Flagged>(std::string(20, '\0'), "byte order"); }
 
-  void bytes_left_over_are_refused() {
+  void trailing_bytes_are_refused() {
     assert_fault<Flagged>(encode(Flagged{}) + "x", "bytes left over after the end of the message");
   }
 
-  void any_bytes_give_a_message_or_a_fault() {
+  void any_bytes_decode_to_a_message_or_are_refused() {
     CPPUNIT_ASSERT(rc::check("any bytes decode to a message or are refused", [](const std::string& noise) {
       const std::string bytes = start_of_message() + noise;
       Reason reason;
@@ -199,7 +200,7 @@
     }));
   }
 
-  void damaged_messages_give_a_message_or_a_fault() {
+  void damaged_messages_decode_to_a_message_or_are_refused() {
     consensus::AppendRequest append;
     append.entries.resize(2);
     append.entries.front().payload = "entry";
--- a/tests/wire/compression_test.cpp
+++ b/tests/wire/compression_test.cpp
@@ -7,14 +7,14 @@
 
 class CompressionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CompressionTest);
-  CPPUNIT_TEST(messages_come_back_as_they_were);
-  CPPUNIT_TEST(repeated_names_shrink);
-  CPPUNIT_TEST(cut_and_damaged_messages_are_refused);
-  CPPUNIT_TEST(a_message_that_grows_beyond_the_bound_is_refused);
+  CPPUNIT_TEST(compression_round_trips);
+  CPPUNIT_TEST(repeated_names_compress);
+  CPPUNIT_TEST(truncated_and_damaged_messages_are_refused);
+  CPPUNIT_TEST(oversized_decompression_is_refused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void messages_come_back_as_they_were() {
+  void compression_round_trips() {
     for (const std::string& message : {std::string(), std::string("a"), std::string(100000, 'x'), names()}) {
       Reason reason;
       const auto back = decompress(compress(message), reason);
@@ -23,9 +23,9 @@
     }
   }
 
-  void repeated_names_shrink() { CPPUNIT_ASSERT(compress(names()).size() * 3 < names().size()); }
+  void repeated_names_compress() { CPPUNIT_ASSERT(compress(names()).size() * 3 < names().size()); }
 
-  void cut_and_damaged_messages_are_refused() {
+  void truncated_and_damaged_messages_are_refused() {
     const std::string compressed = compress(names());
     expect_refused(compressed.substr(0, compressed.size() / 2));
     expect_refused(compressed + "more");
@@ -35,8 +35,8 @@
     expect_refused(damaged);
   }
 
-  void a_message_that_grows_beyond_the_bound_is_refused() {
-    expect_refused(compress(std::string(kMostDecompressedBytes + 1, 'x')));
+  void oversized_decompression_is_refused() {
+    expect_refused(compress(std::string(kMaxDecompressedBytes + 1, 'x')));
   }
 
  private:
--- a/tests/wire/format_fuzz_test.cpp
+++ b/tests/wire/format_fuzz_test.cpp
@@ -27,7 +27,7 @@
 
 void check_damaged(const FormatSample& sample, const std::string& damaged) {
   Reason reason;
-  const auto read = sample.read_again(damaged, reason);
+  const auto read = sample.round_trip(damaged, reason);
   if (!read) {
     const bool typed = reason.code == ReasonCode::kCorrupt || reason.code == ReasonCode::kUnsupported;
     CPPUNIT_ASSERT_MESSAGE(sample.name + ": " + reason.to_string(), typed || is_frame(sample.name));
@@ -62,26 +62,26 @@
 
 class FormatFuzzTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FormatFuzzTest);
-  CPPUNIT_TEST(every_cut_is_refused);
-  CPPUNIT_TEST(every_flipped_bit_gives_a_value_or_a_refusal);
-  CPPUNIT_TEST(any_damage_gives_a_value_or_a_refusal);
-  CPPUNIT_TEST(any_hello_frame_gives_an_effect);
-  CPPUNIT_TEST(requests_of_the_earliest_format_read_back);
+  CPPUNIT_TEST(every_truncation_is_refused);
+  CPPUNIT_TEST(every_flipped_bit_decodes_or_is_refused);
+  CPPUNIT_TEST(damaged_bytes_decode_or_are_refused);
+  CPPUNIT_TEST(any_hello_frame_has_a_defined_outcome);
+  CPPUNIT_TEST(earliest_format_requests_round_trip);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_cut_is_refused() {
+  void every_truncation_is_refused() {
     for (const auto& sample : tests::format_samples()) {
       if (sample.name == "forwarded_resolve") continue;  // text, read by the HTTP and JSON parsers
       for (std::size_t size = 0; size < sample.bytes.size(); ++size) {
         Reason reason;
-        const bool accepted = sample.read_again(sample.bytes.substr(0, size), reason).has_value();
+        const bool accepted = sample.round_trip(sample.bytes.substr(0, size), reason).has_value();
         CPPUNIT_ASSERT_MESSAGE(sample.name + " cut at " + std::to_string(size), !accepted);
       }
     }
   }
 
-  void every_flipped_bit_gives_a_value_or_a_refusal() {
+  void every_flipped_bit_decodes_or_is_refused() {
     for (const auto& sample : tests::format_samples()) {
       if (sample.name == "forwarded_resolve") continue;
       for (std::size_t bit = 0; bit < sample.bytes.size() * 8; ++bit) {
@@ -92,7 +92,7 @@
     }
   }
 
-  void any_damage_gives_a_value_or_a_refusal() {
+  void damaged_bytes_decode_or_are_refused() {
     const auto samples = tests::format_samples();
     CPPUNIT_ASSERT(rc::check("damaged bytes decode to a value or are refused", [&] {
       for (const auto& sample : samples) {
@@ -101,7 +101,7 @@
     }));
   }
 
-  void any_hello_frame_gives_an_effect() {
+  void any_hello_frame_has_a_defined_outcome() {
     Hello hello;
     hello.node = NodeName("proxy-1");
     const std::string marked = encode(hello, kMarkedFormat);
@@ -111,15 +111,15 @@
       Reason reason;
       const bool read = decode<Hello>(any_damage(samples, marked), reason).has_value();
       RC_ASSERT(read || reason.failed());
-      Greeting greeting;
+      ClientHandshake handshake;
       Reason refusal;
-      const auto effect = greeting.take(any_damage(samples, answer), "peer", refusal);
-      RC_ASSERT(effect != Greeting::Effect::kRefused || refusal.peer == "peer");
+      const auto outcome = handshake.handle_frame(any_damage(samples, answer), "peer", refusal);
+      RC_ASSERT(outcome != ClientHandshake::Outcome::kRefused || refusal.peer == "peer");
     }));
   }
 
   /// The two unmarked formats are distinguished by which one matches the bytes.
-  void requests_of_the_earliest_format_read_back() {
+  void earliest_format_requests_round_trip() {
     CPPUNIT_ASSERT(rc::check("requests in the earliest format round-trip", [] {
       declared::config::ChangeRequest request{"id", *rc::gen::arbitrary<std::uint64_t>(), "alice",
                                               *declared::config::any_changes()};
--- a/tests/wire/format_samples.cpp
+++ b/tests/wire/format_samples.cpp
@@ -24,7 +24,7 @@
 using Samples = std::vector<FormatSample>;
 
 template <class Message>
-std::optional<std::string> read_again(const std::string& bytes, Reason& reason) {
+std::optional<std::string> round_trip(const std::string& bytes, Reason& reason) {
   const auto message = wire::decode<Message>(bytes, reason);
   if (!message) return std::nullopt;
   return wire::encode(*message);
@@ -32,7 +32,7 @@
 
 template <class Message>
 void add(Samples& samples, const std::string& name, const Message& message) {
-  samples.push_back({name, wire::encode(message), read_again<Message>});
+  samples.push_back({name, wire::encode(message), round_trip<Message>});
 }
 
 declared::config::Selector any_selector() {
@@ -79,13 +79,13 @@
 declared::follow::GroupState group_state() { return {GroupName("group-1"), 6, BackendName("backend-1")}; }
 Reason refusal() { return {ReasonCode::kDraining, "follow", "control-1", "the node is stopping"}; }
 
-std::optional<std::string> marked_hello_again(const std::string& bytes, Reason& reason) {
+std::optional<std::string> round_trip_marked_hello(const std::string& bytes, Reason& reason) {
   const auto hello = wire::decode<wire::Hello>(bytes, reason);
   if (!hello) return std::nullopt;
   return wire::encode(*hello, wire::kMarkedFormat);
 }
 
-std::optional<std::string> hello_answer_again(const std::string& bytes, Reason& reason) {
+std::optional<std::string> round_trip_hello_answer(const std::string& bytes, Reason& reason) {
   const auto answer = wire::decode_hello_answer(bytes, reason);
   if (!answer) return std::nullopt;
   return wire::encode_hello_answer(*answer);
@@ -96,9 +96,9 @@
   hello.node = NodeName("proxy-1");
   hello.zone = ZoneName("kelburn");
   add(samples, "hello", hello);
-  samples.push_back({"hello_with_range", wire::encode(hello, wire::kMarkedFormat), marked_hello_again});
+  samples.push_back({"hello_with_range", wire::encode(hello, wire::kMarkedFormat), round_trip_marked_hello});
   const auto refused = wire::answer_hello({3, 4}, "10.0.0.1:4000");
-  samples.push_back({"hello_answer", wire::encode_hello_answer(refused), hello_answer_again});
+  samples.push_back({"hello_answer", wire::encode_hello_answer(refused), round_trip_hello_answer});
   add(samples, "follow_request",
       declared::follow::FollowRequest{1, 2, 3, std::chrono::milliseconds(4), {suspect()}, 5, true});
   declared::follow::FollowUpdate update{
@@ -161,13 +161,13 @@
   add_peer_answer(samples, "read_index", consensus::ReadIndexAnswer{std::nullopt, refusal()});
 }
 
-std::optional<std::string> restore_again(const std::string& bytes, Reason& reason) {
+std::optional<std::string> round_trip_state_machine(const std::string& bytes, Reason& reason) {
   declared::config::StateMachine machine;
   if (!machine.restore_snapshot(bytes, reason)) return std::nullopt;
   return machine.take_snapshot();
 }
 
-std::optional<std::string> snapshot_file_again(const std::string& bytes, Reason& reason) {
+std::optional<std::string> round_trip_snapshot_file(const std::string& bytes, Reason& reason) {
   const auto snapshot = consensus::SnapshotFile::decode(bytes, reason);
   if (!snapshot) return std::nullopt;
   return consensus::SnapshotFile::encode(*snapshot);
@@ -183,9 +183,9 @@
   declared::config::StateMachine machine;
   machine.apply({"change-1", 0, "alice", {{objects()[1], false, 0}, {objects()[3], false, 0}}});
   machine.apply({"change-2", 1, "bob", {{objects()[0], false, 7}}});
-  samples.push_back({"state_machine_snapshot", machine.take_snapshot(), restore_again});
+  samples.push_back({"state_machine_snapshot", machine.take_snapshot(), round_trip_state_machine});
   const consensus::Snapshot snapshot{{4, 2}, configuration(), machine.take_snapshot()};
-  samples.push_back({"snapshot_file", consensus::SnapshotFile::encode(snapshot), snapshot_file_again});
+  samples.push_back({"snapshot_file", consensus::SnapshotFile::encode(snapshot), round_trip_snapshot_file});
 }
 
 void add_database(Samples& samples) {
--- a/tests/wire/format_samples.h
+++ b/tests/wire/format_samples.h
@@ -16,7 +16,7 @@
   std::string bytes;  ///< as written by this build
   /// Decodes bytes of this type and encodes the result. Returns std::nullopt and sets the reason if they are
   /// refused.
-  std::function<std::optional<std::string>(const std::string& bytes, Reason& reason)> read_again;
+  std::function<std::optional<std::string>(const std::string& bytes, Reason& reason)> round_trip;
 };
 
 /// The samples of a registered fleet; included in format_samples().
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -41,7 +41,7 @@
 }
 
 /// A message type in two builds; the later one adds a field.
-struct Grown {
+struct ExtendedMessage {
   std::uint32_t old_field = 0;
   std::uint32_t new_field = 5;
 
@@ -61,17 +61,17 @@
 
 class FormatTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FormatTest);
-  CPPUNIT_TEST(every_sample_is_written_as_committed);
-  CPPUNIT_TEST(committed_bytes_read_back);
+  CPPUNIT_TEST(samples_are_encoded_as_committed);
+  CPPUNIT_TEST(committed_bytes_round_trip);
   CPPUNIT_TEST(records_without_replica_wait_are_read_with_its_default);
   CPPUNIT_TEST(updates_are_written_as_an_earlier_build_reads_them);
-  CPPUNIT_TEST(a_resend_is_known_from_an_earlier_builds_snapshot);
+  CPPUNIT_TEST(resend_is_recognized_from_an_earlier_builds_snapshot);
   CPPUNIT_TEST(an_added_field_is_written_from_its_format_on);
   CPPUNIT_TEST(a_newer_format_is_refused_by_its_number);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_sample_is_written_as_committed() {
+  void samples_are_encoded_as_committed() {
     std::set<std::string> names;
     for (const auto& sample : tests::format_samples()) {
       names.insert(sample.name);
@@ -81,10 +81,10 @@
     CPPUNIT_ASSERT(names == names_in(kFixtures));
   }
 
-  void committed_bytes_read_back() {
+  void committed_bytes_round_trip() {
     for (const auto& sample : tests::format_samples()) {
       Reason reason;
-      const auto again = sample.read_again(from_hex_file(kFixtures + sample.name + ".hex"), reason);
+      const auto again = sample.round_trip(from_hex_file(kFixtures + sample.name + ".hex"), reason);
       CPPUNIT_ASSERT_MESSAGE(sample.name + ": " + reason.to_string(), again == sample.bytes);
     }
   }
@@ -95,7 +95,7 @@
     for (const auto& sample : tests::format_samples()) {
       if (!names.contains(sample.name)) continue;
       Reason reason;
-      const auto again = sample.read_again(from_hex_file(folder + sample.name + ".hex"), reason);
+      const auto again = sample.round_trip(from_hex_file(folder + sample.name + ".hex"), reason);
       CPPUNIT_ASSERT_MESSAGE(sample.name + ": " + reason.to_string(), again);
     }
     Reason reason;
@@ -127,7 +127,7 @@
     }
   }
 
-  void a_resend_is_known_from_an_earlier_builds_snapshot() {
+  void resend_is_recognized_from_an_earlier_builds_snapshot() {
     declared::config::StateMachine machine;
     Reason reason;
     const std::string snapshot = from_hex_file(kFixtures + "before_replica_wait/state_machine_snapshot.hex");
@@ -148,19 +148,19 @@
   }
 
   void an_added_field_is_written_from_its_format_on() {
-    const Grown grown{1, 9};
-    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, encode(grown).size());
-    CPPUNIT_ASSERT(!fits_format(grown, kWrittenFormat));
-    CPPUNIT_ASSERT(fits_format(Grown{1, 5}, kWrittenFormat));
+    const ExtendedMessage extended{1, 9};
+    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, encode(extended).size());
+    CPPUNIT_ASSERT(!fits_format(extended, kWrittenFormat));
+    CPPUNIT_ASSERT(fits_format(ExtendedMessage{1, 5}, kWrittenFormat));
     Reason reason;
-    CPPUNIT_ASSERT_EQUAL(5U, decode<Grown>(encode(grown), reason)->new_field);
-    CPPUNIT_ASSERT_EQUAL(9U, decode<Grown>(encode(grown, kMarkedFormat), reason)->new_field);
+    CPPUNIT_ASSERT_EQUAL(5U, decode<ExtendedMessage>(encode(extended), reason)->new_field);
+    CPPUNIT_ASSERT_EQUAL(9U, decode<ExtendedMessage>(encode(extended, kMarkedFormat), reason)->new_field);
   }
 
   void a_newer_format_is_refused_by_its_number() {
-    const std::string bytes = encode(Grown{}, kNewestFormat + 4);
+    const std::string bytes = encode(ExtendedMessage{}, kNewestFormat + 4);
     Reason reason;
-    CPPUNIT_ASSERT(!decode<Grown>(bytes, reason));
+    CPPUNIT_ASSERT(!decode<ExtendedMessage>(bytes, reason));
     CPPUNIT_ASSERT(reason.code == ReasonCode::kUnsupported);
     CPPUNIT_ASSERT_EQUAL(
         std::string("written in format 9, and this build reads formats up to 5: run the newer build"),
