--- a/tests/wire/registered_samples.cpp
+++ b/tests/wire/registered_samples.cpp
@@ -15,12 +15,12 @@
 
 template <class Message>
 void add(Samples& samples, const std::string& name, const Message& message) {
-  const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
+  const auto round_trip = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     const auto read = wire::decode<Message>(bytes, reason);
     if (!read) return std::nullopt;
     return wire::encode(*read);
   };
-  samples.push_back({name, wire::encode(message), read_again});
+  samples.push_back({name, wire::encode(message), round_trip});
 }
 
 RouteRule any_route() {
@@ -105,24 +105,24 @@
 
 /// Messages that builds without cold backends cannot read.
 template <class Message>
-void add_with_places(Samples& samples, const std::string& name, const Message& message) {
-  const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
+void add_with_placement(Samples& samples, const std::string& name, const Message& message) {
+  const auto round_trip = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     const auto read = wire::decode<Message>(bytes, reason);
     if (!read) return std::nullopt;
-    return wire::encode(*read, wire::kPlacesFormat);
+    return wire::encode(*read, wire::kPlacementFormat);
   };
-  samples.push_back({name, wire::encode(message, wire::kPlacesFormat), read_again});
+  samples.push_back({name, wire::encode(message, wire::kPlacementFormat), round_trip});
 }
 
 /// Messages that builds without tenants cannot read.
 template <class Message>
 void add_with_tenants(Samples& samples, const std::string& name, const Message& message) {
-  const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
+  const auto round_trip = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     const auto read = wire::decode<Message>(bytes, reason);
     if (!read) return std::nullopt;
     return wire::encode(*read, wire::kTenantsFormat);
   };
-  samples.push_back({name, wire::encode(message, wire::kTenantsFormat), read_again});
+  samples.push_back({name, wire::encode(message, wire::kTenantsFormat), round_trip});
 }
 
 void add_tenants(Samples& samples) {
@@ -149,9 +149,9 @@
   add_with_tenants(samples, "session_forward_tokens",
                    registered::proxy::ForwardRequest{
                        4, registered::proxy::ForwardTokens{TenantName("tenant-1"), 2, 3, {}}});
-  add_with_places(samples, "session_forward_tokens_for_cold_backend",
-                  registered::proxy::ForwardRequest{
-                      6, registered::proxy::ForwardTokens{TenantName(), 2, 1, BackendName("g1-b1")}});
+  add_with_placement(samples, "session_forward_tokens_for_cold_backend",
+                     registered::proxy::ForwardRequest{
+                         6, registered::proxy::ForwardTokens{TenantName(), 2, 1, BackendName("g1-b1")}});
   registered::proxy::ForwardAnswer answer;
   answer.correlation = 4;
   answer.nothing_run = true;
@@ -162,12 +162,12 @@
 /// Messages with backend incarnations, which earlier builds cannot read.
 template <class Message>
 void add_with_incarnations(Samples& samples, const std::string& name, const Message& message) {
-  const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
+  const auto round_trip = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     const auto read = wire::decode<Message>(bytes, reason);
     if (!read) return std::nullopt;
-    return wire::encode(*read, wire::kPlacesFormat);
+    return wire::encode(*read, wire::kPlacementFormat);
   };
-  samples.push_back({name, wire::encode(message, wire::kPlacesFormat), read_again});
+  samples.push_back({name, wire::encode(message, wire::kPlacementFormat), round_trip});
 }
 
 BackendEntry any_incarnation() {
@@ -188,7 +188,7 @@
                                       DeregisterBackend{removed.name, removed.born_ms}, open};
   std::uint64_t index = 0;
   for (const Command& command : commands)
-    machine.apply(++index, wire::encode(LoggedCommand{command}, wire::kPlacesFormat));
+    machine.apply(++index, wire::encode(LoggedCommand{command}, wire::kPlacementFormat));
   return machine.take_snapshot();
 }
 
@@ -204,17 +204,17 @@
   delta.backends = {any_incarnation()};
   delta.terms.front().primary_born_ms = any_incarnation().born_ms;
   add_with_incarnations(samples, "fleet_delta_with_lives", delta);
-  const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
+  const auto round_trip = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     simulation::World world({});
     FleetStateMachine machine(world.start_bare({"node", "10.0.0.1", ZoneName("a")}));
     if (!machine.restore_snapshot(bytes, reason)) return std::nullopt;
     return machine.take_snapshot();
   };
-  samples.push_back({"registry_snapshot_with_lives", snapshot_with_incarnations(), read_again});
+  samples.push_back({"registry_snapshot_with_lives", snapshot_with_incarnations(), round_trip});
 }
 
 void add_snapshot(Samples& samples) {
-  const auto read_again = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
+  const auto round_trip = [](const std::string& bytes, Reason& reason) -> std::optional<std::string> {
     simulation::World world({});
     FleetStateMachine machine(world.start_bare({"node", "10.0.0.1", ZoneName("a")}));
     if (!machine.restore_snapshot(bytes, reason)) return std::nullopt;
@@ -224,7 +224,7 @@
   FleetStateMachine machine(world.start_bare({"node", "10.0.0.1", ZoneName("a")}));
   std::uint64_t index = 0;
   for (const Command& command : any_commands()) machine.apply(++index, wire::encode(LoggedCommand{command}));
-  samples.push_back({"registry_snapshot", machine.take_snapshot(), read_again});
+  samples.push_back({"registry_snapshot", machine.take_snapshot(), round_trip});
 }
 
 void add_control_messages(Samples& samples) {
