--- a/src/consensus/leadership.cpp
+++ b/src/consensus/leadership.cpp
@@ -16,7 +16,7 @@
 
 void Leadership::start(const std::shared_ptr<Leadership>& self, const VoterIdentities& voters) {
   if (state_.configuration().formed) {
-    append(EntryKind::kNoOperation, state_.self().value);  // the name is for people who read the log
+    append(EntryKind::kNoOperation, state_.self().value);  // the payload only identifies the leader
   } else {
     Configuration formed = state_.configuration();
     formed.formed = true;
@@ -26,7 +26,7 @@
     }
     append(EntryKind::kConfiguration, wire::encode(formed));
   }
-  follow_configuration();
+  update_replicators();
   state_.runtime().spawn("consensus_flush", run_flush(self));
   state_.runtime().spawn("consensus_quorum_check", run_quorum_check(self));
 }
@@ -41,13 +41,13 @@
 
 std::uint64_t Leadership::append(EntryKind kind, std::string payload) {
   state_.append(kind, std::move(payload));
-  if (kind == EntryKind::kConfiguration) follow_configuration();
+  if (kind == EntryKind::kConfiguration) update_replicators();
   for (auto& [key, replicator] : replicators_) replicator->wake();
   appended_.notify_all();
   return state_.log().last_index();
 }
 
-void Leadership::follow_configuration() {
+void Leadership::update_replicators() {
   std::map<MemberKey, std::shared_ptr<Replicator>> kept;
   for (const Member& member : state_.configuration().all()) {
     if (is_self(member)) continue;
@@ -83,22 +83,23 @@
     const Duration interval = state_.settings().heartbeat_interval;
     const TimePoint due = state_.runtime().now() + interval;
     co_await progress_.wait_until(due);
-    // Held up itself: answers that came meanwhile are read before anyone is found silent.
+    // This server was delayed: process answers received meanwhile before declaring followers silent.
     const TimePoint now = state_.runtime().now();
-    if (now > due + interval && !excused_) {
-      excused_ = true;
-      judged_from_ = now + interval;
+    if (now > due + interval && !delay_excused_) {
+      delay_excused_ = true;
+      ignore_silence_until_ = now + interval;
     }
     if (!active()) continue;
-    if (hears_quorum()) excused_ = false;
-    if (now < judged_from_ || hears_quorum()) continue;
-    const Reason reason{ReasonCode::kNoQuorum, "check_quorum", "", "no majority answered in time"};
+    if (has_recent_quorum_contact()) delay_excused_ = false;
+    if (now < ignore_silence_until_ || has_recent_quorum_contact()) continue;
+    const Reason reason{ReasonCode::kNoQuorum, "check_quorum", "",
+                        "no quorum answered within the election timeout; stepping down"};
     state_.runtime().logger().log(runtime::LogLevel::kWarning, "consensus_leader_steps_down", reason, {});
     state_.step_down();
   }
 }
 
-bool Leadership::hears_quorum() const {
+bool Leadership::has_recent_quorum_contact() const {
   const TimePoint since = state_.runtime().now() - state_.settings().election_timeout;
   return state_.configuration().has_quorum([&](const Member& member) {
     if (is_self(member)) return true;
@@ -137,7 +138,7 @@
   for (const auto& [key, replicator] : replicators_) candidates.insert(replicator->match_index());
   for (const std::uint64_t index : candidates) {
     if (index <= state_.commit_index()) return;
-    // Section 3.6.2: only entries of the leader's own term are committed by counting.
+    // Section 3.6.2: only entries of the leader's current term are committed by counting replicas.
     if (state_.log().term_at(index) != term_) return;
     // The leader applies only what is on its own disk.
     if (index > state_.log().durable_index()) continue;
@@ -154,7 +155,7 @@
 }
 
 void Leadership::complete_joint_change() {
-  // Section 4.3: once the joint configuration is committed, whoever leads goes on to the next one.
+  // Section 4.3: once the joint configuration is committed, the current leader appends the next one.
   const Configuration& joint = state_.configuration();
   if (!active() || !joint.is_joint() || state_.history().latest_index() > state_.commit_index()) return;
   Configuration next;
@@ -164,14 +165,14 @@
 }
 
 void Leadership::step_down_if_removed() {
-  // Section 4.2.2: a leader manages the group until the configuration without it is committed.
+  // Section 4.2.2: a removed leader manages the group until the configuration without it is committed.
   if (!active() || state_.is_voter() || state_.history().latest_index() > state_.commit_index()) return;
-  const auto heir = successor();
-  if (heir) send_timeout_now(state_, peers_, *heir);
+  const auto target = choose_transfer_target();
+  if (target) send_timeout_now(state_, peers_, *target);
   state_.step_down();
 }
 
-std::optional<Member> Leadership::successor() const {
+std::optional<Member> Leadership::choose_transfer_target() const {
   const TimePoint since = state_.runtime().now() - state_.settings().election_timeout;
   std::optional<Member> best;
   std::uint64_t best_match = 0;
--- a/src/consensus/log_file.cpp
+++ b/src/consensus/log_file.cpp
@@ -12,20 +12,20 @@
                 fmt::format("{} at offset {}: {}", kLogFileName, offset, what)};
 }
 
-/// Set when a newer build wrote the record or the command in it.
-std::optional<Reason> made_by_newer_build(std::uint64_t offset, const std::string& bytes) {
+/// Returns a reason if a newer build wrote the record or the command in it.
+std::optional<Reason> newer_build_reason(std::uint64_t offset, const std::string& bytes) {
   const auto unreadable = wire::unreadable_format(bytes);
   if (!unreadable) return std::nullopt;
   return Reason{ReasonCode::kUnsupported, "recover_log", "",
                 fmt::format("{} at offset {}: {}", kLogFileName, offset, *unreadable)};
 }
 
-/// A record without an entry, written behind entries that are synced and itself synced with the next ones.
-/// When it survives, damage to the last entries is told from a torn tail.
+/// Makes a record without an entry, written after entries that are synced and made durable by the next sync.
+/// If it survives, damage to the preceding entries is known not to be a torn tail.
 std::string make_sync_mark(std::uint64_t synced_size) { return make_record("", synced_size); }
 bool is_sync_mark(const Record& record) { return record.payload.empty(); }
 
-/// True when a record behind `offset` proves that the bytes at `offset` had been synced: what is damaged
+/// Returns whether a record after `offset` proves that the bytes at `offset` had been synced, so that damage
 /// there is not a torn tail.
 bool was_synced(const std::string& content, std::uint64_t offset) {
   for (auto later = find_record(content, offset); later; later = find_record(content, later->end)) {
@@ -46,26 +46,26 @@
   }
   const auto header = read_record(*content, 0);
   if (!header) {
-    reason = corrupt(0, "the header is damaged");
+    reason = corrupt(0, "the log header is damaged");
     return std::nullopt;
   }
   RecoveredLog log;
   if (!read_header(*header, log, reason)) return std::nullopt;
   if (!read_entries(*content, header->end, log, reason)) return std::nullopt;
   if (!reopen(reason)) return std::nullopt;
-  const std::uint64_t whole_size = ends_.empty() ? header_end_ : ends_.back();
+  const std::uint64_t whole_size = entry_ends_.empty() ? header_end_ : entry_ends_.back();
   if (file_->size() > whole_size && !file_->truncate(whole_size, reason)) return std::nullopt;
-  // What was read may sit in the system's cache only: it counts as synced after the next sync.
+  // The file contents may still be only in the page cache; they count as synced after the next sync.
   synced_size_ = header_end_;
   return log;
 }
 
 bool LogFile::read_header(const Record& header, RecoveredLog& log, Reason& reason) {
-  const auto newer = made_by_newer_build(header.offset, header.payload);
+  const auto newer = newer_build_reason(header.offset, header.payload);
   Reason ignored;
   const auto base = wire::decode<LogBase>(header.payload, ignored);
   if (!base) {
-    reason = newer ? *newer : corrupt(header.offset, "the header is damaged");
+    reason = newer ? *newer : corrupt(header.offset, "the log header is damaged");
     return false;
   }
   log.base = base_ = *base;
@@ -82,20 +82,20 @@
     }
     Reason ignored;
     auto entry = wire::decode<LogEntry>(record->payload, ignored);
-    if (const auto newer = made_by_newer_build(offset, entry ? entry->payload : record->payload)) {
+    if (const auto newer = newer_build_reason(offset, entry ? entry->payload : record->payload)) {
       reason = *newer;
       return false;
     }
     if (!entry || entry->index != last_index() + 1) {
-      reason = corrupt(offset, "the entry does not follow the one before");
+      reason = corrupt(offset, "the entry is invalid or does not follow the previous index");
       return false;
     }
     log.entries.push_back(std::move(*entry));
-    ends_.push_back(record->end);
+    entry_ends_.push_back(record->end);
     offset = record->end;
   }
   if (offset == content.size() || !was_synced(content, offset)) return true;
-  reason = corrupt(offset, "a synced entry is damaged");
+  reason = corrupt(offset, "an entry that had been synced is damaged");
   return false;
 }
 
@@ -109,10 +109,10 @@
   std::string content = make_record(wire::encode(base), 0);
   base_ = base;
   header_end_ = content.size();
-  ends_.clear();
+  entry_ends_.clear();
   for (const LogEntry& entry : entries) {
-    content += make_record(wire::encode(entry), content.size());  // the file is durable as one step
-    ends_.push_back(content.size());
+    content += make_record(wire::encode(entry), content.size());  // the file becomes durable as a whole
+    entry_ends_.push_back(content.size());
   }
   content += make_sync_mark(content.size());
   const std::uint64_t size = content.size();
@@ -125,14 +125,14 @@
 Awaitable<bool> LogFile::write_from(std::uint64_t first_index, std::vector<LogEntry> entries,
                                     Reason& reason) {
   if (last_index() >= first_index) {
-    const bool cut = co_await cut_after(first_index - 1, reason);
-    if (!cut) co_return false;
+    const bool truncated = co_await truncate_after(first_index - 1, reason);
+    if (!truncated) co_return false;
   }
   std::string bytes;
   const std::uint64_t size = file_->size();
   for (const LogEntry& entry : entries) {
     bytes += make_record(wire::encode(entry), synced_size_);
-    ends_.push_back(size + bytes.size());
+    entry_ends_.push_back(size + bytes.size());
   }
   if (!file_->append(bytes, reason)) co_return false;
   const std::uint64_t appended_size = file_->size();
@@ -142,9 +142,9 @@
   co_return file_->append(make_sync_mark(synced_size_), reason);
 }
 
-Awaitable<bool> LogFile::cut_after(std::uint64_t index, Reason& reason) {
-  ends_.resize(index - base_.index);
-  const std::uint64_t size = ends_.empty() ? header_end_ : ends_.back();
+Awaitable<bool> LogFile::truncate_after(std::uint64_t index, Reason& reason) {
+  entry_ends_.resize(index - base_.index);
+  const std::uint64_t size = entry_ends_.empty() ? header_end_ : entry_ends_.back();
   if (!file_->truncate(size, reason)) co_return false;
   const bool synced = co_await file_->sync(reason);
   if (synced) synced_size_ = size;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -58,16 +58,17 @@
 
 Awaitable<bool> Membership::begin(std::shared_ptr<Change> change, Reason& reason) {
   if (change->leadership == nullptr) {
-    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "this node does not lead");
+    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "this node is not the leader");
     co_return false;
   }
   if (running_) {
-    reason = failure(ReasonCode::kConflict, change->step, NodeName{}, "another member change is under way");
+    reason =
+        failure(ReasonCode::kConflict, change->step, NodeName{}, "another membership change is in progress");
     co_return false;
   }
   running_ = true;
-  // A change is safe only once an entry of the leader's term is committed, and with it whatever an earlier
-  // leader left behind (Ongaro, "bug in single-server membership changes", raft-dev, 2015).
+  // A change is safe only once an entry of the leader's term is committed, together with any uncommitted
+  // change of an earlier leader (Ongaro, "bug in single-server membership changes", raft-dev, 2015).
   Leadership& leadership = *change->leadership;
   bool in_time = true;
   const auto settled = [&] {
@@ -80,38 +81,38 @@
   if (leadership.active() && settled()) co_return true;
   running_ = false;
   reason = failure(leadership.active() ? ReasonCode::kNoQuorum : ReasonCode::kNotLeader, change->step,
-                   state_.leader(), "the change before is not committed yet");
+                   state_.leader(), "an earlier entry or membership change was not committed");
   co_return false;
 }
 
 Awaitable<bool> Membership::run_add(std::shared_ptr<Change> change, Member member, Reason& reason) {
-  const bool known = co_await learn_identity(change, member, reason);
+  const bool known = co_await resolve_identity(change, member, reason);
   if (!known) co_return false;
-  if (!check_free(*change, member, NodeName{}, reason)) co_return false;
+  if (!check_no_conflict(*change, member, NodeName{}, reason)) co_return false;
   const Member* present = state_.configuration().find(key_of(member));
   if (present != nullptr && present->role == MemberRole::kVoter) member.role = MemberRole::kVoter;
   if (present != nullptr && *present == member) co_return true;
   if (present == nullptr || present->role == member.role) {
-    // New, or moved to another endpoint or zone, which leaves the vote as it is.
+    // A new member joins as a learner; a change of endpoint or zone keeps the role.
     const MemberRole role = present == nullptr ? MemberRole::kLearner : member.role;
-    const bool entered = co_await enter(change, member, role, reason);
+    const bool entered = co_await commit_member(change, member, role, reason);
     if (!entered || role == member.role) co_return entered;
   }
   const bool caught_up = co_await wait_caught_up(change, key_of(member), reason);
   if (!caught_up) co_return false;
-  co_return co_await enter(change, std::move(member), MemberRole::kVoter, reason);
+  co_return co_await commit_member(change, std::move(member), MemberRole::kVoter, reason);
 }
 
 Awaitable<bool> Membership::run_remove(std::shared_ptr<Change> change, NodeName node, Reason& reason) {
   const Member* present = state_.configuration().find(node);
   if (present == nullptr) {
-    reason = failure(ReasonCode::kNotFound, change->step, node, "there is no member of this name");
+    reason = failure(ReasonCode::kNotFound, change->step, node, "no member has this name");
     co_return false;
   }
   Configuration next = state_.configuration();
   next.members = without(next.members, key_of(*present));
   if (count_voters(next.members) == 0) {
-    reason = failure(ReasonCode::kInvalidArgument, change->step, node, "the last voter can't be removed");
+    reason = failure(ReasonCode::kInvalidArgument, change->step, node, "cannot remove the last voter");
     co_return false;
   }
   co_return co_await commit(change, std::move(next), reason);
@@ -119,7 +120,7 @@
 
 Awaitable<bool> Membership::run_replace(std::shared_ptr<Change> change, NodeName lost, Member replacement,
                                         Reason& reason) {
-  const bool known = co_await learn_identity(change, replacement, reason);
+  const bool known = co_await resolve_identity(change, replacement, reason);
   if (!known) co_return false;
   replacement.role = MemberRole::kVoter;
   const MemberKey key = key_of(replacement);
@@ -128,18 +129,19 @@
     return member.node == lost && member.role == MemberRole::kVoter && key_of(member) != key;
   });
   if (found == members.end()) {
-    if (state_.configuration().is_voter(key)) co_return true;  // asked again after it was done
-    reason = failure(ReasonCode::kNotFound, change->step, lost, "there is no voter of this name");
+    if (state_.configuration().is_voter(key)) co_return true;  // already done by an earlier call
+    reason = failure(ReasonCode::kNotFound, change->step, lost, "no voter has this name");
     co_return false;
   }
   const MemberKey lost_key = key_of(*found);
   if (state_.configuration().is_voter(key)) {
-    reason = failure(ReasonCode::kInvalidArgument, change->step, replacement.node, "it is a voter already");
+    reason = failure(ReasonCode::kInvalidArgument, change->step, replacement.node,
+                     "the replacement is already a voter");
     co_return false;
   }
-  if (!check_free(*change, replacement, lost, reason)) co_return false;
+  if (!check_no_conflict(*change, replacement, lost, reason)) co_return false;
   if (state_.configuration().find(key) == nullptr) {
-    const bool added = co_await enter(change, replacement, MemberRole::kLearner, reason);
+    const bool added = co_await commit_member(change, replacement, MemberRole::kLearner, reason);
     if (!added) co_return false;
   }
   const bool caught_up = co_await wait_caught_up(change, key, reason);
@@ -150,13 +152,13 @@
   const std::uint64_t joint_index = state_.log().last_index() + 1;
   const bool joined = co_await commit(change, std::move(joint), reason);
   if (!joined) co_return false;
-  // Leadership appends the configuration behind the joint one as soon as that is committed.
+  // Leadership appends the final configuration once the joint one is committed.
   const std::uint64_t final_index = state_.history().latest_index();
   if (final_index == joint_index) co_return true;
   co_return co_await wait_committed(change, final_index, reason);
 }
 
-Awaitable<bool> Membership::learn_identity(std::shared_ptr<Change> change, Member& member, Reason& reason) {
+Awaitable<bool> Membership::resolve_identity(std::shared_ptr<Change> change, Member& member, Reason& reason) {
   if (!member.identity.empty()) co_return true;
   PeerRequest request = peers_.make_request(member, HeartbeatRequest{});
   const auto channel = peers_.channel(member);
@@ -166,25 +168,26 @@
   co_return change->leadership->active();
 }
 
-bool Membership::check_free(const Change& change, const Member& member, const NodeName& replaced,
-                            Reason& reason) const {
+bool Membership::check_no_conflict(const Change& change, const Member& member, const NodeName& replaced,
+                                   Reason& reason) const {
   for (const Member& other : state_.configuration().members) {
     if (key_of(other) == key_of(member) || other.node == replaced) continue;
     if (other.node == member.node) {
       reason = failure(ReasonCode::kConflict, change.step, member.node,
-                       "a member of this name has another disk: replace or remove it");
+                       "a member with this name has a different identity; replace or remove it");
       return false;
     }
     if (other.endpoint == member.endpoint) {
-      reason = failure(ReasonCode::kConflict, change.step, other.node, "this member has the same endpoint");
+      reason =
+          failure(ReasonCode::kConflict, change.step, other.node, "this member already uses the endpoint");
       return false;
     }
   }
   return true;
 }
 
-Awaitable<bool> Membership::enter(std::shared_ptr<Change> change, Member member, MemberRole role,
-                                  Reason& reason) {
+Awaitable<bool> Membership::commit_member(std::shared_ptr<Change> change, Member member, MemberRole role,
+                                          Reason& reason) {
   member.role = role;
   Configuration next = state_.configuration();
   next.members = without(next.members, key_of(member));
@@ -198,22 +201,24 @@
   while (leadership.active()) {
     const auto replicator = leadership.replicator(key);
     const std::uint64_t match = replicator == nullptr ? 0 : replicator->match_index();
-    if (match > 0 && match + kCaughtUpEntries >= state_.log().last_index()) co_return true;
+    if (match > 0 && match + kMaxLearnerLagEntries >= state_.log().last_index()) co_return true;
     if (!in_time) {
       reason = failure(ReasonCode::kDeadlineExceeded, change->step, key.node,
-                       "the learner has not caught up; it stays a learner");
+                       "the learner did not catch up before the deadline and remains a learner");
       co_return false;
     }
     in_time = co_await leadership.progress().wait_until(change->deadline);
   }
-  reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "leadership was lost meanwhile");
+  reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(),
+                   "leadership was lost during the membership change");
   co_return false;
 }
 
 Awaitable<bool> Membership::commit(std::shared_ptr<Change> change, Configuration configuration,
                                    Reason& reason) {
   if (!change->leadership->active()) {
-    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(), "leadership was lost meanwhile");
+    reason = failure(ReasonCode::kNotLeader, change->step, state_.leader(),
+                     "leadership was lost during the membership change");
     co_return false;
   }
   std::string payload = wire::encode(configuration);
@@ -228,11 +233,11 @@
   while (leadership.active() && state_.commit_index() < index && in_time) {
     in_time = co_await leadership.progress().wait_until(change->deadline);
   }
-  // A leader that removed itself leads no longer, but the entry committed is still its own.
+  // A leader that removed itself is no longer leader, but the committed entry is still its own.
   const bool own = state_.log().term_at(index) == leadership.term();
   if (state_.commit_index() >= index && own) co_return true;
   reason = failure(ReasonCode::kOutcomeUnknown, change->step, NodeName{},
-                   "leadership or time ran out before the change was committed");
+                   "leadership was lost or the deadline passed before the change was committed");
   co_return false;
 }
 
--- a/src/consensus/peer_channel.cpp
+++ b/src/consensus/peer_channel.cpp
@@ -10,29 +10,29 @@
     : runtime_(runtime), settings_(std::move(settings)), connected_(runtime), closing_(runtime) {}
 
 Awaitable<void> PeerChannel::run(std::shared_ptr<PeerChannel> /*self*/) {
-  Duration delay = kFirstReconnectDelay;
+  Duration delay = kInitialReconnectDelay;
   while (!closed_) {
     Reason reason;
     auto connection =
         co_await runtime_.network().connect(settings_.endpoint, runtime_.now() + kConnectTimeout, reason);
     if (connection != nullptr && !closed_) {
-      const TimePoint begun = runtime_.now();
-      co_await exchange(connection);
-      // Whoever forwards connections accepts them for a peer that is down: only an answer tells that it is
+      const TimePoint connected_at = runtime_.now();
+      co_await run_connection(connection);
+      // A forwarder may accept connections for a peer that is down; only an answer proves that the peer is
       // up.
-      if (last_answer_ > begun) delay = kFirstReconnectDelay;
+      if (last_answer_ > connected_at) delay = kInitialReconnectDelay;
     }
     if (connection != nullptr) connection->close();
     if (closed_) co_return;
     const Duration longest = refused_ ? kRefusedReconnectDelay : delay;
     co_await closing_.wait_until(runtime_.now() + runtime_.random().between(longest / 2, longest));
-    delay = std::min(delay * 2, kLastReconnectDelay);
+    delay = std::min(delay * 2, kMaxReconnectDelay);
   }
 }
 
-Awaitable<void> PeerChannel::exchange(std::shared_ptr<runtime::FrameConnection> connection) {
+Awaitable<void> PeerChannel::run_connection(std::shared_ptr<runtime::FrameConnection> connection) {
   auto sender = std::make_shared<FrameSender>(runtime_, connection);
-  sender->push(greeting_.next_frame(settings_.hello));
+  sender->push(handshake_.next_frame(settings_.hello));
   runtime_.spawn("consensus_peer_sender", sender->run(sender));
   sender_ = sender;
   last_answer_ = runtime_.now();
@@ -41,7 +41,7 @@
     Reason reason;
     const auto frame = co_await connection->receive(reason);
     if (!frame) break;
-    if (is_answer(*frame)) take_answer(*frame);
+    if (is_answer(*frame)) complete_call(*frame);
   }
   sender_.reset();
   sender->close();
@@ -60,25 +60,26 @@
                                                        Reason& reason) {
   const bool connected = co_await wait_connected(deadline);
   if (!connected) {
-    reason = make_reason(ReasonCode::kUnreachable, "there is no connection to the peer");
+    reason = make_reason(ReasonCode::kUnreachable, "not connected to the peer; request not sent");
     co_return std::nullopt;
   }
   const std::uint64_t correlation = next_correlation_++;
   request.correlation = correlation;
   if (!sender_->push(wire::encode(request))) {
-    reason = make_reason(ReasonCode::kOverloaded, "too many frames wait for the peer");
+    reason = make_reason(ReasonCode::kOverloaded, "send queue to the peer is full; request not sent");
     co_return std::nullopt;
   }
   auto call = std::make_shared<PendingCall>(runtime_);
   pending_.emplace(correlation, call);
   bool in_time = true;
-  while (!call->answer && !call->lost && in_time) in_time = co_await call->changed.wait_until(deadline);
+  while (!call->answer && !call->connection_lost && in_time)
+    in_time = co_await call->changed.wait_until(deadline);
   pending_.erase(correlation);
   if (call->answer) co_return std::move(call->answer);
-  if (call->lost) {
-    reason = make_reason(ReasonCode::kConnectionLost, "the connection ended before the answer");
+  if (call->connection_lost) {
+    reason = make_reason(ReasonCode::kConnectionLost, "connection closed before the answer arrived");
   } else {
-    reason = make_reason(ReasonCode::kDeadlineExceeded, "no answer in time");
+    reason = make_reason(ReasonCode::kDeadlineExceeded, "no answer before the deadline");
     replace_stalled_connection();
   }
   co_return std::nullopt;
@@ -90,19 +91,19 @@
   co_return sender_ != nullptr && !closed_;
 }
 
-/// False for the answer to the Hello, which it takes.
+/// Returns whether the frame is a PeerAnswer. A HelloAnswer is processed here.
 bool PeerChannel::is_answer(const std::string& frame) {
   Reason reason;
-  const auto effect = greeting_.take(frame, settings_.peer.value, reason);
-  refused_ = effect == wire::Greeting::Effect::kRefused;
+  const auto outcome = handshake_.handle_frame(frame, settings_.peer.value, reason);
+  refused_ = outcome == wire::ClientHandshake::Outcome::kRefused;
   if (refused_) {
     runtime_.logger().log(runtime::LogLevel::kError, "consensus_peer_refused", reason, {});
     if (sender_ != nullptr) sender_->close();
   }
-  return effect == wire::Greeting::Effect::kConversation;
+  return outcome == wire::ClientHandshake::Outcome::kConversation;
 }
 
-void PeerChannel::take_answer(const std::string& frame) {
+void PeerChannel::complete_call(const std::string& frame) {
   Reason reason;
   auto answer = wire::decode<PeerAnswer>(frame, reason);
   if (!answer) {
@@ -111,14 +112,14 @@
   }
   last_answer_ = runtime_.now();
   const auto pending = pending_.find(answer->correlation);
-  if (pending == pending_.end()) return;  // given up on: its deadline has passed
+  if (pending == pending_.end()) return;  // the call has already timed out
   pending->second->answer = std::move(*answer);
   pending->second->changed.notify_all();
 }
 
 void PeerChannel::fail_pending() {
   for (auto& [correlation, call] : pending_) {
-    call->lost = true;
+    call->connection_lost = true;
     call->changed.notify_all();
   }
 }
--- a/src/consensus/peer_server.cpp
+++ b/src/consensus/peer_server.cpp
@@ -6,7 +6,7 @@
 namespace cairnhollow::consensus {
 namespace {
 
-bool speaks_of_log(const RequestBody& body) {
+bool depends_on_log(const RequestBody& body) {
   return std::holds_alternative<AppendRequest>(body) || std::holds_alternative<InstallSnapshotRequest>(body);
 }
 
@@ -50,10 +50,10 @@
   answer.body = co_await execute(request);
   answer.refusal = check_sender(request, answer.body);
   answer.term = state_.term();
-  // Whatever the answer speaks of is durable before it leaves. Only answers about the log wait for the log:
-  // a heartbeat is not held up by a slow disk behind a large append.
+  // State that the answer depends on must be durable before the answer is sent. Only answers about the log
+  // wait for the log, so that a slow disk behind a large append does not delay heartbeats.
   bool durable = co_await state_.persist_term_and_vote();
-  if (durable && speaks_of_log(request.body)) durable = co_await state_.persist();
+  if (durable && depends_on_log(request.body)) durable = co_await state_.persist();
   if (!durable) co_return std::nullopt;
   receiver_.commit();
   co_return answer;
@@ -86,8 +86,9 @@
   if (state_.role() == ServerState::kLeader) {
     result.index = co_await read_index_(result.reason);
   } else {
-    result.reason = Reason{ReasonCode::kNoQuorum, "read_barrier", state_.self().value,
-                           "the node asked by " + request.from.value + " leads no longer"};
+    result.reason = Reason{
+        ReasonCode::kNoQuorum, "read_barrier", state_.self().value,
+        "read index requested by " + request.from.value + " refused: this node is no longer the leader"};
   }
   co_return result;
 }
--- a/src/consensus/raft_node.cpp
+++ b/src/consensus/raft_node.cpp
@@ -15,7 +15,7 @@
     : runtime_(runtime),
       state_(runtime, state_machine, std::move(settings), *this),
       peers_(state_),
-      election_(state_, peers_, [this](const VoterIdentities& voters) { elected(voters); }),
+      election_(state_, peers_, [this](const VoterIdentities& voters) { on_elected(voters); }),
       read_barrier_(state_, [this](Reason& reason) { return run_read_round(reason); }),
       peer_server_(state_, election_, [this](Reason& reason) { return run_read_round(reason); }),
       proposals_(runtime),
@@ -23,14 +23,14 @@
 
 Awaitable<bool> RaftServer::start(Reason& reason) {
   if (!state_.recover(reason)) co_return false;
-  // A disk that takes no writes now is tried again while the server takes no part.
+  // After a failed write the storage is retried while the server does not participate.
   const bool durable = co_await state_.persist();
-  if (!durable && state_.halted_for_good()) {
+  if (!durable && state_.halted_permanently()) {
     reason = state_.halt_reason();
     co_return false;
   }
   started_ = true;
-  peers_.follow_configuration();
+  peers_.update_channels();
   runtime_.spawn("consensus_election", election_.run());
   co_return true;
 }
@@ -47,7 +47,7 @@
   peers_.close_all();
 }
 
-void RaftServer::elected(const VoterIdentities& voters) {
+void RaftServer::on_elected(const VoterIdentities& voters) {
   leadership_ = std::make_shared<Leadership>(state_, peers_);
   leadership_->start(leadership_, voters);
   runtime_.logger().log(runtime::LogLevel::kInfo, "consensus_leader_elected",
@@ -59,7 +59,8 @@
   const auto ended = std::move(leadership_);
   leadership_ = nullptr;
   ended->end();
-  proposals_.fail_all(Reason{ReasonCode::kOutcomeUnknown, "propose", "", "leadership was lost meanwhile"});
+  proposals_.fail_all(
+      Reason{ReasonCode::kOutcomeUnknown, "propose", "", "leadership was lost before the entry was applied"});
   runtime_.logger().log(runtime::LogLevel::kInfo, "consensus_leadership_ended",
                         {{"term", std::to_string(term)}});
 }
@@ -78,8 +79,8 @@
 }
 
 void RaftServer::configuration_changed() {
-  if (!started_) return;  // while the log is read there is nobody to talk to yet
-  peers_.follow_configuration();
+  if (!started_) return;  // no outgoing connections before recovery is complete
+  peers_.update_channels();
   election_.notify();
 }
 
@@ -93,13 +94,14 @@
 
 bool RaftServer::check_proposal(const std::string& command, Reason& reason) const {
   if (command.size() > kMaxCommandBytes) {
-    reason = Reason{ReasonCode::kInvalidArgument, "propose", "", "the command is too large"};
+    reason = Reason{ReasonCode::kInvalidArgument, "propose", "", "the command exceeds the size limit"};
   } else if (!check_running("propose", reason)) {
     return false;
   } else if (leadership_ == nullptr) {
-    reason = Reason{ReasonCode::kNotLeader, "propose", state_.leader().value, "this node does not lead"};
+    reason = Reason{ReasonCode::kNotLeader, "propose", state_.leader().value, "this node is not the leader"};
   } else if (!leadership_->has_committed_own_entry() && !state_.configuration().formed) {
-    reason = Reason{ReasonCode::kNoQuorum, "propose", "", "the group is not formed yet"};
+    reason =
+        Reason{ReasonCode::kNoQuorum, "propose", "", "the group's first configuration is not committed yet"};
   } else if (state_.log().last_index() - state_.applied_index() >= kMaxProposalsInFlight) {
     reason = Reason{ReasonCode::kOverloaded, "propose", "", "too many proposals are in flight"};
   } else {
@@ -122,7 +124,7 @@
   if (leadership_ != nullptr) {
     index = co_await confirm_read_index(state_, leadership_, deadline, reason);
   } else {
-    index = co_await ask_leader_for_read_index(state_, peers_, deadline, reason);
+    index = co_await request_read_index(state_, peers_, deadline, reason);
   }
   co_return index;
 }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -1,4 +1,4 @@
-// Ties the parts of a Raft server together.
+// The Raft server, assembled from its components.
 #pragma once
 
 #include <memory>
@@ -38,7 +38,7 @@
   void role_changed() override;
   void configuration_changed() override;
 
-  void elected(const VoterIdentities& voters);
+  void on_elected(const VoterIdentities& voters);
   Awaitable<std::optional<std::uint64_t>> run_read_round(Reason& reason);
   bool check_proposal(const std::string& command, Reason& reason) const;
   bool check_running(const std::string& step, Reason& reason) const;
@@ -51,7 +51,7 @@
   PeerServer peer_server_;
   PendingProposals proposals_;
   Membership membership_;
-  std::shared_ptr<Leadership> leadership_;  ///< null unless this server leads
+  std::shared_ptr<Leadership> leadership_;  ///< null unless this server is the leader
   bool started_ = false;
   bool stopping_ = false;
 };
--- a/src/declared/control/news/peer_exchange.h
+++ b/src/declared/control/news/peer_exchange.h
@@ -50,7 +50,7 @@
     std::vector<follow::SuspectPrimary> suspects;  ///< suspicions waiting to be sent
     std::vector<Endpoint> known_nodes_sent;        ///< known nodes last sent on this connection
     TimePoint connected_at{};  ///< time of the last connection, or when the peer was added
-    wire::Greeting greeting;
+    wire::ClientHandshake greeting;
     bool refused = false;  ///< the peer supports no protocol version of this node
   };
 
--- a/src/registered/proxy/links/stateful_pool.cpp
+++ b/src/registered/proxy/links/stateful_pool.cpp
@@ -155,7 +155,7 @@
 }
 
 void StatefulPool::log_release(const StatefulLink& link) const {
-  if (!runtime_.logger().writes(runtime::LogLevel::kDebug)) return;
+  if (!runtime_.logger().is_enabled(runtime::LogLevel::kDebug)) return;
   const auto held = std::chrono::duration_cast<std::chrono::microseconds>(runtime_.now() - link.taken_at());
   runtime_.logger().log(runtime::LogLevel::kDebug, "link_used",
                         {{"group", address_.group.value},
--- a/src/runtime/asio/asio_lines.cpp
+++ b/src/runtime/asio/asio_lines.cpp
@@ -24,17 +24,17 @@
   Awaitable<std::optional<std::string>> read_line(TimePoint deadline, Reason& reason) override;
   Awaitable<bool> write(std::string lines, Reason& reason) override;
   void close() override {
-    stream_->close(Reason{ReasonCode::kCancelled, "close", stream_->peer(), "closed by this side"});
+    stream_->close(Reason{ReasonCode::kCancelled, "close", stream_->peer(), "connection closed locally"});
   }
   [[nodiscard]] bool is_open() const override { return stream_->is_open(); }
   [[nodiscard]] std::string peer() const override { return stream_->peer(); }
 
  private:
-  /// The first line of what was read; empty while there is no whole one.
+  /// Removes and returns the first complete line, or std::nullopt if there is none.
   std::optional<std::string> take_line();
 
   std::shared_ptr<ByteStream> stream_;
-  std::size_t searched_ = 0;  ///< bytes of the unread that hold no line end
+  std::size_t searched_ = 0;  ///< number of unread bytes known to contain no line end
 };
 
 std::optional<std::string> AsioLineConnection::take_line() {
@@ -65,9 +65,9 @@
   if (too_long) {
     line.reset();
     stream->close(Reason{ReasonCode::kInvalidArgument, "read_line", stream->peer(),
-                         "the line is longer than " + std::to_string(kMaximumLineBytes) + " bytes"});
+                         "received line exceeds " + std::to_string(kMaximumLineBytes) + " bytes"});
   }
-  if (!line) reason = stream->closed();
+  if (!line) reason = stream->close_reason();
   co_return line;
 }
 
@@ -75,7 +75,7 @@
   const auto stream = stream_;
   bool any_sent = false;
   const bool sent = co_await stream->write(lines, any_sent);
-  if (!sent) reason = stream->closed();
+  if (!sent) reason = stream->close_reason();
   co_return sent;
 }
 
--- a/src/runtime/asio/byte_stream.cpp
+++ b/src/runtime/asio/byte_stream.cpp
@@ -24,7 +24,8 @@
 
 ByteStream::ByteStream(tcp::socket socket)
     : socket_(std::move(socket)), peer_(peer_name(socket_)), deadline_(socket_.get_executor(), [this] {
-        close({ReasonCode::kDeadlineExceeded, "exchange", peer_, "not finished in time"});
+        close(
+            {ReasonCode::kDeadlineExceeded, "exchange", peer_, "exchange not finished before the deadline"});
       }) {}
 
 void ByteStream::start(std::function<void()> on_closed) {
@@ -101,7 +102,7 @@
 
 void ByteStream::close(Reason why) {
   if (!is_open()) return;
-  closed_ = std::move(why);
+  close_reason_ = std::move(why);
   deadline_.cancel();
   error_code ignored;
   socket_.close(ignored);
--- a/src/runtime/asio/posix_storage.cpp
+++ b/src/runtime/asio/posix_storage.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t kReadBytes = std::size_t{1024} * 1024;
 constexpr std::string_view kTemporarySuffix = ".tmp";
 
-/// The system's error number of a failed call, 0 for success.
+/// Returns errno if a system call failed, or 0 on success.
 int error_of(int result) { return result < 0 ? errno : 0; }
 
 Reason storage_reason(std::string_view step, const std::string& name, std::string_view call, int error) {
@@ -50,8 +50,8 @@
   return 0;
 }
 
-/// Runs `work` on the pool and resumes the caller on its own executor with the error number returned.
-/// Not a coroutine itself: the arguments are copied before it returns.
+/// Runs `work` on the pool and resumes the caller on its own executor with the error number that `work`
+/// returned. Not a coroutine itself: the arguments are copied before it returns.
 Awaitable<int> run_on_pool(asio::thread_pool& pool, const asio::any_io_executor& executor,
                            const std::function<int()>& work) {
   const auto initiate = [&pool, executor, work](auto handler) {
@@ -83,19 +83,19 @@
   [[nodiscard]] std::uint64_t size() const override { return size_; }
 
  private:
-  bool admit(std::string_view step, Reason& reason) const;
+  bool check_usable(std::string_view step, Reason& reason) const;
   bool fail(std::string_view step, std::string_view call, int error, Reason& reason);
 
   asio::thread_pool& pool_;
   asio::any_io_executor executor_;
   std::string name_;
   std::shared_ptr<FileDescriptor> file_;
-  std::shared_ptr<FileDescriptor> folder_;  ///< reset once the folder's entry is durable
+  std::shared_ptr<FileDescriptor> folder_;  ///< reset once the directory entry is durable
   std::uint64_t size_;
   bool failed_ = false;
 };
 
-bool PosixAppendFile::admit(std::string_view step, Reason& reason) const {
+bool PosixAppendFile::check_usable(std::string_view step, Reason& reason) const {
   if (failed_) {
     reason = Reason{ReasonCode::kStorage, std::string(step), "",
                     name_ + ": refused because an earlier write or sync of this file failed"};
@@ -110,10 +110,10 @@
 }
 
 bool PosixAppendFile::append(std::string_view bytes, Reason& reason) {
-  if (!admit("append", reason)) return false;
+  if (!check_usable("append", reason)) return false;
   const int error = write_all(file_->number(), bytes);
   if (error != 0) {
-    // A short write leaves a torn tail; take it back so that the file is what it was before the call.
+    // Undo a short write, so that the file is as before the call.
     const bool restored = ::ftruncate(file_->number(), static_cast<off_t>(size_)) == 0;
     if (!restored) return fail("append", "write", error, reason);
     reason = storage_reason("append", name_, "write", error);
@@ -124,23 +124,24 @@
 }
 
 Awaitable<bool> PosixAppendFile::sync(Reason& reason) {
-  if (!admit("sync", reason)) co_return false;
+  if (!check_usable("sync", reason)) co_return false;
   auto work = [file = file_, folder = folder_] {
     const int error = error_of(::fdatasync(file->number()));
     if (error != 0 || !folder) return error;
     return error_of(::fsync(folder->number()));
   };
   const int error = co_await run_on_pool(pool_, executor_, std::move(work));
-  // After a failed fsync the system may have dropped the unwritten pages: no later sync can be trusted.
+  // After a failed fsync the kernel may have dropped dirty pages, so no later sync can be trusted.
   if (error != 0) co_return fail("sync", "fsync", error, reason);
   folder_.reset();
   co_return true;
 }
 
 bool PosixAppendFile::truncate(std::uint64_t size, Reason& reason) {
-  if (!admit("truncate", reason)) return false;
+  if (!check_usable("truncate", reason)) return false;
   if (size > size_) {
-    reason = Reason{ReasonCode::kInvalidArgument, "truncate", "", name_ + ": longer than the file"};
+    reason = Reason{ReasonCode::kInvalidArgument, "truncate", "",
+                    name_ + ": cannot truncate beyond the end of the file"};
     return false;
   }
   const int error = error_of(::ftruncate(file_->number(), static_cast<off_t>(size)));
@@ -149,7 +150,7 @@
   return true;
 }
 
-/// Writes and syncs a temporary file, moves it over `path`, and syncs the folder.
+/// Writes and syncs a temporary file, renames it to `path`, and syncs the folder.
 int replace_file(const std::string& path, const std::string& content, int folder) {
   const std::string temporary = path + std::string(kTemporarySuffix);
   const FileDescriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
@@ -171,7 +172,7 @@
 PosixStorage::PosixStorage(asio::any_io_executor executor, std::string folder)
     : executor_(std::move(executor)), folder_(std::move(folder)), pool_(kStorageThreads) {
   if (folder_.empty()) {
-    refusal_ = "no data folder is set";
+    unusable_reason_ = "no data folder is configured";
   } else {
     prepare_folder();
   }
@@ -185,11 +186,11 @@
   folder_descriptor_ =
       std::make_shared<FileDescriptor>(::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (!folder_descriptor_->is_open()) {
-    refusal_ = folder_ + ": " + std::generic_category().message(errno);
+    unusable_reason_ = folder_ + ": " + std::generic_category().message(errno);
     return;
   }
   if (::flock(folder_descriptor_->number(), LOCK_EX | LOCK_NB) != 0) {
-    refusal_ = folder_ + ": in use by another process";
+    unusable_reason_ = folder_ + ": in use by another process";
     return;
   }
   for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
@@ -198,21 +199,21 @@
   }
 }
 
-bool PosixStorage::admit(std::string_view step, const std::string& name, Reason& reason) const {
-  if (!refusal_.empty()) {
-    reason = Reason{ReasonCode::kStorage, std::string(step), "", refusal_};
+bool PosixStorage::check_usable(std::string_view step, const std::string& name, Reason& reason) const {
+  if (!unusable_reason_.empty()) {
+    reason = Reason{ReasonCode::kStorage, std::string(step), "", unusable_reason_};
     return false;
   }
   const bool bad_name = name.empty() || name == "." || name == ".." || is_temporary(name) ||
                         name.find('/') != std::string::npos || name.find('\0') != std::string::npos;
   if (bad_name) {
-    reason = Reason{ReasonCode::kInvalidArgument, std::string(step), "", "not a file name: " + name};
+    reason = Reason{ReasonCode::kInvalidArgument, std::string(step), "", "invalid file name: " + name};
   }
   return !bad_name;
 }
 
 std::unique_ptr<AppendFile> PosixStorage::open(const std::string& name, Reason& reason) {
-  if (!admit("open_file", name, reason)) return nullptr;
+  if (!check_usable("open_file", name, reason)) return nullptr;
   const int flags = O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC;
   auto file = std::make_shared<FileDescriptor>(::open(path_of(name).c_str(), flags, kFileMode));
   if (!file->is_open()) {
@@ -229,7 +230,7 @@
 }
 
 std::optional<std::string> PosixStorage::read(const std::string& name, Reason& reason) {
-  if (!admit("read_file", name, reason)) return std::nullopt;
+  if (!check_usable("read_file", name, reason)) return std::nullopt;
   const FileDescriptor file(::open(path_of(name).c_str(), O_RDONLY | O_CLOEXEC));
   if (!file.is_open()) {
     reason = storage_reason("read_file", name, "open", errno);
@@ -250,9 +251,9 @@
 }
 
 Awaitable<bool> PosixStorage::write_atomically(const std::string& name, std::string content, Reason& reason) {
-  // A copy: `name` may end while this coroutine waits.
+  // Copied because `name` may be destroyed while this coroutine is suspended.
   const std::string file_name = name;  // NOLINT(performance-unnecessary-copy-initialization)
-  if (!admit("write_file", file_name, reason)) co_return false;
+  if (!check_usable("write_file", file_name, reason)) co_return false;
   auto work = [path = path_of(file_name), content = std::move(content), folder = folder_descriptor_] {
     return replace_file(path, content, folder->number());
   };
@@ -262,9 +263,9 @@
 }
 
 Awaitable<bool> PosixStorage::remove(const std::string& name, Reason& reason) {
-  // A copy: `name` may end while this coroutine waits.
+  // Copied because `name` may be destroyed while this coroutine is suspended.
   const std::string file_name = name;  // NOLINT(performance-unnecessary-copy-initialization)
-  if (!admit("remove_file", file_name, reason)) co_return false;
+  if (!check_usable("remove_file", file_name, reason)) co_return false;
   auto work = [path = path_of(file_name), folder = folder_descriptor_] {
     const int error = error_of(::unlink(path.c_str()));
     return error != 0 ? error : error_of(::fsync(folder->number()));
@@ -276,7 +277,7 @@
 
 std::vector<std::string> PosixStorage::list() {
   std::vector<std::string> names;
-  if (!refusal_.empty()) return names;
+  if (!unusable_reason_.empty()) return names;
   std::error_code error;
   for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
     const std::string name = entry.path().filename().string();
--- a/src/runtime/asio/tcp.cpp
+++ b/src/runtime/asio/tcp.cpp
@@ -46,8 +46,8 @@
   co_await socket.async_connect(*target, asio::redirect_error(asio::use_awaitable, error));
   timeout.cancel();
   if (expired) {
-    reason =
-        Reason{ReasonCode::kDeadlineExceeded, "open_connection", endpoint.to_string(), "not opened in time"};
+    reason = Reason{ReasonCode::kDeadlineExceeded, "open_connection", endpoint.to_string(),
+                    "connection not established before the deadline"};
     co_return std::nullopt;
   }
   if (!error) socket.set_option(tcp::no_delay(true), error);
@@ -88,8 +88,8 @@
       co_return std::move(socket);
     }
     if (error == asio::error::operation_aborted) break;
-    AsioTimer rest(acceptor.get_executor());
-    co_await rest.wait_until(steady_now() + kAcceptRetryDelay);
+    AsioTimer retry_timer(acceptor.get_executor());
+    co_await retry_timer.wait_until(steady_now() + kAcceptRetryDelay);
   }
   reason = Reason{ReasonCode::kCancelled, "accept", "", "the listener was closed"};
   co_return std::nullopt;
--- a/src/runtime/json_logger.cpp
+++ b/src/runtime/json_logger.cpp
@@ -16,7 +16,8 @@
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
 constexpr std::string_view kReplacementCharacter = "\xEF\xBF\xBD";
 
-/// Length of the UTF-8 sequence at the start of `text` (RFC 3629), 0 when there is none.
+/// Returns the length in bytes of the UTF-8 sequence at the start of `text` (RFC 3629), or 0 if it is
+/// invalid.
 std::size_t utf8_sequence_length(std::string_view text) {
   const auto byte = [&](std::size_t index) { return static_cast<unsigned char>(text[index]); };
   const unsigned char first = byte(0);
@@ -83,7 +84,7 @@
   return [](std::string_view line) {
     pollfd output{STDOUT_FILENO, POLLOUT, 0};
     if (::poll(&output, 1, 0) != 1 || (output.revents & POLLOUT) == 0) return;
-    // A pipe that says so has room for PIPE_BUF bytes at least; lines are shorter.
+    // poll() reports a pipe as writable only if it has room for PIPE_BUF bytes; lines are shorter.
     [[maybe_unused]] const auto written = ::write(STDOUT_FILENO, line.data(), line.size());
   };
 }
@@ -132,10 +133,10 @@
 
 void JsonLogger::write(LogLevel level, std::string_view event, const Reason* reason,
                        std::initializer_list<LogField> fields) {
-  if (!writes(level)) return;
+  if (!is_enabled(level)) return;
   const std::int64_t now = wall_clock_();
-  const auto left_out = limiter_.admit(event, now);
-  if (!left_out) return;
+  const auto suppressed = limiter_.admit(event, now);
+  if (!suppressed) return;
   std::string line = "{\"time\":\"";
   append_time(line, now);
   line += '"';
@@ -144,7 +145,7 @@
   append_field(line, "event", event);
   if (reason != nullptr) append_reason(line, *reason);
   for (const LogField& field : fields) append_field(line, field.name, field.value);
-  if (*left_out > 0) append_field(line, "left_out", std::to_string(*left_out));
+  if (*suppressed > 0) append_field(line, "left_out", std::to_string(*suppressed));
   line += "}\n";
   sink_(line);
 }
--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -11,8 +11,8 @@
 
 std::uint64_t hash_of(std::string_view text) { return XXH64(text.data(), text.size(), 0); }
 
-/// Weight of a node for a key from the hashes of both. The finalizer of MurmurHash3 (Appleby, 2011), which
-/// costs a tenth of hashing the texts again.
+/// Returns the rendezvous weight of a node for a key from the hashes of both. Uses the finalizer of
+/// MurmurHash3 (Appleby, 2011), which is cheaper than hashing the names again.
 std::uint64_t mix(std::uint64_t key, std::uint64_t node) {
   std::uint64_t value = key ^ (node * 0x9e3779b97f4a7c15ULL);
   value = (value ^ (value >> 33U)) * 0xff51afd7ed558ccdULL;
@@ -20,7 +20,7 @@
   return value ^ (value >> 33U);
 }
 
-/// An entry with its weight for the key at hand; the heavier goes first.
+/// An entry with its weight for the current key; heavier entries come first.
 template <class Entry>
 struct Weighted {
   std::uint64_t weight = 0;
@@ -28,7 +28,7 @@
   bool operator<(const Weighted& other) const { return weight > other.weight; }
 };
 
-/// The heaviest first, equal ones as they came.
+/// Sorts by descending weight, keeping the order of equal entries.
 template <class Entry>
 void sort_by_weight(std::vector<Weighted<Entry>>& entries) {
   std::stable_sort(entries.begin(), entries.end());
@@ -37,12 +37,11 @@
 }  // namespace
 
 std::uint32_t subset_size(std::uint32_t connections_per_backend, std::size_t proxies) {
-  const auto wanted =
-      std::max(connections_per_backend / kLeastConnectionsOfServingProxy, kLeastServingProxies);
+  const auto wanted = std::max(connections_per_backend / kMinConnectionsPerServingProxy, kMinServingProxies);
   return static_cast<std::uint32_t>(std::min<std::size_t>(wanted, proxies));
 }
 
-SubsetTable::SubsetTable(const std::vector<ProxyPointer>& proxies) : proxies_(proxies.size()) {
+SubsetTable::SubsetTable(const std::vector<ProxyPointer>& proxies) : proxy_count_(proxies.size()) {
   std::map<ZoneName, Zone> by_zone;
   for (const auto& proxy : proxies) {
     by_zone[proxy->zone].nodes.push_back(Node{hash_of(proxy->name.value), proxy});
@@ -77,17 +76,17 @@
   std::vector<const Zone*> zone_order;
   zone_order.reserve(weighted.size());
   for (const auto& zone : weighted) zone_order.push_back(zone.entry);
-  const auto shares = SubsetTable::shares(zone_order, std::min<std::size_t>(size, proxies_));
+  const auto shares = SubsetTable::shares(zone_order, std::min<std::size_t>(size, proxy_count_));
   std::vector<ProxyPointer> subset;
   for (std::size_t zone = 0; zone < zone_order.size() && shares[zone] > 0; ++zone) {
-    add_best(*zone_order[zone], key, shares[zone], subset);
+    add_heaviest(*zone_order[zone], key, shares[zone], subset);
   }
   return subset;
 }
 
-void SubsetTable::add_best(const Zone& zone, std::uint64_t key, std::uint32_t count,
-                           std::vector<ProxyPointer>& subset) {
-  std::vector<Weighted<Node>> best;  // in order; mostly one
+void SubsetTable::add_heaviest(const Zone& zone, std::uint64_t key, std::uint32_t count,
+                               std::vector<ProxyPointer>& subset) {
+  std::vector<Weighted<Node>> best;  // in order; usually one
   for (const auto& node : zone.nodes) {
     const Weighted<Node> candidate{mix(key, node.hash), &node};
     if (best.size() == count && !(candidate < best.back())) continue;
--- a/src/wire/message_reader.h
+++ b/src/wire/message_reader.h
@@ -1,5 +1,5 @@
-// Reads what MessageWriter wrote, from bytes that may come from anywhere: a count is believed only as far as
-// the message can hold it, so that a frame of a few bytes can't make its reader take gigabytes.
+// Reads the output of MessageWriter from untrusted bytes. Lengths are checked against the remaining message,
+// so that a frame of a few bytes cannot make its reader allocate gigabytes.
 #pragma once
 
 #include <bit>
@@ -12,38 +12,41 @@
 #include <vector>
 
 #include "wire/format.h"
-#include "wire/least_size.h"
 #include "wire/message_writer.h"
+#include "wire/min_encoded_size.h"
 
 namespace cairnhollow::wire {
 
-/// An input archive over bytes in memory, which outlive it. Throws cereal::Exception; decode() catches it.
+/// Input archive over bytes in memory, which must outlive it. Throws cereal::Exception, which decode()
+/// catches.
 class MessageReader : public cereal::InputArchive<MessageReader, cereal::AllowEmptyClassElision> {
  public:
-  /// `bytes` are those of a message; `format` counts when they do not say theirs.
+  /// `bytes` is a whole message. `format` applies if they are not marked.
   MessageReader(std::string_view bytes, Format format)
       : InputArchive(this), format_(marked_format(bytes).value_or(format)), unread_(bytes) {
     const std::string mark = format_mark(format_);
     if (!unread_.starts_with(mark))
-      throw cereal::Exception("neither a mark of a format nor little-endian byte order");
+      throw cereal::Exception(
+          "message starts with neither a format mark nor the little-endian byte order flag");
     unread_.remove_prefix(mark.size());
   }
 
   void read(void* to, std::size_t size) {
-    check_holds(size, 1);
+    check_remaining(size, 1);
     if (size > 0) std::memcpy(to, unread_.data(), size);
     unread_.remove_prefix(size);
   }
 
-  /// Throws when `count` elements of `least_size` bytes at least are more than what is left.
-  void check_holds(std::uint64_t count, std::size_t least_size) const {
-    const std::size_t size = least_size > 0 ? least_size : 1;
-    if (count > unread_.size() / size) throw cereal::Exception("a length says more than the message holds");
+  /// Throws if `count` elements of at least `min_encoded_size` bytes each exceed the remaining bytes.
+  void check_remaining(std::uint64_t count, std::size_t min_encoded_size) const {
+    const std::size_t size = min_encoded_size > 0 ? min_encoded_size : 1;
+    if (count > unread_.size() / size)
+      throw cereal::Exception("encoded length is more than the message holds");
   }
 
   [[nodiscard]] Format format() const { return format_; }
   template <class Field>
-  void take_absent(Field& field, const Field& earlier) const {
+  void handle_absent_field(Field& field, const Field& earlier) const {
     field = earlier;
   }
   [[nodiscard]] bool at_end() const { return unread_.empty(); }
@@ -53,7 +56,7 @@
   std::string_view unread_;
 };
 
-// What cereal calls for the basic types; found by argument-dependent lookup.
+// Overloads called by cereal for the basic types, found by argument-dependent lookup.
 
 template <class Value>
 requires std::is_arithmetic_v<Value>
@@ -62,16 +65,16 @@
 inline void load(MessageReader& reader, bool& value) {
   std::uint8_t byte = 0;
   reader.read(&byte, sizeof byte);
-  if (byte > 1) throw cereal::Exception("a flag is neither true nor false");
+  if (byte > 1) throw cereal::Exception("encoded bool is neither true nor false");
   value = byte == 1;
 }
 
-/// Texts and maps: cereal reads map entries one by one, and takes room for a text's bytes at once.
+/// Length of strings and maps: cereal reads map entries one by one and allocates a string at once.
 template <class Size>
 void load(MessageReader& reader, cereal::SizeTag<Size>& tag) {
   std::uint64_t size = 0;
   reader.read(&size, sizeof size);
-  reader.check_holds(size, 1);
+  reader.check_remaining(size, 1);
   tag.size = static_cast<std::remove_reference_t<Size>>(size);
 }
 
@@ -85,19 +88,19 @@
   reader(pair.value);
 }
 
-/// Lists take room for all their elements at once; cereal's own would do so for any count of bytes.
+/// Lists are allocated as a whole; cereal's own overload would do so for an unchecked length.
 template <class List>
 void load_list(MessageReader& reader, List& list) {
   std::uint64_t count = 0;
   reader.read(&count, sizeof count);
-  reader.check_holds(count, least_size<typename List::value_type>());
+  reader.check_remaining(count, min_encoded_size<typename List::value_type>());
   list.resize(static_cast<std::size_t>(count));
   for (auto& element : list) reader(element);
 }
 
 template <class Value, class Allocator>
 void load(MessageReader& reader, std::vector<Value, Allocator>& list) {
-  static_assert(!std::is_same_v<Value, bool>, "has no elements to refer to");
+  static_assert(!std::is_same_v<Value, bool>, "std::vector<bool> has no references to its elements");
   load_list(reader, list);
 }
 
@@ -108,7 +111,7 @@
 
 }  // namespace cairnhollow::wire
 
-// Which archive writes what the other reads.
+// Tells cereal which input and output archives belong together.
 template <>
 struct cereal::traits::detail::get_output_from_input<cairnhollow::wire::MessageReader> {
   using type = cairnhollow::wire::MessageWriter;
--- a/src/wire/message_writer.h
+++ b/src/wire/message_writer.h
@@ -1,4 +1,4 @@
-// Writes the bytes of cereal's portable binary archive on a little-endian machine, behind the mark of a
+// Writes cereal's portable binary format on a little-endian machine, prefixed by the mark of the message
 // format.
 #pragma once
 
@@ -14,27 +14,27 @@
 class MessageWriter : public cereal::OutputArchive<MessageWriter, cereal::AllowEmptyClassElision> {
  public:
   explicit MessageWriter(Format format) : OutputArchive(this), format_(format), bytes_(format_mark(format)) {
-    static_assert(std::endian::native == std::endian::little, "values are written as they stand in memory");
+    static_assert(std::endian::native == std::endian::little, "values are written in native byte order");
   }
 
   void write(const void* from, std::size_t size) { bytes_.append(static_cast<const char*>(from), size); }
 
   [[nodiscard]] Format format() const { return format_; }
   template <class Field>
-  void take_absent(const Field& field, const Field& earlier) {
-    loses_a_field_ = loses_a_field_ || !(field == earlier);
+  void handle_absent_field(const Field& field, const Field& earlier) {
+    loses_field_ = loses_field_ || !(field == earlier);
   }
-  /// Whether a field that the format lacks has another value than readers of the format will take it to have.
-  [[nodiscard]] bool loses_a_field() const { return loses_a_field_; }
+  /// Returns whether a field omitted by the format differs from the value that readers of the format assume.
+  [[nodiscard]] bool loses_field() const { return loses_field_; }
   std::string take_bytes() { return std::move(bytes_); }
 
  private:
   Format format_;
-  bool loses_a_field_ = false;
+  bool loses_field_ = false;
   std::string bytes_;
 };
 
-// What cereal calls for the basic types; found by argument-dependent lookup.
+// Overloads called by cereal for the basic types, found by argument-dependent lookup.
 
 template <class Value>
 requires std::is_arithmetic_v<Value>
--- a/tests/consensus/first_election_test.cpp
+++ b/tests/consensus/first_election_test.cpp
@@ -1,4 +1,5 @@
-// Servers that start together elect soon; once one leads, the others give it the usual time.
+// First election timeout: servers started together elect quickly, then use the usual timeout once there is a
+// leader.
 #include <cppunit/extensions/HelperMacros.h>
 #include <fmt/format.h>
 
@@ -11,16 +12,16 @@
 
 class FirstElectionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FirstElectionTest);
-  CPPUNIT_TEST(a_leader_elected_after_a_common_restart_stays);
+  CPPUNIT_TEST(first_leader_after_a_group_restart_is_not_deposed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void a_leader_elected_after_a_common_restart_stays() {
+  void first_leader_after_a_group_restart_is_not_deposed() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       ClusterSettings settings;
       settings.seed = seed;
       settings.voters = 5;
-      // Shorter than the pause between heartbeats, as on registered fleets.
+      // Shorter than the heartbeat interval, as on registered fleets.
       settings.first_election_timeout = milliseconds(60);
       settings.heartbeat_interval = milliseconds(100);
       Cluster cluster(settings);
--- a/tests/consensus/random_faults.cpp
+++ b/tests/consensus/random_faults.cpp
@@ -10,11 +10,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kOutsiders = 2;
+constexpr std::size_t kNonmembers = 2;
 constexpr Duration kStep = milliseconds(2);
 constexpr Duration kCallTimeout = milliseconds(1500);
 constexpr Duration kSettleLimit = seconds(20);
-constexpr std::size_t kMostOpenCalls = 40;
+constexpr std::size_t kMaxOpenCalls = 40;
 
 ClusterSettings cluster_settings(const RandomFaultSettings& settings) {
   ClusterSettings cluster;
@@ -31,8 +31,8 @@
     : settings_(settings), cluster_(cluster_settings(settings)) {}
 
 std::vector<std::string> RandomFaultRun::run() {
-  for (std::size_t number = 1; number <= kOutsiders; ++number) {
-    cluster_.start_outsider(cluster_.names().size() + 1);
+  for (std::size_t number = 1; number <= kNonmembers; ++number) {
+    cluster_.start_nonmember(cluster_.names().size() + 1);
   }
   const TimePoint end = world().now() + settings_.duration;
   while (world().now() < end) step();
@@ -81,14 +81,14 @@
   if (running.empty()) return;
   const std::string leader = believed_leader();
   const std::string target = leader.empty() || chance(0.1) ? pick(running) : leader;
-  if (proposals_.size() < kMostOpenCalls) {
+  if (proposals_.size() < kMaxOpenCalls) {
     std::string command = fmt::format("command-{}", next_command_++);
     proposals_.push_back({command, cluster_.begin_propose(target, command, kCallTimeout)});
   }
-  if (barriers_.size() >= kMostOpenCalls) return;
-  const std::string asked = pick(running);
+  if (barriers_.size() >= kMaxOpenCalls) return;
+  const std::string queried = pick(running);
   barriers_.push_back(
-      {asked, cluster_.checks().barrier_minimum(), cluster_.begin_barrier(asked, kCallTimeout)});
+      {queried, cluster_.checks().barrier_minimum(), cluster_.begin_barrier(queried, kCallTimeout)});
 }
 
 void RandomFaultRun::begin_fault() {
@@ -189,8 +189,8 @@
 }
 
 void RandomFaultRun::wipe_one() {
-  // A group can lose less than half of its disks: one at a time, none from a group of less than three, and
-  // none while a change of members is open.
+  // A group may lose fewer than half of its disks: one at a time, none from a group of fewer than three, and
+  // none during a membership change.
   const std::string leader = believed_leader();
   if (!wiped_.empty() || leader.empty() || change_ != nullptr) return;
   if (!cluster_.barrier(leader, milliseconds(300)).succeeded()) return;
@@ -214,7 +214,7 @@
   const auto up = names_where([&](const std::string& name) { return cluster_.role(name).started(); });
   const std::string subject = pick(up);
   if (!wiped_.empty()) {
-    // Repairs come first. Whether this one was done shows in the members, also when its answer is lost.
+    // Repairs have priority. The member list shows whether this one completed, even if its answer was lost.
     if (!cluster_.role(wiped_).started() || !world().running(wiped_)) return;
     const Member fresh = cluster_.member(wiped_, MemberRole::kVoter);
     const auto members = cluster_.status(leader).members;
@@ -270,24 +270,24 @@
   observe();
   repair();
   const TimePoint begun = world().now();
-  if (!cluster_.propose_anywhere("last", kSettleLimit)) {
-    failures_.push_back("liveness: no proposal succeeds after the heal\n" + cluster_.describe());
+  if (!cluster_.propose_to_leader("last", kSettleLimit)) {
+    failures_.push_back("liveness: no proposal succeeded after the faults ended\n" + cluster_.describe());
     return;
   }
   const auto took = std::chrono::duration_cast<milliseconds>(world().now() - begun);
   if (took > seconds(8)) failures_.push_back(fmt::format("liveness: took {} ms", took.count()));
-  world().run_for(seconds(3));  // open calls end, the others catch up
+  world().run_for(seconds(3));  // calls in flight end and lagging servers catch up
   observe();
   const std::string leader = cluster_.wait_for_leader();
   if (leader.empty()) {
-    failures_.push_back("liveness: no leader after the heal\n" + cluster_.describe());
+    failures_.push_back("liveness: no leader after the faults ended\n" + cluster_.describe());
     return;
   }
   for (const Member& member : cluster_.status(leader).members) {
     const std::string& name = member.node.value;
     const bool present = cluster_.node(name).identity() == member.identity;
     if (present && !cluster_.machine(name).has("last")) {
-      failures_.push_back(fmt::format("liveness: {} does not catch up with {}", name, leader));
+      failures_.push_back(fmt::format("liveness: {} did not catch up with {}", name, leader));
     }
   }
   cluster_.checks().check_outcomes(cluster_.machine(leader).commands());
--- a/tests/consensus/random_faults_test.cpp
+++ b/tests/consensus/random_faults_test.cpp
@@ -1,4 +1,4 @@
-// Raft's promises under random faults, over many seeds.
+// Raft safety under random faults, over many seeds.
 //
 // CAIRNHOLLOW_CONSENSUS_SEEDS=first-last runs these seeds instead of the short list; _LOG=1 prints the log.
 #include "tests/consensus/random_faults.h"
@@ -30,12 +30,12 @@
 
 class RandomFaultsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RandomFaultsTest);
-  CPPUNIT_TEST(every_promise_holds_for_every_seed);
-  CPPUNIT_TEST(a_seed_repeats_its_run);
+  CPPUNIT_TEST(safety_and_liveness_hold_for_every_seed);
+  CPPUNIT_TEST(same_seed_repeats_the_run);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_promise_holds_for_every_seed() {
+  void safety_and_liveness_hold_for_every_seed() {
     const SeedRange seeds = chosen_seeds();
     std::size_t acknowledged = 0;
     std::size_t barriers = 0;
@@ -58,14 +58,14 @@
     fmt::print("{} seeds: {} acknowledged, {} barriers, {} leaders, {} member changes, {} faults\n",
                seeds.last - seeds.first + 1, acknowledged, barriers, leaders, changes, faults);
     CPPUNIT_ASSERT_MESSAGE(broken, broken.empty());
-    // The runs do what they are for: work goes on between the faults.
+    // Guards against vacuous runs: proposals must succeed between the faults.
     const std::uint64_t count = seeds.last - seeds.first + 1;
     CPPUNIT_ASSERT(acknowledged > 20 * count);
     CPPUNIT_ASSERT(barriers > 20 * count);
     CPPUNIT_ASSERT(leaders > 2 * count);
   }
 
-  void a_seed_repeats_its_run() {
+  void same_seed_repeats_the_run() {
     const auto hash_of = [](std::uint64_t seed) {
       RandomFaultSettings settings;
       settings.seed = seed;
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -1,4 +1,4 @@
-// Messages between the processes: bytes that are no message are a fault, whatever they claim.
+// Message decoding rejects invalid bytes, whatever lengths they claim.
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -22,7 +22,7 @@
   }
 };
 
-/// Counts how many were made. At least 24 bytes in a message.
+/// Counts constructed instances. Takes at least 24 bytes in a message.
 struct Counted {
   static inline std::uint64_t made = 0;
   std::string first, second, third;
@@ -62,10 +62,10 @@
 namespace cairnhollow::wire {
 namespace {
 
-/// What encode() writes before a message: the byte order.
+/// The byte-order flag that encode() writes before a message.
 std::string start_of_message() { return std::string(1, '\1'); }
 
-/// A count of elements or bytes as the archive writes it.
+/// A length as the archive writes it.
 std::string count(std::uint64_t value) {
   std::string bytes;
   for (int byte = 0; byte < 8; ++byte) bytes.push_back(static_cast<char>(value >> (8 * byte)));
@@ -82,7 +82,7 @@
   CPPUNIT_ASSERT_MESSAGE(reason.detail, reason.detail.find(detail) != std::string::npos);
 }
 
-/// Decodes `bytes` and what comes of them when some are changed, cut off or added.
+/// Decodes `bytes`, and variants of them with changed, removed or added bytes.
 template <class Message>
 void assert_survives_damage(const std::string& bytes) {
   std::string damaged = bytes;
@@ -100,22 +100,22 @@
 
 class CodecTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CodecTest);
-  CPPUNIT_TEST(messages_read_back);
+  CPPUNIT_TEST(messages_round_trip);
   CPPUNIT_TEST(text_longer_than_the_message_is_refused);
   CPPUNIT_TEST(list_longer_than_the_message_is_refused);
-  CPPUNIT_TEST(room_is_made_only_for_elements_that_the_message_can_hold);
+  CPPUNIT_TEST(allocates_only_elements_that_the_message_can_hold);
   CPPUNIT_TEST(lists_that_fill_the_message_are_read);
-  CPPUNIT_TEST(least_sizes_are_those_of_empty_values);
+  CPPUNIT_TEST(min_encoded_sizes_are_those_of_empty_values);
   CPPUNIT_TEST(flag_that_is_neither_true_nor_false_is_refused);
   CPPUNIT_TEST(other_byte_order_is_refused);
-  CPPUNIT_TEST(bytes_left_over_are_refused);
-  CPPUNIT_TEST(any_bytes_give_a_message_or_a_fault);
-  CPPUNIT_TEST(damaged_messages_give_a_message_or_a_fault);
+  CPPUNIT_TEST(trailing_bytes_are_refused);
+  CPPUNIT_TEST(any_bytes_decode_to_a_message_or_are_refused);
+  CPPUNIT_TEST(damaged_messages_decode_to_a_message_or_are_refused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void messages_read_back() {
-    CPPUNIT_ASSERT(rc::check("messages read back", [](const Flagged& message) {
+  void messages_round_trip() {
+    CPPUNIT_ASSERT(rc::check("messages round-trip", [](const Flagged& message) {
       Reason reason;
       const auto read = decode<Flagged>(encode(message), reason);
       RC_ASSERT(read.has_value());
@@ -125,7 +125,7 @@
     }));
   }
 
-  /// A frame of a few bytes must not make its reader take gigabytes.
+  /// A frame of a few bytes must not make its reader allocate gigabytes.
   void text_longer_than_the_message_is_refused() {
     const std::string flag(1, '\0');
     for (const std::uint64_t claimed : {std::uint64_t{3}, std::uint64_t{1} << 31U, ~std::uint64_t{0}}) {
@@ -140,14 +140,14 @@
     }
   }
 
-  /// A megabyte that claims a million elements must not make room for them.
-  void room_is_made_only_for_elements_that_the_message_can_hold() {
+  /// A one-megabyte message that claims a million elements must not allocate them.
+  void allocates_only_elements_that_the_message_can_hold() {
     const std::uint64_t claimed = 1'000'000;
     const std::string bytes = start_of_message() + count(claimed) + std::string(claimed, '\0');
     Counted::made = 0;
     assert_fault<Holder<std::vector<Counted>>>(bytes, "more than the message holds");
     assert_fault<Holder<std::deque<Counted>>>(bytes, "more than the message holds");
-    // One is made to learn its least size.
+    // One instance is made to determine the least size.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(Counted::made), Counted::made <= 1);
   }
 
@@ -163,17 +163,18 @@
     CPPUNIT_ASSERT(decode<Holder<std::vector<consensus::PeerRequest>>>(encode(requests), reason));
   }
 
-  void least_sizes_are_those_of_empty_values() {
+  void min_encoded_sizes_are_those_of_empty_values() {
     const std::size_t mark = start_of_message().size();
-    CPPUNIT_ASSERT_EQUAL(encode(consensus::LogEntry{}).size() - mark, least_size<consensus::LogEntry>());
+    CPPUNIT_ASSERT_EQUAL(encode(consensus::LogEntry{}).size() - mark,
+                         min_encoded_size<consensus::LogEntry>());
     CPPUNIT_ASSERT_EQUAL(encode(declared::config::StoredObject{}).size() - mark,
-                         least_size<declared::config::StoredObject>());
+                         min_encoded_size<declared::config::StoredObject>());
     consensus::PeerRequest request;
     request.body = consensus::TimeoutNowRequest{};
-    CPPUNIT_ASSERT_EQUAL(encode(request).size() - mark, least_size<consensus::PeerRequest>());
-    // The field that an earlier format lacks is not counted.
+    CPPUNIT_ASSERT_EQUAL(encode(request).size() - mark, min_encoded_size<consensus::PeerRequest>());
+    // A field that an earlier format lacks is not counted.
     CPPUNIT_ASSERT_EQUAL(encode(declared::config::RouteSpec{}, kEarliestFormat).size() - mark,
-                         least_size<declared::config::RouteSpec>());
+                         min_encoded_size<declared::config::RouteSpec>());
   }
 
   void flag_that_is_neither_true_nor_false_is_refused() {
@@ -182,10 +183,12 @@
 
   void other_byte_order_is_refused() { assert_fault<Flagged>(std::string(20, '\0'), "byte order"); }
 
-  void bytes_left_over_are_refused() { assert_fault<Flagged>(encode(Flagged{}) + "x", "left over"); }
+  void trailing_bytes_are_refused() {
+    assert_fault<Flagged>(encode(Flagged{}) + "x", "bytes left over after the end of the message");
+  }
 
-  void any_bytes_give_a_message_or_a_fault() {
-    CPPUNIT_ASSERT(rc::check("any bytes give a message or a fault", [](const std::string& noise) {
+  void any_bytes_decode_to_a_message_or_are_refused() {
+    CPPUNIT_ASSERT(rc::check("any bytes decode to a message or are refused", [](const std::string& noise) {
       const std::string bytes = start_of_message() + noise;
       Reason reason;
       const bool good = decode<declared::follow::FollowAnswer>(bytes, reason) ||
@@ -197,7 +200,7 @@
     }));
   }
 
-  void damaged_messages_give_a_message_or_a_fault() {
+  void damaged_messages_decode_to_a_message_or_are_refused() {
     consensus::AppendRequest append;
     append.entries.resize(2);
     append.entries.front().payload = "entry";
@@ -208,7 +211,7 @@
     news.known_nodes.resize(2);
     const std::string request_bytes = encode(request);
     const std::string news_bytes = encode(news);
-    CPPUNIT_ASSERT(rc::check("damaged messages give a message or a fault", [&] {
+    CPPUNIT_ASSERT(rc::check("damaged messages decode to a message or are refused", [&] {
       assert_survives_damage<consensus::PeerRequest>(request_bytes);
       assert_survives_damage<declared::control::PeerStatusMessage>(news_bytes);
     }));
--- a/tests/wire/format_test.cpp
+++ b/tests/wire/format_test.cpp
@@ -1,4 +1,4 @@
-// Formats: bytes committed with the tests must stay readable, and are what this build writes.
+// Format compatibility: the committed fixture bytes stay readable and equal what this build writes.
 #include "wire/format.h"
 
 #include <cppunit/TestFixture.h>
@@ -40,8 +40,8 @@
   return names;
 }
 
-/// A message type of two builds: the later one has one field more.
-struct Grown {
+/// A message type in two builds; the later one adds a field.
+struct ExtendedMessage {
   std::uint32_t old_field = 0;
   std::uint32_t new_field = 5;
 
@@ -61,17 +61,17 @@
 
 class FormatTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FormatTest);
-  CPPUNIT_TEST(every_sample_is_written_as_committed);
-  CPPUNIT_TEST(committed_bytes_read_back);
+  CPPUNIT_TEST(samples_are_encoded_as_committed);
+  CPPUNIT_TEST(committed_bytes_round_trip);
   CPPUNIT_TEST(records_without_replica_wait_are_read_with_its_default);
   CPPUNIT_TEST(updates_are_written_as_an_earlier_build_reads_them);
-  CPPUNIT_TEST(a_resend_is_known_from_an_earlier_builds_snapshot);
+  CPPUNIT_TEST(resend_is_recognized_from_an_earlier_builds_snapshot);
   CPPUNIT_TEST(an_added_field_is_written_from_its_format_on);
   CPPUNIT_TEST(a_newer_format_is_refused_by_its_number);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void every_sample_is_written_as_committed() {
+  void samples_are_encoded_as_committed() {
     std::set<std::string> names;
     for (const auto& sample : tests::format_samples()) {
       names.insert(sample.name);
@@ -81,10 +81,10 @@
     CPPUNIT_ASSERT(names == names_in(kFixtures));
   }
 
-  void committed_bytes_read_back() {
+  void committed_bytes_round_trip() {
     for (const auto& sample : tests::format_samples()) {
       Reason reason;
-      const auto again = sample.read_again(from_hex_file(kFixtures + sample.name + ".hex"), reason);
+      const auto again = sample.round_trip(from_hex_file(kFixtures + sample.name + ".hex"), reason);
       CPPUNIT_ASSERT_MESSAGE(sample.name + ": " + reason.to_string(), again == sample.bytes);
     }
   }
@@ -95,7 +95,7 @@
     for (const auto& sample : tests::format_samples()) {
       if (!names.contains(sample.name)) continue;
       Reason reason;
-      const auto again = sample.read_again(from_hex_file(folder + sample.name + ".hex"), reason);
+      const auto again = sample.round_trip(from_hex_file(folder + sample.name + ".hex"), reason);
       CPPUNIT_ASSERT_MESSAGE(sample.name + ": " + reason.to_string(), again);
     }
     Reason reason;
@@ -106,7 +106,8 @@
     const auto route = route_of(*request);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4000}, route.max_staleness_milliseconds);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{200}, route.replica_wait_milliseconds);
-    // At feature level 1 this build writes what an earlier one reads, and refuses what that would drop.
+    // At feature level 1 this build writes what an earlier build can read, and refuses changes that would
+    // lose fields.
     const auto command = declared::control::encode_change(*request, kEarliestFormat, reason);
     CPPUNIT_ASSERT(command == from_hex_file(folder + "change_request.hex"));
     std::get<declared::config::RouteSpec>(request->changes[3].object.spec).replica_wait_milliseconds = 7;
@@ -115,7 +116,7 @@
     CPPUNIT_ASSERT(declared::control::encode_change(*request, kReplicaWaitFormat, reason));
   }
 
-  /// To proxies of a build before, at feature level 1.
+  /// Updates to proxies of an earlier build, at feature level 1.
   void updates_are_written_as_an_earlier_build_reads_them() {
     for (const char* name : {"follow_update_changes", "follow_update_snapshot"}) {
       const auto earlier = from_hex_file(kFixtures + "before_replica_wait/" + name + ".hex");
@@ -126,7 +127,7 @@
     }
   }
 
-  void a_resend_is_known_from_an_earlier_builds_snapshot() {
+  void resend_is_recognized_from_an_earlier_builds_snapshot() {
     declared::config::StateMachine machine;
     Reason reason;
     const std::string snapshot = from_hex_file(kFixtures + "before_replica_wait/state_machine_snapshot.hex");
@@ -141,25 +142,25 @@
     }
     CPPUNIT_ASSERT(machine.apply(request).accepted);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, machine.revision());
-    // Another wait than the default is another change: the earlier build could not have been told of it.
+    // A non-default wait makes it a different change, which an earlier build cannot have received.
     std::get<declared::config::RouteSpec>(request.changes.back().object.spec).replica_wait_milliseconds = 7;
     CPPUNIT_ASSERT(machine.apply(request).reason.code == ReasonCode::kAlreadyExists);
   }
 
   void an_added_field_is_written_from_its_format_on() {
-    const Grown grown{1, 9};
-    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, encode(grown).size());
-    CPPUNIT_ASSERT(!fits_format(grown, kWrittenFormat));
-    CPPUNIT_ASSERT(fits_format(Grown{1, 5}, kWrittenFormat));
+    const ExtendedMessage extended{1, 9};
+    CPPUNIT_ASSERT_EQUAL(std::size_t{5}, encode(extended).size());
+    CPPUNIT_ASSERT(!fits_format(extended, kWrittenFormat));
+    CPPUNIT_ASSERT(fits_format(ExtendedMessage{1, 5}, kWrittenFormat));
     Reason reason;
-    CPPUNIT_ASSERT_EQUAL(5U, decode<Grown>(encode(grown), reason)->new_field);
-    CPPUNIT_ASSERT_EQUAL(9U, decode<Grown>(encode(grown, kMarkedFormat), reason)->new_field);
+    CPPUNIT_ASSERT_EQUAL(5U, decode<ExtendedMessage>(encode(extended), reason)->new_field);
+    CPPUNIT_ASSERT_EQUAL(9U, decode<ExtendedMessage>(encode(extended, kMarkedFormat), reason)->new_field);
   }
 
   void a_newer_format_is_refused_by_its_number() {
-    const std::string bytes = encode(Grown{}, kNewestFormat + 4);
+    const std::string bytes = encode(ExtendedMessage{}, kNewestFormat + 4);
     Reason reason;
-    CPPUNIT_ASSERT(!decode<Grown>(bytes, reason));
+    CPPUNIT_ASSERT(!decode<ExtendedMessage>(bytes, reason));
     CPPUNIT_ASSERT(reason.code == ReasonCode::kUnsupported);
     CPPUNIT_ASSERT_EQUAL(
         std::string("written in format 9, and this build reads formats up to 5: run the newer build"),
