--- a/src/registered/control/failover/evacuation_moves.h
+++ b/src/registered/control/failover/evacuation_moves.h
@@ -15,7 +15,7 @@
 
 /// Maximum number of concurrent moves.
 inline constexpr std::size_t kMaxConcurrentMoves = 3;
-/// Delay before a slot is assigned. Groups that become ready within it are ordered by priority.
+/// Delay before a slot is assigned. Groups that become ready within it are ordered by urgency.
 inline constexpr Duration kMoveBatchDelay = std::chrono::milliseconds(20);
 /// A move that has not finished after this time releases its slot. Equal to the time allowed for a promotion.
 inline constexpr Duration kMoveTimeout = kPromotionTimeout;
--- a/src/registered/control/failover/promotion_choice.h
+++ b/src/registered/control/failover/promotion_choice.h
@@ -46,7 +46,7 @@
 
 enum class PromotionVerdict : std::uint8_t {
   kPromote,  ///< `backend` holds every acknowledged commit
-  kReopen,   ///< `backend`, the old primary, still leads and has no proved successor yet
+  kReopen,   ///< `backend`, the old primary or its next incarnation, leads the closed term
   kAdopt,    ///< `backend` already leads a higher term, and holds every acknowledged commit
   kNotYet,   ///< no candidate provably holds every acknowledged commit
 };
@@ -68,9 +68,9 @@
 /// commits. Such an incarnation, registered or not, has lost its log, and its position proves nothing.
 bool has_lost_log(const MemberFinding& member, const PromotionFacts& facts);
 
-/// Invariant: with one synchronous replica, an acknowledged commit is on the primary and on one replica, each
-/// in one incarnation. The furthest log therefore holds it if all replicas were compared, if the old primary
-/// was compared, or if the log reaches the highest position that any proxy acknowledged.
+/// Invariant: with one synchronous replica, an acknowledged commit is on the primary and on at least one
+/// replica, each in one incarnation. The furthest log therefore holds it if all replicas were compared, if
+/// the old primary was compared, or if the log reaches the highest position that any proxy acknowledged.
 ///
 /// Rules:
 /// - A candidate outside evacuated zones that is proved to hold every acknowledged commit is preferred, even
--- a/src/registered/control/failover/promotion_steps.h
+++ b/src/registered/control/failover/promotion_steps.h
@@ -33,7 +33,7 @@
 /// Referenced objects are not owned and must outlive this object, which must live until the process exits.
 class Promotion {
  public:
-  /// `node` is this control node, which is passed to the platform as the holder of the leader duty.
+  /// `node` is this control node, which is passed to the platform as the holder of the promotion duty.
   Promotion(runtime::Runtime& runtime, consensus::Consensus& consensus,
             const registry::FleetStateMachine& fleet, GroupTerms& terms, GroupProber& prober,
             registry::PromotionCaller& caller, NodeName node)
--- a/src/registered/control/failover/replication_pauses.h
+++ b/src/registered/control/failover/replication_pauses.h
@@ -42,7 +42,8 @@
                                         std::uint64_t min_unresponsive_revision,
                                         const std::vector<MemberFinding>& findings,
                                         const BackendName& candidate) const;
-  /// Resumes all members that this node paused. Those that do not answer are retried by resume_leftover().
+  /// Resumes all members of the group that this node paused. Those that do not answer stay paused until
+  /// resume_leftover(), which runs once after each election, or until a later pause of the group ends.
   Awaitable<void> resume(GroupName group);
   /// Resumes the members of an open group that are still paused, by whichever leader.
   Awaitable<void> resume_leftover(GroupName group);
--- a/src/registered/control/leases/lease_keeper.h
+++ b/src/registered/control/leases/lease_keeper.h
@@ -59,7 +59,7 @@
   Awaitable<bool> grant(std::shared_ptr<Follower> follower, Reason& reason);
   Awaitable<bool> admit(std::shared_ptr<Follower> follower, Reason& reason);
   void record_acknowledgements(const Follower& follower, const std::vector<registry::ClosedGroup>& closed);
-  /// Updates the set of proxies whose acknowledgements are required from the admitted proxies.
+  /// Updates `acknowledgements_` if the set of admitted proxies has changed.
   void refresh_fence_proxies();
   /// Periodically excludes proxies with expired leases from the division of groups, and removes those that do
   /// not return.
--- a/src/registered/control/registration_service.h
+++ b/src/registered/control/registration_service.h
@@ -54,12 +54,12 @@
   /// Stops waiting for the missing voters after kFormationTimeout.
   [[nodiscard]] bool may_acknowledge(const char* step, Reason& reason) const;
 
-  /// Returns true if the local document contains the entry's group, or if no document exists yet. A
-  /// registered backend remains valid in its group after the group was removed, so that it can deregister.
+  /// Returns true if the local document contains the entry's group. A registered backend remains valid in its
+  /// group after the group was removed, so that it can still report that it is leaving.
   [[nodiscard]] bool is_group_known(const registry::BackendEntry& entry) const;
   /// Like is_group_known(), but consults the newest document before rejecting, because local state may be
-  /// stale and a valid registration must not be lost. Fails with kNotFound if the group is not configured;
-  /// with any other code the answer is unknown.
+  /// stale and a valid registration must not be lost. Accepts every group before the first document. Fails
+  /// with kNotFound if the group is not configured; with any other code the answer is unknown.
   Awaitable<bool> ensure_group_exists(registry::BackendEntry entry, Reason& reason);
   /// Returns true if the log contains a later incarnation of the entry's name or address, or the
   /// deregistration of this incarnation.
@@ -83,7 +83,7 @@
   EvacuationOrders evacuations_;
   TimePoint started_at_;
   RegistrationCounts counts_;
-  std::set<registry::BackendIncarnation> logged_outdated_;  ///< already logged
+  std::set<registry::BackendIncarnation> logged_outdated_;  ///< at most kMaxLoggedOutdated
   /// registration endpoints of non-leaving proxies, by zone
   std::map<ZoneName, std::vector<Endpoint>> relay_endpoints_;
   registry::RegistrationFaultCounts refused_;
--- a/src/registered/limits/owner_share.h
+++ b/src/registered/limits/owner_share.h
@@ -2,10 +2,10 @@
 //
 // A limit has kQuotaOwners owner proxies, in different zones if there are enough zones. Each owner has a
 // token bucket with 1/kQuotaOwners of the rate and of the total depth. An operation runs only with a token
-// that was requested after the caller sent the operation, and at most kTokenLifetime before it runs. With
-// rate R, operations that are both sent and run within a window W use tokens granted in W or in the
-// kTokenLifetime before it: at most R x (W + kTokenLifetime) + depths. The depths are the remainder of the
-// allowance:
+// that was taken for it after the caller sent it, and that was requested at most kTokenLifetime before it
+// runs, possibly in advance (token_stock.h). With rate R, operations that are both sent and run within a
+// window W use tokens granted in W or in the kTokenLifetime before it: at most R x (W + kTokenLifetime) +
+// depths. The depths are the remainder of the allowance:
 //
 //   depths = (R x W + burst) x (1 + overshoot) + slack - R x (W + kTokenLifetime)
 //
--- a/src/registered/limits/quota_ledger.h
+++ b/src/registered/limits/quota_ledger.h
@@ -4,9 +4,8 @@
 // was empty when the proxy became an owner. A proxy grants only
 // - while control has confirmed its copy of the membership less than kBudgetAuthority ago, counted from the
 //   time of the request to control, and
-// - after control has reported that every proxy that may act on a membership older than the one that made
-// this
-//   proxy an owner has received that membership, or has been without a confirmation for longer than
+// - after control has reported that every proxy that may act on an older membership than the one that made
+//   this proxy an owner has received that one, or has been without a confirmation for longer than
 //   kBudgetAuthority (stable_revision of registry::ProxyUpdate).
 // The owner that it replaced has therefore stopped granting. tests/registered/limits/quota_ledger_test.cpp
 // simulates membership changes, partitions, freezes and restarts, and counts the operations in every window.
--- a/src/registered/protocol/statement.h
+++ b/src/registered/protocol/statement.h
@@ -54,7 +54,7 @@
   kMalformed,         ///< not a statement, or not valid in this state
   kUnknownStatement,  ///< no prepared statement of this name
   kUnknownDatabase,   ///< no route for this database
-  kUnauthorized,      ///< not run: no tenant has the key, or no longer has it
+  kUnauthorized,      ///< not run: no tenant has the key, or none has it any more
   kOverLimit,         ///< not run: the tenant's rate limit is exhausted; no lasting effect, as with kBusy
 };
 inline constexpr std::size_t kRefusalCount = static_cast<std::size_t>(Refusal::kOverLimit) + 1;
--- a/src/registered/registry/control_service.h
+++ b/src/registered/registry/control_service.h
@@ -58,7 +58,7 @@
   virtual void record_refused(const RefusedRegistration& /*refused*/) const {}
 };
 
-/// A promotion order. Issued only by the leader, one at a time in the whole fleet.
+/// A promotion order. Issued only by the leader; orders for several groups may be in progress at once.
 struct PromotionOrder {
   GroupName group;
   BackendName backend;
--- a/src/registered/registry/member_lease.h
+++ b/src/registered/registry/member_lease.h
@@ -16,7 +16,7 @@
 namespace cairnhollow::registered::registry {
 
 /// Counted by the proxy from sending its queries. Long enough for a round of queries to busy members, and
-/// short because a failover waits for it when a proxy is silent.
+/// short because a failover waits for it if a proxy does not acknowledge the close.
 inline constexpr Duration kMemberLease = std::chrono::milliseconds(500);
 /// Counted by control from receiving a member's acknowledgement of the pause. One fifth longer than the
 /// lease, to allow for clock drift and messages in transit.
--- a/src/registered/registry/state_machine.h
+++ b/src/registered/registry/state_machine.h
@@ -29,7 +29,8 @@
   [[nodiscard]] std::uint64_t revision() const { return state_.revision; }
   /// Revision at which a group last closed or opened since this process started.
   [[nodiscard]] std::uint64_t terms_revision() const { return terms_revision_; }
-  /// Revision at which a proxy was last admitted, changed or removed since this process started.
+  /// Revision at which a proxy was last admitted, changed or removed since this process started. Restoring a
+  /// snapshot sets it to the snapshot's revision.
   [[nodiscard]] std::uint64_t proxies_revision() const { return proxies_revision_; }
   [[nodiscard]] std::uint64_t document_version() const { return state_.document_version; }
   /// The document as submitted; empty before the first one.
--- a/tests/registered/control/leases/member_lease_model_test.cpp
+++ b/tests/registered/control/leases/member_lease_model_test.cpp
@@ -23,8 +23,8 @@
 namespace {
 
 constexpr int kLease = 2;                ///< kMemberLease, in ticks
-constexpr int kWait = 3;                 ///< kMemberLeaseWait
-constexpr int kServeWithoutControl = 4;  ///< kServeWithoutControl
+constexpr int kWait = 3;                 ///< kMemberLeaseWait, in ticks
+constexpr int kServeWithoutControl = 4;  ///< registry::kServeWithoutControl, in ticks
 constexpr int kMembers = 2;              ///< A and B; A is known to every proxy
 constexpr int kMaxLeaders = 2;           ///< consecutive leaders
 constexpr int kMaxRestarts = 1;          ///< restarts of members
