--- a/src/registered/placement/backend_choice.cpp
+++ b/src/registered/placement/backend_choice.cpp
@@ -17,7 +17,8 @@
   return rejection_of_new_work(backend) == RejectionReason::kNone && (!backend.leaving || may_lead(backend));
 }
 
-/// Ranks the reasons that are final for now: the higher, the sooner it is expected to end. 0: not final.
+/// Ranks the reasons that are final for now: the higher the rank, the sooner the reason is expected to end.
+/// 0: not final.
 int finality_rank(RejectionReason rejection) {
   if (rejection == RejectionReason::kColdLimit) return 3;
   if (rejection == RejectionReason::kZoneEvacuated) return 2;
--- a/src/registered/placement/facts.h
+++ b/src/registered/placement/facts.h
@@ -34,7 +34,7 @@
   bool tried = false;    ///< this statement has been tried there
   bool avoided = false;  ///< it recently failed
   bool refused = false;  ///< it rejects connections now, and this proxy has none
-  bool lags = false;     ///< a replica not known to have reached what this statement must see
+  bool lags = false;     ///< a replica, estimated not to have reached what this statement must see
   double cost = 0;       ///< relative cost of a read there; lower is better
   /// Expected time from now until new work is accepted again; 0: unknown.
   Duration retry_after{0};
--- a/src/registered/placement/placement.h
+++ b/src/registered/placement/placement.h
@@ -43,7 +43,8 @@
 /// The next proxy in the preference order of a forwarding.
 struct NextProxy {
   bool is_this_proxy = false;
-  bool is_unresponsive = false;  ///< it recently failed or gave no answer
+  /// It is unreachable, or recently did not answer or could not serve the group.
+  bool is_unresponsive = false;
 };
 enum class NextProxyAction : std::uint8_t { kSkip, kRunHere, kSend };
 NextProxyAction try_next_proxy(const NextProxy& next, const ProxyFacts& proxy);
--- a/src/registered/placement/rejection_reason.h
+++ b/src/registered/placement/rejection_reason.h
@@ -15,9 +15,9 @@
   // Concerning one backend.
   kOutsideRegions,  ///< the statement's route or tenant does not permit the backend's region
   kZoneEvacuated,   ///< the backend's zone is evacuated and gets no new work
-  kColdLimit,       ///< the backend recently started and its rate limit for that time is used up
+  kColdLimit,       ///< the backend is cold, and its rate limit had no token for a statement
   kLeaving,         ///< the backend is draining
-  kLags,            ///< the replica is not known to have reached what the read must see
+  kLags,            ///< the replica is estimated not to have reached what the read must see
   kTried,           ///< the statement has already been tried there
   // Concerning the group.
   kGroupClosed,         ///< the group has no trusted primary
@@ -25,7 +25,7 @@
   kPrimaryUnreachable,  ///< this proxy can't connect to the primary
   kPrimaryFull,         ///< the primary rejects further connections, and this proxy has none
   kCommitsStall,        ///< earlier commits have no answer
-  kBackendsBusy,        ///< the suitable backends were tried and had no capacity
+  kBackendsBusy,        ///< the statement was already sent to a backend, and none can run it now
   kNoBackend,           ///< no suitable backend is known
   // Concerning this proxy and its peers.
   kNoLease,  ///< this proxy holds no serving lease, so it may use no primary
@@ -33,7 +33,7 @@
   // Concerning the caller.
   kKeyUnauthorized,  ///< the key proves no tenant, or a different one than when the statement arrived
   kKeyUnconfirmed,   ///< control has not confirmed the key recently enough
-  kOverLimit,        ///< the tenant's rate limit has no token for a rerun
+  kOverLimit,        ///< the tenant's rate limit has no token for the operation, or for a rerun
 };
 inline constexpr std::size_t kRejectionReasonCount =
     static_cast<std::size_t>(RejectionReason::kOverLimit) + 1;
--- a/src/registered/proxy/callers/caller_session.cpp
+++ b/src/registered/proxy/callers/caller_session.cpp
@@ -15,7 +15,8 @@
 
 /// Longest wait for a caller's first line.
 constexpr Duration kStartTimeout = std::chrono::seconds(5);
-/// Longest wait of a new session for a serving lease, for example while the fleet starts.
+/// Longest wait of a new session for a serving lease, for example while the fleet starts, and for control's
+/// confirmation that its key is unknown.
 constexpr Duration kStartLeaseWait = std::chrono::milliseconds(700);
 /// Maximum number of session values, and of prepared statements, per session.
 constexpr std::size_t kMaxSessionEntries = 1024;
--- a/src/registered/proxy/fleet/fleet_link.h
+++ b/src/registered/proxy/fleet/fleet_link.h
@@ -26,7 +26,7 @@
 
 /// Why a primary is suspected.
 enum class SuspicionKind : std::uint8_t {
-  kSilent,        ///< a statement was not answered in time
+  kSilent,        ///< a statement got no answer, or the primary reported that it lost its role or its log
   kCommitsStall,  ///< only commits were not answered in time
   kUnreachable,   ///< no connection to it can be opened, or every connection breaks once something is sent
 };
--- a/src/registered/proxy/fleet/fleet_view.h
+++ b/src/registered/proxy/fleet/fleet_view.h
@@ -162,7 +162,7 @@
 
   std::shared_ptr<GroupAccess> get_or_create_group(const GroupName& group);
   /// The zone of the backends that do the tenant's work. Returns std::nullopt for work at a primary if this
-  /// proxy holds a lease but no primary is known.
+  /// proxy holds a lease but no primary may be used.
   [[nodiscard]] std::optional<ZoneName> work_zone(const GroupName& group, const TenantName& tenant,
                                                   GroupWork work) const;
   /// Divides the group's connections among the proxies that serve it.
--- a/src/registered/proxy/fleet/known_registrations.h
+++ b/src/registered/proxy/fleet/known_registrations.h
@@ -8,9 +8,10 @@
 
 namespace cairnhollow::registered::proxy {
 
-/// The view contains only committed entries. It may be stale, but then a registration differs from it and the
-/// backend is sent to control. A heartbeat from an earlier incarnation than the recorded one is no news
-/// either. The referenced objects are not owned and must outlive this object.
+/// The view contains only committed entries. It may be stale, but then it is not newer than what the
+/// backend reports, and a difference sends the backend to control. A heartbeat from an earlier incarnation
+/// than the recorded one is no news either. The referenced objects are not owned and must outlive this
+/// object.
 class KnownRegistrations : public registry::RegistrationRelay {
  public:
   KnownRegistrations(runtime::Runtime& runtime, const FleetView& view, const FleetLink& link,
--- a/src/registered/proxy/group/group_access.h
+++ b/src/registered/proxy/group/group_access.h
@@ -18,8 +18,8 @@
 /// References are not owned and must outlive this object. Neither copyable nor movable, since its parts refer
 /// to each other.
 struct GroupAccess {
-  /// `evacuated`: the zones that the proxy is to leave; may change at any time. `confirmation`: control's
-  /// confirmation of the fleet snapshot that this object belongs to; null: cold backends are not limited.
+  /// `evacuated`: the zones being evacuated; may change at any time. `confirmation`: control's confirmation
+  /// of the fleet snapshot that this object belongs to; null: cold backends are not limited.
   GroupAccess(runtime::Runtime& proxy_runtime, BackendDialer& dialer, GroupName group, const ZoneName& zone,
               std::shared_ptr<const EvacuatedZones> evacuated,
               const tenancy::KeyConfirmation* confirmation = nullptr);
--- a/src/registered/proxy/group/group_backends.h
+++ b/src/registered/proxy/group/group_backends.h
@@ -23,7 +23,7 @@
 /// References are not owned and must outlive this object.
 class GroupBackends {
  public:
-  /// `evacuated`: the zones that the proxy is to leave; may change at any time.
+  /// `evacuated`: the zones being evacuated; may change at any time.
   GroupBackends(runtime::Runtime& runtime, BackendDialer& dialer, const Leadership& leadership,
                 ConnectionShares shares, std::shared_ptr<const EvacuatedZones> evacuated)
       : runtime_(runtime),
--- a/src/registered/proxy/group/link_warming.h
+++ b/src/registered/proxy/group/link_warming.h
@@ -11,7 +11,7 @@
 inline constexpr Duration kWarmInterval = std::chrono::milliseconds(200);
 
 /// Opens one link to a backend that has none, so that the first statement does not wait for it. Returns false
-/// if every backend that may be used has a link. `runtime` must outlive the spawned coroutine.
+/// if every backend that may be warmed has a link. `runtime` must outlive the spawned coroutine.
 bool warm_one(runtime::Runtime& runtime, const GroupAccess& group);
 
 }  // namespace cairnhollow::registered::proxy
--- a/src/registered/proxy/group/member_lease_keeper.h
+++ b/src/registered/proxy/group/member_lease_keeper.h
@@ -57,9 +57,10 @@
   FleetView& view_;
   SessionMetrics& metrics_;
   std::set<GroupName> queried_groups_;
-  std::set<GroupName> serving_;                       ///< under a member lease alone
-  std::map<GroupName, std::string> refusal_reasons_;  ///< why the last round granted no lease; empty: it did
-  std::map<GroupName, std::string> logged_reasons_;   ///< the reason logged last
+  std::set<GroupName> serving_;  ///< under a member lease alone
+  /// Why the last round granted no lease; empty if it did.
+  std::map<GroupName, std::string> refusal_reasons_;
+  std::map<GroupName, std::string> logged_reasons_;  ///< the reason logged last
   bool stopping_ = false;
 };
 
--- a/src/registered/proxy/limits/limit_client.h
+++ b/src/registered/proxy/limits/limit_client.h
@@ -20,9 +20,9 @@
 /// answer. The waits for all three owners must fit into kAdmissionTimeout.
 inline constexpr Duration kOwnerTimeout = std::chrono::milliseconds(60);
 inline constexpr Duration kAdmissionTimeout = std::chrono::milliseconds(200);
-/// After no quota owner granted a token, this proxy refuses without requesting again for this long, so that a
-/// tenant far above its limit does not cause requests to three owners per refusal. The owners keep their
-/// tokens meanwhile.
+/// After no quota owner granted a token, this proxy refuses further operations under the same limit for this
+/// long without requesting again, so that a tenant far above its limit does not cause requests to three
+/// owners per refusal. No token is lost, since the owners keep them.
 inline constexpr Duration kMinRefusalPause = std::chrono::milliseconds(20);
 
 /// The answer to a request for a token: admitted, over the limit, or not counted because no quota owner that
@@ -46,7 +46,7 @@
   /// Takes a token for one statement to the backend, which must be sent before the token expires. If the
   /// backend has no limit now, the answer is kAdmitted without a token.
   Awaitable<AdmissionAnswer> admit_to_cold(BackendName backend);
-  /// Returns a token that expires at `expires_at` and with which nothing was run.
+  /// Gives back a token that expires at `expires_at` and with which nothing was run.
   void give_back(const limits::LimitKey& limited, TimePoint expires_at);
 
  private:
--- a/src/registered/proxy/links/cold_backend.h
+++ b/src/registered/proxy/links/cold_backend.h
@@ -17,8 +17,8 @@
 /// unused, and report that with their next heartbeat. Covers two heartbeats (one each 1.2 s) and the
 /// propagation through the log.
 inline constexpr Duration kColdAfterEvacuation = std::chrono::seconds(3);
-/// Time after which a restarted backend that can be dialled is registered, if it can register at all: it
-/// calls a control node at once, and another one if there is no answer within a second.
+/// Longest time until a restarted backend that can be dialled is registered, if it can register at all: it
+/// calls a node at once, and another one if there is no answer within a second.
 inline constexpr Duration kRestartRegistrationTime = std::chrono::seconds(1);
 /// Cost in milliseconds added to a cold backend: it is chosen when the warm ones are slower by this. Three
 /// times the duration of the longest expected reads, at which a warm backend's queue is as slow as a cold
--- a/src/registered/proxy/links/stateful_pool.h
+++ b/src/registered/proxy/links/stateful_pool.h
@@ -26,7 +26,7 @@
 /// previous connections for some seconds, and accept more new ones the fewer there were. A shorter timeout
 /// costs handshakes.
 inline constexpr Duration kIdleLinkTimeout = std::chrono::seconds(2);
-/// Time without dialling after a backend refused a connection at its limit.
+/// Time after a backend refused a connection at its limit in which a new one may only replace an idle one.
 inline constexpr Duration kDialPause = std::chrono::milliseconds(150);
 
 using SessionValues = std::map<std::string, std::string>;
@@ -132,7 +132,8 @@
  private:
   std::shared_ptr<StatefulLink> take_idle(const LinkRequest& link_request);
   void drop_closed();
-  /// Stops dialling for kDialPause after the backend refused a connection.
+  /// Called when the backend refused a connection at its limit. For kDialPause, may_dial() then permits a
+  /// connection only in exchange for an idle one.
   void pause_dialling();
   /// Logs at debug level that a link was released and whether it was newly opened.
   void log_release(const StatefulLink& link) const;
@@ -151,7 +152,7 @@
   std::vector<std::shared_ptr<StatefulLink>> idle_;  ///< longest idle first
   std::uint64_t limit_ = 2;
   Duration idle_timeout_ = kIdleLinkTimeout;
-  TimePoint dial_paused_until_{};  ///< no dialling before then, after a refused connection
+  TimePoint dial_paused_until_{};  ///< end of kDialPause after a refused connection
   std::size_t in_use_ = 0;
   bool retired_ = false;
   bool idle_link_lost_ = false;
--- a/src/registered/proxy/session_proxy.cpp
+++ b/src/registered/proxy/session_proxy.cpp
@@ -28,7 +28,7 @@
 /// Idle sessions are closed after this time without a lease, so that their callers reconnect to another
 /// proxy.
 inline constexpr Duration kCloseIdleAfter = std::chrono::milliseconds(2300);
-/// Time after SIGTERM for which new callers may still arrive and idle sessions are kept.
+/// Time after SIGTERM for which new callers may still arrive and the drain closes no session.
 inline constexpr Duration kDrainIdleAfter = std::chrono::milliseconds(2300);
 /// Reading of statements stops kDrainMargin before the drain limit. Statements already read are answered
 /// until kDrainLastMargin before it, polled every kDrainLastTick.
--- a/src/registered/proxy/statement/statement_forwarding.cpp
+++ b/src/registered/proxy/statement/statement_forwarding.cpp
@@ -100,7 +100,7 @@
     services_.metrics.count_lost_answer();
     services_.forwarder.record_no_answer(proxy->name, request.group->name);
     // A transaction's first statement leaves no changes: the other proxy rolls it back when the connection is
-    // lost.
+    // lost, and a late answer makes this proxy end it there.
     const bool in_doubt = placement::is_in_doubt(request.makes_durable_changes(), true);
     may_try_another = !in_doubt && services_.runtime.now() < request.deadline;
     result.answer.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kBusy;
--- a/src/registered/proxy/statement/statement_sending.h
+++ b/src/registered/proxy/statement/statement_sending.h
@@ -13,7 +13,7 @@
 inline void leave_gate(StatementGate& gate, const std::optional<Answer>& answer, Duration latency) {
   if (!answer) return gate.leave_unanswered();
   if (answer->refusal == Refusal::kBusy) return gate.leave_busy();
-  // A refusal is answered immediately, so its latency says nothing about execution times.
+  // The latency of a refused statement says nothing about how long statements take to run.
   if (answer->refusal) return gate.leave_unanswered();
   gate.leave(latency);
 }
--- a/tests/registered/proxy/session_stand.h
+++ b/tests/registered/proxy/session_stand.h
@@ -100,7 +100,7 @@
   std::unique_ptr<LimitClient> limits_;
   std::map<Step, std::function<void()>> events_;
   std::map<std::string, std::vector<std::string>> sent_;
-  std::vector<std::string> dialled_tenants_;  ///< tenants
+  std::vector<std::string> dialled_tenants_;
   int setup_count_ = 0;
   std::uint64_t position_ = 10;
 };
