--- a/src/registered/placement/rejection_reason.h
+++ b/src/registered/placement/rejection_reason.h
@@ -26,7 +26,7 @@
   kPrimaryFull,         ///< the primary rejects further connections, and this proxy has none
   kCommitsStall,        ///< earlier commits have no answer
   kBackendsBusy,        ///< the statement was already sent to a backend, and none can run it now
-  kNoBackend,           ///< no suitable backend is known
+  kNoBackend,           ///< no suitable backend is known, or no attempt got as far as sending the statement
   // Concerning this proxy and its peers.
   kNoLease,  ///< this proxy holds no serving lease, so it may use no primary
   kNoProxy,  ///< none of the proxies that may serve the group accepted the statement
--- a/tests/registered/proxy/group/primary_health_test.cpp
+++ b/tests/registered/proxy/group/primary_health_test.cpp
@@ -102,7 +102,7 @@
     struct Row {
       std::string name;
       std::vector<Sent> sent;
-      Duration answered_age;  ///< of a commit that was sent so long ago; 0: none
+      Duration answered_age;  ///< time since the answered commit was sent; 0: none
       bool refuses;
     };
     const std::vector<Row> rows{
--- a/tests/registered/proxy/links/stateful_pool_test.cpp
+++ b/tests/registered/proxy/links/stateful_pool_test.cpp
@@ -63,7 +63,7 @@
     co_return links.back();
   }
   std::vector<std::shared_ptr<RecordingLink>> links;
-  std::vector<std::string> tenants;  ///< of each dial
+  std::vector<std::string> tenants;  ///< tenant of each dial
   bool full = false;
   int dials = 0;
   Duration dial_delay{0};
