--- a/src/declared/backend/admitted_connection.h
+++ b/src/declared/backend/admitted_connection.h
@@ -7,9 +7,9 @@
 namespace cairnhollow::declared::backend {
 
 /// Holds a permit until its first statement is answered. In a transaction each further statement acquires a
-/// permit again and is answered Busy if it gets none before its deadline. A statement of a transaction that
-/// the backend answers with Busy did not run; it waits for a permit and is sent again. Destroying this object
-/// returns the connection to the pool.
+/// permit again and is answered Busy if it is refused one. A statement of a transaction that the backend
+/// answers with Busy did not run; it waits for a permit and is sent again. Destroying this object returns the
+/// connection to the pool.
 class AdmittedConnection final : public BackendConnection {
  public:
   AdmittedConnection(BackendAdmission& admission, std::shared_ptr<BackendConnection> connection,
--- a/src/declared/config/document_reader.h
+++ b/src/declared/config/document_reader.h
@@ -20,7 +20,8 @@
 
   void add(int line, const std::string& field, const std::string& problem);
   [[nodiscard]] bool empty() const { return faults_.empty(); }
-  /// Returns kInvalidArgument listing all faults (long lists are truncated, with the number omitted).
+  /// Returns kInvalidArgument listing all faults (a long list is truncated and ends with the number of
+  /// further faults).
   [[nodiscard]] Reason reason() const;
 
  private:
--- a/src/declared/config/validation.h
+++ b/src/declared/config/validation.h
@@ -44,8 +44,8 @@
 /// not touched are assumed to be valid.
 std::vector<FieldFault> validate_relations(const ObjectStore& objects, const std::vector<ObjectKey>& touched);
 
-/// Returns kInvalidArgument with all faults, sorted, in the detail (long lists are truncated, with the number
-/// omitted).
+/// Returns kInvalidArgument with all faults, sorted, in the detail (a long list is truncated and ends with
+/// the number of further faults).
 Reason reason_for_faults(std::vector<FieldFault> faults);
 
 }  // namespace cairnhollow::declared::config
--- a/src/declared/control/follow/follow_server.h
+++ b/src/declared/control/follow/follow_server.h
@@ -30,19 +30,21 @@
   std::uint64_t quorum_rounds = 0;      ///< read barriers waited for; each serves many requests
 };
 
-/// A request is held until there are changes or its hold time has elapsed; all due requests are answered, or
-/// refused if it fails, after one read barrier. A newer request on a connection replaces the open one. Lease
-/// renewals go before first configurations, which are sent one per turn of the event loop. Large updates in
-/// flight are limited (kMaxLargeUpdateBytesInFlight), so that first configurations neither exhaust memory nor
-/// delay renewals; a follower above the limit gets kOverloaded at once and retries. References passed to the
-/// constructor are not owned and must outlive this object, which must live until the process ends.
+/// A request is held until there are changes or its hold time has elapsed. All due requests share one read
+/// barrier: they are answered once it succeeds, and refused if it fails. A newer request on a connection
+/// replaces the open one. Lease renewals go before first configurations, which are sent one per turn of the
+/// event loop. Large updates in flight are limited (kMaxLargeUpdateBytesInFlight), so that first
+/// configurations neither exhaust memory nor delay renewals; a follower above the limit gets kOverloaded at
+/// once and retries. References passed to the constructor are not owned and must outlive this object, which
+/// must live until the process ends.
 class FollowServer {
  public:
   FollowServer(runtime::Runtime& runtime, Duration serving_lease, RenewalBarrier& barrier,
                ConfigView& configuration, ClusterStateDirectory& directory);
 
   void start();
-  /// Refuses every open request with kDraining and closes the connections.
+  /// Refuses every open request, and each one that arrives later, with kDraining. Connections stay open until
+  /// the followers close them.
   void stop();
   /// Serves one follower until its connection ends.
   Awaitable<void> serve(std::shared_ptr<runtime::FrameConnection> connection, wire::Hello hello);
--- a/src/declared/control/news/peer_exchange.h
+++ b/src/declared/control/news/peer_exchange.h
@@ -49,7 +49,7 @@
     TimePoint acknowledged_at{};                   ///< time of the last acknowledgement on this connection
     std::vector<follow::SuspectPrimary> suspects;  ///< suspicions waiting to be sent
     std::vector<Endpoint> known_nodes_sent;        ///< known nodes last sent on this connection
-    TimePoint connected_at{};  ///< time of the last connection, or when the peer was added
+    TimePoint connected_at{};                      ///< when the peer was last connected, or when it was added
     wire::ClientHandshake greeting;
     bool refused = false;  ///< the peer supports no protocol version of this node
   };
--- a/src/declared/control/operator/fleet_status.h
+++ b/src/declared/control/operator/fleet_status.h
@@ -16,7 +16,7 @@
 std::vector<OtherControlNode> non_member_nodes(const std::vector<consensus::Member>& members,
                                                const std::vector<ControlPeerStatus>& peers);
 
-/// Returns all control nodes that have sent news, ordered by name.
+/// Returns all control nodes that have sent a status message, ordered by name.
 std::vector<ControlPeerStatus> peer_status(const PeerDirectory& peers, TimePoint now);
 
 /// References passed to the constructor are not owned and must outlive this object.
--- a/src/declared/control/operator/operator_service.h
+++ b/src/declared/control/operator/operator_service.h
@@ -32,7 +32,7 @@
   Position applied;        ///< last applied log position
   std::uint32_t slots_in_use = 0;
   std::uint32_t connections_in_use = 0;
-  Reason last_problem;  ///< failure of the last failed probe; code kNone if none failed
+  Reason last_problem;  ///< why the last probe failed; code kNone if it was answered or there was none
 };
 
 /// Status of a database group: its primary and its members.
--- a/src/declared/control/operator/operator_sources.h
+++ b/src/declared/control/operator/operator_sources.h
@@ -22,7 +22,7 @@
   [[nodiscard]] virtual std::vector<std::string> leaving_machines() const = 0;
 };
 
-/// Status of another control node as of its last news message.
+/// Status of another control node as of its last status message.
 struct ControlPeerStatus {
   NodeName node;
   Endpoint operator_endpoint;                  ///< port 0 if unknown
--- a/src/declared/proxy/knobs.h
+++ b/src/declared/proxy/knobs.h
@@ -37,8 +37,8 @@
 /// has answered no other call, for this long. Checked at this interval while any such read is in flight.
 inline constexpr Duration kReadSilenceLimit = std::chrono::milliseconds(100);
 inline constexpr Duration kReadWatchInterval = std::chrono::milliseconds(25);
-/// Maximum number of times that a backend is selected for one read because the primary that it waited for was
-/// replaced.
+/// Maximum number of times that candidates are selected for one read. They are selected again if the primary
+/// was replaced while the read was tried.
 inline constexpr int kMaxReadChoices = 3;
 /// A read is held for a replica for at most one part in this many of its time limit.
 inline constexpr int kHoldDeadlineDivisor = 4;
--- a/src/declared/proxy/statement/read_watch.h
+++ b/src/declared/proxy/statement/read_watch.h
@@ -12,8 +12,9 @@
 
 namespace cairnhollow::declared::proxy {
 
-/// A backend is silent if a freshness probe has been unanswered for kReadSilenceLimit and the backend has
-/// answered no statement since. Both references must outlive the watch, which lives until the process ends.
+/// A read's backend is silent if, for the last kReadSilenceLimit, the read has been in flight, a freshness
+/// probe has been unanswered and the backend has answered no other call. Both references must outlive the
+/// watch, which lives until the process ends.
 class ReadWatch {
  public:
   ReadWatch(runtime::Runtime& runtime, const routing::BackendLoadTable& load)
--- a/src/declared/routing/decision.h
+++ b/src/declared/routing/decision.h
@@ -134,7 +134,7 @@
 enum class PrimaryReadCause : std::uint8_t {
   kNone,           ///< a replica is the first candidate
   kRoute,          ///< the route sends reads to the primary
-  kNoToken,        ///< the read has no session token
+  kNoToken,        ///< the read has no usable session token
   kNoReplica,      ///< the group has no replica that the route selects and that is not leaving
   kUnreachable,    ///< every replica failed recently
   kTooOld,         ///< replica data is older than the route's maxStaleness, or of unknown age
--- a/src/wire/hello.h
+++ b/src/wire/hello.h
@@ -69,7 +69,7 @@
 /// at step "hello" and names both ranges.
 HelloAnswer answer_hello(const ProtocolRange& offered, const std::string& peer);
 
-/// Encodes an answer as a frame that differs from the start of every frame of a conversation.
+/// Encodes an answer as a frame. No frame of a conversation starts with the same bytes.
 std::string encode_hello_answer(const HelloAnswer& answer);
 bool is_hello_answer(const std::string& frame);
 /// Fails as decode() does.
