--- a/src/consensus/pending_proposals.cpp
+++ b/src/consensus/pending_proposals.cpp
@@ -29,7 +29,7 @@
     const auto term = log.term_at(index);
     if (!term) {
       proposal->reason = Reason{ReasonCode::kOutcomeUnknown, "propose", "",
-                                "the entry was replaced by a snapshot before its term could be checked"};
+                                "a snapshot covers the entry, so its term cannot be checked"};
     } else if (*term != proposal->term) {
       proposal->reason = Reason{ReasonCode::kNotLeader, "propose", "",
                                 "the entry was overwritten by another leader's entry"};
--- a/src/consensus/replicator.cpp
+++ b/src/consensus/replicator.cpp
@@ -175,7 +175,7 @@
   if (other_identity_logged_) return;
   other_identity_logged_ = true;
   const Reason reason{ReasonCode::kConflict, "replicate", member_.node.value,
-                      "the member answered with a different identity; its disk was replaced"};
+                      "the member answered with a different identity: another disk or data folder"};
   state_.runtime().logger().log(runtime::LogLevel::kWarning, "consensus_other_identity", reason,
                                 {{"identity", member_.identity}});
 }
--- a/src/declared/control/failover/group_monitor.cpp
+++ b/src/declared/control/failover/group_monitor.cpp
@@ -296,7 +296,7 @@
   const GroupObservation observation = observe();
   if (!target) target = best_target(observation);
   if (!target) {
-    reason = Reason{ReasonCode::kNoBackend, "switchover", "", "no other member answers and is not leaving"};
+    reason = Reason{ReasonCode::kNoBackend, "switchover", "", "no other member that is staying answers"};
     co_return std::nullopt;
   }
   const auto probe = probes_.find(*target);
--- a/src/declared/control/voter_repair.cpp
+++ b/src/declared/control/voter_repair.cpp
@@ -92,7 +92,7 @@
   if (replaced) {
     events_.record("voter_replaced", subject, replacement + " replaced it as a voter");
   } else {
-    events_.record("voter_not_replaced", subject, replacement + " could not be added as a voter", reason);
+    events_.record("voter_not_replaced", subject, replacement + " was not confirmed as a voter", reason);
   }
 }
 
--- a/src/declared/proxy/calls/explain.cpp
+++ b/src/declared/proxy/calls/explain.cpp
@@ -135,7 +135,7 @@
   if (!context.lease_valid && !decision.domain.empty()) {
     decision.refusal =
         Reason{ReasonCode::kLeaseExpired, std::string(kStep), decision.domain.value,
-               "the lease of domain " + decision.domain.value + " has expired; no statements are sent"};
+               "domain " + decision.domain.value + " has no valid lease; no statements are sent"};
   }
   if (group != nullptr && !group->served_here) {
     auto targets = forward_targets(*group, context.proxy);
--- a/src/declared/proxy/domain/serving_state.cpp
+++ b/src/declared/proxy/domain/serving_state.cpp
@@ -15,12 +15,12 @@
 bool ServingState::check_lease(std::string_view step, Reason& reason) const {
   if (source_.lease_valid(runtime_.now())) return true;
   reason = Reason{ReasonCode::kLeaseExpired, std::string(step), "",
-                  "the serving lease expired: the control nodes were not reached in time"};
+                  "no valid serving lease: no control node granted one in time"};
   if (domain_.empty()) return false;
   const auto& failure = source_.last_failure();
   reason.peer = failure.peer.empty() ? domain_.value : failure.peer;
   reason.detail =
-      "the serving lease expired: the control nodes of domain " + domain_.value + " were not reached in time";
+      "no valid serving lease: no control node of domain " + domain_.value + " granted one in time";
   if (failure.failed()) reason.detail += " (" + failure.to_string() + ")";
   return false;
 }
--- a/src/registered/control/failover/planned_change.cpp
+++ b/src/registered/control/failover/planned_change.cpp
@@ -27,7 +27,7 @@
     return is_planned_successor(entry, term, fleet);
   });
   if (!has_candidate) return {};
-  return leaves ? "the primary is leaving or has been deregistered"
+  return leaves ? "the primary is leaving or is no longer registered"
                 : "the primary's zone " + primary->zone.value + " is evacuated";
 }
 
--- a/src/registered/control/failover/primary_check.cpp
+++ b/src/registered/control/failover/primary_check.cpp
@@ -38,7 +38,8 @@
   }
   if (!failed || !terms_.leads()) {
     terms_.log("primary_examined", term,
-               "not replaced: it answers as primary, or this node is no longer the leader");
+               "not replaced: the checks did not fail, no successor is proved, or this node is no longer the "
+               "leader");
     co_return std::nullopt;
   }
   co_return reason.failed() ? reason.to_string() : "it is no longer primary of this term";
--- a/src/registered/control/registration_service.cpp
+++ b/src/registered/control/registration_service.cpp
@@ -71,8 +71,7 @@
   const bool confirmed = co_await confirm(reason);
   if (!confirmed) co_return std::nullopt;
   if (fleet_.document_version() > 0) co_return fleet_.document_text();
-  reason =
-      Reason{ReasonCode::kNotFound, "read_document", "", "no configuration document has been submitted yet"};
+  reason = Reason{ReasonCode::kNotFound, "read_document", "", "no configuration document is stored yet"};
   co_return std::nullopt;
 }
 
--- a/src/registered/proxy/group/member_lease_keeper.cpp
+++ b/src/registered/proxy/group/member_lease_keeper.cpp
@@ -59,7 +59,7 @@
     ++round->unanswered;
     runtime_.spawn("member_lease_ask", query_member(round, member));
   }
-  if (round->unanswered == 0) round->failure = "the group has no member besides the primary";
+  if (round->unanswered == 0) round->failure = "no member besides the primary could be queried";
   if (group->backends.is_primary_restarted()) round->failure = "the primary has restarted";
   bool in_time = true;
   while (round->unanswered > 0 && round->failure.empty() && in_time)
--- a/src/registered/proxy/statement/cold_tokens.cpp
+++ b/src/registered/proxy/statement/cold_tokens.cpp
@@ -32,7 +32,7 @@
       LogLevel::kInfo, "cold_limit_reached",
       {{"group", group.name.value},
        {"backend", backend.entry.name.value},
-       {"why", is_over_limit ? "cold rate limit reached" : "no quota owner answered"},
+       {"why", is_over_limit ? "cold rate limit reached" : "no quota owner can grant tokens now"},
        {"retry_ms", std::to_string(in_ms(admission.retry_after))}});
 }
 
--- a/src/registered/proxy/statement/pinned_transactions.cpp
+++ b/src/registered/proxy/statement/pinned_transactions.cpp
@@ -115,8 +115,10 @@
   lost.state = TransactionState::kFailed;
   const bool in_doubt = placement::is_in_doubt(commits && wrote, was_open);
   lost.refusal = in_doubt ? Refusal::kInDoubt : Refusal::kAborted;
-  lost.detail = in_doubt ? "the commit was sent but no answer arrived; its outcome is unknown"
-                         : "the proxy that served the transaction did not answer; its changes are not kept";
+  lost.detail =
+      in_doubt
+          ? "the commit was sent but no answer arrived; its outcome is unknown"
+          : "the proxy that served the transaction did not answer; the transaction's changes are not kept";
   if (was_open) services_.runtime.spawn("forward_end", end_remote(remote));
   log_.refusal(request, lost, reason, 1);
   co_return lost;
--- a/src/registered/proxy/statement/statement_runner.cpp
+++ b/src/registered/proxy/statement/statement_runner.cpp
@@ -235,7 +235,7 @@
   attempt->tried_backends += backend->entry.name.value + ' ';
   if (!entered) {
     attempt->reason = Reason{ReasonCode::kOverloaded, "enter_gate", backend->entry.name.value,
-                             "no slot at the backend became free in time"};
+                             "no slot at the backend is free, or expected to be free, in time"};
     co_return apply(placement::make_retry(attempt->needs_primary), *attempt);
   }
   bool begun = co_await prepare_link(attempt);
--- a/src/runtime/asio/byte_stream.cpp
+++ b/src/runtime/asio/byte_stream.cpp
@@ -24,8 +24,7 @@
 
 ByteStream::ByteStream(tcp::socket socket)
     : socket_(std::move(socket)), peer_(peer_name(socket_)), deadline_(socket_.get_executor(), [this] {
-        close(
-            {ReasonCode::kDeadlineExceeded, "exchange", peer_, "exchange not finished before the deadline"});
+        close({ReasonCode::kDeadlineExceeded, "exchange", peer_, "the deadline of the connection passed"});
       }) {}
 
 void ByteStream::start(std::function<void()> on_closed) {
--- a/tests/registered/control/failover/planned_change_test.cpp
+++ b/tests/registered/control/failover/planned_change_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const char* const kPrimaryLeaving = "the primary is leaving or has been deregistered";
+const char* const kPrimaryLeaving = "the primary is leaving or is no longer registered";
 const char* const kZoneEvacuated = "the primary's zone a is evacuated";
 
 /// `gone` and `leaving` describe the primary, `evacuated` its zone, `replicas_evacuated` the zone of the
